--- a/src/main/java/maplespread/Lifecycle.java
+++ b/src/main/java/maplespread/Lifecycle.java
@@ -14,10 +14,18 @@
      * longer ready, still accepting for a moment, and still serving the connections that are open. FINISHING:
      * these end, what was taken is finished. STOPPED: all taken work has been answered, or its time is over.
      */
-    public enum Phase { STARTING, SERVING, RELOADING, QUIESCED, DRAINING, FINISHING, STOPPED }
+    public enum Phase {
+        STARTING,
+        SERVING,
+        RELOADING,
+        QUIESCED,
+        DRAINING,
+        FINISHING,
+        STOPPED
+    }
 
     private Phase phase = Phase.STARTING;
-    private Phase settled = Phase.SERVING;                       // where a reload goes back to
+    private Phase settled = Phase.SERVING; // where a reload goes back to
 
     public synchronized Phase phase() {
         return phase;
--- a/src/main/java/maplespread/Main.java
+++ b/src/main/java/maplespread/Main.java
@@ -7,7 +7,7 @@
  * so that a start loads nothing of the command line's library; all else is {@link maplespread.cli.Cli}'s.
  */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Exits 2 on a wrong call or configuration, 1 on malformed input or a taken address. */
     public static void main(String[] args) throws IOException {
--- a/src/main/java/maplespread/Server.java
+++ b/src/main/java/maplespread/Server.java
@@ -26,7 +26,6 @@
 import maplespread.config.Operator;
 import maplespread.console.Calls;
 import maplespread.console.Console;
-import maplespread.decision.Dispatch;
 import maplespread.facade.Chore;
 import maplespread.facade.Dispatcher;
 import maplespread.facade.Outcome;
@@ -46,19 +45,19 @@
 
 /** One running dispatcher: puts the parts together and takes them through the phases. */
 public final class Server {
-    private static final long STACK = 144 * 1024;                // times the counts in Config.Sizes
+    private static final long STACK = 144 * 1024; // times the counts in Config.Sizes
     private static final int BACKLOG = 2048;
     private static final int SPARE_LEGS = 16;
     private static final int ENDING_LEGS = 64;
     private static final long SWEEP_MS = 1000;
     private static final long COUNT_MS = 10_000;
-    private static final long LIST_MS = 1500;                    // for the list, where another one serves
-    private static final long SWIFT_MS = 500;                    // quiet so long, a connection may end
-    private static final long QUIET_MS = 50;                     // between looks for these
-    private static final long AGAIN_MS = 250;                    // after clients left new ones may come
-    private static final long PART_MS = 1000;                    // of a drain, then this is enough:
+    private static final long LIST_MS = 1500; // for the list, where another one serves
+    private static final long SWIFT_MS = 500; // quiet so long, a connection may end
+    private static final long QUIET_MS = 50; // between looks for these
+    private static final long AGAIN_MS = 250; // after clients left new ones may come
+    private static final long PART_MS = 1000; // of a drain, then this is enough:
     private static final long LATE_MS = 200;
-    private static final long LAST_MS = 100;                     // for the last answers' way
+    private static final long LAST_MS = 100; // for the last answers' way
 
     /** Where a new configuration comes from; the operators' file is read whole or not at all. */
     public interface Source {
@@ -69,7 +68,7 @@
         }
     }
 
-    private volatile Config config;                              // what a reload cannot change stays in it
+    private volatile Config config; // what a reload cannot change stays in it
     private final Source source;
     private final Semaphore reloads = new Semaphore(0);
     private final Lifecycle lifecycle = new Lifecycle();
@@ -80,20 +79,20 @@
     private final Handover routes;
     private final RouteSink sink;
     private final Parts parts;
-    private volatile Consumer<RouteNews> tap = news -> { };
-    private RegistrySettings registry;                           // null: discovery has the word
+    private volatile Consumer<RouteNews> tap = news -> {};
+    private RegistrySettings registry; // null: discovery has the word
     private final List<Thread> threads;
     private final ExecutorService probes;
-    private volatile ServerSocket socket;                        // null before it is bound
+    private volatile ServerSocket socket; // null before it is bound
     private volatile Listener listener;
-    private volatile long lastUs = Long.MAX_VALUE;               // by when all must be answered
+    private volatile long lastUs = Long.MAX_VALUE; // by when all must be answered
     private long sweptAt = System.nanoTime();
     private long countedAt = sweptAt;
-    private long drainedAt;                                      // 0: no drain by call
+    private long drainedAt; // 0: no drain by call
     private final Figures figures = new Figures();
-    private Console console;                                     // null: none is named
-    private final Object turn = new Object();                    // of those who give the module settings
-    private final CountDownLatch told = new CountDownLatch(1);   // of the route set, since the start
+    private Console console; // null: none is named
+    private final Object turn = new Object(); // of those who give the module settings
+    private final CountDownLatch told = new CountDownLatch(1); // of the route set, since the start
 
     /** {@code source}: asked at each reload. */
     public Server(Config config, Source source) {
@@ -112,15 +111,17 @@
         prober = new Prober(this::config, links, dispatcher);
         registry = operator.registry();
         RouteSink all = new RouteSink() {
-            @Override public void news(RouteNews news) {
+            @Override
+            public void news(RouteNews news) {
                 dispatcher.report(news);
-                if (news.kind() != RouteNews.Kind.HELD) {        // that one is of before the start
+                if (news.kind() != RouteNews.Kind.HELD) { // that one is of before the start
                     told.countDown();
                 }
                 tap.accept(news);
             }
 
-            @Override public void watchLost() {
+            @Override
+            public void watchLost() {
                 dispatcher.reportWatchLost();
             }
         };
@@ -132,50 +133,61 @@
 
     /** This dispatcher as its parts see it. */
     private final class Own implements Host {
-        @Override public Config config() {
+        @Override
+        public Config config() {
             return config;
         }
 
-        @Override public Figures figures() {
+        @Override
+        public Figures figures() {
             return figures;
         }
 
-        @Override public Figures.Hosts hosts() {
+        @Override
+        public Figures.Hosts hosts() {
             return dispatcher.hosts();
         }
 
-        @Override public void settle() {
+        @Override
+        public void settle() {
             synchronized (turn) {
                 dispatcher.report(parts.settings(config.settings()));
             }
         }
 
-        @Override public void relief(double[] weights) {
+        @Override
+        public void relief(double[] weights) {
             dispatcher.relief(weights);
         }
 
-        @Override public boolean quiesce() {
+        @Override
+        public boolean quiesce() {
             return lifecycle.quiesce();
         }
 
-        @Override public boolean resume() {
+        @Override
+        public boolean resume() {
             return lifecycle.resume();
         }
 
-        @Override public boolean serving() {
+        @Override
+        public boolean serving() {
             return lifecycle.serving();
         }
 
-        @Override public boolean accepting() {
+        @Override
+        public boolean accepting() {
             return lifecycle.accepting();
         }
 
-        @Override public InetSocketAddress listens() {
+        @Override
+        public InetSocketAddress listens() {
             ServerSocket s = socket;
             return s == null ? null : (InetSocketAddress) s.getLocalSocketAddress();
         }
 
-        @Override public Relay relay() {
+        @Override
+        public Relay relay() {
             return new Relay(links);
         }
     }
@@ -195,7 +207,8 @@
         routes.start();
         try {
             // What an agent holds counts from a process's first moment on.
-            boolean wanted = parts.shared() || registry == null && !config.settings().ask();
+            boolean wanted =
+                    parts.shared() || registry == null && !config.settings().ask();
             if (wanted && !told.await(LIST_MS, TimeUnit.MILLISECONDS)) {
                 Logger.warn("no list within {} ms: serves from the one last known", LIST_MS);
             }
@@ -204,18 +217,26 @@
         }
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
-        if (config.console() != null) {                          // beside the process that this one relieves
+        if (config.console() != null) { // beside the process that this one relieves
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
         InetSocketAddress at = config.listen();
         socket.bind(at, BACKLOG);
         this.socket = socket;
-        Service service = new Service(this::config, dispatcher, branches,
-            threads("transaction", config.sizes().transactions() + 8), this::sizes, figures,
-            lifecycle::serving, routes::unready,
-            lifecycle::parting, () -> lastUs, parts.ends(), parts.turns());
-        listener = new Listener(socket, service, queued("leg", config.sizes().legs()),
-            threads("spare", SPARE_LEGS));
+        Service service = new Service(
+                this::config,
+                dispatcher,
+                branches,
+                threads("transaction", config.sizes().transactions() + 8),
+                this::sizes,
+                figures,
+                lifecycle::serving,
+                routes::unready,
+                lifecycle::parting,
+                () -> lastUs,
+                parts.ends(),
+                parts.turns());
+        listener = new Listener(socket, service, queued("leg", config.sizes().legs()), threads("spare", SPARE_LEGS));
         thread("listener", listener).start();
         parts.serving();
         lifecycle.enter(Lifecycle.Phase.SERVING);
@@ -239,11 +260,10 @@
 
     private Calls calls() {
         return parts.calls(Map.of(
-            "GET /admin/health", Calls.yes(lifecycle::accepting, "takes clients", 503, "takes no clients"),
-            "GET /admin/stats", ask -> new Calls.Reply(200, figures()),
-            "POST /admin/quiesce", Calls.yes(lifecycle::quiesce, "drains; resume ends it", 409,
-                "not in service"),
-            "POST /admin/resume", Calls.yes(lifecycle::resume, "at work", 409, "not in service")));
+                "GET /admin/health", Calls.yes(lifecycle::accepting, "takes clients", 503, "takes no clients"),
+                "GET /admin/stats", ask -> new Calls.Reply(200, figures()),
+                "POST /admin/quiesce", Calls.yes(lifecycle::quiesce, "drains; resume ends it", 409, "not in service"),
+                "POST /admin/resume", Calls.yes(lifecycle::resume, "at work", 409, "not in service")));
     }
 
     /** Has the configuration read anew; asked several times at once, it is read after the last of them. */
@@ -278,23 +298,26 @@
             figures.show(next.names().live());
             synchronized (turn) {
                 dispatcher.report(parts.settings(next.settings()));
-                config = next;                                   // last: the module must know a class first
+                config = next; // last: the module must know a class first
             }
             parts.reload(next, operator);
             figures.reconfigured(true);
             if (!Objects.equals(registry, then)) {
                 registry = then;
                 routes.change(Sources.of(next, then));
-                Logger.info("configuration: read anew; routes come from {}", then == null ? "discovery at "
-                    + next.discovery() : then.dialect() + " at " + then.endpoints());
+                Logger.info(
+                        "configuration: read anew; routes come from {}",
+                        then == null ? "discovery at " + next.discovery() : then.dialect() + " at " + then.endpoints());
                 return;
             }
-            Logger.info("configuration: read anew; discovery at {}{}", next.discovery(),
-                routes.move(next.discovery()) ? ", watched from now on" : " as before");
+            Logger.info(
+                    "configuration: read anew; discovery at {}{}",
+                    next.discovery(),
+                    routes.move(next.discovery()) ? ", watched from now on" : " as before");
         } catch (ConfigError e) {
             figures.reconfigured(false);
             Logger.error("configuration: {}; the old one stays", e.getMessage());
-        } catch (RuntimeException | Error e) {                   // the next reload must still be heard
+        } catch (RuntimeException | Error e) { // the next reload must still be heard
             figures.reconfigured(false);
             Logger.error(e, "a reload failed; the old configuration stays");
         }
@@ -344,7 +367,7 @@
         if (!lifecycle.enter(Lifecycle.Phase.DRAINING)) {
             return;
         }
-        if (listener == null) {                                  // told to end before anything was open
+        if (listener == null) { // told to end before anything was open
             lifecycle.enter(Lifecycle.Phase.STOPPED);
             return;
         }
@@ -355,7 +378,7 @@
             lastUs = dispatcher.nowUs() + (config.times().endMs() - LAST_MS) * 1000;
             boolean relieved = parts.relieved();
             parts.stop();
-            if (relieved) {                                      // who serves beside it accepts all
+            if (relieved) { // who serves beside it accepts all
                 Logger.info("another process of this dispatcher has taken over");
                 listener.close();
                 lifecycle.enter(Lifecycle.Phase.FINISHING);
@@ -377,7 +400,7 @@
                 Thread.sleep(10);
             }
             listener.failAll();
-            while (!listener.over() && System.nanoTime() < end) {    // an exit over unread bytes would reset
+            while (!listener.over() && System.nanoTime() < end) { // an exit over unread bytes would reset
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
@@ -419,7 +442,7 @@
                 }
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException | Error e) {               // the timers must go on
+            } catch (RuntimeException | Error e) { // the timers must go on
                 Logger.error(e, "a chore failed");
             }
         }
@@ -446,7 +469,7 @@
     private void probe(Chore.Probe probe) {
         try {
             probes.execute(() -> prober.probe(probe));
-        } catch (RejectedExecutionException | OutOfMemoryError e) {     // a probe without an end stays out
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // a probe without an end stays out
             dispatcher.report(probe, Outcome.CANCELLED, 0, null);
         }
     }
@@ -460,16 +483,25 @@
     /** So many threads; work beyond them waits for one, as legs that make room for others are ending. */
     private static ExecutorService queued(String name, int most) {
         AtomicInteger count = new AtomicInteger();
-        ThreadPoolExecutor pool = new ThreadPoolExecutor(most, most, 10, TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(ENDING_LEGS),
-            work -> thread(name + '-' + count.incrementAndGet(), work));
+        ThreadPoolExecutor pool = new ThreadPoolExecutor(
+                most,
+                most,
+                10,
+                TimeUnit.SECONDS,
+                new LinkedBlockingQueue<>(ENDING_LEGS),
+                work -> thread(name + '-' + count.incrementAndGet(), work));
         pool.allowCoreThreadTimeOut(true);
         return pool;
     }
 
     private static ExecutorService threads(String name, int most) {
         AtomicInteger count = new AtomicInteger();
-        return new ThreadPoolExecutor(0, most, 10, TimeUnit.SECONDS, new SynchronousQueue<>(),
-            work -> thread(name + '-' + count.incrementAndGet(), work));
+        return new ThreadPoolExecutor(
+                0,
+                most,
+                10,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                work -> thread(name + '-' + count.incrementAndGet(), work));
     }
 }
--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -24,11 +24,11 @@
  * the simulator's wire on standard input and output, {@code rehearse} serves itself one request and ends.
  */
 public final class Start {
-    private Start() { }
+    private Start() {}
 
     /** One dispatcher until it is told to end; {@code operator}: the operators' file, or null. */
     public static void serve(String operator) {
-        serve(operator, (server, config) -> { });
+        serve(operator, (server, config) -> {});
     }
 
     /** One dispatcher that asks itself, and ends. */
@@ -51,20 +51,25 @@
             Config config = ConfigReader.fromEnvironment(env);
             operator.check(config);
             Server server = new Server(config, operator, new Server.Source() {
-                @Override public Config read() throws ConfigError {
+                @Override
+                public Config read() throws ConfigError {
                     return ConfigReader.again(env);
                 }
 
-                @Override public Operator operator() throws ConfigError {
+                @Override
+                public Operator operator() throws ConfigError {
                     return file == null || file.isEmpty() ? Operator.NONE : OperatorReader.file(file);
                 }
             });
             hangups.to(server::reload);
             // The JVM ends when its hooks have: this one waits for the taken work, and makes the status 0.
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                server.stop();
-                Runtime.getRuntime().halt(0);
-            }, "shutdown"));
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                server.stop();
+                                Runtime.getRuntime().halt(0);
+                            },
+                            "shutdown"));
             server.start();
             started.accept(server, config);
             server.lifecycle().await(Lifecycle.Phase.STOPPED);
@@ -87,7 +92,7 @@
         for (String call : new String[] {"GET /admin/health", "GET /admin/stats"}) {
             try (HttpConnection link = HttpConnection.dial(server.consoleAddress(), 1000)) {
                 link.send((call + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-                link.receive(HttpParser.response(1 << 16, (bytes, at, length) -> { }), 1000);
+                link.receive(HttpParser.response(1 << 16, (bytes, at, length) -> {}), 1000);
             } catch (IOException | IllegalStateException e) {
                 Logger.warn("the rehearsal's call was cut short: {}", e.getMessage());
             }
@@ -95,15 +100,19 @@
         try (HttpConnection link = HttpConnection.dial(server.address(), 1000)) {
             Config.Names names = config.names();
             String lane = names.classes().get(0);
-            String tenant = names.tenants().isEmpty() ? "" : "X-Org: " + names.tenants().get(0) + "\r\n";
+            String tenant =
+                    names.tenants().isEmpty() ? "" : "X-Org: " + names.tenants().get(0) + "\r\n";
             for (String request : new String[] {"GET /ready", "POST /" + lane + "/x"}) {
                 link.send((request + " HTTP/1.1\r\nHost: h\r\nX-Txn: r\r\nX-Lane: " + lane + "\r\n" + tenant
-                    + "Idempotency-Key: r\r\nX-Remaining-Ms: 200\r\nContent-Length: 0\r\n\r\n")
+                                + "Idempotency-Key: r\r\nX-Remaining-Ms: 200\r\nContent-Length: 0\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
-                HttpParser answer = HttpParser.response(1 << 16, (bytes, at, length) -> { });
+                HttpParser answer = HttpParser.response(1 << 16, (bytes, at, length) -> {});
                 link.receive(answer, 1000);
-                if (answer.head().status() < 500) {              // no worker is known
-                    Logger.warn("the rehearsal of {} was answered {}", request, answer.head().status());
+                if (answer.head().status() < 500) { // no worker is known
+                    Logger.warn(
+                            "the rehearsal of {} was answered {}",
+                            request,
+                            answer.head().status());
                 }
             }
         } catch (IOException e) {
@@ -117,7 +126,8 @@
         private Runnable heard;
         private boolean early;
 
-        @Override public synchronized void run() {
+        @Override
+        public synchronized void run() {
             early |= heard == null;
             if (heard != null) {
                 heard.run();
@@ -137,7 +147,7 @@
         try {
             if (Signal.handle(new Signal("HUP"), signal -> work.run()) == SignalHandler.SIG_IGN) {
                 Logger.warn("SIGHUP was ignored when this process was started, as under nohup, and is not "
-                    + "heard: start it otherwise, or restart it for a new configuration");
+                        + "heard: start it otherwise, or restart it for a new configuration");
             }
         } catch (IllegalArgumentException e) {
             Logger.warn("SIGHUP cannot be heard here: {}", e.getMessage());
@@ -146,8 +156,7 @@
 
     /** The decisions on the simulator's wire. */
     public static void drill() throws IOException {
-        try (PrintStream out = new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false,
-            "UTF-8")) {
+        try (PrintStream out = new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, "UTF-8")) {
             new WireAdapter(System.in, out).run();
         } catch (WireAdapter.Malformed bad) {
             System.err.println(bad.getMessage());
--- a/src/main/java/maplespread/address/Ballot.java
+++ b/src/main/java/maplespread/address/Ballot.java
@@ -8,5 +8,11 @@
  */
 public record Ballot(Kind kind, String from, long boot, long term, long seq, String holder, long leftMs) {
     /** TAKE_OVER asks the owner to give up for a candidate that is preferred. */
-    public enum Kind { REQUEST, GRANT, REFUSE, GIVE_UP, TAKE_OVER }
+    public enum Kind {
+        REQUEST,
+        GRANT,
+        REFUSE,
+        GIVE_UP,
+        TAKE_OVER
+    }
 }
--- a/src/main/java/maplespread/address/ClaimTable.java
+++ b/src/main/java/maplespread/address/ClaimTable.java
@@ -21,7 +21,7 @@
     private static final int SYNC_ENTRIES = 16;
     private static final long SYNC_AGAIN_MS = 100;
 
-    private record Claimant(String name, long boot, long attempt) { }
+    private record Claimant(String name, long boot, long attempt) {}
 
     /**
      * An id. A vote is given to one claimant, but others read at a start may have voted for several: each of
@@ -45,7 +45,7 @@
     private final ClaimSettings set;
     private final long boot;
     private final Sink sink;
-    private final Map<String, Held> held = new LinkedHashMap<>();        // the oldest first
+    private final Map<String, Held> held = new LinkedHashMap<>(); // the oldest first
     private final Set<String> sources = new HashSet<>();
     private final long startedAt;
     private long askedAt = Long.MIN_VALUE / 2;
@@ -85,7 +85,7 @@
                 }
             }
         }
-        for (Iterator<Held> all = held.values().iterator(); all.hasNext();) {
+        for (Iterator<Held> all = held.values().iterator(); all.hasNext(); ) {
             if (now - all.next().at <= set.keepMs()) {
                 break;
             }
@@ -101,9 +101,8 @@
             case RECORD -> record(now, w);
             case ABANDON -> {
                 Held h = held.get(w.id());
-                if (h != null && h.outcome == null && h.claimants.remove(claimant(w))
-                        && h.claimants.isEmpty()) {
-                    held.remove(w.id());                         // it was never sent
+                if (h != null && h.outcome == null && h.claimants.remove(claimant(w)) && h.claimants.isEmpty()) {
+                    held.remove(w.id()); // it was never sent
                 }
             }
             case SYNC_ASK -> {
@@ -112,7 +111,7 @@
                 }
             }
             case SYNC -> learn(now, w);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -138,8 +137,8 @@
 
     /** To the run that asked, and no other: attempts of two runs may have one number. */
     private void answer(ClaimWord asked, Kind kind, String outcome) {
-        sink.send(asked.from(), ClaimWord.of(kind, set.name(), boot, asked.id(), asked.attempt(),
-            asked.boot(), outcome));
+        sink.send(
+                asked.from(), ClaimWord.of(kind, set.name(), boot, asked.id(), asked.attempt(), asked.boot(), outcome));
     }
 
     /** An outcome is kept also where the claim was never heard of. */
@@ -161,19 +160,29 @@
                 if (parts.get(parts.size() - 1).size() == SYNC_ENTRIES) {
                     parts.add(new ArrayList<>());
                 }
-                parts.get(parts.size() - 1).add(new Entry(e.getKey(), c.name(), c.boot(), c.attempt(),
-                    h.outcome, now - h.at));
+                parts.get(parts.size() - 1)
+                        .add(new Entry(e.getKey(), c.name(), c.boot(), c.attempt(), h.outcome, now - h.at));
             }
         }
         answers++;
         for (int i = 0; i < parts.size(); i++) {
-            sink.send(to, new ClaimWord(Kind.SYNC, set.name(), boot, Integer.toString(i), answers,
-                parts.size(), null, parts.get(i), i == parts.size() - 1));
+            sink.send(
+                    to,
+                    new ClaimWord(
+                            Kind.SYNC,
+                            set.name(),
+                            boot,
+                            Integer.toString(i),
+                            answers,
+                            parts.size(),
+                            null,
+                            parts.get(i),
+                            i == parts.size() - 1));
         }
     }
 
     /** The parts that have come of one answer of one source. */
-    private record Answer(long boot, long number, Set<String> parts) { }
+    private record Answer(long boot, long number, Set<String> parts) {}
 
     private final Map<String, Answer> read = new LinkedHashMap<>();
     private long answers;
--- a/src/main/java/maplespread/address/ClaimWord.java
+++ b/src/main/java/maplespread/address/ClaimWord.java
@@ -9,16 +9,32 @@
  * known; {@code entries}: SYNC: claims held. In a SYNC the id is the part's number and the term how many
  * parts there are.
  */
-public record ClaimWord(Kind kind, String from, long boot, String id, long attempt, long term, String outcome,
-        List<Entry> entries, boolean last) {
+public record ClaimWord(
+        Kind kind,
+        String from,
+        long boot,
+        String id,
+        long attempt,
+        long term,
+        String outcome,
+        List<Entry> entries,
+        boolean last) {
     /** YES: the claim is held here; HELD: another's is; BLIND: this elector does not know yet. */
-    public enum Kind { CLAIM, YES, HELD, BLIND, RECORD, ABANDON, SYNC_ASK, SYNC }
+    public enum Kind {
+        CLAIM,
+        YES,
+        HELD,
+        BLIND,
+        RECORD,
+        ABANDON,
+        SYNC_ASK,
+        SYNC
+    }
 
     /** A claim as an elector holds it; {@code ageMs} since it was made or its outcome recorded. */
-    public record Entry(String id, String claimant, long boot, long attempt, String outcome, long ageMs) { }
+    public record Entry(String id, String claimant, long boot, long attempt, String outcome, long ageMs) {}
 
-    static ClaimWord of(Kind kind, String from, long boot, String id, long attempt, long term,
-            String outcome) {
+    static ClaimWord of(Kind kind, String from, long boot, String id, long attempt, long term, String outcome) {
         return new ClaimWord(kind, from, boot, id, attempt, term, outcome, List.of(), true);
     }
 }
--- a/src/main/java/maplespread/address/Claims.java
+++ b/src/main/java/maplespread/address/Claims.java
@@ -15,16 +15,16 @@
     /** What is known of an id. */
     public sealed interface Verdict {
         /** It is this instance's to send, once, at once. */
-        record Granted() implements Verdict { }
+        record Granted() implements Verdict {}
 
         /** It ran before; this came of it. */
-        record Known(String outcome) implements Verdict { }
+        record Known(String outcome) implements Verdict {}
 
         /** Another claim of it is held and may have run: it must not run again. */
-        record InDoubt() implements Verdict { }
+        record InDoubt() implements Verdict {}
 
         /** No majority could be asked: it has not run by this claim, and may be tried again. */
-        record Unavailable() implements Verdict { }
+        record Unavailable() implements Verdict {}
     }
 
     /** Where words and verdicts go. */
@@ -50,7 +50,7 @@
     private final long boot;
     private final Sink sink;
     private final Map<String, Open> open = new HashMap<>();
-    private final Map<String, Long> granted = new HashMap<>();   // until their outcome: the attempt
+    private final Map<String, Long> granted = new HashMap<>(); // until their outcome: the attempt
     private long attempts;
 
     /** {@code boot}: tells this run from others of its name. */
@@ -69,7 +69,7 @@
         Open o = new Open(++attempts, now + set.askMs());
         open.put(id, o);
         for (String elector : set.electors()) {
-            if (open.get(id) == o) {                             // an answer may come within the call
+            if (open.get(id) == o) { // an answer may come within the call
                 sink.send(elector, word(Kind.CLAIM, id, o.attempt, term, null));
             }
         }
@@ -86,7 +86,10 @@
     public void received(long now, ClaimWord w) {
         tick(now);
         Open o = open.get(w.id());
-        if (o == null || o.attempt != w.attempt() || w.term() != boot || !set.electors().contains(w.from())) {
+        if (o == null
+                || o.attempt != w.attempt()
+                || w.term() != boot
+                || !set.electors().contains(w.from())) {
             return;
         }
         o.heard.add(w.from());
@@ -105,7 +108,7 @@
                     end(w.id(), o, new Verdict.Known(w.outcome()));
                 }
             }
-            default -> { }
+            default -> {}
         }
         // One that holds another's claim may be overruled by a majority that does not: all are awaited.
         if (open.get(w.id()) == o && o.heard.size() == set.electors().size()) {
@@ -125,7 +128,7 @@
 
     private void end(String id, Open o, Verdict verdict) {
         open.remove(id);
-        tell(word(Kind.ABANDON, id, o.attempt, 0, null));        // its votes would hold it for nothing
+        tell(word(Kind.ABANDON, id, o.attempt, 0, null)); // its votes would hold it for nothing
         sink.decided(id, verdict);
     }
 
--- a/src/main/java/maplespread/address/Election.java
+++ b/src/main/java/maplespread/address/Election.java
@@ -21,13 +21,18 @@
  */
 public final class Election {
     /** ELECTED counts while {@link #mayAct} says so. */
-    public enum Role { FOLLOWING, ASKING, ELECTED, RESTING }
+    public enum Role {
+        FOLLOWING,
+        ASKING,
+        ELECTED,
+        RESTING
+    }
 
     private final ElectionSettings set;
     private final ElectionSink sink;
     private final SplittableRandom random;
     private final boolean elector;
-    private final int rank;                                      // -1: no candidate
+    private final int rank; // -1: no candidate
     private final long boot;
     private final long startedAt;
 
@@ -36,7 +41,7 @@
     private long votedBoot, votedTerm, votedUntil;
     private String reservedFor = "";
     private long reservedUntil;
-    private long highest;                                        // term ever heard of
+    private long highest; // term ever heard of
 
     // as a candidate
     private Role role = Role.FOLLOWING;
@@ -104,7 +109,7 @@
                     role = Role.FOLLOWING;
                     nextAt = now + delay(0);
                 }
-                case ASKING -> retreat(now);                     // no majority in time
+                case ASKING -> retreat(now); // no majority in time
                 case FOLLOWING -> follow(now, wallMs);
             }
         }
@@ -188,7 +193,9 @@
         boolean free = now >= votedUntil && (now >= reservedUntil || reservedFor.equals(b.from()));
         // One that has just begun may have voted before, and does not know for whom.
         boolean blind = now - startedAt < set.quarantineMs();
-        if (!blind && b.term() >= highest && (same && now < votedUntil || free && b.term() > votedTerm)
+        if (!blind
+                && b.term() >= highest
+                && (same && now < votedUntil || free && b.term() > votedTerm)
                 && set.candidates().contains(b.from())) {
             votedFor = b.from();
             votedBoot = b.boot();
@@ -200,8 +207,17 @@
             answer(now, b, new Ballot(Kind.GRANT, set.name(), boot, b.term(), b.seq(), "", 0));
         } else {
             highest = Math.max(highest, b.term());
-            answer(now, b, new Ballot(Kind.REFUSE, set.name(), boot, highest, b.seq(),
-                now < votedUntil ? votedFor : "", Math.max(0, votedUntil - now)));
+            answer(
+                    now,
+                    b,
+                    new Ballot(
+                            Kind.REFUSE,
+                            set.name(),
+                            boot,
+                            highest,
+                            b.seq(),
+                            now < votedUntil ? votedFor : "",
+                            Math.max(0, votedUntil - now)));
         }
     }
 
@@ -215,13 +231,12 @@
 
     private void granted(long now, Ballot b) {
         boolean mine = (role == Role.ASKING || role == Role.ELECTED) && b.seq() == seq && b.term() == term;
-        if (!mine || !set.electors().contains(b.from()) || !granted.add(b.from())
-                || granted.size() < set.majority()) {
+        if (!mine || !set.electors().contains(b.from()) || !granted.add(b.from()) || granted.size() < set.majority()) {
             return;
         }
         long until = askedAt + set.ownLeaseMs();
         if (now >= until) {
-            return;                                              // the votes came too late to be of use
+            return; // the votes came too late to be of use
         }
         leaseUntil = until;
         if (role == Role.ASKING) {
@@ -270,8 +285,9 @@
         if (owner.equals(b.from())) {
             owner = "";
             if (role == Role.FOLLOWING && rank >= 0) {
-                nextAt = b.holder().equals(set.name()) ? now : now + delay(b.holder().isEmpty() ? 0
-                    : set.leaseMs() / 2);
+                nextAt = b.holder().equals(set.name())
+                        ? now
+                        : now + delay(b.holder().isEmpty() ? 0 : set.leaseMs() / 2);
             }
         }
     }
@@ -312,8 +328,9 @@
     private void lose(long now, String why, String successor) {
         // One that loses it soon after it had it is not stable, and waits longer each time.
         boolean soon = now - ownedSince < set.stableMs();
-        rest = successor.isEmpty() && soon ? Math.min(set.mostRestMs(), Math.max(set.restMs(), rest * 2))
-            : set.restMs();
+        rest = successor.isEmpty() && soon
+                ? Math.min(set.mostRestMs(), Math.max(set.restMs(), rest * 2))
+                : set.restMs();
         sink.event(!why.equals("given up"), "address.lost", "term", term, "why", why, "rests_ms", rest);
         role = Role.RESTING;
         owner = "";
--- a/src/main/java/maplespread/address/ElectionSettings.java
+++ b/src/main/java/maplespread/address/ElectionSettings.java
@@ -10,8 +10,17 @@
  * long a preferred one has been up before it asks for the address; {@code restMs}: what one that has lost
  * it waits, doubled each time up to {@code mostRestMs}.
  */
-public record ElectionSettings(String name, List<String> electors, List<String> candidates, long leaseMs,
-        double drift, long renewMs, long staggerMs, long stableMs, long restMs, long mostRestMs) {
+public record ElectionSettings(
+        String name,
+        List<String> electors,
+        List<String> candidates,
+        long leaseMs,
+        double drift,
+        long renewMs,
+        long staggerMs,
+        long stableMs,
+        long restMs,
+        long mostRestMs) {
     public ElectionSettings {
         electors = List.copyOf(electors);
         candidates = List.copyOf(candidates);
--- a/src/main/java/maplespread/agreement/Agreement.java
+++ b/src/main/java/maplespread/agreement/Agreement.java
@@ -26,22 +26,22 @@
 public final class Agreement {
     /** Most bytes of a value's text, as UTF-8. */
     public static final int MOST_TEXT = 48 * 1024;
+
     private static final int MOST_RUNS = 512;
-    private static final int LOST_WAITS = 4;                     // before a majority is called lost
+    private static final int LOST_WAITS = 4; // before a majority is called lost
 
     /** What a caller asked for; one is in work at a time. */
     private static final class Job {
-        final Change change;                                     // READ with the other two
-        final List<String> electors;                             // to move to or found with; null: neither
+        final Change change; // READ with the other two
+        final List<String> electors; // to move to or found with; null: neither
         final boolean founding;
         final long number, giveUpAt;
         final Consumer<Result> done;
-        boolean tried;                                           // votes were asked for its change
-        long triedEpoch, triedVersion;                           // over which value, at first
-        Exception refusal;                                       // by the value that is in work
+        boolean tried; // votes were asked for its change
+        long triedEpoch, triedVersion; // over which value, at first
+        Exception refusal; // by the value that is in work
 
-        Job(Change change, List<String> electors, boolean founding, long number, long giveUpAt,
-                Consumer<Result> done) {
+        Job(Change change, List<String> electors, boolean founding, long number, long giveUpAt, Consumer<Result> done) {
             this.change = change;
             this.electors = electors == null ? null : List.copyOf(electors);
             this.founding = founding;
@@ -58,9 +58,9 @@
         final Set<String> asked = new TreeSet<>();
         final Set<String> refused = new HashSet<>();
         final Map<String, Word> promises = new TreeMap<>();
-        final Map<String, Long> accepted = new TreeMap<>();      // by which run
-        final boolean life;                                      // its epoch is above every one heard of
-        Kept next;                                               // null: promises are still awaited
+        final Map<String, Long> accepted = new TreeMap<>(); // by which run
+        final boolean life; // its epoch is above every one heard of
+        Kept next; // null: promises are still awaited
 
         Try(Ballot ballot, boolean life, long since, long endAt) {
             this.ballot = ballot;
@@ -75,17 +75,17 @@
     private final long since;
     private final SplittableRandom random;
     private final AgreementSink sink;
-    private final Map<String, Long> runs = new TreeMap<>();      // the newest known of each member
+    private final Map<String, Long> runs = new TreeMap<>(); // the newest known of each member
     private final Set<String> members = new TreeSet<>();
-    private final Set<String> told = new HashSet<>();            // warnings that were given
+    private final Set<String> told = new HashSet<>(); // warnings that were given
     private final ArrayDeque<Word> toSelf = new ArrayDeque<>();
     // the vote
     private boolean blind = true;
     private Ballot promised = Ballot.NONE;
     private Held accepted;
-    private Held known;                                          // decided
-    private final Map<String, Word> answers = new TreeMap<>();   // while blind
-    private final Map<String, Long> empty = new TreeMap<>();     // runs that kept nothing when asked
+    private Held known; // decided
+    private final Map<String, Word> answers = new TreeMap<>(); // while blind
+    private final Map<String, Long> empty = new TreeMap<>(); // runs that kept nothing when asked
     private long askAt, askWait;
     private long newsAt, staleSince;
     // the proposer
@@ -192,14 +192,16 @@
                     tries = 0;
                 }
                 if (!jobs.remove(j)) {
-                    continue;                                    // by what another one's end has called
+                    continue; // by what another one's end has called
                 }
-                j.done.accept(new Result(Result.Kind.NO_MAJORITY, known(),
-                    new NoMajority("no majority of " + lists(known) + " decided in time")));
+                j.done.accept(new Result(
+                        Result.Kind.NO_MAJORITY,
+                        known(),
+                        new NoMajority("no majority of " + lists(known) + " decided in time")));
             }
         }
         if (open != null && open.next == null && jobs.peek().founding) {
-            tryPropose(at);                                      // waited for those who are slow
+            tryPropose(at); // waited for those who are slow
         }
         if (open != null && at >= open.endAt) {
             failed(at);
@@ -244,25 +246,27 @@
 
     /** Whoever proposed what is kept here may be gone: after a while an elector finishes it. */
     private void nudge(long at) {
-        boolean stale = !blind && accepted != null && names(accepted.kept().lists()).contains(set.name())
-            && (known == null || !known.kept().equals(accepted.kept())
-                || !accepted.kept().before().isEmpty());
+        boolean stale = !blind
+                && accepted != null
+                && names(accepted.kept().lists()).contains(set.name())
+                && (known == null
+                        || !known.kept().equals(accepted.kept())
+                        || !accepted.kept().before().isEmpty());
         if (!stale || !jobs.isEmpty()) {
             staleSince = Long.MAX_VALUE;
         } else if (staleSince == Long.MAX_VALUE) {
             staleSince = at + random.nextLong(set.mostRetryMs());
         } else if (at > staleSince + set.mostRetryMs()) {
             staleSince = Long.MAX_VALUE;
-            jobs.add(new Job(Change.READ, null, false, ++jobNumber, at + 4 * set.mostRetryMs(), r -> { }));
+            jobs.add(new Job(Change.READ, null, false, ++jobNumber, at + 4 * set.mostRetryMs(), r -> {}));
         }
     }
 
     // ------------------------------------------------------------ words
 
-    private Word word(Kind kind, Ballot ballot, boolean founding, long asker, Map<String, Long> quorum,
-            Held held) {
-        return new Word(kind, set.name(), boot, runs, ballot, promised, blind, founding, asker,
-            set.electors(), quorum, held);
+    private Word word(Kind kind, Ballot ballot, boolean founding, long asker, Map<String, Long> quorum, Held held) {
+        return new Word(
+                kind, set.name(), boot, runs, ballot, promised, blind, founding, asker, set.electors(), quorum, held);
     }
 
     private void send(String to, Kind kind, Ballot ballot, Held held) {
@@ -305,7 +309,7 @@
         w.runs().forEach(this::learn);
         w.quorum().forEach(this::learn);
         if (w.boot() < runs.get(w.from())) {
-            return;                                              // of a run that is over
+            return; // of a run that is over
         }
         highest = Ballot.later(highest, w.promised());
         switch (w.kind()) {
@@ -355,7 +359,7 @@
                 warn("agreement.name_taken_twice", "boot", run); // nothing of this run counts any more
             }
             runs.put(name, run);
-            if (runs.size() > MOST_RUNS) {                       // names that come and go
+            if (runs.size() > MOST_RUNS) { // names that come and go
                 Set<String> keep = names(lists(accepted));
                 keep.addAll(members);
                 keep.addAll(set.electors());
@@ -424,12 +428,15 @@
         List<List<String>> lists = lists(newest);
         if (majorities(lists, sighted)) {
             see(newest, top, "read");
-        } else if (newest == null && set.electors().contains(set.name())
-                && at - since >= set.mostRetryMs() && set.electors().stream().allMatch(n ->
-                    n.equals(set.name()) || current(n, empty.getOrDefault(n, -1L)))) {
+        } else if (newest == null
+                && set.electors().contains(set.name())
+                && at - since >= set.mostRetryMs()
+                && set.electors().stream()
+                        .allMatch(n -> n.equals(set.name()) || current(n, empty.getOrDefault(n, -1L)))) {
             // No elector had taken anything when it was asked; what it did since, it did knowing of this run.
             see(null, top, "new");
-        } else if (newest != null && at - since > LOST_WAITS * set.mostRetryMs()
+        } else if (newest != null
+                && at - since > LOST_WAITS * set.mostRetryMs()
                 && answers.keySet().containsAll(others(lists))) {
             warn("agreement.lost", "epoch", newest.kept().value().epoch(), "electors", lists);
         }
@@ -443,8 +450,7 @@
 
     private boolean sameSettings(Word w) {
         if (!same(w.electors(), set.electors())) {
-            warn("agreement.electors_differ", "member", w.from(), "theirs", w.electors(), "here",
-                set.electors());
+            warn("agreement.electors_differ", "member", w.from(), "theirs", w.electors(), "here", set.electors());
             return false;
         }
         return true;
@@ -455,8 +461,13 @@
         promised = top;
         blind = false;
         answers.clear();
-        sink.event(false, "agreement.sighted", "by", how, "version",
-            newest == null ? null : newest.kept().value().version());
+        sink.event(
+                false,
+                "agreement.sighted",
+                "by",
+                how,
+                "version",
+                newest == null ? null : newest.kept().value().version());
     }
 
     // ------------------------------------------------------------ the vote
@@ -508,12 +519,20 @@
         if (v.after(before)) {
             known = held;
             if (before != null && before.epoch() != v.epoch()) {
-                sink.event(true, "agreement.epoch", "epoch", v.epoch(), "version", v.version(), "before",
-                    before.epoch(), "known_version", before.version());
+                sink.event(
+                        true,
+                        "agreement.epoch",
+                        "epoch",
+                        v.epoch(),
+                        "version",
+                        v.version(),
+                        "before",
+                        before.epoch(),
+                        "known_version",
+                        before.version());
             }
             if (before != null && before.electorsNumber() != v.electorsNumber()) {
-                sink.event(false, "agreement.electors", "number", v.electorsNumber(), "electors",
-                    v.electors());
+                sink.event(false, "agreement.electors", "number", v.electorsNumber(), "electors", v.electors());
             }
             sink.learned(v);
         } else if (v.equals(before) && Held.later(held, known)) {
@@ -544,13 +563,16 @@
         if (job.founding) {
             to.addAll(job.electors);
             to.addAll(members);
-            to.add(set.name());                                  // no elector perhaps, and alone in knowing
+            to.add(set.name()); // no elector perhaps, and alone in knowing
         }
         prepareAt(to);
     }
 
     private long newestRun() {
-        return set.electors().stream().mapToLong(n -> runs.getOrDefault(n, 0L)).max().orElse(0);
+        return set.electors().stream()
+                .mapToLong(n -> runs.getOrDefault(n, 0L))
+                .max()
+                .orElse(0);
     }
 
     private void prepareAt(Set<String> names) {
@@ -570,8 +592,9 @@
     /** Where those that refuse leave no majority, waiting on is in vain. */
     private void refused(long at, Word w) {
         open.refused.add(w.from());
-        List<List<String>> lists = open.next != null ? open.next.lists()
-            : jobs.peek().founding ? List.of(jobs.peek().electors) : lists(newest());
+        List<List<String>> lists = open.next != null
+                ? open.next.lists()
+                : jobs.peek().founding ? List.of(jobs.peek().electors) : lists(newest());
         Set<String> left = new HashSet<>(open.asked);
         left.addAll(names(lists));
         left.removeAll(open.refused);
@@ -600,11 +623,12 @@
             return;
         }
         if (newest == null && !job.founding && !open.life) {
-            begin(at, true);                                     // nobody knows anything
+            begin(at, true); // nobody knows anything
             return;
         }
-        Kept base = newest != null ? newest.kept()
-            : new Kept(new Value(open.ballot.epoch(), 0, "", 0, set.electors()), List.of(), List.of());
+        Kept base = newest != null
+                ? newest.kept()
+                : new Kept(new Value(open.ballot.epoch(), 0, "", 0, set.electors()), List.of(), List.of());
         Kept next = job.founding ? founded(job, newest, base) : next(job, base);
         if (next == null) {
             return;
@@ -612,7 +636,7 @@
         Set<String> added = names(next.lists());
         base.lists().forEach(added::removeAll);
         if (!majorities(next.lists(), yes) || !job.founding && !yes.containsAll(added)) {
-            prepareAt(names(next.lists()));                      // one who does not answer must not be let in
+            prepareAt(names(next.lists())); // one who does not answer must not be let in
             return;
         }
         Map<String, Long> quorum = new TreeMap<>();
@@ -624,9 +648,11 @@
 
     /** What a life begins with; null where there is nothing to begin, and the job is over. */
     private Kept founded(Job job, Held newest, Kept base) {
-        if (newest != null && job.tried && base.value().epoch() >= job.triedEpoch
+        if (newest != null
+                && job.tried
+                && base.value().epoch() >= job.triedEpoch
                 && same(base.value().electors(), job.electors)) {
-            return base;                                         // an earlier try of the same came through
+            return base; // an earlier try of the same came through
         }
         Set<String> sighted = new HashSet<>();
         open.promises.forEach((n, w) -> {
@@ -635,9 +661,13 @@
             }
         });
         if (majorities(lists(newest), sighted)) {
-            finish(new Result(Result.Kind.REFUSED, known(), new Refused(
-                "a majority of the electors is sighted", "changes are decided as always",
-                "nothing need be founded; electors are changed by call")));
+            finish(new Result(
+                    Result.Kind.REFUSED,
+                    known(),
+                    new Refused(
+                            "a majority of the electors is sighted",
+                            "changes are decided as always",
+                            "nothing need be founded; electors are changed by call")));
             return null;
         }
         if (!job.tried) {
@@ -645,8 +675,10 @@
             job.triedEpoch = open.ballot.epoch();
         }
         Value v = base.value();
-        return new Kept(new Value(open.ballot.epoch(), v.version() + 1, v.text(), v.electorsNumber() + 1,
-            job.electors), List.of(), base.done());
+        return new Kept(
+                new Value(open.ballot.epoch(), v.version() + 1, v.text(), v.electorsNumber() + 1, job.electors),
+                List.of(),
+                base.done());
     }
 
     /** What is to follow; null where that cannot be told any more, and the job is over. */
@@ -667,10 +699,11 @@
             number++;
         }
         if (job.change != Change.READ && !base.has(set.name(), boot, job.number)) {
-            if (job.tried && (v.epoch() != job.triedEpoch
-                    || v.version() - job.triedVersion >= Kept.MOST_DONE)) {
-                finish(new Result(Result.Kind.NO_MAJORITY, known(),
-                    new NoMajority("a change met others for so long that none can tell whether it is in")));
+            if (job.tried && (v.epoch() != job.triedEpoch || v.version() - job.triedVersion >= Kept.MOST_DONE)) {
+                finish(new Result(
+                        Result.Kind.NO_MAJORITY,
+                        known(),
+                        new NoMajority("a change met others for so long that none can tell whether it is in")));
                 return null;
             }
             try {
@@ -681,7 +714,7 @@
                 }
             } catch (FleetError | RuntimeException e) {
                 text = v.text();
-                job.refusal = e;                                 // told once what it rests on is decided
+                job.refusal = e; // told once what it rests on is decided
             }
         }
         if (text.equals(v.text()) && before.equals(base.before()) && electors.equals(v.electors())) {
@@ -726,12 +759,12 @@
         all.addAll(members);
         all.forEach(n -> send(n, Kind.DECIDED, held.at(), held));
         Kept kept = held.kept();
-        if (job.electors != null && !job.founding
+        if (job.electors != null
+                && !job.founding
                 && !(kept.before().isEmpty() && same(kept.value().electors(), job.electors))) {
-            return;                                              // another step is to follow
+            return; // another step is to follow
         }
-        finish(new Result(job.refusal != null ? Result.Kind.REFUSED : Result.Kind.DECIDED, kept.value(),
-            job.refusal));
+        finish(new Result(job.refusal != null ? Result.Kind.REFUSED : Result.Kind.DECIDED, kept.value(), job.refusal));
     }
 
     private void finish(Result result) {
@@ -741,11 +774,14 @@
     }
 
     /** The vote and the try that is open, for logs. */
-    @Override public String toString() {
-        String out = open == null ? "none" : open.ballot + " promises " + open.promises.values() + " next "
-            + open.next + " accepted " + open.accepted + " refused " + open.refused;
+    @Override
+    public String toString() {
+        String out = open == null
+                ? "none"
+                : open.ballot + " promises " + open.promises.values() + " next " + open.next + " accepted "
+                        + open.accepted + " refused " + open.refused;
         return set.name() + ' ' + boot + (blind ? " blind " + answers + empty : "") + " promised " + promised
-            + " accepted " + accepted + " known " + known + " runs " + runs + " highest " + highest + " jobs "
-            + jobs.size() + " open " + out;
+                + " accepted " + accepted + " known " + known + " runs " + runs + " highest " + highest + " jobs "
+                + jobs.size() + " open " + out;
     }
 }
--- a/src/main/java/maplespread/agreement/Ballot.java
+++ b/src/main/java/maplespread/agreement/Ballot.java
@@ -7,7 +7,8 @@
 public record Ballot(long epoch, long round, String name, long boot) implements Comparable<Ballot> {
     static final Ballot NONE = new Ballot(0, 0, "", 0);
 
-    @Override public int compareTo(Ballot o) {
+    @Override
+    public int compareTo(Ballot o) {
         int by = Long.compare(epoch, o.epoch);
         by = by != 0 ? by : Long.compare(round, o.round);
         by = by != 0 ? by : name.compareTo(o.name);
--- a/src/main/java/maplespread/agreement/Kept.java
+++ b/src/main/java/maplespread/agreement/Kept.java
@@ -12,7 +12,7 @@
     static final int MOST_DONE = 64;
 
     /** A proposer's change, and the version that it made. */
-    public record Done(String name, long boot, long number, long version) { }
+    public record Done(String name, long boot, long number, long version) {}
 
     /** Something kept, and the ballot under which it was taken. */
     public record Held(Ballot at, Kept kept) {
--- a/src/main/java/maplespread/agreement/Result.java
+++ b/src/main/java/maplespread/agreement/Result.java
@@ -6,5 +6,9 @@
  */
 public record Result(Kind kind, Value value, Exception why) {
     /** NO_MAJORITY: it may yet be decided, or not. */
-    public enum Kind { DECIDED, REFUSED, NO_MAJORITY }
+    public enum Kind {
+        DECIDED,
+        REFUSED,
+        NO_MAJORITY
+    }
 }
--- a/src/main/java/maplespread/agreement/Word.java
+++ b/src/main/java/maplespread/agreement/Word.java
@@ -12,11 +12,31 @@
  * that asked; {@code electors}: of the sender's settings; {@code quorum}: the runs whose promises the try
  * rests on; {@code held}: what is told, null for nothing.
  */
-public record Word(Kind kind, String from, long boot, Map<String, Long> runs, Ballot ballot, Ballot promised,
-        boolean blind, boolean founding, long asker, List<String> electors, Map<String, Long> quorum,
+public record Word(
+        Kind kind,
+        String from,
+        long boot,
+        Map<String, Long> runs,
+        Ballot ballot,
+        Ballot promised,
+        boolean blind,
+        boolean founding,
+        long asker,
+        List<String> electors,
+        Map<String, Long> quorum,
         Held held) {
     /** ASK: of a blind one, to be answered by STATE. NEWS: what its sender knows as decided, without it. */
-    public enum Kind { ASK, STATE, PREPARE, PROMISE, ACCEPT, ACCEPTED, REFUSE, DECIDED, NEWS }
+    public enum Kind {
+        ASK,
+        STATE,
+        PREPARE,
+        PROMISE,
+        ACCEPT,
+        ACCEPTED,
+        REFUSE,
+        DECIDED,
+        NEWS
+    }
 
     public Word {
         runs = new TreeMap<>(runs);
--- a/src/main/java/maplespread/agreement/Words.java
+++ b/src/main/java/maplespread/agreement/Words.java
@@ -13,9 +13,9 @@
 /** Words as bytes. */
 public final class Words {
     private static final byte VERSION = 1;
-    private static final int FIXED = 256;                        // beside texts, more than enough
+    private static final int FIXED = 256; // beside texts, more than enough
 
-    private Words() { }
+    private Words() {}
 
     public static byte[] bytes(Word w) {
         ByteBuffer out = ByteBuffer.allocate(size(w));
@@ -63,9 +63,22 @@
             List<String> electors = texts(in);
             Map<String, Long> quorum = runs(in);
             Held held = (flags & 4) == 0 ? null : held(in);
-            return in.hasRemaining() ? null : new Word(kind, from, boot, runs, ballot, promised,
-                (flags & 1) != 0, (flags & 2) != 0, asker, electors, quorum, held);
-        } catch (RuntimeException e) {                           // ends inside a member, or names none
+            return in.hasRemaining()
+                    ? null
+                    : new Word(
+                            kind,
+                            from,
+                            boot,
+                            runs,
+                            ballot,
+                            promised,
+                            (flags & 1) != 0,
+                            (flags & 2) != 0,
+                            asker,
+                            electors,
+                            quorum,
+                            held);
+        } catch (RuntimeException e) { // ends inside a member, or names none
             return null;
         }
     }
@@ -85,8 +98,11 @@
     }
 
     private static int size(Word w) {
-        int size = FIXED + 3 * (w.from().length() + w.ballot().name().length()
-            + w.promised().name().length());
+        int size = FIXED
+                + 3
+                        * (w.from().length()
+                                + w.ballot().name().length()
+                                + w.promised().name().length());
         for (Map<String, Long> m : List.of(w.runs(), w.quorum())) {
             size += m.keySet().stream().mapToInt(n -> 12 + 3 * n.length()).sum();
         }
@@ -153,7 +169,7 @@
 
     private static String text(ByteBuffer in) {
         int length = in.getInt();
-        if (length < 0 || length > in.remaining()) {             // before anything of that size is made
+        if (length < 0 || length > in.remaining()) { // before anything of that size is made
             throw new IllegalArgumentException("a text of " + length);
         }
         byte[] bytes = new byte[length];
--- a/src/main/java/maplespread/agreement/client/Register.java
+++ b/src/main/java/maplespread/agreement/client/Register.java
@@ -28,8 +28,9 @@
 public final class Register implements Closeable {
     /** Of the group's channels. */
     public static final int CHANNEL = 1;
+
     private static final long STACK = 144 * 1024;
-    private static final long LATE_MS = 1000;                    // by which a result may come after its time
+    private static final long LATE_MS = 1000; // by which a result may come after its time
 
     /** One call into the core, with the time. */
     private interface Call {
@@ -49,15 +50,18 @@
         this.set = set;
         this.group = group;
         core = new Agreement(set, group.boot(), seed, now(), new AgreementSink() {
-            @Override public void send(String to, Word word) {
-                group.send(CHANNEL, to, Words.bytes(word));      // unsent is as good as lost
+            @Override
+            public void send(String to, Word word) {
+                group.send(CHANNEL, to, Words.bytes(word)); // unsent is as good as lost
             }
 
-            @Override public void learned(Value value) {
+            @Override
+            public void learned(Value value) {
                 news.add(value);
             }
 
-            @Override public void event(boolean warning, String name, Object... pairs) {
+            @Override
+            public void event(boolean warning, String name, Object... pairs) {
                 Event.write(warning, name, pairs);
             }
         });
@@ -80,7 +84,8 @@
     private void heard(String from, byte[] payload) {
         Word w = Words.read(payload);
         if (w == null || !w.from().equals(from)) {
-            Event.of("agreement.not_a_word", "member", from, "bytes", payload.length).warn();
+            Event.of("agreement.not_a_word", "member", from, "bytes", payload.length)
+                    .warn();
             return;
         }
         synchronized (this) {
@@ -94,12 +99,15 @@
     private synchronized void tick() {
         while (!over) {
             try {
-                core.members(group.members().stream().filter(m -> !m.gone()).map(m -> m.name()).toList());
+                core.members(group.members().stream()
+                        .filter(m -> !m.gone())
+                        .map(m -> m.name())
+                        .toList());
                 long at = core.tick(now());
                 wait(Math.max(1, Math.min(1000, at - now())));
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException e) {                       // no one word may end the thread
+            } catch (RuntimeException e) { // no one word may end the thread
                 Event.of("agreement.fault", "why", e).error();
             }
         }
@@ -132,7 +140,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new Result(Result.Kind.NO_MAJORITY, known(), e);
-        } catch (ExecutionException | TimeoutException e) {      // closed meanwhile, or stood still
+        } catch (ExecutionException | TimeoutException e) { // closed meanwhile, or stood still
             return new Result(Result.Kind.NO_MAJORITY, known(), e);
         }
     }
@@ -149,8 +157,7 @@
 
     /** An operator's call after a majority has restarted at once; see {@link Agreement#found}. */
     public Result found(List<String> electors, long waitMs) {
-        return call(waitMs, (now, done) ->
-            core.found(now, System.currentTimeMillis(), electors, now + waitMs, done));
+        return call(waitMs, (now, done) -> core.found(now, System.currentTimeMillis(), electors, now + waitMs, done));
     }
 
     /** With the electors in force as far as is known, else those of the settings. */
@@ -184,7 +191,8 @@
         listeners.add(listener);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         synchronized (this) {
             over = true;
             notifyAll();
--- a/src/main/java/maplespread/announce/BgpCodec.java
+++ b/src/main/java/maplespread/announce/BgpCodec.java
@@ -30,11 +30,16 @@
         }
         out.putShort((short) 0).put((byte) type(m));
         if (m instanceof Open open) {
-            out.put((byte) 4).putShort((short) (open.as() > 0xffff ? AS_TRANS : open.as()))
-                .putShort((short) open.holdS()).putInt(open.id());
+            out.put((byte) 4)
+                    .putShort((short) (open.as() > 0xffff ? AS_TRANS : open.as()))
+                    .putShort((short) open.holdS())
+                    .putInt(open.id());
             // Capabilities: IPv4 unicast (RFC 4760) and four-octet numbers.
-            out.put((byte) 14).put((byte) 2).put((byte) 12).put(new byte[] {1, 4, 0, 1, 0, 1, 65, 4})
-                .putInt((int) open.as());
+            out.put((byte) 14)
+                    .put((byte) 2)
+                    .put((byte) 12)
+                    .put(new byte[] {1, 4, 0, 1, 0, 1, 65, 4})
+                    .putInt((int) open.as());
         } else if (m instanceof Update u) {
             out.putShort((short) size(u.withdrawn()));
             u.withdrawn().forEach(p -> put(out, p));
@@ -55,8 +60,9 @@
     }
 
     private static int type(BgpMessage m) {
-        return m instanceof Open ? OPEN : m instanceof Update ? UPDATE
-            : m instanceof Notification ? NOTIFICATION : KEEPALIVE;
+        return m instanceof Open
+                ? OPEN
+                : m instanceof Update ? UPDATE : m instanceof Notification ? NOTIFICATION : KEEPALIVE;
     }
 
     private static int size(List<Prefix> all) {
@@ -122,8 +128,9 @@
                 default -> new Keepalive();
             };
         } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
-            throw type == OPEN ? new BgpError(2, 0, "an OPEN that ends early")
-                : new BgpError(3, 1, "malformed attributes or prefixes");
+            throw type == OPEN
+                    ? new BgpError(2, 0, "an OPEN that ends early")
+                    : new BgpError(3, 1, "malformed attributes or prefixes");
         }
     }
 
@@ -144,7 +151,7 @@
         while (parameters.hasRemaining()) {
             int kind = parameters.get() & 255;
             ByteBuffer value = part(parameters, parameters.get() & 255);
-            while (kind == 2 && value.hasRemaining()) {          // capabilities; others are passed over
+            while (kind == 2 && value.hasRemaining()) { // capabilities; others are passed over
                 int code = value.get() & 255;
                 ByteBuffer capability = part(value, value.get() & 255);
                 as = code == 65 ? Integer.toUnsignedLong(capability.getInt()) : as;
@@ -172,8 +179,9 @@
         while (attributes.hasRemaining()) {
             int flags = attributes.get();
             int kind = attributes.get() & 255;
-            ByteBuffer value = part(attributes, (flags & 0x10) != 0
-                ? Short.toUnsignedInt(attributes.getShort()) : attributes.get() & 255);
+            ByteBuffer value = part(
+                    attributes,
+                    (flags & 0x10) != 0 ? Short.toUnsignedInt(attributes.getShort()) : attributes.get() & 255);
             if (kind == NEXT_HOP) {
                 nextHop = value.getInt();
                 known = true;
--- a/src/main/java/maplespread/announce/BgpMessage.java
+++ b/src/main/java/maplespread/announce/BgpMessage.java
@@ -16,8 +16,9 @@
         /** Of the form 192.0.2.10/32. */
         public static Prefix of(String text) {
             int slash = text.indexOf('/');
-            return new Prefix(address(slash < 0 ? text : text.substring(0, slash)),
-                slash < 0 ? 32 : Integer.parseInt(text.substring(slash + 1)));
+            return new Prefix(
+                    address(slash < 0 ? text : text.substring(0, slash)),
+                    slash < 0 ? 32 : Integer.parseInt(text.substring(slash + 1)));
         }
 
         /** A dotted address as a number. */
@@ -42,20 +43,19 @@
      * {@code as}: the system's number; {@code holdS}: seconds, 0 or at least 3; {@code id}: an IPv4
      * address.
      */
-    record Open(long as, int holdS, int id) implements BgpMessage { }
+    record Open(long as, int holdS, int id) implements BgpMessage {}
 
-    record Keepalive() implements BgpMessage { }
+    record Keepalive() implements BgpMessage {}
 
     /**
      * {@code nextHop} and {@code localPref} count where anything is announced; the preference is unsigned.
      */
-    record Update(List<Prefix> withdrawn, List<Prefix> announced, int nextHop, long localPref)
-            implements BgpMessage {
+    record Update(List<Prefix> withdrawn, List<Prefix> announced, int nextHop, long localPref) implements BgpMessage {
         public Update {
             withdrawn = List.copyOf(withdrawn);
             announced = List.copyOf(announced);
         }
     }
 
-    record Notification(int code, int subcode) implements BgpMessage { }
+    record Notification(int code, int subcode) implements BgpMessage {}
 }
--- a/src/main/java/maplespread/announce/BgpSpeaker.java
+++ b/src/main/java/maplespread/announce/BgpSpeaker.java
@@ -15,7 +15,13 @@
  */
 public final class BgpSpeaker {
     /** RFC 4271's states, without those of an incoming connection: this side always dials. */
-    public enum State { IDLE, CONNECT, OPEN_SENT, OPEN_CONFIRM, ESTABLISHED }
+    public enum State {
+        IDLE,
+        CONNECT,
+        OPEN_SENT,
+        OPEN_CONFIRM,
+        ESTABLISHED
+    }
 
     /** Where the speaker's words go; must not call back. */
     public interface Sink {
@@ -28,7 +34,7 @@
         void event(boolean warning, String name, Object... pairs);
     }
 
-    private static final long OPEN_MS = 4000;                    // for the peer's OPEN, and for a connection
+    private static final long OPEN_MS = 4000; // for the peer's OPEN, and for a connection
     private static final long RETRY_BASE_MS = 50, RETRY_CAP_MS = 5000;
     /** Terms are Unix milliseconds; preferences have 32 bits. In steps of 64 ms they last for 8 years. */
     private static final long TERM_ZERO = 1_764_000_000_000L, TERM_STEP = 64;
--- a/src/main/java/maplespread/caller/Answer.java
+++ b/src/main/java/maplespread/caller/Answer.java
@@ -20,11 +20,11 @@
     private final AtomicBoolean claimed = new AtomicBoolean();
     private final CountDownLatch over = new CountDownLatch(1);
     private volatile boolean closed;
-    private volatile String lane;                                // of the job taken; null: none was
-    private volatile String tried;                               // the worker that it went to last
-    private volatile Ends ends;                                  // null: nobody hears of it
-    private volatile long number;                                // of the job, to whom hears of it
-    private long takenAt;                                        // nanoseconds; written before the lane
+    private volatile String lane; // of the job taken; null: none was
+    private volatile String tried; // the worker that it went to last
+    private volatile Ends ends; // null: nobody hears of it
+    private volatile long number; // of the job, to whom hears of it
+    private long takenAt; // nanoseconds; written before the lane
 
     /** {@code last}: whether the connection ends with this answer, asked when it is given. */
     Answer(HttpConnection connection, BooleanSupplier last, Figures figures) {
@@ -54,7 +54,7 @@
 
     private void ended(Ends.How how) {
         Ends who = ends;
-        ends = null;                                             // once, though ending the connection fails
+        ends = null; // once, though ending the connection fails
         if (who != null) {
             who.ended(number, how, tried);
         }
@@ -90,8 +90,7 @@
     void said(Turns.Said said) {
         HttpWriter head = HttpWriter.response(said.status());
         said.fields().forEach(f -> head.field(f[0], f[1]));
-        give(said.status() == 200 ? Code.SUCCESS : said.status() == 503 ? Code.BUSY : Code.FAILURE, head,
-            said.body());
+        give(said.status() == 200 ? Code.SUCCESS : said.status() == 503 ? Code.BUSY : Code.FAILURE, head, said.body());
     }
 
     void plain(int status, String why) {
@@ -141,14 +140,13 @@
             if (lane != null) {
                 figures.answered(lane, code, System.nanoTime() - takenAt);
             }
-            ended(code == Code.SUCCESS ? Ends.How.SERVED : code == Code.BUSY ? Ends.How.BUSY
-                : Ends.How.FAILED);
+            ended(code == Code.SUCCESS ? Ends.How.SERVED : code == Code.BUSY ? Ends.How.BUSY : Ends.How.FAILED);
             if (close) {
                 connection.endSending();
             }
         } catch (IOException e) {
             ended(Ends.How.LEFT);
-            connection.close();                                  // the client has gone
+            connection.close(); // the client has gone
         } finally {
             over();
         }
--- a/src/main/java/maplespread/caller/CallerLeg.java
+++ b/src/main/java/maplespread/caller/CallerLeg.java
@@ -26,33 +26,42 @@
  */
 final class CallerLeg implements Runnable {
     private static final long POLL_MS = 1000;
-    private static final long PART_MS = 200;                     // the same while the process ends or drains
-    private static final long SPARE_MS = 200;                    // for the one request of a leg turned away
-    private static final long LINGER_MS = 2000;                  // enough to pass over 60 MB
-    private static final double FULL_PAUSE_MS = 250;             // beyond capacity the module is not asked
-    private static final int MOST_FAULTS = 4;                    // in a row, then the connection ends
-    private static final long FAULT_PAUSE_MS = 25;               // doubles with each
-    private static final Turns.Go NO_TURN = new Turns.Go() {     // where jobs have no order
-        @Override public boolean still() {
-            return true;
-        }
+    private static final long PART_MS = 200; // the same while the process ends or drains
+    private static final long SPARE_MS = 200; // for the one request of a leg turned away
+    private static final long LINGER_MS = 2000; // enough to pass over 60 MB
+    private static final double FULL_PAUSE_MS = 250; // beyond capacity the module is not asked
+    private static final int MOST_FAULTS = 4; // in a row, then the connection ends
+    private static final long FAULT_PAUSE_MS = 25; // doubles with each
+    private static final Turns.Go NO_TURN = new Turns.Go() { // where jobs have no order
+                @Override
+                public boolean still() {
+                    return true;
+                }
 
-        @Override public void tried(Outcome how) { }
+                @Override
+                public void tried(Outcome how) {}
 
-        @Override public Turns.End over(boolean served) {
-            return Turns.End.ENDED;
-        }
+                @Override
+                public Turns.End over(boolean served) {
+                    return Turns.End.ENDED;
+                }
 
-        @Override public Turns.Said lost() {
-            return null;
-        }
-    };
+                @Override
+                public Turns.Said lost() {
+                    return null;
+                }
+            };
 
     /**
      * RESTING: no byte of a request has been read. READING: one has begun and is not whole. WORKING: a whole
      * one is held. ENDING: its place is wanted; what it has brought is refused, and no more is read.
      */
-    private enum Phase { RESTING, READING, WORKING, ENDING }
+    private enum Phase {
+        RESTING,
+        READING,
+        WORKING,
+        ENDING
+    }
 
     private final HttpConnection connection;
     private final Service service;
@@ -60,14 +69,14 @@
     private final Config.Times times;
     private final boolean turnAway;
     private final long connectedAt = System.nanoTime();
-    private volatile long quietSince = connectedAt;              // when it last had anything to do
-    private volatile boolean useful;                             // it has brought a request worth an answer
-    private volatile Answer current;                             // null where no whole request is held
-    private volatile boolean parts;                              // ends by itself, between requests
-    private Phase phase = Phase.RESTING;                         // guarded by this leg, with current
+    private volatile long quietSince = connectedAt; // when it last had anything to do
+    private volatile boolean useful; // it has brought a request worth an answer
+    private volatile Answer current; // null where no whole request is held
+    private volatile boolean parts; // ends by itself, between requests
+    private Phase phase = Phase.RESTING; // guarded by this leg, with current
     private boolean answered;
-    private boolean old;                                         // the request came before it was looked for
-    private int faults;                                          // unacceptable requests in a row
+    private boolean old; // the request came before it was looked for
+    private int faults; // unacceptable requests in a row
 
     /** {@code turnAway}: beyond the number of legs, so its one request is refused. */
     CallerLeg(HttpConnection connection, Service service, boolean turnAway) {
@@ -163,7 +172,8 @@
         connection.close();
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         try {
             boolean more = true;
             while (more) {
@@ -173,7 +183,7 @@
             // the client has gone, and nothing was owed to it
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (RuntimeException | Error e) {                   // guards the process from any one connection
+        } catch (RuntimeException | Error e) { // guards the process from any one connection
             Logger.error(e, "a caller leg failed");
         } finally {
             connection.close();
@@ -190,8 +200,7 @@
         }
         // The first request is to be whole soon after connecting, whatever the client does in between.
         long whole = (answered ? System.nanoTime() : connectedAt) + readMs() * 1_000_000;
-        Answer answer = new Answer(connection, () -> !parser.done() || ends(parser.head()),
-            service.figures());
+        Answer answer = new Answer(connection, () -> !parser.done() || ends(parser.head()), service.figures());
         quietSince = System.nanoTime();
         boolean large = false;
         try {
@@ -208,7 +217,7 @@
                 if (service.config().names().place(lane) >= 0) {
                     answer.taken(lane);
                 }
-                answer.busy(FULL_PAUSE_MS);                      // unread, so the connection ends with it
+                answer.busy(FULL_PAUSE_MS); // unread, so the connection ends with it
                 linger();
                 return false;
             }
@@ -235,7 +244,7 @@
             answer.plain(408, "request not whole in time");
         } catch (EOFException cut) {
             if (!ending()) {
-                throw cut;                                       // its client has left
+                throw cut; // its client has left
             }
             answer.busy(FULL_PAUSE_MS);
         } finally {
@@ -250,7 +259,7 @@
         }
         answered = true;
         quietSince = System.nanoTime();
-        return stays || connection.buffer().hasRemaining();      // read, so it is answered
+        return stays || connection.buffer().hasRemaining(); // read, so it is answered
     }
 
     /** Turns a request down that no worker may see. */
@@ -275,8 +284,12 @@
 
     /** Whether the connection is to end after this request. */
     private boolean ends(HttpHead head) {
-        return turnAway || ending() || parts || faults >= MOST_FAULTS || !head.keepsAlive()
-            || service.parting().getAsBoolean();
+        return turnAway
+                || ending()
+                || parts
+                || faults >= MOST_FAULTS
+                || !head.keepsAlive()
+                || service.parting().getAsBoolean();
     }
 
     /**
@@ -285,10 +298,10 @@
      */
     private boolean first() throws IOException, InterruptedException {
         if (faults > 0) {
-            Thread.sleep(FAULT_PAUSE_MS << faults);              // the same again at once is not worth more
+            Thread.sleep(FAULT_PAUSE_MS << faults); // the same again at once is not worth more
         }
         if (connection.buffer().hasRemaining()) {
-            return true;                                         // what has been read is taken, ending or not
+            return true; // what has been read is taken, ending or not
         }
         long wait = turnAway ? SPARE_MS : useful ? times.legIdleMs() : times.legReadMs();
         long end = System.nanoTime() + wait * 1_000_000;
@@ -350,20 +363,20 @@
             return;
         }
         String id = job.message.id();
-        if (!service.ids().take(id)) {                           // the same request may not run twice
+        if (!service.ids().take(id)) { // the same request may not run twice
             service.room().release();
             fault(answer, 409, "this X-Txn was used before");
             return;
         }
         useful = true;
         faults = 0;
-        if (old && connection.ended()) {                         // or watch would see it too late
+        if (old && connection.ended()) { // or watch would see it too late
             answer.drop();
             service.ids().ended(id);
             service.room().release();
             return;
         }
-        answer.taken(job, job.handedOn() ? null : service.ends());    // its wait began elsewhere
+        answer.taken(job, job.handedOn() ? null : service.ends()); // its wait began elsewhere
         try {
             service.transactions().execute(() -> {
                 try {
@@ -373,7 +386,7 @@
                     service.room().release();
                 }
             });
-        } catch (RejectedExecutionException | OutOfMemoryError e) {    // no thread is to be had
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is to be had
             service.ids().ended(id);
             service.room().release();
             answer.busy(FULL_PAUSE_MS);
@@ -394,7 +407,7 @@
                     if (broken(answer)) {
                         left(t);
                     }
-                    answer.awaitGiven();                         // else it was on its way: this is the next
+                    answer.awaitGiven(); // else it was on its way: this is the next
                     return;
                 }
             } catch (SocketTimeoutException quiet) {
@@ -434,7 +447,7 @@
                     return;
                 }
                 go = mine;
-                if (answer.given()) {                            // its client has left meanwhile
+                if (answer.given()) { // its client has left meanwhile
                     over = true;
                     go.over(false);
                     return;
@@ -464,16 +477,16 @@
                 } else if (word instanceof Word.Failed) {
                     answer.doubtful("it may have run, or may yet run");
                 }
-                return;                                          // else the client has left
+                return; // else the client has left
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (RuntimeException | Error e) {                   // guards the process, as above
+        } catch (RuntimeException | Error e) { // guards the process, as above
             Logger.error(e, "a transaction failed");
             dispatcher.reportLeft(job.transaction);
         } finally {
             if (!over) {
-                go.tried(Outcome.RESET);                         // nobody knows
+                go.tried(Outcome.RESET); // nobody knows
                 go.over(false);
             }
             if (!answer.given()) {
@@ -501,14 +514,14 @@
     /** Runs a branch; whether it served the transaction. */
     private boolean branch(JobRequest job, Branch branch, Answer answer, Turns.Go go) {
         Branches.Ended end = null;
-        Outcome outcome = Outcome.RESET;                         // should the run itself fail
+        Outcome outcome = Outcome.RESET; // should the run itself fail
         answer.tried(branch.worker());
         try {
             end = service.branches().run(branch, job.message);
             outcome = end.outcome;
             go.tried(outcome);
             if (outcome == Outcome.SERVED) {
-                go.over(true);                                   // the next one need not wait for this client
+                go.over(true); // the next one need not wait for this client
                 answer.served(end.result);
             }
         } finally {
--- a/src/main/java/maplespread/caller/Ids.java
+++ b/src/main/java/maplespread/caller/Ids.java
@@ -10,8 +10,8 @@
  * a new id for every request, retries included.
  */
 final class Ids {
-    private static final int MOST = 20_000;                      // then the ended ones are forgotten early
-    private final Map<String, Long> endedAt = new ConcurrentHashMap<>();        // IN_WORK, or nanoseconds
+    private static final int MOST = 20_000; // then the ended ones are forgotten early
+    private final Map<String, Long> endedAt = new ConcurrentHashMap<>(); // IN_WORK, or nanoseconds
     private static final Long IN_WORK = Long.MAX_VALUE;
     private final LongSupplier keepMs;
 
@@ -26,7 +26,7 @@
     }
 
     void ended(String id) {
-        endedAt.replace(id, System.nanoTime());                 // not one that was not taken after all
+        endedAt.replace(id, System.nanoTime()); // not one that was not taken after all
     }
 
     /** Its request was not taken: the same one may come again. */
--- a/src/main/java/maplespread/caller/JobRequest.java
+++ b/src/main/java/maplespread/caller/JobRequest.java
@@ -17,9 +17,10 @@
     private static final long LONGEST_MS = 3_600_000;
     /** For the answer's way to the client, so that one at the deadline still arrives in time. */
     private static final long WAY_BACK_US = 5_000;
+
     private static final int LONGEST_TARGET = 2048;
-    private static final List<String> HANDED_ON = List.of("X-Lane", "X-Org", "X-Estimate", "X-Labels",
-        "X-Entity", "Idempotency-Key");
+    private static final List<String> HANDED_ON =
+            List.of("X-Lane", "X-Org", "X-Estimate", "X-Labels", "X-Entity", "Idempotency-Key");
 
     final Message message;
     final Transaction transaction;
@@ -59,14 +60,17 @@
                 throw new HttpError(400, "unknown X-Org");
             }
         }
-        tenant = config.names().tenants().isEmpty() ? null : config.names().tenants().get(place);
+        tenant = config.names().tenants().isEmpty()
+                ? null
+                : config.names().tenants().get(place);
         String remaining = need(head, "X-Remaining-Ms");
-        if (!remaining.matches("[0-9]{1,7}") || Long.parseLong(remaining) > LONGEST_MS
-            || Long.parseLong(remaining) == 0) {
+        if (!remaining.matches("[0-9]{1,7}")
+                || Long.parseLong(remaining) > LONGEST_MS
+                || Long.parseLong(remaining) == 0) {
             throw new HttpError(400, "X-Remaining-Ms out of range");
         }
-        double waitMs = Math.min(Long.parseLong(remaining),
-            config.settings().classes().get(cls).deadlineMs());
+        double waitMs = Math.min(
+                Long.parseLong(remaining), config.settings().classes().get(cls).deadlineMs());
         double workMs = figure(one(head, "X-Estimate"), "X-Estimate", Double.NaN) / 1000;
         double slots = 1;
         double memory = 0;
@@ -83,7 +87,7 @@
             switch (label.substring(0, eq).strip().toLowerCase(Locale.ROOT)) {
                 case "slots", "coresneeded", "x1" -> slots = v;
                 case "memory", "ramunits", "x2" -> memory = v;
-                default -> { }                                   // keys may be added
+                default -> {} // keys may be added
             }
         }
         String entity = one(head, "X-Entity");
@@ -115,8 +119,15 @@
         }
         message = new Message(head.method(), head.target(), id, lane, fields, body);
         long waitsUntilUs = lastByteUs + Math.round(waitMs * 1000) - WAY_BACK_US;
-        transaction = new Transaction(cls, place, Math.min(waitsUntilUs, service.lastUs().getAsLong()),
-            workMs, slots, memory, entity, config.settings());
+        transaction = new Transaction(
+                cls,
+                place,
+                Math.min(waitsUntilUs, service.lastUs().getAsLong()),
+                workMs,
+                slots,
+                memory,
+                entity,
+                config.settings());
     }
 
     /** As those see it who give jobs their turn. */
@@ -128,8 +139,15 @@
             }
         }
         String entity = head.get("X-Entity");
-        return new Turns.Job(message, transaction, tenant, entity == null || entity.isEmpty() ? null : entity,
-            labels, fields, head.get(Turns.HANDED_BY), (transaction.deadlineUs() - nowUs) / 1000);
+        return new Turns.Job(
+                message,
+                transaction,
+                tenant,
+                entity == null || entity.isEmpty() ? null : entity,
+                labels,
+                fields,
+                head.get(Turns.HANDED_BY),
+                (transaction.deadlineUs() - nowUs) / 1000);
     }
 
     /** Whether another dispatcher has the client. */
--- a/src/main/java/maplespread/caller/Listener.java
+++ b/src/main/java/maplespread/caller/Listener.java
@@ -14,21 +14,20 @@
 /** Accepts client connections and keeps the set of caller legs within its size. */
 public final class Listener implements Runnable {
     private static final int POLL_MS = 100;
-    private static final int LAST_MS = 50;                       // in which nobody comes, then it closes
-    private static final long MOST_LAST_MS = 200;                // but no longer than this
+    private static final int LAST_MS = 50; // in which nobody comes, then it closes
+    private static final long MOST_LAST_MS = 200; // but no longer than this
     private static final int MOMENTS = 5;
     private static final int UNTRIED = 10;
     private final ServerSocket server;
     private final Service service;
     private final ExecutorService legThreads;
-    private final ExecutorService spareThreads;                  // a few, for connections beyond the size
+    private final ExecutorService spareThreads; // a few, for connections beyond the size
     private final Set<CallerLeg> legs = ConcurrentHashMap.newKeySet();
-    private volatile long jobsAt = System.nanoTime() - Long.MAX_VALUE / 2;   // the last leg's with any
+    private volatile long jobsAt = System.nanoTime() - Long.MAX_VALUE / 2; // the last leg's with any
     private volatile boolean closing;
     private volatile boolean closed;
 
-    public Listener(ServerSocket server, Service service, ExecutorService legThreads,
-            ExecutorService spareThreads) {
+    public Listener(ServerSocket server, Service service, ExecutorService legThreads, ExecutorService spareThreads) {
         this.server = server;
         this.service = service;
         this.legThreads = legThreads;
@@ -41,7 +40,8 @@
      * machine a connection that is open for its client comes into the queue some milliseconds later: the last
      * look waits for it, save where newcomers do not end, as beside the process that takes over.
      */
-    @Override public void run() {
+    @Override
+    public void run() {
         long since = 0;
         while (true) {
             boolean last = closing;
@@ -72,7 +72,7 @@
         try {
             connection = new HttpConnection(socket);
         } catch (IOException e) {
-            socket.close();                                      // it has been reset meanwhile
+            socket.close(); // it has been reset meanwhile
             throw e;
         }
         freeClients();
@@ -91,7 +91,7 @@
         };
         try {
             (room ? legThreads : spareThreads).execute(work);
-        } catch (RejectedExecutionException | OutOfMemoryError e) {    // no thread is left to read it
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is left to read it
             legs.remove(leg);
             leg.refuse();
         }
@@ -109,7 +109,7 @@
         }
         boolean ended = end(1, UNTRIED);
         for (int i = 0; i < MOMENTS && !ended && legs.stream().anyMatch(CallerLeg::untried); i++) {
-            pause(1);                                            // bytes have come, and will now be read
+            pause(1); // bytes have come, and will now be read
             ended = end(1, UNTRIED);
         }
         return ended;
@@ -120,7 +120,8 @@
      * may hold: connections that they keep and do not use would leave them none for their next requests.
      */
     private void freeClients() {
-        if (legs.stream().filter(l -> l.useful() && !l.ending()).count() > service.sizes().get().kept()) {
+        if (legs.stream().filter(l -> l.useful() && !l.ending()).count()
+                > service.sizes().get().kept()) {
             end(1, 0);
         }
     }
--- a/src/main/java/maplespread/caller/Turns.java
+++ b/src/main/java/maplespread/caller/Turns.java
@@ -22,20 +22,31 @@
      * the head's that the protocol knows, but for the id and the time; {@code handedBy}: the dispatcher that
      * hands it on, and what that one knows, or null; {@code leftMs}: until it must be answered.
      */
-    record Job(Message message, Transaction transaction, String tenant, String entity,
-               Map<String, Double> labels, List<String[]> fields, String handedBy, long leftMs) { }
+    record Job(
+            Message message,
+            Transaction transaction,
+            String tenant,
+            String entity,
+            Map<String, Double> labels,
+            List<String[]> fields,
+            String handedBy,
+            long leftMs) {}
 
     /** DOUBT: it may still run, or what its end means for others of its key could not be made sure of. */
-    enum End { NEVER_RAN, ENDED, DOUBT }
+    enum End {
+        NEVER_RAN,
+        ENDED,
+        DOUBT
+    }
 
     /** What becomes of a job. */
-    sealed interface Turn permits Go, Said, Left { }
+    sealed interface Turn permits Go, Said, Left {}
 
     /** It is told so; {@code taken}: its id may not be used again. */
-    record Said(int status, List<String[]> fields, byte[] body, boolean taken) implements Turn { }
+    record Said(int status, List<String[]> fields, byte[] body, boolean taken) implements Turn {}
 
     /** Nobody waits for it any more. */
-    record Left() implements Turn { }
+    record Left() implements Turn {}
 
     /** Its turn has come, and lasts until it is over. */
     non-sealed interface Go extends Turn {
--- a/src/main/java/maplespread/cli/RegistryCommands.java
+++ b/src/main/java/maplespread/cli/RegistryCommands.java
@@ -23,30 +23,48 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks at a registry as a dispatcher would, and writes workers into it. */
-@Command(name = "registry", mixinStandardHelpOptions = true,
-    description = "Looks at a registry of workers and changes it.",
-    subcommands = {RegistryCommands.List_.class, RegistryCommands.Watch.class, RegistryCommands.Put.class,
-        RegistryCommands.Drain.class, RegistryCommands.Remove.class, RegistryCommands.Keep.class})
+@Command(
+        name = "registry",
+        mixinStandardHelpOptions = true,
+        description = "Looks at a registry of workers and changes it.",
+        subcommands = {
+            RegistryCommands.List_.class,
+            RegistryCommands.Watch.class,
+            RegistryCommands.Put.class,
+            RegistryCommands.Drain.class,
+            RegistryCommands.Remove.class,
+            RegistryCommands.Keep.class
+        })
 final class RegistryCommands implements Runnable {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Override public void run() {
+    @Override
+    public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is needed");
     }
 
     /** Which registry is meant. */
     static class Which {
-        @Option(names = "--operator", paramLabel = "FILE",
-            description = "Take the registry of this operators' file. Default: BALANCER_OPERATOR.")
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                description = "Take the registry of this operators' file. Default: BALANCER_OPERATOR.")
         private String operator;
+
         @Option(names = "--dialect", paramLabel = "NAME", description = "etcd, consul-kv or consul-health.")
         private String dialect;
+
         @Option(names = "--endpoint", paramLabel = "ADDRESS", split = ",", description = "Where it answers.")
         private List<String> endpoints;
-        @Option(names = "--follow", paramLabel = "NAME", split = ",",
-            description = "Key prefixes, or a service's name.")
+
+        @Option(
+                names = "--follow",
+                paramLabel = "NAME",
+                split = ",",
+                description = "Key prefixes, or a service's name.")
         private List<String> follow;
+
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -54,7 +72,8 @@
             if (dialect != null && endpoints != null && follow != null) {
                 Dialect d;
                 try {
-                    d = Dialect.valueOf(dialect.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+                    d = Dialect.valueOf(
+                            dialect.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
                     endpoints.forEach(RouteReader::address);
                 } catch (IllegalArgumentException e) {
                     throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
@@ -64,8 +83,9 @@
             String file = operator != null ? operator : System.getenv("BALANCER_OPERATOR");
             RegistrySettings r = OperatorReader.file(file).registry();
             if (r == null) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                    "name --operator with a registry in it, or --dialect, --endpoint and --follow");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "name --operator with a registry in it, or --dialect, --endpoint and --follow");
             }
             return r;
         }
@@ -76,22 +96,30 @@
 
         /** Follows the registry; the sink hears the whole first. */
         RegistrySource follow(java.util.function.Consumer<RouteNews> heard) throws Exception {
-            return new RegistrySource(settings(), new RouteReader(List.of(), List.of()), 1, System.nanoTime(),
-                new RouteSink() {
-                    @Override public void news(RouteNews news) {
-                        heard.accept(news);
-                    }
-
-                    @Override public void watchLost() { }
-                });
+            return new RegistrySource(
+                    settings(), new RouteReader(List.of(), List.of()), 1, System.nanoTime(), new RouteSink() {
+                        @Override
+                        public void news(RouteNews news) {
+                            heard.accept(news);
+                        }
+
+                        @Override
+                        public void watchLost() {}
+                    });
         }
     }
 
     static final String ROW = "%-24s %-22s %-9s %7s %5s %15s%n";
 
     static void row(PrintWriter out, Route r) {
-        out.printf(ROW, r.worker(), r.address(), r.state(), r.weight(), r.cell(),
-            r.startedAtMs() == 0 ? "long ago" : java.time.Instant.ofEpochMilli((long) r.startedAtMs()));
+        out.printf(
+                ROW,
+                r.worker(),
+                r.address(),
+                r.state(),
+                r.weight(),
+                r.cell(),
+                r.startedAtMs() == 0 ? "long ago" : java.time.Instant.ofEpochMilli((long) r.startedAtMs()));
         out.flush();
     }
 
@@ -99,14 +127,20 @@
         out.printf(ROW, "WORKER", "ADDRESS", "STATE", "WEIGHT", "CELL", "STARTED");
     }
 
-    @Command(name = "ls", mixinStandardHelpOptions = true,
-        description = "Lists the workers as a dispatcher sees them; exit status 1 where it cannot.")
+    @Command(
+            name = "ls",
+            mixinStandardHelpOptions = true,
+            description = "Lists the workers as a dispatcher sees them; exit status 1 where it cannot.")
     static final class List_ extends Which implements Callable<Integer> {
-        @Option(names = "--within", paramLabel = "SECONDS", defaultValue = "10",
-            description = "How long to wait for the registry. Default: ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--within",
+                paramLabel = "SECONDS",
+                defaultValue = "10",
+                description = "How long to wait for the registry. Default: ${DEFAULT-VALUE}.")
         private long within;
 
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             Map<String, Route> all = new TreeMap<>();
             CountDownLatch whole = new CountDownLatch(1);
             try (RegistrySource source = follow(news -> {
@@ -126,14 +160,20 @@
         }
     }
 
-    @Command(name = "watch", mixinStandardHelpOptions = true,
-        description = "Prints all workers, then each change as it comes, until ended.")
+    @Command(
+            name = "watch",
+            mixinStandardHelpOptions = true,
+            description = "Prints all workers, then each change as it comes, until ended.")
     static final class Watch extends Which implements Callable<Integer> {
-        @Option(names = "--for", paramLabel = "SECONDS", defaultValue = "0",
-            description = "End after so long. Default: never.")
+        @Option(
+                names = "--for",
+                paramLabel = "SECONDS",
+                defaultValue = "0",
+                description = "End after so long. Default: never.")
         private long seconds;
 
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             head(out());
             try (RegistrySource source = follow(news -> news.routes().forEach(r -> row(out(), r)))) {
                 source.start();
@@ -147,19 +187,26 @@
     static class Worker extends Which {
         @Parameters(index = "0", paramLabel = "WORKER", description = "The worker's name.")
         String worker;
+
         @Parameters(index = "1", paramLabel = "ADDRESS", description = "Where it listens, as 10.1.0.18:7070.")
         private String address;
+
         @Option(names = "--zone", description = "Its zone, as the platform's file names it.")
         private String zone;
+
         @Option(names = "--machine-type", description = "Its kind of machine.")
         private String machineType;
+
         @Option(names = "--cell", defaultValue = "0", description = "Its cell. Default: ${DEFAULT-VALUE}.")
         private int cell;
-        @Option(names = "--weight", defaultValue = "1",
-            description = "Its weight. Default: ${DEFAULT-VALUE}.")
+
+        @Option(names = "--weight", defaultValue = "1", description = "Its weight. Default: ${DEFAULT-VALUE}.")
         private double weight;
-        @Option(names = "--started-at-ms", paramLabel = "MS",
-            description = "When it started, in Unix time; 0: long ago. Default: now, which counts as cold.")
+
+        @Option(
+                names = "--started-at-ms",
+                paramLabel = "MS",
+                description = "When it started, in Unix time; 0: long ago. Default: now, which counts as cold.")
         private Long startedAtMs;
 
         JsonObject value() {
@@ -183,7 +230,8 @@
 
     @Command(name = "put", mixinStandardHelpOptions = true, description = "Writes a worker that serves.")
     static final class Put extends Worker implements Callable<Integer> {
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             try (RegistryAdmin admin = new RegistryAdmin(settings())) {
                 admin.put(worker, value(), "", 0);
             }
@@ -201,7 +249,8 @@
 
         abstract String word();
 
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             int status = 0;
             try (RegistryAdmin admin = new RegistryAdmin(settings())) {
                 for (String worker : workers) {
@@ -214,44 +263,66 @@
         }
     }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true,
-        description = "Has workers drain: they finish what they hold and get nothing new.")
+    @Command(
+            name = "drain",
+            mixinStandardHelpOptions = true,
+            description = "Has workers drain: they finish what they hold and get nothing new.")
     static final class Drain extends Each {
-        @Override boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
+        @Override
+        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
             return admin.drain(worker);
         }
 
-        @Override String word() {
+        @Override
+        String word() {
             return " drains";
         }
     }
 
     @Command(name = "rm", mixinStandardHelpOptions = true, description = "Removes workers.")
     static final class Remove extends Each {
-        @Override boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
+        @Override
+        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
             return admin.remove(worker);
         }
 
-        @Override String word() {
+        @Override
+        String word() {
             return " is removed";
         }
     }
 
-    @Command(name = "keep", mixinStandardHelpOptions = true, description = {
-        "Registers a worker under a lease and keeps it until ended by SIGTERM or SIGINT; then drains it,",
-        "waits for what it holds, and removes it. If this process dies, the lease ends by itself."})
+    @Command(
+            name = "keep",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Registers a worker under a lease and keeps it until ended by SIGTERM or SIGINT; then drains it,",
+                "waits for what it holds, and removes it. If this process dies, the lease ends by itself."
+            })
     static final class Keep extends Worker implements Callable<Integer> {
-        @Option(names = "--ttl", paramLabel = "SECONDS", defaultValue = "10",
-            description = "How long the worker stays without word from here. Default: ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--ttl",
+                paramLabel = "SECONDS",
+                defaultValue = "10",
+                description = "How long the worker stays without word from here. Default: ${DEFAULT-VALUE}.")
         private long ttl;
-        @Option(names = "--grace", paramLabel = "SECONDS", defaultValue = "5",
-            description = "From the drain to the removal. Default: ${DEFAULT-VALUE}.")
+
+        @Option(
+                names = "--grace",
+                paramLabel = "SECONDS",
+                defaultValue = "5",
+                description = "From the drain to the removal. Default: ${DEFAULT-VALUE}.")
         private long grace;
-        @Option(names = "--for", paramLabel = "SECONDS", defaultValue = "0",
-            description = "End after so long. Default: never.")
+
+        @Option(
+                names = "--for",
+                paramLabel = "SECONDS",
+                defaultValue = "0",
+                description = "End after so long. Default: never.")
         private long seconds;
 
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             CountDownLatch ended = new CountDownLatch(1);
             CountDownLatch over = new CountDownLatch(1);
             JsonObject value = value();
@@ -297,13 +368,13 @@
             while (!ended.await(Math.max(100, ttl * 1000 / 3), TimeUnit.MILLISECONDS)
                     && (seconds == 0 || System.nanoTime() < end)) {
                 try {
-                    if (!admin.keep(lease, worker)) {            // it has ended: the registry has lost it
+                    if (!admin.keep(lease, worker)) { // it has ended: the registry has lost it
                         lease = admin.lease(ttl);
                         admin.put(worker, value, lease, ttl);
                         out().println(worker + " serves again");
                         out().flush();
                     }
-                } catch (RegistryAdmin.NotDone e) {              // asked again after a third of the lease
+                } catch (RegistryAdmin.NotDone e) { // asked again after a third of the lease
                     out().println(e.getMessage());
                     out().flush();
                 }
--- a/src/main/java/maplespread/config/Config.java
+++ b/src/main/java/maplespread/config/Config.java
@@ -16,10 +16,19 @@
  * operators call, or null; {@code keys}: those that the file has; {@code tmp}: the directory that processes
  * of one dispatcher share, or null.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress console, Path tmp,
-                     InetSocketAddress discovery, long seed, Dispatch.Settings settings, Names names,
-                     Sizes sizes, Times times, RouteNews known,
-                     Set<String> keys) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress console,
+        Path tmp,
+        InetSocketAddress discovery,
+        long seed,
+        Dispatch.Settings settings,
+        Names names,
+        Sizes sizes,
+        Times times,
+        RouteNews known,
+        Set<String> keys) {
     /** The operators' connections at once; their descriptors are not the clients'. */
     public static final int CONSOLE_PLACES = 12;
 
@@ -40,13 +49,24 @@
         for (String cls : places) {
             int at = names.classes.indexOf(cls);
             if (at < 0) {
-                out.add(cls);                                    // its place is kept by a live one's figures
+                out.add(cls); // its place is kept by a live one's figures
             }
             specs.add(settings.classes().get(Math.max(0, at)));
         }
-        return new Config(running.name, running.listen, running.console, running.tmp, discovery, running.seed,
-            settings.with(specs), new Names(List.copyOf(places), names.tenants, running.names.zones,
-                running.names.kinds, Set.copyOf(out)), running.sizes, times, running.known, keys);
+        return new Config(
+                running.name,
+                running.listen,
+                running.console,
+                running.tmp,
+                discovery,
+                running.seed,
+                settings.with(specs),
+                new Names(
+                        List.copyOf(places), names.tenants, running.names.zones, running.names.kinds, Set.copyOf(out)),
+                running.sizes,
+                times,
+                running.known,
+                keys);
     }
 
     /** The keys in which another configuration differs that a running program cannot take up. */
@@ -71,8 +91,8 @@
      * What the sockets call classes, tenants, zones and machine kinds, in the settings' order. {@code
      * dropped}: classes that a reload has taken out, and whose places stay theirs.
      */
-    public record Names(List<String> classes, List<String> tenants, List<String> zones,
-                        List<String> kinds, Set<String> dropped) {
+    public record Names(
+            List<String> classes, List<String> tenants, List<String> zones, List<String> kinds, Set<String> dropped) {
         /** The class's number; -1 where there is none of that name at present. */
         public int place(String cls) {
             return dropped.contains(cls) ? -1 : classes.indexOf(cls);
@@ -95,8 +115,7 @@
          * of its own beside these.
          */
         public Sizes shared() {
-            return new Sizes(part(transactions), part(legs), part(kept), part(links), part(idleLinks),
-                part(probes));
+            return new Sizes(part(transactions), part(legs), part(kept), part(links), part(idleLinks), part(probes));
         }
 
         private static int part(int n) {
@@ -110,7 +129,16 @@
      * first one from connecting on; {@code acceptMs} and {@code holdMs}: how long after SIGTERM connections
      * are still accepted, and open ones still served; {@code endMs}: when all must be answered and over.
      */
-    public record Times(long dialMs, long firstByteMs, long probeMs, long linkIdleMs, long legIdleMs,
-                        long legReadMs, ListClock list, long longestMs, long acceptMs, long holdMs,
-                        long endMs) { }
+    public record Times(
+            long dialMs,
+            long firstByteMs,
+            long probeMs,
+            long linkIdleMs,
+            long legIdleMs,
+            long legReadMs,
+            ListClock list,
+            long longestMs,
+            long acceptMs,
+            long holdMs,
+            long endMs) {}
 }
--- a/src/main/java/maplespread/config/ConfigReader.java
+++ b/src/main/java/maplespread/config/ConfigReader.java
@@ -28,12 +28,13 @@
     private static final int LEAST_SOCKETS = 160;
     /** The JVM's own and the heap that {@code run} allows; then what a thread was seen to cost. */
     private static final double MEMORY_KEPT_MB = 84;
+
     private static final double LEAST_MEMORY_MB = 90;
     private static final double THREAD_KB = 125;
 
-    private final Map<String, String> flat = new HashMap<>();    // the settings by path
+    private final Map<String, String> flat = new HashMap<>(); // the settings by path
 
-    private ConfigReader() { }
+    private ConfigReader() {}
 
     /**
      * The file anew, for a program that runs: the address of discovery is now the file's word alone, whatever
@@ -75,8 +76,12 @@
         JsonObject set = object(root, "settings");
         flatten("", set);
         check(set);
-        Config.Names names = new Config.Names(named(set, "classes"), named(set, "customers"),
-            strings(set, "areas"), strings(set, "models"), Set.of());
+        Config.Names names = new Config.Names(
+                named(set, "classes"),
+                named(set, "customers"),
+                strings(set, "areas"),
+                strings(set, "models"),
+                Set.of());
         Dispatch.Settings settings = settings();
         JsonObject limits = root.has("limits") ? object(root, "limits") : new JsonObject();
         int sockets = (int) number(limits, "limits.", "sockets", 1024);
@@ -85,13 +90,20 @@
             throw new ConfigError("limits.sockets", "at least " + LEAST_SOCKETS + " are needed");
         }
         InetSocketAddress console = optional(root, env, "console", "BALANCER_CONSOLE");
-        sockets -= console == null ? 0 : Config.CONSOLE_PLACES + 2;      // never the clients'
-        return new Config(string(root, env, "name", "BALANCER_NAME"),
-            address(string(root, env, "listen", "BALANCER_LISTEN"), "listen"), console,
-            path(env.get("TMPDIR")),
-            address(string(root, env, "discovery", "BALANCER_DISCOVERY"), "discovery"),
-            seed(root), settings, names, sizes(sockets, Math.max(memoryMb, LEAST_MEMORY_MB)), times(settings),
-            known(root, names), Set.copyOf(keys("", root)));
+        sockets -= console == null ? 0 : Config.CONSOLE_PLACES + 2; // never the clients'
+        return new Config(
+                string(root, env, "name", "BALANCER_NAME"),
+                address(string(root, env, "listen", "BALANCER_LISTEN"), "listen"),
+                console,
+                path(env.get("TMPDIR")),
+                address(string(root, env, "discovery", "BALANCER_DISCOVERY"), "discovery"),
+                seed(root),
+                settings,
+                names,
+                sizes(sockets, Math.max(memoryMb, LEAST_MEMORY_MB)),
+                times(settings),
+                known(root, names),
+                Set.copyOf(keys("", root)));
     }
 
     /**
@@ -131,17 +143,34 @@
     private static Config.Sizes sizes(int sockets, double memoryMb) {
         int threads = (int) ((memoryMb - MEMORY_KEPT_MB) * 1024 / THREAD_KB);
         int transactions = Math.min(256, Math.min(sockets / 3, threads * 2 / 5));
-        return new Config.Sizes(transactions, transactions + Math.min(sockets / 8, threads / 5),
-            sockets / 4, transactions + sockets / 12, sockets / 12, Math.min(32, sockets / 24));
+        return new Config.Sizes(
+                transactions,
+                transactions + Math.min(sockets / 8, threads / 5),
+                sockets / 4,
+                transactions + sockets / 12,
+                sockets / 12,
+                Math.min(32, sockets / 24));
     }
 
     private static Config.Times times(Dispatch.Settings set) {
-        double longest = set.classes().stream().mapToDouble(Dispatch.ClassSpec::deadlineMs).max().orElse(0);
+        double longest = set.classes().stream()
+                .mapToDouble(Dispatch.ClassSpec::deadlineMs)
+                .max()
+                .orElse(0);
         double idle = set.permissions().connIdleMs() > 0 ? set.permissions().connIdleMs() * 2 / 3 : 10_000;
         long dial = Math.max(1, Math.round(set.permissions().dialTimeoutMs()));
-        return new Config.Times(dial, Math.max(500, 2 * dial), 1000, (long) idle, 60_000, 2_500,
-            ListClock.ofProtocol(), (long) longest, 500, (long) Math.min(2000, longest),
-            (long) Math.min(3000, longest) + 500);
+        return new Config.Times(
+                dial,
+                Math.max(500, 2 * dial),
+                1000,
+                (long) idle,
+                60_000,
+                2_500,
+                ListClock.ofProtocol(),
+                (long) longest,
+                500,
+                (long) Math.min(2000, longest),
+                (long) Math.min(3000, longest) + 500);
     }
 
     // ------------------------------------------------------------ settings
@@ -226,8 +255,8 @@
         }
         if (!(v >= low && v <= high)) {
             String from = low == Math.nextUp(0.0) ? "above 0" : "from " + low;
-            throw new ConfigError("settings." + key, "out of range: " + text + "; " + from + " up to " + high
-                + " may stand there");
+            throw new ConfigError(
+                    "settings." + key, "out of range: " + text + "; " + from + " up to " + high + " may stand there");
         }
     }
 
@@ -300,7 +329,9 @@
             throws ConfigError {
         String text = env.get(variable);
         if (text == null || text.isEmpty()) {
-            text = root.has(key) && root.get(key).isJsonPrimitive() ? root.get(key).getAsString() : "";
+            text = root.has(key) && root.get(key).isJsonPrimitive()
+                    ? root.get(key).getAsString()
+                    : "";
         }
         if (text.isEmpty()) {
             throw new ConfigError(key, "is missing");
@@ -313,10 +344,10 @@
     }
 
     /** Null where neither names one. */
-    private static InetSocketAddress optional(JsonObject root, Map<String, String> env, String key,
-            String variable) throws ConfigError {
+    private static InetSocketAddress optional(JsonObject root, Map<String, String> env, String key, String variable)
+            throws ConfigError {
         boolean told = !env.getOrDefault(variable, "").isEmpty()
-            || root.has(key) && !root.get(key).isJsonNull();
+                || root.has(key) && !root.get(key).isJsonNull();
         return told ? address(string(root, env, key, variable), key) : null;
     }
 
@@ -328,8 +359,7 @@
         }
     }
 
-    private static double number(JsonObject in, String path, String key, double otherwise)
-            throws ConfigError {
+    private static double number(JsonObject in, String path, String key, double otherwise) throws ConfigError {
         try {
             double v = in.has(key) ? in.get(key).getAsDouble() : otherwise;
             if (v > 0) {
--- a/src/main/java/maplespread/config/Facts.java
+++ b/src/main/java/maplespread/config/Facts.java
@@ -28,39 +28,66 @@
             tenants.add(new Dispatch.Tenant(num("customers." + i + ".allowancePerS", 0)));
         }
         boolean pause = is("permissions.retryAfter");
-        var allow = new Dispatch.Permissions(is("permissions.cancel"),
-            is("permissions.probing"), is("permissions.secondCopies"), (int) num("permissions.tryLimit",
-                1),
-            num("permissions.dialTimeoutMs", 250), pause ? num("permissions.maxRetryAfterMs", 0) : 0,
-            num("permissions.connIdleMs", 0));
-        var rules = new Dispatch.Rules(num("rules.drainGraceMs", 0), num("rules.askWithinMs", 10000),
-            num("rules.coldFrom", 0.1), num("rules.warmWithinMs", 30000), num("rules.fallMultiple", 1),
-            num("rules.fallMs", 1000), num("rules.answerSlackMs", 0));
-        return new Dispatch.Settings((int) num("balancers", 1), (int) num("index", 0), (int) num("zone",
-            0),
-            text("discovery", "push").equals("ask"), text("valueBy", "request").equals("work"),
-            is("domain.tellsStart"), num("domain.progressMs", 0),
-            text("domain.queueOrder", "").equals("fifo"), num("tickMs", 1),
+        var allow = new Dispatch.Permissions(
+                is("permissions.cancel"),
+                is("permissions.probing"),
+                is("permissions.secondCopies"),
+                (int) num("permissions.tryLimit", 1),
+                num("permissions.dialTimeoutMs", 250),
+                pause ? num("permissions.maxRetryAfterMs", 0) : 0,
+                num("permissions.connIdleMs", 0));
+        var rules = new Dispatch.Rules(
+                num("rules.drainGraceMs", 0),
+                num("rules.askWithinMs", 10000),
+                num("rules.coldFrom", 0.1),
+                num("rules.warmWithinMs", 30000),
+                num("rules.fallMultiple", 1),
+                num("rules.fallMs", 1000),
+                num("rules.answerSlackMs", 0));
+        return new Dispatch.Settings(
+                (int) num("balancers", 1),
+                (int) num("index", 0),
+                (int) num("zone", 0),
+                text("discovery", "push").equals("ask"),
+                text("valueBy", "request").equals("work"),
+                is("domain.tellsStart"),
+                num("domain.progressMs", 0),
+                text("domain.queueOrder", "").equals("fifo"),
+                num("tickMs", 1),
                 num("overShareWorth", 1),
-            num("penalties.crossZone", 0), classes, tenants, allow, rules);
+                num("penalties.crossZone", 0),
+                classes,
+                tenants,
+                allow,
+                rules);
     }
 
     private Dispatch.ClassSpec clazz(int i) {
         String p = "classes." + i + ".";
         double stretch = num(p + "aimStretch", element("domain.classStretch", i, 0));
-        Dispatch.Effect effect = switch (text(p + "effect", "non_idempotent")) {
-            case "read_like" -> Dispatch.Effect.READ_LIKE;
-            case "idempotency_key" -> Dispatch.Effect.KEYED;
-            default -> Dispatch.Effect.UNSAFE;
-        };
-        Dispatch.Group group = switch (text(p + "dedupScope", "cell")) {
-            case "all" -> Dispatch.Group.ALL;
-            case "zone" -> Dispatch.Group.ZONE;
-            default -> Dispatch.Group.CELL;
-        };
-        return new Dispatch.ClassSpec(num(p + "aimMs", 1000), stretch, num(p + "deadlineMs", 10000),
-            num(p + "worth", 1), num(p + "lateShare", 0), effect, group, num(p + "repeatWindowMs", 0),
-            is(p + "streaming"), (int) element("domain.classKind", i, -1));
+        Dispatch.Effect effect =
+                switch (text(p + "effect", "non_idempotent")) {
+                    case "read_like" -> Dispatch.Effect.READ_LIKE;
+                    case "idempotency_key" -> Dispatch.Effect.KEYED;
+                    default -> Dispatch.Effect.UNSAFE;
+                };
+        Dispatch.Group group =
+                switch (text(p + "dedupScope", "cell")) {
+                    case "all" -> Dispatch.Group.ALL;
+                    case "zone" -> Dispatch.Group.ZONE;
+                    default -> Dispatch.Group.CELL;
+                };
+        return new Dispatch.ClassSpec(
+                num(p + "aimMs", 1000),
+                stretch,
+                num(p + "deadlineMs", 10000),
+                num(p + "worth", 1),
+                num(p + "lateShare", 0),
+                effect,
+                group,
+                num(p + "repeatWindowMs", 0),
+                is(p + "streaming"),
+                (int) element("domain.classKind", i, -1));
     }
 
     private double element(String key, int i, double otherwise) {
--- a/src/main/java/maplespread/config/GroupSettings.java
+++ b/src/main/java/maplespread/config/GroupSettings.java
@@ -12,8 +12,15 @@
  * decide; {@code version}: of the program, as a release names it, empty: its jar's; {@code periodMs} between
  * probes, {@code ackMs} for a direct answer.
  */
-public record GroupSettings(String listen, String address, List<String> seeds, List<String> electors,
-        Keys keys, String version, long periodMs, long ackMs) {
+public record GroupSettings(
+        String listen,
+        String address,
+        List<String> seeds,
+        List<String> electors,
+        Keys keys,
+        String version,
+        long periodMs,
+        long ackMs) {
     /** What packets are sealed with; the first one seals. Shows nothing of the secrets in any text. */
     public static final class Keys {
         private final Map<Integer, byte[]> byId;
@@ -29,7 +36,8 @@
             return copy;
         }
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return "keys " + byId.keySet();
         }
     }
--- a/src/main/java/maplespread/config/Operator.java
+++ b/src/main/java/maplespread/config/Operator.java
@@ -11,8 +11,14 @@
  * dispatchers share nothing; {@code release}: who may be out at once, null where nothing is agreed on that;
  * {@code starvation}: null where it is not looked for; {@code partition}: null where jobs have no order.
  */
-public record Operator(boolean jsonLog, RegistrySettings registry, Cut.Wish subset, boolean fair,
-        GroupSettings group, Limits release, StarvationSettings starvation,
+public record Operator(
+        boolean jsonLog,
+        RegistrySettings registry,
+        Cut.Wish subset,
+        boolean fair,
+        GroupSettings group,
+        Limits release,
+        StarvationSettings starvation,
         PartitionSettings partition) {
     /** What counts where there is no file. */
     public static final Operator NONE = new Operator(false, null);
--- a/src/main/java/maplespread/config/OperatorReader.java
+++ b/src/main/java/maplespread/config/OperatorReader.java
@@ -24,7 +24,7 @@
     private static final int MOST_ELECTORS = 9;
     private static final int LEAST_SECRET = 16;
 
-    private OperatorReader() { }
+    private OperatorReader() {}
 
     /** From the file, or {@link Operator#NONE} where none is named. */
     public static Operator file(String file) throws ConfigError {
@@ -45,8 +45,9 @@
             Checked in = root.part("subset");
             subset = new Cut.Wish(in.whole("sharers", 10, 1, 100_000), in.whole("least", 20, 1, 1_000_000));
         }
-        boolean fair = root.part("shares").oneOf("beyond", "as_any", List.of("as_any", "give_way"))
-            .equals("give_way");
+        boolean fair = root.part("shares")
+                .oneOf("beyond", "as_any", List.of("as_any", "give_way"))
+                .equals("give_way");
         GroupSettings group = root.has("group") ? group(root.part("group")) : null;
         Limits release = root.has("release") ? release(root.part("release")) : null;
         if (release != null && group == null) {
@@ -66,12 +67,14 @@
 
     private static StarvationSettings starvation(Checked in) throws ConfigError {
         String verdicts = in.oneOf("verdicts", "log", List.of("log", "console", "both", "off"));
-        StarvationSettings set = new StarvationSettings((int) in.whole("window_ms", 1000, 100, 60_000),
-            (int) in.whole("windows", 10, 3, 60), in.number("matters", 0.1, 0.01, 1),
-            verdicts.equals("log") || verdicts.equals("both"),
-            verdicts.equals("console") || verdicts.equals("both"),
-            in.whole("bytes_per_s", 200_000, 1_000, 100_000_000),
-            in.has("relief") ? relief(in.part("relief")) : null);
+        StarvationSettings set = new StarvationSettings(
+                (int) in.whole("window_ms", 1000, 100, 60_000),
+                (int) in.whole("windows", 10, 3, 60),
+                in.number("matters", 0.1, 0.01, 1),
+                verdicts.equals("log") || verdicts.equals("both"),
+                verdicts.equals("console") || verdicts.equals("both"),
+                in.whole("bytes_per_s", 200_000, 1_000, 100_000_000),
+                in.has("relief") ? relief(in.part("relief")) : null);
         return verdicts.equals("off") ? null : set;
     }
 
@@ -84,8 +87,9 @@
         long ask = in.whole("ask_ms", lease / 4, 5, lease / 2);
         long silent = in.whole("silent_ms", Math.max(2 * ask, lease * 5 / 6), 2 * ask, 60_000);
         long gone = in.whole("gone_ms", silent * 14 / 5, silent + ask, 600_000);
-        return new PartitionSettings(in.object("table"), address, lease, ask, silent, gone,
-            in.number("drift", 0.01, 0, 0.2), (int) in.whole("slots", 64, 1, 256));
+        return new PartitionSettings(
+                in.object("table"), address, lease, ask, silent, gone, in.number("drift", 0.01, 0, 0.2), (int)
+                        in.whole("slots", 64, 1, 256));
     }
 
     private static Relief.Limits relief(Checked in) throws ConfigError {
@@ -146,14 +150,12 @@
             } catch (IOException | InvalidPathException e) {
                 throw in.error("key_files", "cannot read " + file + ": " + e.getMessage());
             }
-            if (words.length != 2 || !words[0].matches("[0-9]{1,9}")
-                    || !words[1].matches("([0-9a-fA-F]{2})+")) {
+            if (words.length != 2 || !words[0].matches("[0-9]{1,9}") || !words[1].matches("([0-9a-fA-F]{2})+")) {
                 throw in.error("key_files", file + " must hold a number and a secret in hexadecimal digits");
             }
             byte[] secret = HexFormat.of().parseHex(words[1]);
             if (secret.length < LEAST_SECRET) {
-                throw in.error("key_files", file + ": the secret must have " + LEAST_SECRET
-                    + " bytes or more");
+                throw in.error("key_files", file + ": the secret must have " + LEAST_SECRET + " bytes or more");
             }
             if (keys.put(Integer.valueOf(words[0]), secret) != null) {
                 throw in.error("key_files", file + ": number " + words[0] + " stands twice");
@@ -164,15 +166,17 @@
 
     private static Limits release(Checked in) throws ConfigError {
         Limits d = Limits.DEFAULT;
-        return new Limits(out(in, "dispatchers_out", d.dispatchersOut()),
-            out(in, "workers_out", d.workersOut()),
-            out(in, "workers_out_zone", d.workersOutZone()), out(in, "workers_out_kind", d.workersOutKind()),
-            in.number("least_capacity", d.leastCapacity(), 0, 1),
-            in.whole("quiet_ms", d.quietMs(), 0, 3_600_000),
-            in.whole("back_ms", d.backMs(), 1, 86_400_000),
-            in.number("worse_refused", d.worseRefused(), 0, 1),
-            in.number("worse_errors", d.worseErrors(), 0, 1),
-            in.number("worse_wait", d.worseWait(), 0, 1000));
+        return new Limits(
+                out(in, "dispatchers_out", d.dispatchersOut()),
+                out(in, "workers_out", d.workersOut()),
+                out(in, "workers_out_zone", d.workersOutZone()),
+                out(in, "workers_out_kind", d.workersOutKind()),
+                in.number("least_capacity", d.leastCapacity(), 0, 1),
+                in.whole("quiet_ms", d.quietMs(), 0, 3_600_000),
+                in.whole("back_ms", d.backMs(), 1, 86_400_000),
+                in.number("worse_refused", d.worseRefused(), 0, 1),
+                in.number("worse_errors", d.worseErrors(), 0, 1),
+                in.number("worse_wait", d.worseWait(), 0, 1000));
     }
 
     /** A count, or a share below 1. */
@@ -186,7 +190,8 @@
 
     private static RegistrySettings registry(Checked in) throws ConfigError {
         String word = in.oneOf("dialect", null, List.of("etcd", "consul-kv", "consul-health"));
-        Dialect dialect = Dialect.valueOf(word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+        Dialect dialect =
+                Dialect.valueOf(word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
         List<String> endpoints = in.strings("endpoints");
         for (String endpoint : endpoints) {
             try {
@@ -206,30 +211,44 @@
         long dial = in.whole("dial_ms", RegistrySettings.DIAL_MS, 1, 60_000);
         long silence = in.whole("silence_ms", RegistrySettings.SILENCE_MS, 10, 3_600_000);
         long wait = in.whole("wait_ms", RegistrySettings.waitFor(endpoints.size()), 100, 600_000);
-        long answer = in.whole("answer_ms", RegistrySettings.answerFor(dialect, endpoints.size(),
-            follow.size(), dial, silence, wait), 10, 600_000);
-        RegistrySettings settings = new RegistrySettings(dialect, endpoints, follow,
-            in.string("token_file", ""),
-            (int) in.whole("page", 1000, 1, 100_000),
-            (int) in.whole("requests_per_s", 2000, 1, 1_000_000),
-            dial, answer, silence, wait,
-            in.whole("prefer_again_ms", 30_000, 100, 86_400_000),
-            in.whole("restore_after_ms", 3000, 0, 3_600_000),
-            in.whole("forget_after_ms", 15_000, 0, 3_600_000),
-            in.whole("not_ready_after_ms", 60_000, 0, 86_400_000));
+        long answer = in.whole(
+                "answer_ms",
+                RegistrySettings.answerFor(dialect, endpoints.size(), follow.size(), dial, silence, wait),
+                10,
+                600_000);
+        RegistrySettings settings = new RegistrySettings(
+                dialect,
+                endpoints,
+                follow,
+                in.string("token_file", ""),
+                (int) in.whole("page", 1000, 1, 100_000),
+                (int) in.whole("requests_per_s", 2000, 1, 1_000_000),
+                dial,
+                answer,
+                silence,
+                wait,
+                in.whole("prefer_again_ms", 30_000, 100, 86_400_000),
+                in.whole("restore_after_ms", 3000, 0, 3_600_000),
+                in.whole("forget_after_ms", 15_000, 0, 3_600_000),
+                in.whole("not_ready_after_ms", 60_000, 0, 86_400_000));
         String late = settings.tooLate();
         if (late != null) {
-            throw in.error(late, late.equals("requests_per_s")
-                ? "less than one request in answer_ms (" + answer + ")"
-                : "after a silence the new word may take " + settings.worstMs() + " ms with dial_ms " + dial
-                    + ", answer_ms " + answer + (dialect == Dialect.ETCD ? ", silence_ms " + silence
-                    : ", wait_ms " + wait) + ", " + endpoints.size()
-                    + " endpoints and " + follow.size() + " to follow; at most " + settings.clockMs()
-                    + " are allowed");
+            throw in.error(
+                    late,
+                    late.equals("requests_per_s")
+                            ? "less than one request in answer_ms (" + answer + ")"
+                            : "after a silence the new word may take " + settings.worstMs() + " ms with dial_ms " + dial
+                                    + ", answer_ms " + answer
+                                    + (dialect == Dialect.ETCD ? ", silence_ms " + silence : ", wait_ms " + wait) + ", "
+                                    + endpoints.size()
+                                    + " endpoints and " + follow.size() + " to follow; at most " + settings.clockMs()
+                                    + " are allowed");
         }
         if (settings.notReadyAfterMs() > 0 && settings.notReadyAfterMs() < settings.clockMs()) {
-            throw in.error("not_ready_after_ms", "must be 0 or at least " + settings.clockMs()
-                + ", within which a sound registry may rightly be silent");
+            throw in.error(
+                    "not_ready_after_ms",
+                    "must be 0 or at least " + settings.clockMs()
+                            + ", within which a sound registry may rightly be silent");
         }
         return settings;
     }
--- a/src/main/java/maplespread/config/PartitionSettings.java
+++ b/src/main/java/maplespread/config/PartitionSettings.java
@@ -14,8 +14,8 @@
  * heard for so long, a member gets no lease, and its slots go to others; {@code drift}: share by which
  * clocks may be off; {@code slots}: of keys, when the value is first written.
  */
-public record PartitionSettings(String table, String address, long leaseMs, long askMs, long silentMs,
-        long goneMs, double drift, int slots) {
+public record PartitionSettings(
+        String table, String address, long leaseMs, long askMs, long silentMs, long goneMs, double drift, int slots) {
     /** The file's table, where it goes with the names of the site. */
     Table check(Config config) throws ConfigError {
         try {
@@ -42,7 +42,6 @@
     /** A table's text by the site's names; {@code workers} empty: not checked against any. */
     public static Table read(String text, Config config, List<Worker> workers) throws TableError {
         Config.Names n = config.names();
-        return TableReader.read(text, new TableReader.Site(n.classes(), n.tenants(), n.zones(), n.kinds(),
-            workers));
+        return TableReader.read(text, new TableReader.Site(n.classes(), n.tenants(), n.zones(), n.kinds(), workers));
     }
 }
--- a/src/main/java/maplespread/config/StarvationSettings.java
+++ b/src/main/java/maplespread/config/StarvationSettings.java
@@ -8,5 +8,11 @@
  * where verdicts are shown; {@code bytesPerS}: most that is sent to the other dispatchers, all together;
  * {@code relief}: of starved tenants, null: none.
  */
-public record StarvationSettings(int windowMs, int windows, double matters, boolean log, boolean console,
-                                 long bytesPerS, Relief.Limits relief) { }
+public record StarvationSettings(
+        int windowMs,
+        int windows,
+        double matters,
+        boolean log,
+        boolean console,
+        long bytesPerS,
+        Relief.Limits relief) {}
--- a/src/main/java/maplespread/console/Calls.java
+++ b/src/main/java/maplespread/console/Calls.java
@@ -65,8 +65,7 @@
         Map<String, String> all = new TreeMap<>();
         for (String part : query.split("&")) {
             int is = part.indexOf('=');
-            all.put(decoded(is < 0 ? part : part.substring(0, is)),
-                is < 0 ? "" : decoded(part.substring(is + 1)));
+            all.put(decoded(is < 0 ? part : part.substring(0, is)), is < 0 ? "" : decoded(part.substring(is + 1)));
         }
         return all;
     }
--- a/src/main/java/maplespread/console/Console.java
+++ b/src/main/java/maplespread/console/Console.java
@@ -23,14 +23,14 @@
  */
 public final class Console implements Closeable, Runnable {
     private static final long STACK = 144 * 1024;
-    private static final long CALL_MS = 5_000;                   // for a whole call, from connecting on
-    private static final long LAST_MS = 200;                     // for its sender to close first
+    private static final long CALL_MS = 5_000; // for a whole call, from connecting on
+    private static final long LAST_MS = 200; // for its sender to close first
     private static final int MOST_BODY = 16 * 1024;
     private final ServerSocket socket = new ServerSocket();
     private final Calls calls;
     private final int places;
     private final Seldom seldom = new Seldom();
-    private final ArrayDeque<HttpConnection> open = new ArrayDeque<>();     // the oldest first
+    private final ArrayDeque<HttpConnection> open = new ArrayDeque<>(); // the oldest first
 
     /** {@code places}: connections at once. */
     public Console(InetSocketAddress at, int places, Calls calls) throws IOException {
@@ -61,7 +61,8 @@
         return t;
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         while (!socket.isClosed()) {
             try {
                 Socket next = socket.accept();
@@ -69,13 +70,13 @@
                 admit(link);
                 try {
                     thread("console call", () -> serve(link)).start();
-                } catch (OutOfMemoryError e) {                   // no thread is to be had
+                } catch (OutOfMemoryError e) { // no thread is to be had
                     end(link);
                     seldom.warn("a console call found no thread");
                 }
             } catch (IOException | RuntimeException e) {
                 if (!socket.isClosed()) {
-                    seldom.warn("console: " + e.getMessage());   // out of descriptors, say: it must go on
+                    seldom.warn("console: " + e.getMessage()); // out of descriptors, say: it must go on
                     pause();
                 }
             }
@@ -117,34 +118,36 @@
             Calls.Reply reply;
             try {
                 link.receive(parser, CALL_MS);
-                reply = calls.answer(parser.head().method(), parser.head().target(),
-                    body.toString(StandardCharsets.UTF_8));
+                reply = calls.answer(
+                        parser.head().method(), parser.head().target(), body.toString(StandardCharsets.UTF_8));
             } catch (HttpError bad) {
                 reply = new Calls.Reply(bad.status(), bad.getMessage(), null);
             } catch (SocketTimeoutException slow) {
                 reply = new Calls.Reply(408, "call not whole in time", null);
             }
-            HttpWriter head = HttpWriter.response(reply.status()).field("Content-Type", "text/plain")
-                .field("Connection", "close");
+            HttpWriter head = HttpWriter.response(reply.status())
+                    .field("Content-Type", "text/plain")
+                    .field("Connection", "close");
             if (reply.allow() != null) {
                 head.field("Allow", reply.allow());
             }
             link.send(head.body((reply.text().strip() + '\n').getBytes(StandardCharsets.UTF_8)));
             link.endSending();
             link.buffer().position(link.buffer().limit());
-            while (link.fill(LAST_MS)) {                         // unread bytes would reset the answer
+            while (link.fill(LAST_MS)) { // unread bytes would reset the answer
                 link.buffer().position(link.buffer().limit());
             }
         } catch (IOException gone) {
             // the caller has left, or does not close
-        } catch (RuntimeException | Error e) {                   // guards the process from any one call
+        } catch (RuntimeException | Error e) { // guards the process from any one call
             Logger.error(e, "a console call failed");
         } finally {
             end(link);
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         try {
             socket.close();
         } catch (IOException e) {
--- a/src/main/java/maplespread/decision/Dispatch.java
+++ b/src/main/java/maplespread/decision/Dispatch.java
@@ -13,22 +13,38 @@
  * stated).
  */
 public final class Dispatch {
-    private Dispatch() { }
+    private Dispatch() {}
 
     /** May a request of the class be repeated once an attempt may have run? */
-    public enum Effect { READ_LIKE, KEYED, UNSAFE }
+    public enum Effect {
+        READ_LIKE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Which workers drop a repeat of a keyed request. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How a worker appears on the list. */
-    public enum Health { ACTIVE, LEAVING, LEFT }
+    public enum Health {
+        ACTIVE,
+        LEAVING,
+        LEFT
+    }
 
     /**
      * CHANGES: only entries that changed. FULL: all entries. HELD: all, as last held, possibly out of
      * date.
      */
-    public enum ListKind { CHANGES, FULL, HELD }
+    public enum ListKind {
+        CHANGES,
+        FULL,
+        HELD
+    }
 
     /**
      * How an attempt or probe ended. FULL, NO_CONNECTION and MOOT prove that it never ran. CUT is a RESET of
@@ -36,7 +52,15 @@
      * worker.
      */
     public enum Verdict {
-        OK, ERROR, FULL, TIMEOUT, NO_CONNECTION, RESET, CANCELLED, MOOT, CUT;
+        OK,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        NO_CONNECTION,
+        RESET,
+        CANCELLED,
+        MOOT,
+        CUT;
 
         /** Whether this outcome proves that the attempt never ran. */
         public boolean neverRan() {
@@ -49,12 +73,20 @@
      * it does not); {@code kind}: the worker kind it must run on, or -1; {@code lateShare}: share of the
      * worth paid for an answer after the aim and before the deadline.
      */
-    public record ClassSpec(double aimMs, double stretch, double deadlineMs, double worth, double lateShare,
-                            Effect effect, Group group, double windowMs, boolean streaming, int kind) {
+    public record ClassSpec(
+            double aimMs,
+            double stretch,
+            double deadlineMs,
+            double worth,
+            double lateShare,
+            Effect effect,
+            Group group,
+            double windowMs,
+            boolean streaming,
+            int kind) {
         public ClassSpec {
             need(aimMs > 0 && deadlineMs > 0, "a class needs an aim and a deadline above zero");
-            need(stretch >= 0 && worth >= 0 && windowMs >= 0,
-                "stretch, worth and window must not be negative");
+            need(stretch >= 0 && worth >= 0 && windowMs >= 0, "stretch, worth and window must not be negative");
             need(lateShare >= 0 && lateShare <= 1, "lateShare must lie in 0..1");
             need(effect != null && group != null, "a class needs an effect and a group");
         }
@@ -76,8 +108,14 @@
      * What the site allows. {@code tryLimit} counts attempts; {@code maxPauseMs} is 0 where advice is not
      * given; an idle connection closes after {@code connIdleMs}.
      */
-    public record Permissions(boolean cancel, boolean probing, boolean secondCopies,
-            int tryLimit, double dialTimeoutMs, double maxPauseMs, double connIdleMs) {
+    public record Permissions(
+            boolean cancel,
+            boolean probing,
+            boolean secondCopies,
+            int tryLimit,
+            double dialTimeoutMs,
+            double maxPauseMs,
+            double connIdleMs) {
         public Permissions {
             need(tryLimit >= 1, "tryLimit must be at least 1");
             need(dialTimeoutMs >= 0 && maxPauseMs >= 0, "times must not be negative");
@@ -86,8 +124,14 @@
     }
 
     /** Figures of the rules: drain grace, list age, and the cold budget. */
-    public record Rules(double drainGraceMs, double askWithinMs, double coldFrom, double warmWithinMs,
-                        double fallMultiple, double fallMs, double answerSlackMs) {
+    public record Rules(
+            double drainGraceMs,
+            double askWithinMs,
+            double coldFrom,
+            double warmWithinMs,
+            double fallMultiple,
+            double fallMs,
+            double answerSlackMs) {
         public Rules {
             need(coldFrom > 0 && coldFrom <= 1, "coldFrom must lie in 0..1");
             need(warmWithinMs >= 0 && fallMultiple > 0 && fallMs > 0, "the cold figures must be above zero");
@@ -102,10 +146,22 @@
      * overShare}: worth of a request beyond its tenant's share; {@code crossZone}: price of a send to
      * another zone, as a share of a request.
      */
-    public record Settings(int balancers, int index, int zone, boolean ask, boolean byWork,
-            boolean tellsStart, double progressMs, boolean inOrder, double tickMs, double overShare,
+    public record Settings(
+            int balancers,
+            int index,
+            int zone,
+            boolean ask,
+            boolean byWork,
+            boolean tellsStart,
+            double progressMs,
+            boolean inOrder,
+            double tickMs,
+            double overShare,
             double crossZone,
-            List<ClassSpec> classes, List<Tenant> tenants, Permissions permissions, Rules rules) {
+            List<ClassSpec> classes,
+            List<Tenant> tenants,
+            Permissions permissions,
+            Rules rules) {
         public Settings {
             need(balancers >= 1, "balancers must be at least 1");
             need(!classes.isEmpty(), "at least one class is needed");
@@ -125,8 +181,22 @@
 
         /** The same where so many nodes share each of the workers. */
         public Settings among(int nodes) {
-            return new Settings(nodes, index, zone, ask, byWork, tellsStart, progressMs, inOrder, tickMs,
-                overShare, crossZone, classes, tenants, permissions, rules);
+            return new Settings(
+                    nodes,
+                    index,
+                    zone,
+                    ask,
+                    byWork,
+                    tellsStart,
+                    progressMs,
+                    inOrder,
+                    tickMs,
+                    overShare,
+                    crossZone,
+                    classes,
+                    tenants,
+                    permissions,
+                    rules);
         }
 
         /**
@@ -143,8 +213,22 @@
 
         /** The same with other classes. */
         public Settings with(List<ClassSpec> others) {
-            return new Settings(balancers, index, zone, ask, byWork, tellsStart, progressMs, inOrder, tickMs,
-                overShare, crossZone, others, tenants, permissions, rules);
+            return new Settings(
+                    balancers,
+                    index,
+                    zone,
+                    ask,
+                    byWork,
+                    tellsStart,
+                    progressMs,
+                    inOrder,
+                    tickMs,
+                    overShare,
+                    crossZone,
+                    others,
+                    tenants,
+                    permissions,
+                    rules);
         }
     }
 
@@ -152,8 +236,7 @@
      * A worker as the list shows it. {@code upSinceMs}: when it last started, on the host's clock; 0: long
      * ago.
      */
-    public record Entry(String worker, Health health, double rating, int kind, int cell, int zone,
-                        double upSinceMs) { }
+    public record Entry(String worker, Health health, double rating, int kind, int cell, int zone, double upSinceMs) {}
 
     /**
      * A request taken by this node. {@code deadlineUs}: when its client stops waiting; {@code key}: what it
@@ -162,12 +245,30 @@
      * 0..1; where a starved tenant is relieved, up to 4; {@code among}: the workers that it may
      * go to, by id, null: any; its answer may change while it is open.
      */
-    public record Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots,
-                          double memory, String key, Settings under, double counts,
-                          Predicate<String> among) {
+    public record Request(
+            long id,
+            int cls,
+            int tenant,
+            long deadlineUs,
+            double workMs,
+            double slots,
+            double memory,
+            String key,
+            Settings under,
+            double counts,
+            Predicate<String> among) {
         /** To any worker. */
-        public Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots,
-                       double memory, String key, Settings under, double counts) {
+        public Request(
+                long id,
+                int cls,
+                int tenant,
+                long deadlineUs,
+                double workMs,
+                double slots,
+                double memory,
+                String key,
+                Settings under,
+                double counts) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, key, under, counts, null);
         }
 
@@ -176,14 +277,13 @@
         }
 
         /** Under the present settings. */
-        public Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots,
-                       double memory, String key) {
+        public Request(
+                long id, int cls, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, key, null, 1);
         }
 
         /** A request without a key. */
-        public Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots,
-                       double memory) {
+        public Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots, double memory) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, null, null, 1);
         }
     }
@@ -192,8 +292,8 @@
      * A worker's load report; NaN where a figure is absent. {@code util} is the share of its CPU that is
      * busy.
      */
-    public record Report(double active, double waiting, double util, double serviceMs, double freeSlots,
-                         double freeMemory) { }
+    public record Report(
+            double active, double waiting, double util, double serviceMs, double freeSlots, double freeMemory) {}
 
     /** What a host tells a node. Nothing else moves it. */
     public interface Events {
@@ -222,8 +322,15 @@
          * An attempt is over. {@code ended}: the request has ended, by this or earlier. {@code report} may
          * be null.
          */
-        void outcome(long nowUs, long id, int attempt, String worker, Verdict verdict, double lagMs,
-            boolean ended, Report report);
+        void outcome(
+                long nowUs,
+                long id,
+                int attempt,
+                String worker,
+                Verdict verdict,
+                double lagMs,
+                boolean ended,
+                Report report);
 
         /** Nobody waits for the request any more. */
         void gone(long nowUs, long id);
--- a/src/main/java/maplespread/decision/Numbers.java
+++ b/src/main/java/maplespread/decision/Numbers.java
@@ -13,7 +13,7 @@
         }
     }
 
-    private Numbers() { }
+    private Numbers() {}
 
     /** What news of that age, in time constants, still tells: near exp(-age), and cheap. */
     static double fade(double age) {
--- a/src/main/java/maplespread/facade/Chore.java
+++ b/src/main/java/maplespread/facade/Chore.java
@@ -3,11 +3,11 @@
 /** What the module wants done that answers no transaction: the results of {@link Dispatcher#tick}. */
 public sealed interface Chore {
     /** Ask the worker for its load. */
-    record Probe(String worker, String address) implements Chore { }
+    record Probe(String worker, String address) implements Chore {}
 
     /** Subscribe to the route set. */
-    record Watch() implements Chore { }
+    record Watch() implements Chore {}
 
     /** Give the branch up. */
-    record Cancel(Branch branch) implements Chore { }
+    record Cancel(Branch branch) implements Chore {}
 }
--- a/src/main/java/maplespread/facade/Ends.java
+++ b/src/main/java/maplespread/facade/Ends.java
@@ -3,7 +3,12 @@
 /** Hears of each job from taken to its end; must be quick. */
 public interface Ends {
     /** How a job ended for its client; LEFT: before its answer. */
-    enum How { SERVED, BUSY, FAILED, LEFT }
+    enum How {
+        SERVED,
+        BUSY,
+        FAILED,
+        LEFT
+    }
 
     /** A job has been taken; what is returned is given back at its end. */
     long taken(Transaction t);
--- a/src/main/java/maplespread/facade/Outcome.java
+++ b/src/main/java/maplespread/facade/Outcome.java
@@ -5,5 +5,13 @@
  * connection kept from before was reset and had brought nothing, so it may have run, and the worker is well.
  */
 public enum Outcome {
-    SERVED, ERROR, TURNED_AWAY, TIMED_OUT, NOT_CONNECTED, RESET, CUT, CANCELLED, NEVER_SENT
+    SERVED,
+    ERROR,
+    TURNED_AWAY,
+    TIMED_OUT,
+    NOT_CONNECTED,
+    RESET,
+    CUT,
+    CANCELLED,
+    NEVER_SENT
 }
--- a/src/main/java/maplespread/facade/Transaction.java
+++ b/src/main/java/maplespread/facade/Transaction.java
@@ -19,15 +19,15 @@
     final double slots;
     final double memory;
     final String key;
-    final Dispatch.Settings under;                               // whose rules hold; null: the present ones
+    final Dispatch.Settings under; // whose rules hold; null: the present ones
     final List<Branch> branches = new ArrayList<>(2);
-    Predicate<String> among;                                     // workers that it may go to; null: any
-    BooleanSupplier still;                                       // it may be sent now; null: always
+    Predicate<String> among; // workers that it may go to; null: any
+    BooleanSupplier still; // it may be sent now; null: always
     long id;
     boolean taken;
-    boolean ended;                                               // no further branch, whatever comes
-    int out;                                                     // branches without an outcome
-    long mayHaveRunUs;                                           // choice of the first that may; 0: none
+    boolean ended; // no further branch, whatever comes
+    int out; // branches without an outcome
+    long mayHaveRunUs; // choice of the first that may; 0: none
     Word word;
     Condition changed;
 
@@ -35,14 +35,20 @@
      * {@code deadlineUs}: on {@link Dispatcher#nowUs}; {@code workMs}: NaN where no estimate came;
      * {@code key}: what it concerns, or null.
      */
-    public Transaction(int cls, int tenant, long deadlineUs, double workMs, double slots, double memory,
-            String key) {
+    public Transaction(int cls, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
         this(cls, tenant, deadlineUs, workMs, slots, memory, key, null);
     }
 
     /** {@code under}: the settings that it is taken under, whatever holds later. */
-    public Transaction(int cls, int tenant, long deadlineUs, double workMs, double slots, double memory,
-            String key, Dispatch.Settings under) {
+    public Transaction(
+            int cls,
+            int tenant,
+            long deadlineUs,
+            double workMs,
+            double slots,
+            double memory,
+            String key,
+            Dispatch.Settings under) {
         this.under = under;
         this.cls = cls;
         this.tenant = tenant;
--- a/src/main/java/maplespread/facade/Word.java
+++ b/src/main/java/maplespread/facade/Word.java
@@ -3,11 +3,11 @@
 /** What the module says of a transaction: the answers of {@link Dispatcher#pick}. */
 public sealed interface Word permits Branch, Word.BusyAnswer, Word.Failed, Word.Left {
     /** Refuse it; trying again is harmless, after that pause where it is above 0. */
-    record BusyAnswer(double pauseMs) implements Word { }
+    record BusyAnswer(double pauseMs) implements Word {}
 
     /** It ends without a result, and nothing is promised. */
-    record Failed() implements Word { }
+    record Failed() implements Word {}
 
     /** Nobody waits for it any more. */
-    record Left() implements Word { }
+    record Left() implements Word {}
 }
--- a/src/main/java/maplespread/fair/Shares.java
+++ b/src/main/java/maplespread/fair/Shares.java
@@ -23,23 +23,24 @@
  * being beyond on days when there is enough for all.
  */
 public final class Shares {
-    private static final double BURST_MS = 1000;                 // a bucket holds its fill of so long
-    private static final double MEMORY_MS = 2000;                // of the rate that is seen here
-    private static final double STEP = 0.02;                     // of one end: about 50 are remembered
-    private static final double SHORT = 0.01;                    // of those within, turned away: too many
+    private static final double BURST_MS = 1000; // a bucket holds its fill of so long
+    private static final double MEMORY_MS = 2000; // of the rate that is seen here
+    private static final double STEP = 0.02; // of one end: about 50 are remembered
+    private static final double SHORT = 0.01; // of those within, turned away: too many
     private static final double LEAST = 0.01;
-    private final double[] allowances;                           // a second, over all nodes; 0: no limit
+    private final double[] allowances; // a second, over all nodes; 0: no limit
     private final double[] tokens;
-    private final double[] filled;                               // when each bucket was last looked at
+    private final double[] filled; // when each bucket was last looked at
     private final double sum;
-    private final Set<Long> within = new HashSet<>();            // open requests that are within their share
-    private final double[] rates;                                // seen here, a second, by tenant
-    private double rate;                                         // of all that have an allowance
+    private final Set<Long> within = new HashSet<>(); // open requests that are within their share
+    private final double[] rates; // seen here, a second, by tenant
+    private double rate; // of all that have an allowance
     private double rateAt = Double.NaN;
-    private double turnedAway;                                   // of those within, lately
+    private double turnedAway; // of those within, lately
 
     public Shares(List<Dispatch.Tenant> tenants) {
-        allowances = tenants.stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray();
+        allowances =
+                tenants.stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray();
         tokens = new double[allowances.length];
         filled = new double[tokens.length];
         rates = new double[tokens.length];
--- a/src/main/java/maplespread/figures/Figures.java
+++ b/src/main/java/maplespread/figures/Figures.java
@@ -12,10 +12,14 @@
  */
 public final class Figures {
     /** How a job ended for its client. */
-    public enum Code { SUCCESS, BUSY, FAILURE }
+    public enum Code {
+        SUCCESS,
+        BUSY,
+        FAILURE
+    }
 
     /** Workers on the list, and how many of these get nothing new at present. */
-    public record Hosts(int listed, int down) { }
+    public record Hosts(int listed, int down) {}
 
     private static final class PerClass {
         final LongAdder[] ended = {new LongAdder(), new LongAdder(), new LongAdder()};
@@ -59,7 +63,7 @@
     }
 
     /** All answers written so far, by how the jobs ended, and how long those served took together. */
-    public record Totals(long served, long busy, long failed, long servedNanos) { }
+    public record Totals(long served, long busy, long failed, long servedNanos) {}
 
     public Totals totals() {
         long nanos = servedNanos.sum();
@@ -107,7 +111,7 @@
 
     /** How many jobs are taken and not over. */
     public long inflight() {
-        long ended = over.sum();                                 // first: else it could come out below 0
+        long ended = over.sum(); // first: else it could come out below 0
         return Math.max(0, taken.sum() - ended);
     }
 
@@ -116,9 +120,13 @@
         StringBuilder all = new StringBuilder(1024);
         classes.forEach((name, c) -> {
             for (Code code : Code.values()) {
-                all.append("app_calls{tier=\"").append(name).append("\",code=\"")
-                    .append(code.name().toLowerCase(java.util.Locale.ROOT)).append("\"} ")
-                    .append(c.ended[code.ordinal()].sum()).append('\n');
+                all.append("app_calls{tier=\"")
+                        .append(name)
+                        .append("\",code=\"")
+                        .append(code.name().toLowerCase(java.util.Locale.ROOT))
+                        .append("\"} ")
+                        .append(c.ended[code.ordinal()].sum())
+                        .append('\n');
             }
         });
         Hosts now = hosts;
@@ -156,8 +164,10 @@
         d[7] = legs;
         logged = now;
         if (any) {
-            Logger.info("served {}, busy {}, failed {}, clients left {}; faulty requests {}, silent legs "
-                + "closed for others {}, refused unread {}; {} caller legs", d);
+            Logger.info(
+                    "served {}, busy {}, failed {}, clients left {}; faulty requests {}, silent legs "
+                            + "closed for others {}, refused unread {}; {} caller legs",
+                    d);
         }
     }
 }
--- a/src/main/java/maplespread/group/SectionTooLarge.java
+++ b/src/main/java/maplespread/group/SectionTooLarge.java
@@ -7,8 +7,9 @@
     private static final long serialVersionUID = 1;
 
     SectionTooLarge(String part, int bytes, int most) {
-        super("the section " + part + " would have " + bytes + " bytes, of " + most + " at most",
-            "the section stays as it was; all other parts, and what makes this one smaller",
-            "end or remove what " + part + " no longer needs");
+        super(
+                "the section " + part + " would have " + bytes + " bytes, of " + most + " at most",
+                "the section stays as it was; all other parts, and what makes this one smaller",
+                "end or remove what " + part + " no longer needs");
     }
 }
--- a/src/main/java/maplespread/group/Sections.java
+++ b/src/main/java/maplespread/group/Sections.java
@@ -14,7 +14,7 @@
     /** Bytes of the release's section, as it stands in the value, and of the other one: of 48 KB. */
     public static final int MOST_RELEASE = 32 * 1024, MOST = 15 * 1024;
 
-    private Sections() { }
+    private Sections() {}
 
     /** What a part's section may take in the value, quotes and escapes counted. */
     public static int most(String part) {
@@ -40,6 +40,8 @@
     }
 
     private static JsonObject object(String value) {
-        return value.isEmpty() ? new JsonObject() : JsonParser.parseString(value).getAsJsonObject();
+        return value.isEmpty()
+                ? new JsonObject()
+                : JsonParser.parseString(value).getAsJsonObject();
     }
 }
--- a/src/main/java/maplespread/group/Status.java
+++ b/src/main/java/maplespread/group/Status.java
@@ -9,10 +9,22 @@
  * number}: grows with each word of a run; {@code zone}: its own, by name; shares and the mean time from taken
  * to answered of the last seconds, with the count of answers that they stand on.
  */
-public record Status(long run, long number, String version, String zone, Phase phase, double refused,
-        double errors, double waitMs, long samples) {
+public record Status(
+        long run,
+        long number,
+        String version,
+        String zone,
+        Phase phase,
+        double refused,
+        double errors,
+        double waitMs,
+        long samples) {
     /** DRAINING: clients are sent away, by call or since it ends. */
-    public enum Phase { STARTING, SERVING, DRAINING }
+    public enum Phase {
+        STARTING,
+        SERVING,
+        DRAINING
+    }
 
     private static final byte FORM = 1;
     private static final int MOST_TEXT = 64;
@@ -21,10 +33,20 @@
     public byte[] bytes() {
         byte[] v = text(version);
         byte[] z = text(zone);
-        return ByteBuffer.allocate(1 + 2 * 8 + 1 + 4 * 8 + 2 + v.length + z.length).put(FORM).putLong(run)
-            .putLong(number).put((byte) phase.ordinal()).putDouble(refused).putDouble(errors)
-            .putDouble(waitMs).putLong(samples).put((byte) v.length).put(v).put((byte) z.length).put(z)
-            .array();
+        return ByteBuffer.allocate(1 + 2 * 8 + 1 + 4 * 8 + 2 + v.length + z.length)
+                .put(FORM)
+                .putLong(run)
+                .putLong(number)
+                .put((byte) phase.ordinal())
+                .putDouble(refused)
+                .putDouble(errors)
+                .putDouble(waitMs)
+                .putLong(samples)
+                .put((byte) v.length)
+                .put(v)
+                .put((byte) z.length)
+                .put(z)
+                .array();
     }
 
     private static byte[] text(String text) {
@@ -48,11 +70,18 @@
             long samples = in.getLong();
             String version = text(in);
             String zone = text(in);
-            boolean sound = refused >= 0 && refused <= 1 && errors >= 0 && errors <= 1 && wait >= 0
-                && wait < Double.POSITIVE_INFINITY && samples >= 0 && !in.hasRemaining();
-            return sound ? Optional.of(new Status(run, number, version, zone, phase, refused, errors, wait,
-                samples)) : Optional.empty();
-        } catch (RuntimeException e) {                           // cut short, or no such phase
+            boolean sound = refused >= 0
+                    && refused <= 1
+                    && errors >= 0
+                    && errors <= 1
+                    && wait >= 0
+                    && wait < Double.POSITIVE_INFINITY
+                    && samples >= 0
+                    && !in.hasRemaining();
+            return sound
+                    ? Optional.of(new Status(run, number, version, zone, phase, refused, errors, wait, samples))
+                    : Optional.empty();
+        } catch (RuntimeException e) { // cut short, or no such phase
             return Optional.empty();
         }
     }
