--- a/src/main/java/maplespread/group/Statuses.java
+++ b/src/main/java/maplespread/group/Statuses.java
@@ -12,12 +12,12 @@
 
 /** The newest status of each member, and this one's own, which is told about twice a second. */
 public final class Statuses {
-    private static final int MOST_A_ROUND = 64;                  // are told at once; then the next ones
-    private static final int WINDOW = 20;                        // rounds that a status looks back on
+    private static final int MOST_A_ROUND = 64; // are told at once; then the next ones
+    private static final int WINDOW = 20; // rounds that a status looks back on
     private static final int MOST_HELD = 4096;
 
     /** As it was heard, at a time of this process's own clock. */
-    public record Heard(Status status, long atMs) { }
+    public record Heard(Status status, long atMs) {}
 
     private final long run;
     private final String version;
@@ -26,7 +26,7 @@
     private final Map<String, Heard> newest = new ConcurrentHashMap<>();
     private final Deque<Totals> window = new ArrayDeque<>();
     private long number;
-    private int next;                                            // of the others, whose turn it is
+    private int next; // of the others, whose turn it is
 
     /** {@code send}: to a member by name. */
     public Statuses(long run, String version, String zone, BiConsumer<String, byte[]> send) {
@@ -47,9 +47,16 @@
         long busy = now.busy() - then.busy();
         long failed = now.failed() - then.failed();
         long all = served + busy + failed;
-        return new Status(run, ++number, version, zone, phase, all == 0 ? 0 : (double) busy / all,
-            all == 0 ? 0 : (double) failed / all,
-            served == 0 ? 0 : Math.max(0, now.servedNanos() - then.servedNanos()) / 1e6 / served, all);
+        return new Status(
+                run,
+                ++number,
+                version,
+                zone,
+                phase,
+                all == 0 ? 0 : (double) busy / all,
+                all == 0 ? 0 : (double) failed / all,
+                served == 0 ? 0 : Math.max(0, now.servedNanos() - then.servedNanos()) / 1e6 / served,
+                all);
     }
 
     /** Tells the others; from one thread. {@code name}: this one's, under which its own word is kept too. */
@@ -69,8 +76,7 @@
         if (status == null || newest.size() >= MOST_HELD && !newest.containsKey(from)) {
             return;
         }
-        newest.merge(from, new Heard(status, atMs),
-            (was, now) -> now.status().after(was.status()) ? now : was);
+        newest.merge(from, new Heard(status, atMs), (was, now) -> now.status().after(was.status()) ? now : was);
     }
 
     public Optional<Heard> of(String member) {
--- a/src/main/java/maplespread/http/HttpConnection.java
+++ b/src/main/java/maplespread/http/HttpConnection.java
@@ -44,7 +44,7 @@
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            return false;                                        // it has ended
+            return false; // it has ended
         }
     }
 
@@ -128,7 +128,7 @@
     public boolean stale() {
         try {
             fill(1);
-            return true;                                         // an end, or bytes out of turn
+            return true; // an end, or bytes out of turn
         } catch (SocketTimeoutException silent) {
             return false;
         } catch (IOException e) {
@@ -154,7 +154,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         try {
             socket.close();
         } catch (IOException e) {
--- a/src/main/java/maplespread/http/HttpHead.java
+++ b/src/main/java/maplespread/http/HttpHead.java
@@ -9,7 +9,7 @@
     String method = "";
     String target = "";
     int status;
-    boolean oldVersion;                                          // HTTP/1.0
+    boolean oldVersion; // HTTP/1.0
 
     public String method() {
         return method;
--- a/src/main/java/maplespread/http/HttpParser.java
+++ b/src/main/java/maplespread/http/HttpParser.java
@@ -18,17 +18,27 @@
     public static final int MAX_BODY = 64 * 1024;
     private static final int MAX_CHUNK_LINE = 1024;
 
-    private enum State { START, FIELDS, SIZED, TO_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
+    private enum State {
+        START,
+        FIELDS,
+        SIZED,
+        TO_CLOSE,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        DONE
+    }
 
     private final boolean request;
     private final long maxBody;
     private final Body body;
-    private boolean errorsToo;                                   // the bodies of all answers are handed on
+    private boolean errorsToo; // the bodies of all answers are handed on
     private final HttpHead head = new HttpHead();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private State state = State.START;
     private int headBytes;
-    private long left;                                           // of the body or of the chunk
+    private long left; // of the body or of the chunk
     private long taken;
 
     private HttpParser(boolean request, long maxBody, Body body) {
@@ -162,7 +172,7 @@
         switch (state) {
             case START -> {
                 if (request && text.isEmpty()) {
-                    return;                                      // before a request it is passed over
+                    return; // before a request it is passed over
                 }
                 if (request) {
                     requestLine(text);
@@ -185,7 +195,7 @@
                 }
                 state = State.CHUNK_SIZE;
             }
-            default -> {                                         // trailers are passed over
+            default -> { // trailers are passed over
                 if (text.isEmpty()) {
                     state = State.DONE;
                 }
@@ -222,9 +232,11 @@
     private void field(String text) throws HttpError {
         int colon = text.indexOf(':');
         if (colon < 1 || !isToken(text.substring(0, colon))) {
-            throw new HttpError(400, "malformed header field");  // or a folded line
+            throw new HttpError(400, "malformed header field"); // or a folded line
         }
-        head.fields().add(new String[] {text.substring(0, colon), text.substring(colon + 1).strip()});
+        head.fields().add(new String[] {
+            text.substring(0, colon), text.substring(colon + 1).strip()
+        });
     }
 
     private void framing() throws HttpError {
--- a/src/main/java/maplespread/http/Lines.java
+++ b/src/main/java/maplespread/http/Lines.java
@@ -19,7 +19,8 @@
         this.taker = taker;
     }
 
-    @Override public void accept(byte[] from, int at, int length) throws HttpError {
+    @Override
+    public void accept(byte[] from, int at, int length) throws HttpError {
         int start = at;
         for (int i = at; i < at + length; i++) {
             if (from[i] == '\n') {
--- a/src/main/java/maplespread/lab/AddressMeasure.java
+++ b/src/main/java/maplespread/lab/AddressMeasure.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import maplespread.address.Ballot;
 import maplespread.address.Election;
 import maplespread.address.ElectionSettings;
 import maplespread.address.ElectionSink;
-import maplespread.address.Ballot;
 import maplespread.lab.address.VirtualElection;
 import maplespread.lab.membership.VirtualGroup;
 import maplespread.membership.MembershipSettings;
@@ -65,8 +65,16 @@
                 throw new IllegalStateException("seed " + seed + ": " + e.fault());
             }
         }
-        report.row("unowned after " + how + " (simulated)", "ms p50", h.getValueAtPercentile(50), "p99",
-            h.getValueAtPercentile(99), "max", h.getMaxValue(), "rounds", rounds);
+        report.row(
+                "unowned after " + how + " (simulated)",
+                "ms p50",
+                h.getValueAtPercentile(50),
+                "p99",
+                h.getValueAtPercentile(99),
+                "max",
+                h.getMaxValue(),
+                "rounds",
+                rounds);
         if (how.equals("planned")) {
             report.aim("unowned at a planned hand-over, ms at worst", h.getMaxValue(), 10);
         } else {
@@ -109,7 +117,8 @@
             g.pause(paused, 2000);
             g.run(10_000);
             wrong += (int) g.deaths().subList(before, g.deaths().size()).stream()
-                .filter(d -> !d.whom().equals(paused)).count();
+                    .filter(d -> !d.whom().equals(paused))
+                    .count();
         }
         report.row("10% loss, a pause of 2 s each 10 s", "others taken for dead an hour", wrong / hours);
         report.aim("members wrongly taken for dead in an hour", wrong / hours, 0);
@@ -118,13 +127,17 @@
     private void fence() {
         ElectionSettings set = ElectionSettings.of("a", List.of("a"), List.of("a"));
         Election one = new Election(set, 1, 1, 0, new ElectionSink() {
-            @Override public void send(String to, Ballot ballot) { }
+            @Override
+            public void send(String to, Ballot ballot) {}
 
-            @Override public void owns(long term) { }
+            @Override
+            public void owns(long term) {}
 
-            @Override public void lost(long term, String successor) { }
+            @Override
+            public void lost(long term, String successor) {}
 
-            @Override public void event(boolean warning, String name, Object... pairs) { }
+            @Override
+            public void event(boolean warning, String name, Object... pairs) {}
         });
         long now = 0;
         while (!one.mayAct(now)) {
--- a/src/main/java/maplespread/lab/Report.java
+++ b/src/main/java/maplespread/lab/Report.java
@@ -31,8 +31,8 @@
         StringBuilder line = new StringBuilder(String.format("%-34s", what));
         for (int i = 0; i + 1 < pairs.length; i += 2) {
             Object v = pairs[i + 1];
-            String text = v instanceof Double d ? String.format(Locale.ROOT, d >= 100 ? "%.0f" : "%.2f", d)
-                : v.toString();
+            String text =
+                    v instanceof Double d ? String.format(Locale.ROOT, d >= 100 ? "%.0f" : "%.2f", d) : v.toString();
             line.append("  ").append(pairs[i]).append(' ').append(text);
             if (v instanceof Number n) {
                 o.addProperty((String) pairs[i], n);
@@ -63,8 +63,10 @@
     /** Prints which aims hold, writes the file where one is named; whether all hold. */
     public boolean end(String file) throws IOException {
         out.println();
-        out.println(missed.isEmpty() ? title + ": all " + aims.size() + " aims hold" : title + ": "
-            + (aims.size() - missed.size()) + " of " + aims.size() + " aims hold; missed:");
+        out.println(
+                missed.isEmpty()
+                        ? title + ": all " + aims.size() + " aims hold"
+                        : title + ": " + (aims.size() - missed.size()) + " of " + aims.size() + " aims hold; missed:");
         missed.forEach(m -> out.println("  " + m));
         out.flush();
         if (file != null) {
@@ -73,7 +75,9 @@
             all.addProperty("cores", Runtime.getRuntime().availableProcessors());
             all.add("rows", rows);
             all.add("aims", aims);
-            Files.writeString(Path.of(file), new GsonBuilder().setPrettyPrinting().create().toJson(all));
+            Files.writeString(
+                    Path.of(file),
+                    new GsonBuilder().setPrettyPrinting().create().toJson(all));
         }
         return missed.isEmpty();
     }
--- a/src/main/java/maplespread/lab/address/VirtualElection.java
+++ b/src/main/java/maplespread/lab/address/VirtualElection.java
@@ -16,9 +16,9 @@
  * seed.
  */
 public final class VirtualElection {
-    private record Packet(long at, long order, int from, int to, Ballot ballot)
-            implements Comparable<Packet> {
-        @Override public int compareTo(Packet o) {
+    private record Packet(long at, long order, int from, int to, Ballot ballot) implements Comparable<Packet> {
+        @Override
+        public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
         }
     }
@@ -26,7 +26,7 @@
     /** One instance's present run. */
     private final class Node implements ElectionSink {
         final int place;
-        double rate;                                             // local milliseconds a true one
+        double rate; // local milliseconds a true one
         double local;
         long due;
         long pausedUntil;
@@ -49,11 +49,13 @@
             return (long) local;
         }
 
-        @Override public void send(String to, Ballot ballot) {
+        @Override
+        public void send(String to, Ballot ballot) {
             post(place, Integer.parseInt(to.substring(1)), ballot);
         }
 
-        @Override public void owns(long term) {
+        @Override
+        public void owns(long term) {
             if (term <= lastTerm) {
                 fault = "term " + term + " after " + lastTerm + " at " + now;
             }
@@ -61,9 +63,11 @@
             hops++;
         }
 
-        @Override public void lost(long term, String successor) { }
+        @Override
+        public void lost(long term, String successor) {}
 
-        @Override public void event(boolean warning, String name, Object... pairs) { }
+        @Override
+        public void event(boolean warning, String name, Object... pairs) {}
     }
 
     private final List<ElectionSettings> settings = new ArrayList<>();
@@ -81,6 +85,7 @@
     private long longestUnowned;
     /** Chances to be lost and to come twice; the most that a packet is late, in milliseconds. */
     public double loss, twice;
+
     public int delayMs = 2;
 
     /**
--- a/src/main/java/maplespread/lab/agreement/AnyOrder.java
+++ b/src/main/java/maplespread/lab/agreement/AnyOrder.java
@@ -17,7 +17,7 @@
  */
 public final class AnyOrder {
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
-    private static final long FAR = 1_000_000_000_000L;          // nothing but tries and questions is due
+    private static final long FAR = 1_000_000_000_000L; // nothing but tries and questions is due
     private final int members, restarts, tries, changes;
     private final boolean moves;
     private String fault;
@@ -45,7 +45,8 @@
                 break;
             }
             boolean word = words > 0 && random.nextInt(12) > 0 || choices.size() == words;
-            choices.get(word ? random.nextInt(words) : words + random.nextInt(choices.size() - words)).run();
+            choices.get(word ? random.nextInt(words) : words + random.nextInt(choices.size() - words))
+                    .run();
         }
         return play.decided.size();
     }
@@ -56,7 +57,7 @@
 
     /** One order, from a common start. */
     private final class Play {
-        private record Packet(String to, Word word) { }
+        private record Packet(String to, Word word) {}
 
         private final List<String> names = NAMES.subList(0, members);
         private final Map<String, Agreement> nodes = new TreeMap<>();
@@ -70,14 +71,14 @@
 
         Play() {
             names.forEach(this::start);
-            for (long at = 0; !begun; at += 100) {               // all see, and know one value
+            for (long at = 0; !begun; at += 100) { // all see, and know one value
                 for (String n : names) {
                     nodes.get(n).members(names);
                     nodes.get(n).tick(at);
                     times.put(n, at);
                 }
                 if (nodes.values().stream().noneMatch(Agreement::blind) && decided.isEmpty()) {
-                    nodes.get("a").change(at, v -> "0 ", FAR, r -> { });
+                    nodes.get("a").change(at, v -> "0 ", FAR, r -> {});
                 }
                 while (!packets.isEmpty()) {
                     Packet p = packets.remove(0);
@@ -91,20 +92,23 @@
             AgreementSettings set = new AgreementSettings(name, NAMES.subList(0, 3), 100, begun ? FAR : 100);
             long run = ++boots;
             nodes.put(name, new Agreement(set, run, 1, times.getOrDefault(name, 0L), new AgreementSink() {
-                @Override public void send(String to, Word word) {
+                @Override
+                public void send(String to, Word word) {
                     if (word.kind() != Word.Kind.NEWS) {
                         packets.add(new Packet(to, word));
                     }
                 }
 
-                @Override public void learned(Value value) {
+                @Override
+                public void learned(Value value) {
                     Value other = decided.putIfAbsent(value.version(), value);
                     if (other != null && !other.equals(value)) {
                         fault = "two values: " + other + ", " + value + " by" + log;
                     }
                 }
 
-                @Override public void event(boolean warning, String event, Object... pairs) {
+                @Override
+                public void event(boolean warning, String event, Object... pairs) {
                     log.append(event.endsWith("sighted") ? " " + name + run + " sighted" : "");
                 }
             }));
@@ -129,9 +133,9 @@
                         int number = ++changed;
                         if (moves && number % 2 == 0) {
                             int to = Math.min(members, 4 + number % 3 / 2);
-                            node.electors(at, names.subList(number % 4 / 2, to), FAR, r -> { });
+                            node.electors(at, names.subList(number % 4 / 2, to), FAR, r -> {});
                         } else {
-                            node.change(at, v -> v.text() + number + ' ', FAR, r -> { });
+                            node.change(at, v -> v.text() + number + ' ', FAR, r -> {});
                         }
                     });
                 }
@@ -139,7 +143,7 @@
                     choices.add(() -> {
                         again++;
                         log.append(" again ").append(name);
-                        for (int i = 0; i < 2; i++) {            // its end, and the rest after it
+                        for (int i = 0; i < 2; i++) { // its end, and the rest after it
                             times.merge(name, 1000L, Long::sum);
                             node.tick(times.get(name));
                         }
--- a/src/main/java/maplespread/lab/fleet/WorkerModel.java
+++ b/src/main/java/maplespread/lab/fleet/WorkerModel.java
@@ -16,22 +16,21 @@
      * {@code coldFrom}: the share of its capacity at its start; {@code warmMs}: until it has all of it; sent
      * more than {@code fallMultiple} times what it can do at that moment for {@code fallMs}, it falls over.
      */
-    public record Kind(int slots, double speed, double coldFrom, double warmMs, double fallMultiple,
-                       double fallMs) { }
+    public record Kind(int slots, double speed, double coldFrom, double warmMs, double fallMultiple, double fallMs) {}
 
     /** What became of a job at an instant: it started, or it is done. */
-    public record Step<J>(J job, double atMs, boolean done) { }
+    public record Step<J>(J job, double atMs, boolean done) {}
 
-    private record Running<J>(J job, double endMs) { }
+    private record Running<J>(J job, double endMs) {}
 
-    private record Sent(double atMs, double work) { }
+    private record Sent(double atMs, double work) {}
 
-    private record Waiting<J>(J job, double work) { }
+    private record Waiting<J>(J job, double work) {}
 
     private final Kind kind;
     private final ArrayDeque<Waiting<J>> queue = new ArrayDeque<>();
     private final PriorityQueue<Running<J>> running =
-        new PriorityQueue<>(Comparator.comparingDouble((Running<J> r) -> r.endMs()));
+            new PriorityQueue<>(Comparator.comparingDouble((Running<J> r) -> r.endMs()));
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
     private double sentWork;
     private double startedMs;
--- a/src/main/java/maplespread/lab/membership/VirtualGroup.java
+++ b/src/main/java/maplespread/lab/membership/VirtualGroup.java
@@ -16,9 +16,9 @@
 
 /** Members and a network between them. Deterministic by seed; one millisecond is the smallest step. */
 public final class VirtualGroup {
-    private record Packet(long at, long order, String from, String to, Message message)
-            implements Comparable<Packet> {
-        @Override public int compareTo(Packet o) {
+    private record Packet(long at, long order, String from, String to, Message message) implements Comparable<Packet> {
+        @Override
+        public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
         }
     }
@@ -36,18 +36,21 @@
             this.name = name;
             MembershipSettings set = settings.apply(name);
             core = new Membership(set, boot, random.nextLong(), now, new MembershipSink() {
-                @Override public void send(String to, Message message) {
+                @Override
+                public void send(String to, Message message) {
                     post(name, to, message);
                 }
 
-                @Override public void changed(Update before, Update after) {
+                @Override
+                public void changed(Update before, Update after) {
                     verdicts.merge(after.name() + ' ' + after.state(), 1, Integer::sum);
                     if (after.state() == Update.State.DEAD) {
                         deaths.add(new Death(now, name, after.name()));
                     }
                 }
 
-                @Override public void event(boolean warning, String event, Object... pairs) {
+                @Override
+                public void event(boolean warning, String event, Object... pairs) {
                     verdicts.merge(event, 1, Integer::sum);
                 }
             });
@@ -64,7 +67,7 @@
     }
 
     /** {@code by} has taken {@code whom} for dead. */
-    public record Death(long at, String by, String whom) { }
+    public record Death(long at, String by, String whom) {}
 
     /** Makes the settings of a member by its name. */
     public interface Settings {
@@ -75,13 +78,14 @@
     private final SplittableRandom random;
     private final Map<String, Node> nodes = new LinkedHashMap<>();
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
-    private final Set<String> cut = new HashSet<>();             // "from to"
+    private final Set<String> cut = new HashSet<>(); // "from to"
     private final List<Death> deaths = new ArrayList<>();
     private long now = 1;
     private long order;
     private long sent;
     /** Chances of a packet to be lost, and to come twice; the most that it is delayed, in milliseconds. */
     public double loss, twice;
+
     public int delayMs = 2;
 
     public VirtualGroup(Settings settings, long seed) {
--- a/src/main/java/maplespread/lab/partition/VirtualWays.java
+++ b/src/main/java/maplespread/lab/partition/VirtualWays.java
@@ -18,15 +18,25 @@
  */
 public final class VirtualWays {
     /** One owner a slot, jobs handed on; a lock per key by majority; the owner's name told to clients. */
-    public enum Way { OWNER, LOCK, NAME }
+    public enum Way {
+        OWNER,
+        LOCK,
+        NAME
+    }
 
     /**
      * Milliseconds from a job's coming to its going out, of the hot key and of the others; {@code refused}:
      * the share of jobs whose client had to ask again; {@code inversions}: the share of jobs that went out
      * after one of their key that had come 1 ms later or more.
      */
-    public record Figures(double p50, double p99, double hotP50, double hotP99, double messagesAJob,
-                          double refused, double inversions) { }
+    public record Figures(
+            double p50,
+            double p99,
+            double hotP50,
+            double hotP99,
+            double messagesAJob,
+            double refused,
+            double inversions) {}
 
     private static final int DISPATCHERS = 20;
     private static final int ELECTORS = 5;
@@ -35,7 +45,8 @@
     private static final double JOBS = 20_000;
 
     private record Event(double at, long order, Runnable what) implements Comparable<Event> {
-        @Override public int compareTo(Event o) {
+        @Override
+        public int compareTo(Event o) {
             return at != o.at ? Double.compare(at, o.at) : Long.compare(order, o.order);
         }
     }
@@ -85,8 +96,14 @@
             w.now = e.at;
             e.what.run();
         }
-        return new Figures(part(w.waits, 0.5), part(w.waits, 0.99), part(w.hotWaits, 0.5),
-            part(w.hotWaits, 0.99), w.messages / JOBS, w.refused / JOBS, w.inversions / JOBS);
+        return new Figures(
+                part(w.waits, 0.5),
+                part(w.waits, 0.99),
+                part(w.hotWaits, 0.5),
+                part(w.hotWaits, 0.99),
+                w.messages / JOBS,
+                w.refused / JOBS,
+                w.inversions / JOBS);
     }
 
     private static double part(List<Double> all, double share) {
@@ -108,12 +125,12 @@
         if (way == Way.LOCK) {
             claim(job);
         } else if (random.nextInt(DISPATCHERS) == 0) {
-            line(job);                                           // came to the owner by chance
+            line(job); // came to the owner by chance
         } else if (way == Way.OWNER) {
             message(() -> line(job));
         } else {
             refused++;
-            message(() -> message(() -> line(job)));             // to the client and back
+            message(() -> message(() -> line(job))); // to the client and back
         }
     }
 
@@ -137,7 +154,7 @@
             if (way == Way.LOCK) {
                 release(job);
             } else {
-                messages += way == Way.OWNER ? 1 : 0;            // the result goes back
+                messages += way == Way.OWNER ? 1 : 0; // the result goes back
                 out.remove(job.key);
                 next(job.key);
             }
--- a/src/main/java/maplespread/lab/rig/Doors.java
+++ b/src/main/java/maplespread/lab/rig/Doors.java
@@ -44,25 +44,27 @@
 
     private void accept() throws IOException {
         while (!over) {
-            selector.select(key -> {
-                try {
-                    SocketChannel came = ((ServerSocketChannel) key.channel()).accept();
-                    if (came != null) {
-                        Service service = (Service) key.attachment();
-                        HttpConnection link = new HttpConnection(came.socket());
-                        links.add(link);
-                        daemon("served", () -> {
-                            try (link) {
-                                service.serve(link);
-                            } finally {
-                                links.remove(link);
+            selector.select(
+                    key -> {
+                        try {
+                            SocketChannel came = ((ServerSocketChannel) key.channel()).accept();
+                            if (came != null) {
+                                Service service = (Service) key.attachment();
+                                HttpConnection link = new HttpConnection(came.socket());
+                                links.add(link);
+                                daemon("served", () -> {
+                                    try (link) {
+                                        service.serve(link);
+                                    } finally {
+                                        links.remove(link);
+                                    }
+                                });
                             }
-                        });
-                    }
-                } catch (IOException gone) {
-                    // the peer left before it was let in
-                }
-            }, 200);
+                        } catch (IOException gone) {
+                            // the peer left before it was let in
+                        }
+                    },
+                    200);
         }
     }
 
@@ -72,19 +74,24 @@
     }
 
     static Thread daemon(String name, Work work) {
-        Thread t = new Thread(null, () -> {
-            try {
-                work.run();
-            } catch (IOException | InterruptedException | RuntimeException ended) {
-                // its peer or the rig has ended
-            }
-        }, "rig " + name, STACK);
+        Thread t = new Thread(
+                null,
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException | InterruptedException | RuntimeException ended) {
+                        // its peer or the rig has ended
+                    }
+                },
+                "rig " + name,
+                STACK);
         t.setDaemon(true);
         t.start();
         return t;
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         over = true;
         for (SelectionKey key : selector.keys()) {
             key.channel().close();
--- a/src/main/java/maplespread/lab/rig/GroupLinks.java
+++ b/src/main/java/maplespread/lab/rig/GroupLinks.java
@@ -35,25 +35,25 @@
         public static final Trouble CUT = new Trouble(true, 0, 0, 0, 0);
     }
 
-    private record Held(long atNanos, long order, int to, byte[] packet) { }
+    private record Held(long atNanos, long order, int to, byte[] packet) {}
 
     private static final int MOST = 64 * 1024;
-    private static final long REPEAT_MS = 200;                   // a copy comes up to so much later
+    private static final long REPEAT_MS = 200; // a copy comes up to so much later
     private final InetSocketAddress[] listen;
     private final DatagramChannel[] doors;
     private final Map<SocketAddress, Integer> whose = new HashMap<>();
-    private final Trouble[][] troubles;                          // from, to; under the lock
+    private final Trouble[][] troubles; // from, to; under the lock
     private final SplittableRandom[][] randoms;
-    private final PriorityQueue<Held> held = new PriorityQueue<>(
-        Comparator.comparingLong(Held::atNanos).thenComparingLong(Held::order));
+    private final PriorityQueue<Held> held =
+            new PriorityQueue<>(Comparator.comparingLong(Held::atNanos).thenComparingLong(Held::order));
     private final Selector selector = Selector.open();
     private long order;
     private volatile boolean over;
     final LongAdder passed = new LongAdder();
-    final LongAdder lost = new LongAdder();                      // by a cut, too
+    final LongAdder lost = new LongAdder(); // by a cut, too
     final LongAdder repeated = new LongAdder();
-    final LongAdder overtaken = new LongAdder();                 // came after a later one of their link
-    private final long[][] newest;                               // order of the last that passed, by link
+    final LongAdder overtaken = new LongAdder(); // came after a later one of their link
+    private final long[][] newest; // order of the last that passed, by link
 
     public GroupLinks(int members, long seed) throws IOException {
         listen = new InetSocketAddress[members];
@@ -62,7 +62,7 @@
         randoms = new SplittableRandom[members][members];
         newest = new long[members][members];
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        List<DatagramSocket> places = new ArrayList<>();         // all at once, so that none comes twice
+        List<DatagramSocket> places = new ArrayList<>(); // all at once, so that none comes twice
         for (int i = 0; i < members; i++) {
             doors[i] = DatagramChannel.open().bind(new InetSocketAddress(here, 0));
             doors[i].configureBlocking(false);
@@ -114,13 +114,15 @@
         ByteBuffer buffer = ByteBuffer.allocate(MOST);
         while (!over) {
             long wait = held.isEmpty() ? 200 : (held.peek().atNanos - System.nanoTime()) / 1_000_000 + 1;
-            selector.select(key -> {
-                try {
-                    receive((DatagramChannel) key.channel(), (int) key.attachment(), buffer);
-                } catch (IOException e) {
-                    // a member that is down tells so by the next packet's error: the packet is lost
-                }
-            }, Math.max(1, Math.min(200, wait)));
+            selector.select(
+                    key -> {
+                        try {
+                            receive((DatagramChannel) key.channel(), (int) key.attachment(), buffer);
+                        } catch (IOException e) {
+                            // a member that is down tells so by the next packet's error: the packet is lost
+                        }
+                    },
+                    Math.max(1, Math.min(200, wait)));
             while (!held.isEmpty() && held.peek().atNanos <= System.nanoTime()) {
                 Held h = held.remove();
                 pass(h.to, ByteBuffer.wrap(h.packet));
@@ -137,7 +139,7 @@
             }
             buffer.flip();
             Integer from = whose.get(source);
-            if (from == null) {                                  // no member's: as if it had not come
+            if (from == null) { // no member's: as if it had not come
                 continue;
             }
             Trouble t;
@@ -154,7 +156,7 @@
             byte[] packet = new byte[buffer.remaining()];
             buffer.get(packet);
             if (twice) {
-                repeated.increment();                            // before it passes: sums must not fit early
+                repeated.increment(); // before it passes: sums must not fit early
             }
             hold(from, to, packet, t.lateMs * 1_000_000 + spread);
             if (twice) {
@@ -186,7 +188,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         over = true;
         selector.wakeup();
         for (DatagramChannel door : doors) {
--- a/src/main/java/maplespread/lab/rig/KeyJudge.java
+++ b/src/main/java/maplespread/lab/rig/KeyJudge.java
@@ -19,20 +19,34 @@
  */
 public final class KeyJudge {
     /** A job as a worker had it, from when it had come whole until it had ended there. */
-    record Ran(String id, String key, long start, long end) { }
+    record Ran(String id, String key, long start, long end) {}
 
     /** What its client got. */
-    enum Got { DONE, REFUSED, DOUBT, NOTHING, EXCUSED }
+    enum Got {
+        DONE,
+        REFUSED,
+        DOUBT,
+        NOTHING,
+        EXCUSED
+    }
 
     /** A job as its client had it. {@code once}: of a class that may not be repeated. */
-    record Asked(String id, String key, boolean once, long sent, long answered, Got got) { }
+    record Asked(String id, String key, boolean once, long sent, long answered, Got got) {}
 
     /**
      * {@code words}: the first few of what is wrong. {@code ran}: attempts that came to workers; {@code
      * again}: repeats of jobs that may be repeated, no wrong.
      */
-    public record Verdict(int overlaps, int inversions, int twice, int unanswered, int unrun, int doubts,
-            int ran, int again, List<String> words) {
+    public record Verdict(
+            int overlaps,
+            int inversions,
+            int twice,
+            int unanswered,
+            int unrun,
+            int doubts,
+            int ran,
+            int again,
+            List<String> words) {
         public int wrongs() {
             return overlaps + inversions + twice + unanswered + unrun;
         }
@@ -42,7 +56,7 @@
     private final List<String> words = new ArrayList<>();
     private int overlaps, inversions, twice, unanswered, unrun, doubts, again;
 
-    private KeyJudge() { }
+    private KeyJudge() {}
 
     static Verdict judge(Collection<Ran> ran, Collection<Asked> asked) {
         return new KeyJudge().over(ran, asked);
@@ -77,8 +91,8 @@
         }
         runs.values().forEach(this::beside);
         keys.values().forEach(of -> before(of, byId));
-        return new Verdict(overlaps, inversions, twice, unanswered, unrun, doubts, ran.size(), again,
-            List.copyOf(words));
+        return new Verdict(
+                overlaps, inversions, twice, unanswered, unrun, doubts, ran.size(), again, List.copyOf(words));
     }
 
     private void word(String what) {
@@ -111,7 +125,7 @@
         of.removeIf(a -> a.got != Got.DONE && a.got != Got.REFUSED || !byId.containsKey(a.id));
         of.sort(Comparator.comparingLong(Asked::answered));
         int next = 0;
-        Ran last = null;                                         // the latest start of those answered so far
+        Ran last = null; // the latest start of those answered so far
         Asked whose = null;
         for (Asked later : sent) {
             for (; next < of.size() && of.get(next).answered < later.sent; next++) {
--- a/src/main/java/maplespread/lab/rig/Ledger.java
+++ b/src/main/java/maplespread/lab/rig/Ledger.java
@@ -29,18 +29,18 @@
     private final Map<String, AtomicInteger> orders = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<String> wrongs = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Run> runs = new ConcurrentLinkedQueue<>();
-    final ConcurrentLinkedQueue<KeyJudge.Asked> asks = new ConcurrentLinkedQueue<>();    // jobs with a key
+    final ConcurrentLinkedQueue<KeyJudge.Asked> asks = new ConcurrentLinkedQueue<>(); // jobs with a key
     final LongAdder asked = new LongAdder();
     final LongAdder served = new LongAdder();
     final LongAdder inAim = new LongAdder();
     final LongAdder refused = new LongAdder();
     final LongAdder failed = new LongAdder();
-    final LongAdder excused = new LongAdder();                   // their dispatcher was killed
-    final LongAdder jobs = new LongAdder();                      // that came to workers
+    final LongAdder excused = new LongAdder(); // their dispatcher was killed
+    final LongAdder jobs = new LongAdder(); // that came to workers
     final LongAdder probes = new LongAdder();
     final LongAdder dials = new LongAdder();
-    final LongAdder cutOff = new LongAdder();                    // orders cut off when they had come
-    final LongAdder lists = new LongAdder();                     // calls for the list
+    final LongAdder cutOff = new LongAdder(); // orders cut off when they had come
+    final LongAdder lists = new LongAdder(); // calls for the list
 
     /** An order has come to a worker whole: from here on it may have run. */
     void order(String id) {
@@ -58,7 +58,9 @@
     }
 
     List<KeyJudge.Ran> ran() {
-        return runs.stream().map(r -> new KeyJudge.Ran(r.id, r.key, r.start, r.end)).toList();
+        return runs.stream()
+                .map(r -> new KeyJudge.Ran(r.id, r.key, r.start, r.end))
+                .toList();
     }
 
     void wrong(String what) {
@@ -73,9 +75,10 @@
         return orders.size();
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return "asked " + asked + ", served " + served + " (in aim " + inAim + "), refused " + refused
-            + ", failed " + failed + ", excused " + excused + "; at workers: jobs " + jobs + ", orders "
-            + orders.size() + ", probes " + probes + ", dials " + dials + "; lists " + lists;
+                + ", failed " + failed + ", excused " + excused + "; at workers: jobs " + jobs + ", orders "
+                + orders.size() + ", probes " + probes + ", dials " + dials + "; lists " + lists;
     }
 }
--- a/src/main/java/maplespread/lab/rig/OutCount.java
+++ b/src/main/java/maplespread/lab/rig/OutCount.java
@@ -15,16 +15,16 @@
  */
 final class OutCount implements Closeable {
     /** How many may be out. */
-    record Limits(int dispatchers, int workers, int zone) { }
+    record Limits(int dispatchers, int workers, int zone) {}
 
     private static final long LOOK_MS = 5;
-    private static final long KNOWN_MS = 8_000;                  // so old, it must be known
+    private static final long KNOWN_MS = 8_000; // so old, it must be known
     private final Rig rig;
     private final Limits limits;
     private final boolean judge;
-    private final boolean[] known;                               // accidents that the fleet has told of
+    private final boolean[] known; // accidents that the fleet has told of
     private volatile boolean over;
-    private int leaves;                                          // dispatchers, at the last look
+    private int leaves; // dispatchers, at the last look
     private int most;
     private int mostWorkers;
     private int mostZone;
@@ -92,7 +92,7 @@
     }
 
     private void wrong(boolean is, String what, int now, int before) {
-        if (is && judge && now > before) {                       // once for each new height
+        if (is && judge && now > before) { // once for each new height
             rig.ledger.wrong("rig's count: " + what + ", " + now + " with limits " + limits);
         }
     }
@@ -125,7 +125,8 @@
         return begunAt;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         over = true;
     }
 }
