--- a/src/main/java/maplespread/lab/rig/RigDiscovery.java
+++ b/src/main/java/maplespread/lab/rig/RigDiscovery.java
@@ -16,9 +16,9 @@
 final class RigDiscovery {
     private static final long HOLD_MS = 60_000;
     private static final long BLANK_MS = 2000;
-    final String[] doors;                                        // by dispatcher
+    final String[] doors; // by dispatcher
     private final Map<RigWorker, String> states = new LinkedHashMap<>();
-    private final List<Map<RigWorker, String>> news = new ArrayList<>();     // by generation
+    private final List<Map<RigWorker, String>> news = new ArrayList<>(); // by generation
     private final Ledger ledger;
     private volatile boolean down;
     private volatile long lateMs;
@@ -74,7 +74,7 @@
 
     private void serve(HttpConnection link, int dispatcher) throws IOException, InterruptedException {
         while (link.fill(HOLD_MS)) {
-            HttpParser parser = HttpParser.request((bytes, at, length) -> { });
+            HttpParser parser = HttpParser.request((bytes, at, length) -> {});
             link.receive(parser, HOLD_MS);
             ledger.lists.increment();
             if (lateMs > 0) {
@@ -96,7 +96,7 @@
             String line;
             synchronized (this) {
                 if (told > news.size()) {
-                    return;                                      // wiped under the watch
+                    return; // wiped under the watch
                 }
                 if (told == news.size()) {
                     wait(BLANK_MS);
@@ -123,10 +123,18 @@
 
     private synchronized String object(int dispatcher, boolean reset, Map<RigWorker, String> of) {
         StringBuilder all = new StringBuilder();
-        of.forEach((w, state) -> all.append(all.length() == 0 ? "" : ",").append("{\"instanceId\":\"")
-            .append(w.name).append("\",\"hostPort\":\"").append(w.doors[dispatcher]).append("\",\"zone\":\"")
-            .append(w.zone).append("\",\"machineType\":\"m\",\"cell\":1,\"lifecycle\":\"").append(state)
-            .append("\",\"weight\":1.0,\"startedAtMs\":").append(w.startedAtMs()).append('}'));
+        of.forEach((w, state) -> all.append(all.length() == 0 ? "" : ",")
+                .append("{\"instanceId\":\"")
+                .append(w.name)
+                .append("\",\"hostPort\":\"")
+                .append(w.doors[dispatcher])
+                .append("\",\"zone\":\"")
+                .append(w.zone)
+                .append("\",\"machineType\":\"m\",\"cell\":1,\"lifecycle\":\"")
+                .append(state)
+                .append("\",\"weight\":1.0,\"startedAtMs\":")
+                .append(w.startedAtMs())
+                .append('}'));
         return "{\"generation\":" + news.size() + ",\"reset\":" + reset + ",\"instances\":[" + all + "]}";
     }
 }
--- a/src/main/java/maplespread/lab/rig/RigWorker.java
+++ b/src/main/java/maplespread/lab/rig/RigWorker.java
@@ -14,16 +14,16 @@
 final class RigWorker {
     private static final long HOLD_MS = 30_000;
     private static final long STEP_MS = 5;
-    private static final long LAST_MS = 800;                     // a fifth of the deadline
+    private static final long LAST_MS = 800; // a fifth of the deadline
 
     /** A job as it stands in the model: what the model says of it goes to its connection's thread. */
     private static final class Job {
         final LinkedBlockingQueue<String> news = new LinkedBlockingQueue<>();
-        Ledger.Run run;                                          // null: it has no key
+        Ledger.Run run; // null: it has no key
 
         void over(String state) {
             if (run != null) {
-                run.end();                                       // before anybody can know of it
+                run.end(); // before anybody can know of it
             }
             news.add(state);
         }
@@ -31,21 +31,28 @@
 
     final String name;
     final String zone;
-    final Way[] ways;                                            // by dispatcher
+    final Way[] ways; // by dispatcher
     final String[] doors;
     private final Ledger ledger;
     private final WorkerModel<Job> model;
     private final long start = System.nanoTime();
     private final double base;
-    private volatile int generation;                             // of its process, by restarts
+    private volatile int generation; // of its process, by restarts
     private double worst;
     private boolean moves;
-    private int movedAt;                                         // the generation that was drained
-    private long startedAtMs;                                    // Unix time; 0: long ago
+    private int movedAt; // the generation that was drained
+    private long startedAtMs; // Unix time; 0: long ago
 
     /** {@code sinceMs}: how long it has been up; 0: it starts now, cold. */
-    RigWorker(String name, String zone, WorkerModel.Kind kind, int dispatchers, double sinceMs, Doors doors,
-            Ledger ledger) throws IOException {
+    RigWorker(
+            String name,
+            String zone,
+            WorkerModel.Kind kind,
+            int dispatchers,
+            double sinceMs,
+            Doors doors,
+            Ledger ledger)
+            throws IOException {
         this.name = name;
         this.zone = zone;
         this.ledger = ledger;
@@ -185,7 +192,7 @@
             }
             String key = head.get("X-Entity");
             job.run = key == null ? null : ledger.began(id, key);
-            String target = head.target();                       // ends with the work in microseconds
+            String target = head.target(); // ends with the work in microseconds
             model.submit(nowMs(), job, Long.parseLong(target.substring(target.indexOf('=') + 1)) / 1000.0);
         }
         step();
@@ -193,13 +200,13 @@
             if ("order".equals(head.get("X-Lane"))) {
                 ledger.cutOff.increment();
             }
-            return false;                                        // and the job runs on, unheard
+            return false; // and the job runs on, unheard
         }
         way.send(link, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
         String state = "";
         while (!state.startsWith("done")) {
             state = job.news.poll(job.run == null ? HOLD_MS : 1, TimeUnit.MILLISECONDS);
-            if (state == null && job.run != null) {              // a key's next job waits for this one's end
+            if (state == null && job.run != null) { // a key's next job waits for this one's end
                 step();
                 state = "";
                 continue;
@@ -208,8 +215,11 @@
                 return false;
             }
             String line = "{\"id\":\"" + id + "\",\"from\":\"" + name + "\",\"state\":\"" + state + "\"}\n";
-            way.send(link, (Integer.toHexString(line.length()) + "\r\n" + line + "\r\n"
-                + (state.startsWith("done") ? "0\r\n\r\n" : "")).getBytes());
+            way.send(
+                    link,
+                    (Integer.toHexString(line.length()) + "\r\n" + line + "\r\n"
+                                    + (state.startsWith("done") ? "0\r\n\r\n" : ""))
+                            .getBytes());
         }
         return true;
     }
--- a/src/main/java/maplespread/lab/rig/Way.java
+++ b/src/main/java/maplespread/lab/rig/Way.java
@@ -10,13 +10,20 @@
      * CUT: nothing comes in or goes out, and nobody is told; DEAF: what the peer answers is lost; RESET: a
      * connection ends when a request has come; LATE: answers take a while; SLOW: they come in pieces.
      */
-    enum Fault { NONE, CUT, DEAF, RESET, LATE, SLOW }
+    enum Fault {
+        NONE,
+        CUT,
+        DEAF,
+        RESET,
+        LATE,
+        SLOW
+    }
 
     private static final long LATE_MS = 120;
     private static final int PIECE = 16;
     volatile Fault fault = Fault.NONE;
-    volatile String last = "";                                  // the tenant whose jobs lie for a while first
-    volatile long mostMs = Long.MAX_VALUE;                       // what is held longer by a cut is lost
+    volatile String last = ""; // the tenant whose jobs lie for a while first
+    volatile long mostMs = Long.MAX_VALUE; // what is held longer by a cut is lost
 
     /** Waits until something may come in, or the limit is over; false: not before then. */
     boolean open(long limitMs) throws InterruptedException {
@@ -44,7 +51,7 @@
                 }
                 return;
             }
-            default -> { }
+            default -> {}
         }
         link.send(bytes);
     }
--- a/src/main/java/maplespread/log/Event.java
+++ b/src/main/java/maplespread/log/Event.java
@@ -86,7 +86,8 @@
     }
 
     /** The text form; a value with spaces, quotes or an equals sign stands in quotes. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         if (json) {
             return name;
         }
@@ -105,7 +106,11 @@
             return v;
         }
         // A line break in a value would let a peer write log lines of its own.
-        return '"' + v.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n").replace("\r", "\\r")
-            + '"';
+        return '"'
+                + v.replace("\\", "\\\\")
+                        .replace("\"", "\\\"")
+                        .replace("\n", "\\n")
+                        .replace("\r", "\\r")
+                + '"';
     }
 }
--- a/src/main/java/maplespread/log/JsonLinesWriter.java
+++ b/src/main/java/maplespread/log/JsonLinesWriter.java
@@ -17,14 +17,21 @@
  */
 public final class JsonLinesWriter implements Writer {
     /** Called by tinylog, with the writer's properties. */
-    public JsonLinesWriter(Map<String, String> properties) { }
+    public JsonLinesWriter(Map<String, String> properties) {}
 
-    @Override public Collection<LogEntryValue> getRequiredLogEntryValues() {
-        return EnumSet.of(LogEntryValue.DATE, LogEntryValue.LEVEL, LogEntryValue.CLASS,
-            LogEntryValue.MESSAGE, LogEntryValue.EXCEPTION, LogEntryValue.CONTEXT);
+    @Override
+    public Collection<LogEntryValue> getRequiredLogEntryValues() {
+        return EnumSet.of(
+                LogEntryValue.DATE,
+                LogEntryValue.LEVEL,
+                LogEntryValue.CLASS,
+                LogEntryValue.MESSAGE,
+                LogEntryValue.EXCEPTION,
+                LogEntryValue.CONTEXT);
     }
 
-    @Override public void write(LogEntry entry) {
+    @Override
+    public void write(LogEntry entry) {
         PrintStream to = entry.getLevel().ordinal() >= Level.WARN.ordinal() ? System.err : System.out;
         to.println(line(entry));
     }
@@ -39,20 +46,22 @@
             o.addProperty("from", where.substring(where.lastIndexOf('.') + 1));
         }
         o.addProperty(event ? "event" : "message", entry.getMessage());
-        entry.getContext().forEach((k, v) ->
-            o.add(k, v.matches("-?[0-9]{1,18}") ? new JsonPrimitive(Long.parseLong(v))
-                : new JsonPrimitive(v)));
+        entry.getContext()
+                .forEach((k, v) -> o.add(
+                        k, v.matches("-?[0-9]{1,18}") ? new JsonPrimitive(Long.parseLong(v)) : new JsonPrimitive(v)));
         if (entry.getException() != null) {
             o.addProperty("exception", entry.getException().toString());
         }
         return o.toString();
     }
 
-    @Override public void flush() {
+    @Override
+    public void flush() {
         System.out.flush();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         flush();
     }
 }
--- a/src/main/java/maplespread/membership/Gossip.java
+++ b/src/main/java/maplespread/membership/Gossip.java
@@ -8,7 +8,7 @@
 
 /** News that rides on other messages: the least told first, each as often as the group's size asks for. */
 final class Gossip {
-    private static final int UPDATE_BYTES = 40;                  // beside the names and addresses
+    private static final int UPDATE_BYTES = 40; // beside the names and addresses
 
     private static final class News {
         final Update update;
--- a/src/main/java/maplespread/membership/Membership.java
+++ b/src/main/java/maplespread/membership/Membership.java
@@ -20,7 +20,7 @@
  * others more slowly.
  */
 public final class Membership {
-    private static final int CONFIRMATIONS = 3;                  // that shorten a suspicion to its least
+    private static final int CONFIRMATIONS = 3; // that shorten a suspicion to its least
     private static final double STANDSTILL_PERIODS = 4;
 
     /** A probe that is out. */
@@ -45,7 +45,7 @@
     }
 
     /** A probe made for another. */
-    private record Errand(String askerAddress, long askerSeq, long nackAt) { }
+    private record Errand(String askerAddress, long askerSeq, long nackAt) {}
 
     private final MembershipSettings set;
     private final MembershipSink sink;
@@ -60,7 +60,7 @@
     private Probe probe;
     private long seq;
     private long nextProbeAt, nextRejoinAt, dueAt;
-    private int doubt;                                           // Lifeguard's local health, 0: sound
+    private int doubt; // Lifeguard's local health, 0: sound
     private boolean left;
 
     /** {@code boot}: Unix milliseconds, above that of every earlier run under this name. */
@@ -144,8 +144,7 @@
     }
 
     private long nextAt() {
-        long at = Math.min(nextRejoinAt, probe == null ? nextProbeAt
-            : probe.helped ? probe.endAt : probe.helpAt);
+        long at = Math.min(nextRejoinAt, probe == null ? nextProbeAt : probe.helped ? probe.endAt : probe.helpAt);
         for (Errand e : errands.values()) {
             at = Math.min(at, e.nackAt());
         }
@@ -232,13 +231,19 @@
             probe.helped = true;
             Update target = members.get(probe.target);
             List<String> helpers = new ArrayList<>();
-            members.values().stream().filter(m -> m.state() == State.ALIVE && !m.name().equals(probe.target))
-                .forEach(m -> helpers.add(m.name()));
+            members.values().stream()
+                    .filter(m -> m.state() == State.ALIVE && !m.name().equals(probe.target))
+                    .forEach(m -> helpers.add(m.name()));
             shuffle(helpers);
             for (String helper : helpers.subList(0, Math.min(set.helpers(), helpers.size()))) {
                 probe.asked++;
-                send(members.get(helper).address(), Kind.PING_REQ, probe.seq, probe.target, target.address(),
-                    probe.target);
+                send(
+                        members.get(helper).address(),
+                        Kind.PING_REQ,
+                        probe.seq,
+                        probe.target,
+                        target.address(),
+                        probe.target);
             }
         } else if (probe.helped && now >= probe.endAt) {
             // Helpers that say nothing at all are a sign that this member is the one that is cut off or slow.
@@ -262,7 +267,7 @@
         message.updates().forEach(u -> take(now, u));
         switch (message.kind()) {
             case PING -> {
-                if (message.target().equals(set.name())) {       // else it is for another
+                if (message.target().equals(set.name())) { // else it is for another
                     send(fromAddress, Kind.ACK, message.seq(), "", "", from);
                 }
             }
@@ -285,7 +290,7 @@
                 }
             }
             case JOIN -> sync(fromAddress);
-            case SYNC -> { }                                     // its updates are all it brings
+            case SYNC -> {} // its updates are all it brings
         }
     }
 
@@ -296,25 +301,37 @@
             return;
         }
         Update held = members.get(u.name());
-        if (u.state() == State.SUSPECT && suspicions.containsKey(u.name()) && held.boot() == u.boot()
+        if (u.state() == State.SUSPECT
+                && suspicions.containsKey(u.name())
+                && held.boot() == u.boot()
                 && held.incarnation() == u.incarnation()
                 && suspicions.get(u.name()).by.size() <= CONFIRMATIONS
                 && suspicions.get(u.name()).by.add(u.by())) {
-            gossip.add(u);                                       // an independent confirmation is news, too
+            gossip.add(u); // an independent confirmation is news, too
             return;
         }
         if (held != null && !u.overrides(held)) {
             if (u.state() != State.ALIVE && held.overrides(u) && held.state() == State.ALIVE) {
-                gossip.add(held);                                // a refutation that somebody has not heard
+                gossip.add(held); // a refutation that somebody has not heard
             }
             return;
         }
         if (held == null && u.gone()) {
             return;
         }
-        if (held != null && held.boot() != u.boot() && !held.gone() && !held.address().equals(u.address())) {
-            sink.event(true, "membership.name_taken_twice", "member", u.name(), "address", held.address(),
-                "other", u.address());
+        if (held != null
+                && held.boot() != u.boot()
+                && !held.gone()
+                && !held.address().equals(u.address())) {
+            sink.event(
+                    true,
+                    "membership.name_taken_twice",
+                    "member",
+                    u.name(),
+                    "address",
+                    held.address(),
+                    "other",
+                    u.address());
         }
         members.put(u.name(), u);
         suspicions.remove(u.name());
@@ -337,8 +354,15 @@
     /** Others say that this member is suspect or dead, or that another run of it is there. */
     private void aboutSelf(Update u) {
         if (u.boot() > self.boot()) {
-            sink.event(true, "membership.name_taken_twice", "member", u.name(), "address", self.address(),
-                "other", u.address());
+            sink.event(
+                    true,
+                    "membership.name_taken_twice",
+                    "member",
+                    u.name(),
+                    "address",
+                    self.address(),
+                    "other",
+                    u.address());
             return;
         }
         if (u.boot() == self.boot() && u.state() != State.ALIVE && u.incarnation() >= self.incarnation()) {
@@ -406,15 +430,15 @@
         left = true;
     }
 
-    private void send(String address, Kind kind, long number, String target, String targetAddress,
-            String to) {
+    private void send(String address, Kind kind, long number, String target, String targetAddress, String to) {
         Update m = members.get(to);
-        List<Update> first = new ArrayList<>(List.of(self));     // so that whoever hears of it knows it
+        List<Update> first = new ArrayList<>(List.of(self)); // so that whoever hears of it knows it
         if (m != null && m.state() != State.ALIVE) {
-            first.add(m);                                        // who is thought ill of hears of it first
+            first.add(m); // who is thought ill of hears of it first
         }
         int most = (int) Math.ceil(set.repeats() * Math.max(1, Math.log10(size() + 1.0)));
-        sink.send(address, new Message(kind, number, target, targetAddress,
-            gossip.take(first, set.packet() - 200, most)));
+        sink.send(
+                address,
+                new Message(kind, number, target, targetAddress, gossip.take(first, set.packet() - 200, most)));
     }
 }
--- a/src/main/java/maplespread/membership/MembershipSettings.java
+++ b/src/main/java/maplespread/membership/MembershipSettings.java
@@ -11,8 +11,19 @@
  * between tries to reach seeds and dead members; {@code forgetMs}: how long the dead are remembered; {@code
  * packet}: most bytes.
  */
-public record MembershipSettings(String name, String address, List<String> seeds, long periodMs, long ackMs,
-        int helpers, double suspicion, int stretch, int repeats, int awareness, long rejoinMs, long forgetMs,
+public record MembershipSettings(
+        String name,
+        String address,
+        List<String> seeds,
+        long periodMs,
+        long ackMs,
+        int helpers,
+        double suspicion,
+        int stretch,
+        int repeats,
+        int awareness,
+        long rejoinMs,
+        long forgetMs,
         int packet) {
     public MembershipSettings {
         seeds = List.copyOf(seeds);
--- a/src/main/java/maplespread/membership/Message.java
+++ b/src/main/java/maplespread/membership/Message.java
@@ -9,7 +9,14 @@
  */
 public record Message(Kind kind, long seq, String target, String address, List<Update> updates) {
     /** NACK: the one that was to probe for another has had no answer yet. JOIN asks for SYNC. */
-    public enum Kind { PING, PING_REQ, ACK, NACK, JOIN, SYNC }
+    public enum Kind {
+        PING,
+        PING_REQ,
+        ACK,
+        NACK,
+        JOIN,
+        SYNC
+    }
 
     public Message {
         updates = List.copyOf(updates);
--- a/src/main/java/maplespread/membership/Sealed.java
+++ b/src/main/java/maplespread/membership/Sealed.java
@@ -23,20 +23,28 @@
  */
 public final class Sealed {
     /** Why packets were dropped. */
-    public enum Drop { SHORT, VERSION, KEY, SEAL, STALE, REPLAY, FORM }
+    public enum Drop {
+        SHORT,
+        VERSION,
+        KEY,
+        SEAL,
+        STALE,
+        REPLAY,
+        FORM
+    }
 
     /** What a packet holds: the membership's message on channel 0, else a channel's payload. */
-    public record Opened(String from, String address, int channel, Message message, byte[] payload) { }
+    public record Opened(String from, String address, int channel, Message message, byte[] payload) {}
 
     private static final byte VERSION = 2;
     private static final int MAC = 32, HEAD = 1 + 4 + 8 + 8 + 8;
-    private static final int WINDOW = 64;                        // packets that may come out of order
+    private static final int WINDOW = 64; // packets that may come out of order
     private static final int MOST_SENDERS = 4096;
 
     private static final class Seen {
         final long boot;
         long newest;
-        long bits;                                               // of the WINDOW up to the newest
+        long bits; // of the WINDOW up to the newest
 
         Seen(long boot) {
             this.boot = boot;
@@ -52,8 +60,9 @@
     private final Map<String, Seen> seen = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<String, Seen> eldest) {
-            return size() > MOST_SENDERS;                        // only holders of a key can make one
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Seen> eldest) {
+            return size() > MOST_SENDERS; // only holders of a key can make one
         }
     };
 
@@ -180,9 +189,8 @@
             if (in.hasRemaining() || count < 0) {
                 return drop(Drop.FORM);
             }
-            return new Opened(from, fromAddress, 0, new Message(kind, seq, target, targetAddress, updates),
-                null);
-        } catch (RuntimeException e) {                           // ends inside a member, or names none
+            return new Opened(from, fromAddress, 0, new Message(kind, seq, target, targetAddress, updates), null);
+        } catch (RuntimeException e) { // ends inside a member, or names none
             return drop(Drop.FORM);
         }
     }
--- a/src/main/java/maplespread/membership/Update.java
+++ b/src/main/java/maplespread/membership/Update.java
@@ -7,7 +7,12 @@
  */
 public record Update(String name, String address, State state, long boot, long incarnation, String by) {
     /** SUSPECT: it has not answered, and may yet refute that. LEFT: it has said so itself. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum State {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     public boolean gone() {
         return state == State.DEAD || state == State.LEFT;
@@ -23,7 +28,7 @@
             return boot > held.boot;
         }
         if (held.state == State.LEFT) {
-            return false;                                        // that run of it never comes back
+            return false; // that run of it never comes back
         }
         if (incarnation != held.incarnation) {
             return incarnation > held.incarnation;
--- a/src/main/java/maplespread/membership/client/Group.java
+++ b/src/main/java/maplespread/membership/client/Group.java
@@ -25,6 +25,7 @@
 public final class Group implements Closeable {
     /** Most bytes of one payload on a channel. */
     public static final int MOST_PAYLOAD = 60 * 1024;
+
     private static final int MOST_BYTES = 64 * 1024, BUFFER = 1024 * 1024;
     private static final long STACK = 144 * 1024;
     private static final long FRESH_MS = 30_000;
@@ -56,17 +57,31 @@
         socket.setReceiveBufferSize(BUFFER);
         socket.bind(address(listen));
         core = new Membership(set, boot, seed, now(), new MembershipSink() {
-            @Override public void send(String to, Message message) {
+            @Override
+            public void send(String to, Message message) {
                 Group.this.send(to, message);
             }
 
-            @Override public void changed(Update before, Update after) {
-                Event.of("membership.changed", "member", after.name(), "state", after.state(), "address",
-                    after.address(), "incarnation", after.incarnation(), "by", after.by()).info();
+            @Override
+            public void changed(Update before, Update after) {
+                Event.of(
+                                "membership.changed",
+                                "member",
+                                after.name(),
+                                "state",
+                                after.state(),
+                                "address",
+                                after.address(),
+                                "incarnation",
+                                after.incarnation(),
+                                "by",
+                                after.by())
+                        .info();
                 listeners.forEach(l -> l.accept(before, after));
             }
 
-            @Override public void event(boolean warning, String name, Object... pairs) {
+            @Override
+            public void event(boolean warning, String name, Object... pairs) {
                 Event.write(warning, name, pairs);
             }
         });
@@ -81,8 +96,8 @@
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
-                Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(
+                    InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException e) {
             throw new IllegalArgumentException("not an address: " + text);
         }
@@ -152,7 +167,7 @@
         try {
             socket.send(new DatagramPacket(packet, packet.length, address(to)));
             return true;
-        } catch (IOException | IllegalArgumentException e) {     // as good as lost on its way
+        } catch (IOException | IllegalArgumentException e) { // as good as lost on its way
             return false;
         }
     }
@@ -182,7 +197,7 @@
                 }
             } catch (IOException e) {
                 // closed, or a passing fault of the socket: the next packet tells
-            } catch (RuntimeException e) {                       // no one message may end the thread
+            } catch (RuntimeException e) { // no one message may end the thread
                 Event.of("membership.fault", "why", e).error();
             }
         }
@@ -202,7 +217,8 @@
     }
 
     /** Says good-bye. */
-    @Override public void close() {
+    @Override
+    public void close() {
         synchronized (this) {
             if (over) {
                 return;
@@ -214,7 +230,7 @@
         socket.close();
         if (Thread.currentThread() != receives) {
             try {
-                receives.join(CLOSE_MS);                    // until then the port may not be free
+                receives.join(CLOSE_MS); // until then the port may not be free
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/maplespread/partition/Asks.java
+++ b/src/main/java/maplespread/partition/Asks.java
@@ -9,27 +9,31 @@
 
     /** Equal to one of these: strings, or Doubles for a label. */
     record OneOf(Set<Object> values) implements Asks {
-        @Override public boolean passes(Object value) {
+        @Override
+        public boolean passes(Object value) {
             return value != null && values.contains(value);
         }
     }
 
     record Prefix(String prefix) implements Asks {
-        @Override public boolean passes(Object value) {
+        @Override
+        public boolean passes(Object value) {
             return value != null && ((String) value).startsWith(prefix);
         }
     }
 
     /** A label's number, {@code from} included, {@code below} not. */
     record Range(double from, double below) implements Asks {
-        @Override public boolean passes(Object value) {
+        @Override
+        public boolean passes(Object value) {
             return value != null && from <= (Double) value && (Double) value < below;
         }
     }
 
     /** A part of all values, by their hash on the unit circle. */
     record Share(double from, double below) implements Asks {
-        @Override public boolean passes(Object value) {
+        @Override
+        public boolean passes(Object value) {
             return value != null && holds(unit((String) value));
         }
 
--- a/src/main/java/maplespread/partition/Hearings.java
+++ b/src/main/java/maplespread/partition/Hearings.java
@@ -26,14 +26,14 @@
     }
 
     /** What one elector tells: for how long it listens, and of whom it has heard. */
-    public record Report(long listensMs, Map<String, Heard> heard) { }
+    public record Report(long listensMs, Map<String, Heard> heard) {}
 
-    private record Told(Report report, long at) { }
+    private record Told(Report report, long at) {}
 
     private final long since;
-    private long lookedAt, wokeAt;                               // whether it leads; after a standstill
-    private final Map<String, Heard> own = new TreeMap<>();      // quietMs: when it was heard
-    private final Map<String, Told> told = new HashMap<>();      // by elector
+    private long lookedAt, wokeAt; // whether it leads; after a standstill
+    private final Map<String, Heard> own = new TreeMap<>(); // quietMs: when it was heard
+    private final Map<String, Told> told = new HashMap<>(); // by elector
 
     public Hearings(long now) {
         since = now;
@@ -70,8 +70,9 @@
     public boolean leads(long now, List<String> electors, String self, long silentMs) {
         wokeAt = now - lookedAt > silentMs ? now : wokeAt;
         lookedAt = now;
-        long fresh = electors.stream().filter(e -> e.equals(self) || told.containsKey(e)
-            && now - told.get(e).at < silentMs).count();
+        long fresh = electors.stream()
+                .filter(e -> e.equals(self) || told.containsKey(e) && now - told.get(e).at < silentMs)
+                .count();
         if (now - wokeAt < silentMs || 2 * fresh <= electors.size()) {
             return false;
         }
@@ -88,7 +89,7 @@
     }
 
     /** {@code silentMs}, {@code goneMs}: not heard by a majority for so long, a member is silent, or gone. */
-    public record Patience(long silentMs, long goneMs) { }
+    public record Patience(long silentMs, long goneMs) {}
 
     /**
      * The members as they are to be. Whoever a majority hears and who wants slots comes in; whoever no
@@ -100,10 +101,14 @@
         all(now, electors, self, owners).forEach((name, heard) -> {
             Heard newest = heard.stream().reduce((a, b) -> b.after(a) ? b : a).orElseThrow();
             String id = name + '#' + newest.run;
-            long quiet = heard.stream().mapToLong(Heard::quietMs).sorted().skip(electors.size() / 2)
-                .findFirst().orElseThrow();                      // the least that a majority reaches
+            long quiet = heard.stream()
+                    .mapToLong(Heard::quietMs)
+                    .sorted()
+                    .skip(electors.size() / 2)
+                    .findFirst()
+                    .orElseThrow(); // the least that a majority reaches
             members.removeIf(m -> Owners.name(m).equals(name)
-                && (quiet > set.goneMs || newest.run > 0 && (!m.equals(id) || !newest.serving)));
+                    && (quiet > set.goneMs || newest.run > 0 && (!m.equals(id) || !newest.serving)));
             if (newest.run > 0 && newest.serving && quiet <= set.silentMs) {
                 members.add(id);
             } else if (quiet > set.silentMs) {
@@ -126,8 +131,10 @@
                 Told t = e.equals(self) ? new Told(report(now), now) : told.getOrDefault(e, nothing);
                 Heard h = t.report.heard.get(name);
                 long later = now - t.at;
-                heard.add(h == null ? new Heard(0, 0, t.report.listensMs + later, false)
-                    : new Heard(h.run, h.number, h.quietMs + later, h.serving));
+                heard.add(
+                        h == null
+                                ? new Heard(0, 0, t.report.listensMs + later, false)
+                                : new Heard(h.run, h.number, h.quietMs + later, h.serving));
             }
             all.put(name, heard);
         }
--- a/src/main/java/maplespread/partition/Index.java
+++ b/src/main/java/maplespread/partition/Index.java
@@ -13,21 +13,28 @@
  */
 abstract class Index {
     private final String attribute;
-    private final List<List<Asks>> asks;                         // by rule, this way
+    private final List<List<Asks>> asks; // by rule, this way
     private final Map<String, long[]> shared = new HashMap<>();
     private final long[] absent;
 
     private Index(String attribute, List<Rule> rules, Class<? extends Asks> way) {
         this.attribute = attribute;
-        asks = rules.stream().map(r -> r.when().stream().filter(c -> c.attribute().equals(attribute)
-            && way.isInstance(c.asks())).map(Rule.Condition::asks).toList()).toList();
+        asks = rules.stream()
+                .map(r -> r.when().stream()
+                        .filter(c -> c.attribute().equals(attribute) && way.isInstance(c.asks()))
+                        .map(Rule.Condition::asks)
+                        .toList())
+                .toList();
         absent = bits(a -> false);
     }
 
     /** Adds an index for each way in which some rule asks for the attribute. */
     static void of(String attribute, List<Rule> rules, List<Index> to) {
-        List<Asks> asked = rules.stream().flatMap(r -> r.when().stream())
-            .filter(c -> c.attribute().equals(attribute)).map(Rule.Condition::asks).toList();
+        List<Asks> asked = rules.stream()
+                .flatMap(r -> r.when().stream())
+                .filter(c -> c.attribute().equals(attribute))
+                .map(Rule.Condition::asks)
+                .toList();
         if (asked.stream().anyMatch(Asks.OneOf.class::isInstance)) {
             to.add(new Exact(attribute, rules, asked));
         }
@@ -77,7 +84,8 @@
             other = bits(a -> false);
         }
 
-        @Override long[] at(Object value) {
+        @Override
+        long[] at(Object value) {
             return sets.getOrDefault(value, other);
         }
     }
@@ -111,12 +119,13 @@
             none = bits(a -> false);
         }
 
-        @Override long[] at(Object value) {
+        @Override
+        long[] at(Object value) {
             String v = (String) value;
             int i = Arrays.binarySearch(prefixes, v);
-            i = i >= 0 ? i : -i - 2;                             // the last that stands before it
+            i = i >= 0 ? i : -i - 2; // the last that stands before it
             while (i >= 0 && !v.startsWith(prefixes[i])) {
-                i = within[i];                                   // whatever v begins with, this one does too
+                i = within[i]; // whatever v begins with, this one does too
             }
             return i < 0 ? none : sets[i];
         }
@@ -126,7 +135,7 @@
     private static final class Spans extends Index {
         private final boolean share;
         private final double[] cuts;
-        private final long[][] sets;                             // from each cut on; the first: before all
+        private final long[][] sets; // from each cut on; the first: before all
 
         Spans(String attribute, List<Rule> rules, Class<? extends Asks> way, List<Asks> asked) {
             super(attribute, rules, way);
@@ -139,7 +148,8 @@
             }
         }
 
-        @Override long[] at(Object value) {
+        @Override
+        long[] at(Object value) {
             int i = Arrays.binarySearch(cuts, share ? Asks.Share.unit((String) value) : (Double) value);
             return sets[i >= 0 ? i + 1 : -i - 1];
         }
--- a/src/main/java/maplespread/partition/KeyQueue.java
+++ b/src/main/java/maplespread/partition/KeyQueue.java
@@ -22,19 +22,32 @@
  */
 public final class KeyQueue {
     /** Why a job is answered without having gone out. All but {@code STOPPED} may be tried again. */
-    public enum Answer { LATE, AGED, FULL, SKIPPED, STOPPED, MOVED }
+    public enum Answer {
+        LATE,
+        AGED,
+        FULL,
+        SKIPPED,
+        STOPPED,
+        MOVED
+    }
 
     /**
      * How a job that was out has ended, all its attempts together. LINGERS: done, but an earlier attempt of
      * it may still run.
      */
-    public enum Outcome { DONE, FAILED, NEVER_RAN, UNKNOWN, LINGERS }
+    public enum Outcome {
+        DONE,
+        FAILED,
+        NEVER_RAN,
+        UNKNOWN,
+        LINGERS
+    }
 
     /**
      * A job as it is taken; times are milliseconds of the clock that is passed in. {@code workMs}: how long
      * it is thought to run, 0 where nobody knows.
      */
-    public record Job(long id, String key, Rule rule, double workMs, long deadline, long takenAt) { }
+    public record Job(long id, String key, Rule rule, double workMs, long deadline, long takenAt) {}
 
     /** What the queue asks and tells; none of these calls may call back. */
     public interface Sink {
@@ -51,11 +64,11 @@
         Job out;
         long sentAt;
         long heldUntil = Long.MIN_VALUE;
-        boolean stopping;                                        // not seen among the stored ones yet
+        boolean stopping; // not seen among the stored ones yet
         long dueAt = Long.MAX_VALUE;
     }
 
-    private record Due(long at, String key) { }
+    private record Due(long at, String key) {}
 
     /** What waits in one partition. */
     private static final class Sum {
@@ -67,7 +80,7 @@
     private final Map<String, Bounds> bounds = new HashMap<>();
     private final Sink sink;
     private final Map<String, Line> lines = new HashMap<>();
-    private final Map<Long, String> keys = new HashMap<>();      // of all that wait or are out
+    private final Map<Long, String> keys = new HashMap<>(); // of all that wait or are out
     private final Map<String, Sum> sums = new HashMap<>();
     private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private Set<String> stopped = Set.of();
@@ -146,10 +159,13 @@
         Sum sum = sums.computeIfAbsent(job.rule.partition(), p -> new Sum());
         Bounds each = job.rule.eachKey();
         Bounds all = bounds.get(job.rule.partition());
-        double work = job.workMs + line.waiting.values().stream().mapToDouble(Job::workMs).sum();
+        double work = job.workMs
+                + line.waiting.values().stream().mapToDouble(Job::workMs).sum();
         int jobs = line.waiting.size() + 1;
-        return jobs > each.jobs() || work > each.workMs() || jobs > all.jobs() - sum.jobs
-            || work > all.workMs() - sum.workMs;
+        return jobs > each.jobs()
+                || work > each.workMs()
+                || jobs > all.jobs() - sum.jobs
+                || work > all.workMs() - sum.workMs;
     }
 
     private void count(Job job, int sign) {
@@ -252,8 +268,10 @@
         for (Job job : new ArrayList<>(line.waiting.values())) {
             long from = sink.from(job);
             long start = Math.max(free, from);
-            long oldest = job.takenAt + Math.min(job.rule.eachKey().ageMs(),
-                bounds.get(job.rule.partition()).ageMs());
+            long oldest = job.takenAt
+                    + Math.min(
+                            job.rule.eachKey().ageMs(),
+                            bounds.get(job.rule.partition()).ageMs());
             if (from == Fence.NEVER) {
                 answer(line, job, Answer.MOVED);
             } else if (start + job.workMs > job.deadline) {
--- a/src/main/java/maplespread/partition/Owners.java
+++ b/src/main/java/maplespread/partition/Owners.java
@@ -18,10 +18,19 @@
  * members, silence and tables. {@code silent}: members that get no lease, and since which epoch; {@code
  * tableSince}: the epoch of the table; {@code stopped}: keys that are stopped until they are started again.
  */
-public record Owners(long version, long epoch, Set<String> members, Map<String, Long> silent,
-                     List<Slot> slots, String table, String before, long tableSince, Set<String> stopped) {
+public record Owners(
+        long version,
+        long epoch,
+        Set<String> members,
+        Map<String, Long> silent,
+        List<Slot> slots,
+        String table,
+        String before,
+        long tableSince,
+        Set<String> stopped) {
     /** More stopped keys than this are not stored. */
     public static final int MOST_STOPPED = 1000;
+
     private static final Gson GSON = new Gson();
 
     /**
@@ -106,7 +115,7 @@
         if (!slot.owner.isEmpty()) {
             leavers.put(slot.owner, silent.getOrDefault(slot.owner, 0L));
         }
-        leavers.remove(to);                                      // knows by itself what it has out
+        leavers.remove(to); // knows by itself what it has out
         return new Slot(to, epoch + 1, leavers);
     }
 
@@ -135,8 +144,9 @@
     public Owners silent(Set<String> now) {
         Map<String, Long> next = new TreeMap<>();
         now.stream().filter(members::contains).forEach(m -> next.put(m, silent.getOrDefault(m, epoch + 1)));
-        return next.equals(silent) ? this
-            : new Owners(version + 1, epoch + 1, members, next, slots, table, before, tableSince, stopped);
+        return next.equals(silent)
+                ? this
+                : new Owners(version + 1, epoch + 1, members, next, slots, table, before, tableSince, stopped);
     }
 
     /** The member says that it has nothing out for these slots, which it has lost, and will not have. */
@@ -147,8 +157,9 @@
             leavers.remove(member);
             next.set(i, new Slot(slots.get(i).owner, slots.get(i).since, leavers));
         }
-        return next.equals(slots) ? this : new Owners(version + 1, epoch, members, silent, next, table,
-            before, tableSince, stopped);
+        return next.equals(slots)
+                ? this
+                : new Owners(version + 1, epoch, members, silent, next, table, before, tableSince, stopped);
     }
 
     /**
@@ -164,8 +175,9 @@
                 next.set(i, new Slot(member, since, Map.of()));
             }
         });
-        return next.equals(slots) ? this : new Owners(version + 1, epoch, members, silent, next, table,
-            before, tableSince, stopped);
+        return next.equals(slots)
+                ? this
+                : new Owners(version + 1, epoch, members, silent, next, table, before, tableSince, stopped);
     }
 
     /**
@@ -173,8 +185,9 @@
      * {@link Tables#mayChange}; where another table has come meanwhile, nothing changes.
      */
     public Owners table(String next, long seen) {
-        return seen != tableSince || next.equals(table) ? this : new Owners(version + 1, epoch + 1, members,
-            silent, slots, next, table, epoch + 1, stopped);
+        return seen != tableSince || next.equals(table)
+                ? this
+                : new Owners(version + 1, epoch + 1, members, silent, slots, next, table, epoch + 1, stopped);
     }
 
     /**
@@ -182,8 +195,11 @@
      * the key's slot: a successor that has waited long enough does not look here again.
      */
     public Owners stop(String member, String key) {
-        return stopped.contains(key) || stopped.size() >= MOST_STOPPED
-            || !slots.get(slotOf(key)).owner.equals(member) ? this : with(key, true);
+        return stopped.contains(key)
+                        || stopped.size() >= MOST_STOPPED
+                        || !slots.get(slotOf(key)).owner.equals(member)
+                ? this
+                : with(key, true);
     }
 
     /** The key may go on. */
--- a/src/main/java/maplespread/partition/Reach.java
+++ b/src/main/java/maplespread/partition/Reach.java
@@ -24,12 +24,11 @@
     /** A kind of values: one value, or all other strings whose longest known prefix this is. */
     private record Kind(Object value, String prefix) {
         boolean passes(Asks a) {
-            return prefix == null ? a.passes(value)
-                : a instanceof Asks.Prefix p && prefix.startsWith(p.prefix());
+            return prefix == null ? a.passes(value) : a instanceof Asks.Prefix p && prefix.startsWith(p.prefix());
         }
     }
 
-    private record Piece(BitSet[] box, int next) { }
+    private record Piece(BitSet[] box, int next) {}
 
     private final List<Rule> rules;
     private final List<BitSet[]> boxes = new ArrayList<>();
@@ -37,16 +36,21 @@
     /** {@code classes}, {@code tenants}: all that there are; no tenants: jobs have none. */
     Reach(List<Rule> rules, Collection<String> classes, Collection<String> tenants) {
         this.rules = rules;
-        List<String> attributes = rules.stream().flatMap(r -> r.when().stream())
-            .map(Rule.Condition::attribute).distinct().toList();
+        List<String> attributes = rules.stream()
+                .flatMap(r -> r.when().stream())
+                .map(Rule.Condition::attribute)
+                .distinct()
+                .toList();
         rules.forEach(r -> boxes.add(new BitSet[2 * attributes.size()]));
         for (int d = 0; d < attributes.size(); d++) {
             String attribute = attributes.get(d);
-            List<Asks> asked = rules.stream().flatMap(r -> asks(r, attribute).stream()).toList();
-            List<Kind> kinds = attribute.equals("class") ? values(classes)
-                : attribute.equals("tenant") && !tenants.isEmpty() ? values(tenants)
-                : kinds(attribute, asked);
-            double[] cuts = Index.cuts(asked.stream().filter(Asks.Share.class::isInstance).toList());
+            List<Asks> asked =
+                    rules.stream().flatMap(r -> asks(r, attribute).stream()).toList();
+            List<Kind> kinds = attribute.equals("class")
+                    ? values(classes)
+                    : attribute.equals("tenant") && !tenants.isEmpty() ? values(tenants) : kinds(attribute, asked);
+            double[] cuts = Index.cuts(
+                    asked.stream().filter(Asks.Share.class::isInstance).toList());
             for (int r = 0; r < rules.size(); r++) {
                 BitSet side = new BitSet();
                 BitSet shares = new BitSet();
@@ -62,8 +66,7 @@
                     }
                     for (int k = 0; k < kinds.size(); k++) {
                         Kind kind = kinds.get(k);
-                        if (a instanceof Asks.Share ? kind.value == null && kind.prefix == null
-                                : !kind.passes(a)) {
+                        if (a instanceof Asks.Share ? kind.value == null && kind.prefix == null : !kind.passes(a)) {
                             side.clear(k);
                         }
                     }
@@ -75,8 +78,10 @@
     }
 
     private static List<Asks> asks(Rule rule, String attribute) {
-        return rule.when().stream().filter(c -> c.attribute().equals(attribute)).map(Rule.Condition::asks)
-            .toList();
+        return rule.when().stream()
+                .filter(c -> c.attribute().equals(attribute))
+                .map(Rule.Condition::asks)
+                .toList();
     }
 
     private static List<Kind> values(Collection<?> values) {
@@ -97,13 +102,13 @@
         double[] cuts = label ? Index.cuts(asked) : new double[0];
         for (int i = 0; label && i <= cuts.length; i++) {
             double x = i == 0 ? -Double.MAX_VALUE : cuts[i - 1];
-            while (!values.add(x)) {                             // a listed value does not stand for others
+            while (!values.add(x)) { // a listed value does not stand for others
                 x = Math.nextUp(x);
             }
         }
         List<Kind> kinds = values(values);
         if (!attribute.equals("path")) {
-            kinds.add(new Kind(null, null));                     // the job has none
+            kinds.add(new Kind(null, null)); // the job has none
         }
         if (!label) {
             prefixes.forEach(p -> kinds.add(new Kind(null, p)));
--- a/src/main/java/maplespread/partition/Rule.java
+++ b/src/main/java/maplespread/partition/Rule.java
@@ -7,12 +7,24 @@
  * it was sent a job can still run at most; {@code spill}: partitions to be tried in this order where the own
  * one has no worker, empty: refuse.
  */
-public record Rule(String name, List<Condition> when, String partition, Order order, String key,
-                   Failed failed, long runsMs, Bounds eachKey, List<String> spill) {
+public record Rule(
+        String name,
+        List<Condition> when,
+        String partition,
+        Order order,
+        String key,
+        Failed failed,
+        long runsMs,
+        Bounds eachKey,
+        List<String> spill) {
     /** One condition; all of a rule's must hold. */
-    public record Condition(String attribute, Asks asks) { }
+    public record Condition(String attribute, Asks asks) {}
 
-    public enum Order { NONE, BY_KEY, BY_KEY_STOP }
+    public enum Order {
+        NONE,
+        BY_KEY,
+        BY_KEY_STOP
+    }
 
     /** What follows for a key when its head has failed. */
     public enum Failed {
--- a/src/main/java/maplespread/partition/Table.java
+++ b/src/main/java/maplespread/partition/Table.java
@@ -17,8 +17,11 @@
     Table(List<Rule> rules, Map<String, Partition> partitions) {
         this.rules = List.copyOf(rules);
         this.partitions = Map.copyOf(partitions);
-        rules.stream().flatMap(r -> r.when().stream()).map(Rule.Condition::attribute).distinct()
-            .forEach(a -> Index.of(a, this.rules, indices));
+        rules.stream()
+                .flatMap(r -> r.when().stream())
+                .map(Rule.Condition::attribute)
+                .distinct()
+                .forEach(a -> Index.of(a, this.rules, indices));
     }
 
     public List<Rule> rules() {
@@ -31,7 +34,11 @@
 
     /** How long after its sending an ordered job can still run at most, under any rule. */
     public long longestRunMs() {
-        return rules.stream().filter(Rule::ordered).mapToLong(Rule::runsMs).max().orElse(0);
+        return rules.stream()
+                .filter(Rule::ordered)
+                .mapToLong(Rule::runsMs)
+                .max()
+                .orElse(0);
     }
 
     /** The first rule that matches. */
@@ -50,6 +57,6 @@
                 return rules.get(w * 64 + Long.numberOfTrailingZeros(all));
             }
         }
-        throw new IllegalStateException("no rule matches");      // TableReader lets no such table through
+        throw new IllegalStateException("no rule matches"); // TableReader lets no such table through
     }
 }
--- a/src/main/java/maplespread/partition/TableError.java
+++ b/src/main/java/maplespread/partition/TableError.java
@@ -7,14 +7,25 @@
     private static final long serialVersionUID = 1;
 
     /** What is wrong with it, for those who sort errors by more than their words. */
-    public enum Kind { MALFORMED, UNKNOWN_NAME, NEVER_MATCHES, NO_DEFAULT, EMPTY, OVERLAP, SPILL, TOO_LARGE }
+    public enum Kind {
+        MALFORMED,
+        UNKNOWN_NAME,
+        NEVER_MATCHES,
+        NO_DEFAULT,
+        EMPTY,
+        OVERLAP,
+        SPILL,
+        TOO_LARGE
+    }
 
     private final Kind kind;
     private final String where;
 
     TableError(Kind kind, String where, String wrong, String remedy) {
-        super((where.isEmpty() ? "table" : where) + ": " + wrong,
-            "the table that counted before; none of the new one is taken up", remedy);
+        super(
+                (where.isEmpty() ? "table" : where) + ": " + wrong,
+                "the table that counted before; none of the new one is taken up",
+                remedy);
         this.kind = kind;
         this.where = where;
     }
--- a/src/main/java/maplespread/partition/TableReader.java
+++ b/src/main/java/maplespread/partition/TableReader.java
@@ -27,14 +27,14 @@
 public final class TableReader {
     private static final int MOST_RULES = 4096;
     private static final int MOST_VALUES = 50_000;
-    private static final String ALL = "all";                     // the partition of all workers, always there
+    private static final String ALL = "all"; // the partition of all workers, always there
 
     /**
      * What a table may name. {@code tenants} empty: there are none. {@code workers} empty: not known yet, so
      * it is not checked whether partitions have any.
      */
-    public record Site(List<String> classes, List<String> tenants, List<String> zones, List<String> kinds,
-                       List<Worker> workers) { }
+    public record Site(
+            List<String> classes, List<String> tenants, List<String> zones, List<String> kinds, List<Worker> workers) {}
 
     /** One object of the text: what nobody has asked for is an error at the end. */
     private static final class Part {
@@ -78,9 +78,11 @@
                     return e;
                 }
             }
-            throw new TableError(Kind.UNKNOWN_NAME, where, key + " " + word + " is not known",
-                "use one of " + List.of(words.getEnumConstants()).toString().toLowerCase(
-                    java.util.Locale.ROOT));
+            throw new TableError(
+                    Kind.UNKNOWN_NAME,
+                    where,
+                    key + " " + word + " is not known",
+                    "use one of " + List.of(words.getEnumConstants()).toString().toLowerCase(java.util.Locale.ROOT));
         }
 
         double number(String key, double otherwise, double least, double most) throws TableError {
@@ -113,8 +115,11 @@
                 return new double[] {least, most};
             }
             double[] v = e.isJsonArray() && e.getAsJsonArray().size() == 2
-                ? new double[] {numberOf(e.getAsJsonArray().get(0)), numberOf(e.getAsJsonArray().get(1))}
-                : new double[] {1, 0};
+                    ? new double[] {
+                        numberOf(e.getAsJsonArray().get(0)),
+                        numberOf(e.getAsJsonArray().get(1))
+                    }
+                    : new double[] {1, 0};
             if (!(least <= v[0] && v[0] < v[1] && v[1] <= most)) {
                 throw wrong(key, "must be [from, below] within " + least + " to " + most);
             }
@@ -124,8 +129,9 @@
         Bounds bounds(String key, double jobs, double workS, double ageMs) throws TableError {
             JsonElement e = get(key);
             Part in = new Part(where, e == null ? new JsonObject() : e);
-            Bounds b = new Bounds((int) in.number("jobs", jobs, 1, 1e6),
-                in.number("work_s", workS, 0.001, 1e6) * 1000, (long) in.number("age_ms", ageMs, 1, 3.6e6));
+            Bounds b = new Bounds(
+                    (int) in.number("jobs", jobs, 1, 1e6), in.number("work_s", workS, 0.001, 1e6) * 1000, (long)
+                            in.number("age_ms", ageMs, 1, 3.6e6));
             in.end();
             return b;
         }
@@ -133,8 +139,8 @@
         void end() throws TableError {
             for (String key : in.keySet()) {
                 if (!asked.contains(key)) {
-                    throw new TableError(Kind.UNKNOWN_NAME, where, "key " + key + " is not known",
-                        "use one of " + asked);
+                    throw new TableError(
+                            Kind.UNKNOWN_NAME, where, "key " + key + " is not known", "use one of " + asked);
                 }
             }
         }
@@ -165,16 +171,17 @@
         for (String name : parts.in.keySet()) {
             partitions.put(name, partition(name, new Part("partition " + name, parts.get(name))));
         }
-        partitions.putIfAbsent(ALL, new Partition(ALL, Set.of(), Set.of(), Set.of(), 0, 1, false,
-            new Bounds(100_000, 1e9, 3_600_000)));
+        partitions.putIfAbsent(
+                ALL,
+                new Partition(ALL, Set.of(), Set.of(), Set.of(), 0, 1, false, new Bounds(100_000, 1e9, 3_600_000)));
         apart(partitions.values());
         JsonElement rows = root.get("rules");
         if (rows == null || !rows.isJsonArray() || rows.getAsJsonArray().isEmpty()) {
             throw root.wrong("rules", "must be a list with at least one rule");
         }
         if (rows.getAsJsonArray().size() > MOST_RULES) {
-            throw new TableError(Kind.TOO_LARGE, "", "more than " + MOST_RULES + " rules",
-                "join rules by lists of values");
+            throw new TableError(
+                    Kind.TOO_LARGE, "", "more than " + MOST_RULES + " rules", "join rules by lists of values");
         }
         root.end();
         List<Rule> rules = new ArrayList<>();
@@ -182,25 +189,39 @@
         for (JsonElement row : rows.getAsJsonArray()) {
             Rule rule = rule(rules.size(), row, partitions);
             if (!names.add(rule.name())) {
-                throw new TableError(Kind.MALFORMED, "rule " + rule.name(), "the name stands twice",
-                    "give each rule a name of its own");
+                throw new TableError(
+                        Kind.MALFORMED,
+                        "rule " + rule.name(),
+                        "the name stands twice",
+                        "give each rule a name of its own");
             }
             rules.add(rule);
         }
         Rule last = rules.get(rules.size() - 1);
         if (!last.when().isEmpty()) {
-            throw new TableError(Kind.NO_DEFAULT, "rule " + last.name(), "is the last one and has conditions,"
-                + " so some job may match no rule", "end the table with a rule without a when");
+            throw new TableError(
+                    Kind.NO_DEFAULT,
+                    "rule " + last.name(),
+                    "is the last one and has conditions," + " so some job may match no rule",
+                    "end the table with a rule without a when");
         }
         Reach reach = new Reach(rules, site.classes, site.tenants);
-        for (int i = 0; i < rules.size() - 1; i++) {             // the default may be left without a job
+        for (int i = 0; i < rules.size() - 1; i++) { // the default may be left without a job
             List<Rule> takers = reach.takenBy(i);
             if (takers != null) {
-                throw new TableError(Kind.NEVER_MATCHES, "rule " + rules.get(i).name(), takers.isEmpty()
-                    ? "can never match: its conditions exclude one another"
-                    : "can never match: all that it could match is taken before by "
-                        + String.join(", ", takers.stream().limit(5).map(Rule::name).toList()),
-                    takers.isEmpty() ? "correct its when" : "move it up, or take it out");
+                throw new TableError(
+                        Kind.NEVER_MATCHES,
+                        "rule " + rules.get(i).name(),
+                        takers.isEmpty()
+                                ? "can never match: its conditions exclude one another"
+                                : "can never match: all that it could match is taken before by "
+                                        + String.join(
+                                                ", ",
+                                                takers.stream()
+                                                        .limit(5)
+                                                        .map(Rule::name)
+                                                        .toList()),
+                        takers.isEmpty() ? "correct its when" : "move it up, or take it out");
             }
         }
         spills(rules);
@@ -223,16 +244,26 @@
         }
         double[] ring = in.span("ring", 0, 1);
         JsonElement apart = in.get("apart");
-        if (apart != null && !(apart.isJsonPrimitive() && apart.getAsJsonPrimitive().isBoolean())) {
+        if (apart != null
+                && !(apart.isJsonPrimitive() && apart.getAsJsonPrimitive().isBoolean())) {
             throw in.wrong("apart", "must be true or false");
         }
-        Partition p = new Partition(name, known(in, "zones", in.texts("zones"), site.zones),
-            known(in, "kinds", in.texts("kinds"), site.kinds), cells, ring[0], ring[1],
-            apart != null && apart.getAsBoolean(), in.bounds("bounds", 100_000, 1e6, 3_600_000));
+        Partition p = new Partition(
+                name,
+                known(in, "zones", in.texts("zones"), site.zones),
+                known(in, "kinds", in.texts("kinds"), site.kinds),
+                cells,
+                ring[0],
+                ring[1],
+                apart != null && apart.getAsBoolean(),
+                in.bounds("bounds", 100_000, 1e6, 3_600_000));
         in.end();
         if (!site.workers.isEmpty() && site.workers.stream().noneMatch(p::holds)) {
-            throw new TableError(Kind.EMPTY, in.where, "has no worker of the " + site.workers.size()
-                + " that are listed", "widen it, or list workers for it first");
+            throw new TableError(
+                    Kind.EMPTY,
+                    in.where,
+                    "has no worker of the " + site.workers.size() + " that are listed",
+                    "widen it, or list workers for it first");
         }
         return p;
     }
@@ -242,20 +273,24 @@
             for (Partition o : all) {
                 // The one of all workers meets every other, and is nobody's word.
                 if (p.apart() && p != o && !o.name().equals(ALL) && p.mayMeet(o)) {
-                    throw new TableError(Kind.OVERLAP, "partition " + p.name(), "is to stand apart, and "
-                        + o.name() + " may share workers with it", "part their zones, kinds, cells or rings,"
-                        + " or take apart out");
+                    throw new TableError(
+                            Kind.OVERLAP,
+                            "partition " + p.name(),
+                            "is to stand apart, and " + o.name() + " may share workers with it",
+                            "part their zones, kinds, cells or rings," + " or take apart out");
                 }
             }
         }
     }
 
-    private Set<String> known(Part in, String key, Set<String> names, Collection<String> of)
-            throws TableError {
+    private Set<String> known(Part in, String key, Set<String> names, Collection<String> of) throws TableError {
         for (String name : names) {
             if (!of.contains(name)) {
-                throw new TableError(Kind.UNKNOWN_NAME, in.where, key + ": " + name + " is not known",
-                    "use one of " + of.stream().limit(20).toList() + ", or list it in the site first");
+                throw new TableError(
+                        Kind.UNKNOWN_NAME,
+                        in.where,
+                        key + ": " + name + " is not known",
+                        "use one of " + of.stream().limit(20).toList() + ", or list it in the site first");
             }
         }
         return names;
@@ -270,8 +305,7 @@
         known(in, "to", Set.of(partition), partitions.keySet());
         Order order = in.word("order", Order.NONE, Order.class);
         String key = attribute(in, in.text("key", "entity"));
-        Failed failed = in.word("failed", order == Order.BY_KEY_STOP ? Failed.STOP : Failed.GO_ON,
-            Failed.class);
+        Failed failed = in.word("failed", order == Order.BY_KEY_STOP ? Failed.STOP : Failed.GO_ON, Failed.class);
         if (failed == Failed.STOP != (order == Order.BY_KEY_STOP)) {
             throw in.wrong("failed", "is stop if and only if order is by_key_stop");
         }
@@ -279,8 +313,11 @@
         Bounds each = in.bounds("each_key", 100, 600, 600_000);
         List<String> spill = List.copyOf(known(in, "spill", in.texts("spill"), partitions.keySet()));
         if (order != Order.NONE && !spill.isEmpty()) {
-            throw new TableError(Kind.SPILL, in.where, "is ordered, and what is ordered never spills",
-                "take spill out; its jobs are refused while " + partition + " has no worker");
+            throw new TableError(
+                    Kind.SPILL,
+                    in.where,
+                    "is ordered, and what is ordered never spills",
+                    "take spill out; its jobs are refused while " + partition + " has no worker");
         }
         if (order == Order.NONE && (in.in.has("key") || in.in.has("failed") || in.in.has("each_key"))) {
             throw in.wrong("key, failed or each_key", "stands in a rule whose order is none");
@@ -293,8 +330,11 @@
     private static String attribute(Part in, String name) throws TableError {
         if (!List.of("class", "tenant", "entity", "path").contains(name)
                 && !(name.startsWith(Attributes.LABEL) && name.length() > Attributes.LABEL.length())) {
-            throw new TableError(Kind.UNKNOWN_NAME, in.where, "attribute " + name + " is not known",
-                "use class, tenant, entity, path or label.NAME");
+            throw new TableError(
+                    Kind.UNKNOWN_NAME,
+                    in.where,
+                    "attribute " + name + " is not known",
+                    "use class, tenant, entity, path or label.NAME");
         }
         return name;
     }
@@ -317,9 +357,11 @@
                 all.add(new Condition(name, oneOf(in, name, label, one)));
             }
             if (label && (asks.get("from") != null | asks.get("below") != null)) {
-                all.add(new Condition(name, new Asks.Range(
-                    asks.number("from", -Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE),
-                    asks.number("below", Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE))));
+                all.add(new Condition(
+                        name,
+                        new Asks.Range(
+                                asks.number("from", -Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE),
+                                asks.number("below", Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE))));
             }
             JsonElement prefix = label ? null : asks.get("prefix");
             if (prefix != null) {
@@ -340,8 +382,11 @@
             }
         }
         if (values > MOST_VALUES) {
-            throw new TableError(Kind.TOO_LARGE, rule.where, "with it the table has more than " + MOST_VALUES
-                + " values", "use prefixes, ranges or shares in place of lists");
+            throw new TableError(
+                    Kind.TOO_LARGE,
+                    rule.where,
+                    "with it the table has more than " + MOST_VALUES + " values",
+                    "use prefixes, ranges or shares in place of lists");
         }
         return List.copyOf(all);
     }
@@ -359,8 +404,7 @@
             throw in.wrong(name, "is a list without an entry");
         }
         values += all.size();
-        Collection<String> names = name.equals("class") ? site.classes : name.equals("tenant") ? site.tenants
-            : null;
+        Collection<String> names = name.equals("class") ? site.classes : name.equals("tenant") ? site.tenants : null;
         for (Object v : names == null ? Set.of() : all) {
             known(in, name, Set.of((String) v), names);
         }
@@ -374,8 +418,11 @@
             for (String spill : rule.spill()) {
                 to.computeIfAbsent(rule.partition(), p -> new LinkedHashSet<>()).add(spill);
                 if (reaches(spill, rule.partition(), to, new HashSet<>())) {
-                    throw new TableError(Kind.SPILL, "rule " + rule.name(), "spills from " + rule.partition()
-                        + " to " + spill + ", from where rules lead back", "take one of the spills out");
+                    throw new TableError(
+                            Kind.SPILL,
+                            "rule " + rule.name(),
+                            "spills from " + rule.partition() + " to " + spill + ", from where rules lead back",
+                            "take one of the spills out");
                 }
             }
         }
--- a/src/main/java/maplespread/partition/Tables.java
+++ b/src/main/java/maplespread/partition/Tables.java
@@ -11,7 +11,7 @@
     private long settledAt;
 
     /** What the table says of a job; {@code from}: it may not go out earlier; {@code key} null: see rule. */
-    public record Place(Rule rule, String key, long from) { }
+    public record Place(Rule rule, String key, long from) {}
 
     /** Those of an agreed value; {@code epoch}: that of the table; {@code holdMs}: {@link FenceSettings}. */
     public void learned(long now, long epoch, Table next, Table earlier, long holdMs) {
@@ -36,8 +36,7 @@
     public Place decide(long now, Attributes job) {
         Rule rule = table.decide(job);
         String key = key(rule, job);
-        boolean changed = key != null && now < settledAt
-            && !key.equals(key(before.decide(job), job));
+        boolean changed = key != null && now < settledAt && !key.equals(key(before.decide(job), job));
         return new Place(rule, key, changed ? settledAt : Long.MIN_VALUE);
     }
 
--- a/src/main/java/maplespread/partition/client/Fleet.java
+++ b/src/main/java/maplespread/partition/client/Fleet.java
@@ -38,7 +38,7 @@
             this.of = of;
         }
 
-        private record Found(long version, Set<String> ids, boolean served) { }
+        private record Found(long version, Set<String> ids, boolean served) {}
 
         private Found found() {
             Found f = found;
@@ -59,7 +59,8 @@
             return f;
         }
 
-        @Override public boolean test(String worker) {
+        @Override
+        public boolean test(String worker) {
             return found().ids.contains(worker);
         }
 
@@ -90,7 +91,8 @@
         return new ArrayList<>(routes.values().stream().map(this::worker).toList());
     }
 
-    @Override public void news(RouteNews news) {
+    @Override
+    public void news(RouteNews news) {
         // Before the module: what it may pick is known here.
         synchronized (this) {
             if (news.kind() != RouteNews.Kind.CHANGES) {
@@ -108,7 +110,8 @@
         next.news(news);
     }
 
-    @Override public void watchLost() {
+    @Override
+    public void watchLost() {
         next.watchLost();
     }
 }
--- a/src/main/java/maplespread/partition/client/Keeper.java
+++ b/src/main/java/maplespread/partition/client/Keeper.java
@@ -46,23 +46,29 @@
 public final class Keeper implements Closeable {
     /** Of the group's channels. */
     public static final int CHANNEL = 4;
+
     private static final String SECTION = "partition";
     private static final long STACK = 256 * 1024;
-    private static final long CALL_MS = 1_900;                   // of a call that waits for the fleet
+    private static final long CALL_MS = 1_900; // of a call that waits for the fleet
     private static final long PROPOSE_MS = 500;
-    private static final long STOP_MS = 1000;                    // longer a failure's answer does not wait
+    private static final long STOP_MS = 1000; // longer a failure's answer does not wait
     private static final long HERE_MS = 500;
-    private static final int PLACES = 4;                         // for calls that wait
+    private static final int PLACES = 4; // for calls that wait
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
 
     /** The group and its register, once this one is in them. */
-    public record Ties(Group group, Register register) { }
+    public record Ties(Group group, Register register) {}
 
     /** What this stands on; {@code wants}: whether clients are to be sent here; {@code address}: for jobs. */
-    public record Ground(Supplier<Config> config, Supplier<Ties> ties, BooleanSupplier wants,
-                         Supplier<String> address, Relay relay, Fleet fleet) { }
+    public record Ground(
+            Supplier<Config> config,
+            Supplier<Ties> ties,
+            BooleanSupplier wants,
+            Supplier<String> address,
+            Relay relay,
+            Fleet fleet) {}
 
-    private record Seat(long run, String address) { }
+    private record Seat(long run, String address) {}
 
     /** The electors that a question went to, and those that have answered it. */
     private record Asked(long number, Set<String> electors, Set<String> answered) {
@@ -96,7 +102,7 @@
     private final FenceSettings fence;
     private final Hearings.Patience patience;
     private final Orders orders;
-    private final Hearings hearings = new Hearings(Orders.now());      // guarded by itself
+    private final Hearings hearings = new Hearings(Orders.now()); // guarded by itself
     private final Map<String, Seat> seats = new ConcurrentHashMap<>();
     private final Map<String, Table> compiled = new ConcurrentHashMap<>();
     private final Reading voted = new Reading();
@@ -106,11 +112,11 @@
     private volatile Ties ties;
     private volatile Asked asked = new Asked(0, Set.of());
     private volatile String fileTable;
-    private volatile boolean fileChanged;                        // its table is to be the fleet's
+    private volatile boolean fileChanged; // its table is to be the fleet's
     private volatile boolean leaving;
     private volatile String unreadable = "";
-    private volatile long answeredAt = Orders.now();             // by a majority, whatever it said
-    private Owners told;                                         // what the log has
+    private volatile long answeredAt = Orders.now(); // by a majority, whatever it said
+    private Owners told; // what the log has
     private long emptyLife, emptySince;
     private volatile long hereAt;
 
@@ -122,8 +128,10 @@
         patience = new Hearings.Patience(set.silentMs(), set.goneMs());
         fileTable = packed(set.table());
         orders = new Orders(name, fence, table(fileTable), ground.fleet(), ground.relay(), new Others());
-        threads = List.of(daemon("partition", this::asks), daemon("partition turns", this::ticks),
-            daemon("partition changes", this::changes));
+        threads = List.of(
+                daemon("partition", this::asks),
+                daemon("partition turns", this::ticks),
+                daemon("partition changes", this::changes));
     }
 
     private static Thread daemon(String name, Runnable work) {
@@ -141,7 +149,8 @@
         leaving = true;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         threads.forEach(Thread::interrupt);
     }
 
@@ -177,16 +186,19 @@
     }
 
     private final class Others implements Orders.Others {
-        @Override public String address(String member) {
+        @Override
+        public String address(String member) {
             Seat seat = seats.get(Owners.name(member));
             return seat != null && member.endsWith("#" + seat.run) ? seat.address : null;
         }
 
-        @Override public boolean stop(String key, long waitMs) {
+        @Override
+        public boolean stop(String key, long waitMs) {
             return store(key, Math.min(STOP_MS, waitMs));
         }
 
-        @Override public double mostPauseMs() {
+        @Override
+        public double mostPauseMs() {
             return ground.config().get().settings().permissions().maxPauseMs();
         }
     }
@@ -227,7 +239,7 @@
                 long pause = 100;
                 try {
                     pause = round.run();
-                } catch (RuntimeException | Error e) {           // the next round must still come
+                } catch (RuntimeException | Error e) { // the next round must still come
                     Event.of("partition.fault", "why", e).error();
                 }
                 Thread.sleep(pause);
@@ -246,8 +258,10 @@
      * and that it does not hear, would leave its slots with it for ever. Nor with a table it cannot read.
      */
     private boolean wants() {
-        return !leaving && unreadable.isEmpty() && Orders.now() - answeredAt < set.goneMs()
-            && ground.wants().getAsBoolean();
+        return !leaving
+                && unreadable.isEmpty()
+                && Orders.now() - answeredAt < set.goneMs()
+                && ground.wants().getAsBoolean();
     }
 
     private void ask(Ties t) {
@@ -259,8 +273,8 @@
         List<String> electors = electors(t, v);
         Orders.Question q = orders.ask();
         asked = new Asked(q.number(), electors);
-        Note ask = Note.ask(t.group().boot(), q, v == null ? 0 : v.epoch(), v == null ? 0
-            : v.electorsNumber(), wants());
+        Note ask =
+                Note.ask(t.group().boot(), q, v == null ? 0 : v.epoch(), v == null ? 0 : v.electorsNumber(), wants());
         byte[] bytes = ask.bytes();
         for (String e : electors) {
             if (e.equals(name)) {
@@ -272,19 +286,24 @@
         if (electors.contains(name)) {
             Hearings.Report report;
             synchronized (hearings) {
-                Set<String> names = new TreeSet<>(t.group().members().stream().map(Update::name).toList());
+                Set<String> names = new TreeSet<>(
+                        t.group().members().stream().map(Update::name).toList());
                 hearings.keep(names);
                 report = hearings.report(now);
             }
             byte[] heard = Note.heard(t.group().boot(), report).bytes();
-            electors.stream().filter(e -> !e.equals(name)).forEach(e -> t.group().send(CHANNEL, e, heard));
+            electors.stream()
+                    .filter(e -> !e.equals(name))
+                    .forEach(e -> t.group().send(CHANNEL, e, heard));
         }
         String address = ground.address().get();
         if (address != null && now - hereAt >= HERE_MS) {
             hereAt = now;
             byte[] here = Note.here(t.group().boot(), address).bytes();
-            t.group().members().stream().map(Update::name).filter(m -> !m.equals(name))
-                .forEach(m -> t.group().send(CHANNEL, m, here));
+            t.group().members().stream()
+                    .map(Update::name)
+                    .filter(m -> !m.equals(name))
+                    .forEach(m -> t.group().send(CHANNEL, m, here));
         }
     }
 
@@ -299,8 +318,13 @@
             return;
         }
         switch (n.kind()) {
-            case ASK -> t.group().send(CHANNEL, from, Note.answer(t.group().boot(), n.number(),
-                grants(t, from, n)).bytes());
+            case ASK ->
+                t.group()
+                        .send(
+                                CHANNEL,
+                                from,
+                                Note.answer(t.group().boot(), n.number(), grants(t, from, n))
+                                        .bytes());
             case ANSWER -> answered(from, n.number(), n.yes());
             case HEARD -> {
                 synchronized (hearings) {
@@ -309,7 +333,7 @@
             }
             case HERE -> {
                 Seat was = seats.put(from, new Seat(n.run(), n.address()));
-                if (was == null || was.run != n.run()) {         // it may not know of this one yet
+                if (was == null || was.run != n.run()) { // it may not know of this one yet
                     hereAt = 0;
                 }
             }
@@ -374,7 +398,7 @@
             }
             compiled.keySet().retainAll(List.of(next.table(), next.before(), fileTable));
             unreadable = "";
-        } catch (TableError e) {                                 // another's file may have other names
+        } catch (TableError e) { // another's file may have other names
             if (!unreadable.equals(e.getMessage())) {
                 unreadable = e.getMessage();
                 Event.of("partition.table_unreadable", "why", unreadable).error();
@@ -382,18 +406,30 @@
             return;
         }
         if (told == null || told.epoch() != next.epoch()) {
-            Event.of("partition.epoch", "epoch", next.epoch(), "version", next.version(), "members",
-                new TreeSet<>(next.members()), "silent", next.silent().keySet(), "table_since",
-                next.tableSince()).info();
+            Event.of(
+                            "partition.epoch",
+                            "epoch",
+                            next.epoch(),
+                            "version",
+                            next.version(),
+                            "members",
+                            new TreeSet<>(next.members()),
+                            "silent",
+                            next.silent().keySet(),
+                            "table_since",
+                            next.tableSince())
+                    .info();
         }
         if (told == null || told.tableSince() != next.tableSince()) {
             Event.of("partition.table", "epoch", next.tableSince()).info();
         }
         Set<String> before = told == null ? Set.of() : told.stopped();
-        next.stopped().stream().filter(k -> !before.contains(k))
-            .forEach(k -> Event.of("partition.stopped", "key", k).warn());
-        before.stream().filter(k -> !next.stopped().contains(k))
-            .forEach(k -> Event.of("partition.started", "key", k).info());
+        next.stopped().stream()
+                .filter(k -> !before.contains(k))
+                .forEach(k -> Event.of("partition.stopped", "key", k).warn());
+        before.stream()
+                .filter(k -> !next.stopped().contains(k))
+                .forEach(k -> Event.of("partition.started", "key", k).info());
         told = next;
     }
 
@@ -452,9 +488,10 @@
         if (leads) {
             propose(t, o -> {
                 synchronized (hearings) {
-                    long at = Orders.now();                      // it may have stood still meanwhile
-                    return !hearings.leads(at, v.electors(), name, set.silentMs()) ? o
-                        : hearings.members(at, v.electors(), name, o, patience);
+                    long at = Orders.now(); // it may have stood still meanwhile
+                    return !hearings.leads(at, v.electors(), name, set.silentMs())
+                            ? o
+                            : hearings.members(at, v.electors(), name, o, patience);
                 }
             });
         }
@@ -471,7 +508,8 @@
             String next = fileTable;
             long seen = orders.owners().tableSince();
             Result r = put(t, change(o -> o.table(next, seen)), PROPOSE_MS);
-            fileChanged = r.kind() != Result.Kind.DECIDED || !section(r.value()).table().equals(next);
+            fileChanged = r.kind() != Result.Kind.DECIDED
+                    || !section(r.value()).table().equals(next);
         }
     }
 
@@ -487,13 +525,18 @@
         String text = fileTable;
         long hold = fence.holdMs(orders.longestRunMs());
         if (leads && now - emptySince >= hold) {
-            put(t, value -> {
-                Owners before = written(value);
-                Owners next = before == null ? Owners.first(set.slots(), text, value.epoch())
-                    : before.again(value.epoch());
-                return section(value) != null ? value.text()
-                    : Sections.write(value.text(), SECTION, next.text());
-            }, PROPOSE_MS);
+            put(
+                    t,
+                    value -> {
+                        Owners before = written(value);
+                        Owners next = before == null
+                                ? Owners.first(set.slots(), text, value.epoch())
+                                : before.again(value.epoch());
+                        return section(value) != null
+                                ? value.text()
+                                : Sections.write(value.text(), SECTION, next.text());
+                    },
+                    PROPOSE_MS);
         }
     }
 
@@ -513,20 +556,27 @@
 
     /** The console's, by method and path. */
     public Map<String, Call> calls() {
-        return Map.of("GET /admin/partition", ask -> new Reply(200, shown(ask.query("key"))),
-            "POST /admin/partition/table", waiting(this::table),
-            "POST /admin/partition/start", waiting((t, ask) -> {
-                String key = ask.query("key");
-                if (key.isBlank()) {
-                    throw new PartitionRefused(Reason.BAD_CALL, "the call lacks ?key=");
-                }
-                boolean[] was = new boolean[1];
-                Result r = put(t, change(o -> {
-                    was[0] = o.stopped().contains(key);
-                    return o.start(key);
-                }), CALL_MS);
-                return told(r, was[0] ? "starts" : "was not stopped");
-            }));
+        return Map.of(
+                "GET /admin/partition",
+                ask -> new Reply(200, shown(ask.query("key"))),
+                "POST /admin/partition/table",
+                waiting(this::table),
+                "POST /admin/partition/start",
+                waiting((t, ask) -> {
+                    String key = ask.query("key");
+                    if (key.isBlank()) {
+                        throw new PartitionRefused(Reason.BAD_CALL, "the call lacks ?key=");
+                    }
+                    boolean[] was = new boolean[1];
+                    Result r = put(
+                            t,
+                            change(o -> {
+                                was[0] = o.stopped().contains(key);
+                                return o.start(key);
+                            }),
+                            CALL_MS);
+                    return told(r, was[0] ? "starts" : "was not stopped");
+                }));
     }
 
     /** A call that is put to the fleet. */
@@ -542,8 +592,12 @@
             try {
                 Ties t = ties;
                 if (t == null || orders.owners() == null) {
-                    throw new PartitionRefused(Reason.NOT_AGREED, name + (t == null
-                        ? " is not in the group yet" : " knows of no table that is agreed on yet"));
+                    throw new PartitionRefused(
+                            Reason.NOT_AGREED,
+                            name
+                                    + (t == null
+                                            ? " is not in the group yet"
+                                            : " knows of no table that is agreed on yet"));
                 }
                 return put.answer(t, ask);
             } catch (PartitionRefused e) {
@@ -557,8 +611,9 @@
     }
 
     private static Reply told(Result r, String done) {
-        return r.kind() == Result.Kind.DECIDED ? new Reply(200, done)
-            : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
+        return r.kind() == Result.Kind.DECIDED
+                ? new Reply(200, done)
+                : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
     }
 
     private Reply table(Ties t, Ask ask) throws FleetError {
@@ -566,14 +621,12 @@
         String text = packed(ask.body());
         Owners known = orders.owners();
         if (!known.table().equals(text) && !orders.mayChange()) {
-            throw new PartitionRefused(Reason.SETTLING, "the change of epoch " + known.tableSince()
-                + " still settles");
+            throw new PartitionRefused(Reason.SETTLING, "the change of epoch " + known.tableSince() + " still settles");
         }
         Result r = put(t, change(o -> o.table(text, known.tableSince())), CALL_MS);
         Owners now = r.kind() == Result.Kind.DECIDED ? section(r.value()) : known;
         if (r.kind() == Result.Kind.DECIDED && !now.table().equals(text)) {
-            throw new PartitionRefused(Reason.SETTLING, "another table came first, as epoch "
-                + now.tableSince());
+            throw new PartitionRefused(Reason.SETTLING, "another table came first, as epoch " + now.tableSince());
         }
         return told(r, "table of epoch " + now.tableSince());
     }
--- a/src/main/java/maplespread/partition/client/Note.java
+++ b/src/main/java/maplespread/partition/client/Note.java
@@ -11,9 +11,22 @@
  * {@code yes}: the asker wants slots. ANSWER: {@code yes}, it knows none. HEARD: an elector's report. HERE:
  * where jobs are taken. {@code run}: of the sender.
  */
-record Note(Kind kind, long run, long number, long epoch, long life, long electors, boolean yes,
-            String address, Hearings.Report report) {
-    enum Kind { ASK, ANSWER, HEARD, HERE }
+record Note(
+        Kind kind,
+        long run,
+        long number,
+        long epoch,
+        long life,
+        long electors,
+        boolean yes,
+        String address,
+        Hearings.Report report) {
+    enum Kind {
+        ASK,
+        ANSWER,
+        HEARD,
+        HERE
+    }
 
     private static final Gson GSON = new Gson();
 
@@ -41,8 +54,10 @@
     static Note read(byte[] bytes) {
         try {
             Note n = GSON.fromJson(new String(bytes, StandardCharsets.UTF_8), Note.class);
-            boolean whole = n != null && n.kind != null && (n.kind != Kind.HERE || n.address != null)
-                && (n.kind != Kind.HEARD || n.report != null && n.report.heard() != null);
+            boolean whole = n != null
+                    && n.kind != null
+                    && (n.kind != Kind.HERE || n.address != null)
+                    && (n.kind != Kind.HEARD || n.report != null && n.report.heard() != null);
             return whole ? n : null;
         } catch (JsonParseException e) {
             return null;
--- a/src/main/java/maplespread/partition/client/Orders.java
+++ b/src/main/java/maplespread/partition/client/Orders.java
@@ -36,9 +36,9 @@
  * moments only; jobs wait on the threads that they have anyway, and are handed on from there.
  */
 final class Orders implements Turns, KeyQueue.Sink {
-    private static final double PAUSE_MS = 250;                  // advised to who is refused
-    private static final double SOON_MS = 100;                   // where another one may serve at once
-    private static final long LOOK_MS = 10;                      // at what may have changed elsewhere
+    private static final double PAUSE_MS = 250; // advised to who is refused
+    private static final double SOON_MS = 100; // where another one may serve at once
+    private static final long LOOK_MS = 10; // at what may have changed elsewhere
 
     /** What it needs of the fleet. */
     interface Others {
@@ -59,19 +59,23 @@
         final double workMs;
         final long deadline;
         volatile boolean left;
-        Mine waits;                                              // in a line; null: in none
-        String to;                                               // where it is handed on; null: nowhere
-        String owner;                                            // that is there, of this slot
+        Mine waits; // in a line; null: in none
+        String to; // where it is handed on; null: nowhere
+        String owner; // that is there, of this slot
         int slot;
-        long epoch;                                              // under which it is
+        long epoch; // under which it is
         int tries;
 
         Visit(Job job) {
             this.job = job;
             String path = job.message().target();
             int query = path.indexOf('?');
-            attributes = new Attributes(job.message().lane(), job.tenant(), job.entity(),
-                query < 0 ? path : path.substring(0, query), job.labels());
+            attributes = new Attributes(
+                    job.message().lane(),
+                    job.tenant(),
+                    job.entity(),
+                    query < 0 ? path : path.substring(0, query),
+                    job.labels());
             double work = job.transaction().workMs();
             workMs = work > 0 ? work : 0;
             deadline = now() + job.leftMs();
@@ -102,11 +106,11 @@
         final Visit visit;
         final Rule rule;
         final String key;
-        final long since;                                        // of its slot, when it was taken
+        final long since; // of its slot, when it was taken
         final Condition word = lock.newCondition();
         boolean sent;
         KeyQueue.Answer answer;
-        long tablesSeen;                                         // by which the next two were found
+        long tablesSeen; // by which the next two were found
         boolean sameKey = true;
         long from;
         volatile boolean ran, lingers, failed;
@@ -132,7 +136,8 @@
             return sameKey ? Math.max(from, fence.from(now, fence.owners().slotOf(key), since)) : Fence.NEVER;
         }
 
-        @Override public boolean still() {
+        @Override
+        public boolean still() {
             lock.lock();
             try {
                 long now = now();
@@ -142,25 +147,27 @@
             }
         }
 
-        @Override public void tried(Outcome how) {
-            boolean never = how == Outcome.TURNED_AWAY || how == Outcome.NOT_CONNECTED
-                || how == Outcome.NEVER_SENT;
+        @Override
+        public void tried(Outcome how) {
+            boolean never = how == Outcome.TURNED_AWAY || how == Outcome.NOT_CONNECTED || how == Outcome.NEVER_SENT;
             ran |= !never;
             failed |= how == Outcome.ERROR;
             lingers |= !never && how != Outcome.SERVED && how != Outcome.ERROR;
         }
 
-        @Override public End over(boolean served) {
-            KeyQueue.Outcome how = served ? lingers ? KeyQueue.Outcome.LINGERS : KeyQueue.Outcome.DONE
-                : lingers ? KeyQueue.Outcome.UNKNOWN : failed ? KeyQueue.Outcome.FAILED
-                : KeyQueue.Outcome.NEVER_RAN;
+        @Override
+        public End over(boolean served) {
+            KeyQueue.Outcome how = served
+                    ? lingers ? KeyQueue.Outcome.LINGERS : KeyQueue.Outcome.DONE
+                    : lingers
+                            ? KeyQueue.Outcome.UNKNOWN
+                            : failed ? KeyQueue.Outcome.FAILED : KeyQueue.Outcome.NEVER_RAN;
             boolean stop;
             lock.lock();
             try {
                 mine.remove(id);
                 queue.ended(now(), id, how);
-                stop = how == KeyQueue.Outcome.FAILED && queue.stopping().contains(key)
-                    && storing.add(key);
+                stop = how == KeyQueue.Outcome.FAILED && queue.stopping().contains(key) && storing.add(key);
                 due();
             } finally {
                 lock.unlock();
@@ -171,24 +178,29 @@
             return !ran ? End.NEVER_RAN : how == KeyQueue.Outcome.UNKNOWN ? End.DOUBT : End.ENDED;
         }
 
-        @Override public Said lost() {
+        @Override
+        public Said lost() {
             return refused("moved", SOON_MS, !visit.handed());
         }
     }
 
     /** A job of no order: its rule says only where it may go. */
     private static final Go FREE = new Go() {
-        @Override public boolean still() {
+        @Override
+        public boolean still() {
             return true;
         }
 
-        @Override public void tried(Outcome how) { }
+        @Override
+        public void tried(Outcome how) {}
 
-        @Override public End over(boolean served) {
+        @Override
+        public End over(boolean served) {
             return End.ENDED;
         }
 
-        @Override public Said lost() {
+        @Override
+        public Said lost() {
             return null;
         }
     };
@@ -199,16 +211,16 @@
     private final Relay relay;
     private final Others others;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();       // lease, owners or tables
+    private final Condition changed = lock.newCondition(); // lease, owners or tables
     private final Condition dueSooner = lock.newCondition();
     private final KeyQueue queue;
-    private final Map<Long, Mine> mine = new HashMap<>();        // waiting or out
+    private final Map<Long, Mine> mine = new HashMap<>(); // waiting or out
     private final Map<Transaction, Visit> open = new IdentityHashMap<>();
-    private final Set<String> storing = new HashSet<>();         // keys whose stop is under way
-    private Fence fence;                                         // null: not in the group yet
+    private final Set<String> storing = new HashSet<>(); // keys whose stop is under way
+    private Fence fence; // null: not in the group yet
     private String member = "";
-    private Tables tables;                                       // null: none agreed on
-    private Table table;                                         // the one that counts, else the file's
+    private Tables tables; // null: none agreed on
+    private Table table; // the one that counts, else the file's
     private long ids;
     private long tablesLearned;
     private boolean leased;
@@ -240,7 +252,8 @@
 
     // ------------------------------------------------------------ jobs
 
-    @Override public Turn take(Job job) throws InterruptedException {
+    @Override
+    public Turn take(Job job) throws InterruptedException {
         Visit v = new Visit(job);
         locked(() -> open.put(job.transaction(), v));
         try {
@@ -256,7 +269,8 @@
         }
     }
 
-    @Override public void left(Transaction t) {
+    @Override
+    public void left(Transaction t) {
         Visit v = locked(() -> {
             Visit found = open.get(t);
             if (found != null) {
@@ -300,7 +314,7 @@
                         if (turn != null) {
                             return turn;
                         }
-                        continue;                                // it moved meanwhile: taken anew
+                        continue; // it moved meanwhile: taken anew
                     }
                     v.to = own || slot.owner().isEmpty() ? null : others.address(slot.owner());
                     v.owner = slot.owner();
@@ -367,25 +381,27 @@
     private Turn free(Visit v, Rule rule) {
         List<String> ways = new ArrayList<>(List.of(rule.partition()));
         ways.addAll(rule.spill());
-        String way = ways.stream().filter(w -> fleet.of(table.partitions().get(w)).served()).findFirst()
-            .orElse(rule.partition());
+        String way = ways.stream()
+                .filter(w -> fleet.of(table.partitions().get(w)).served())
+                .findFirst()
+                .orElse(rule.partition());
         v.job.transaction().narrow(fleet.of(table.partitions().get(way)), null);
         return FREE;
     }
 
     /** Hands the job on, not under the lock; null: it was not taken there, and may be looked at again. */
     private Turn elsewhere(Visit v) throws InterruptedException {
-        HttpWriter request = HttpWriter.request(v.job.message().method(), v.job.message().target(), v.to)
-            .field("X-Txn", v.job.message().id())
-            .field("X-Remaining-Ms", Long.toString(Math.max(1, v.leftMs())))
-            .field(HANDED_BY, name + ' ' + v.epoch);
+        HttpWriter request = HttpWriter.request(
+                        v.job.message().method(), v.job.message().target(), v.to)
+                .field("X-Txn", v.job.message().id())
+                .field("X-Remaining-Ms", Long.toString(Math.max(1, v.leftMs())))
+                .field(HANDED_BY, name + ' ' + v.epoch);
         v.job.fields().forEach(f -> request.field(f[0], f[1]));
         Relay.Ended end = relay.run(v, v.to, request, v.job.message().body(), Math.max(1, v.leftMs()));
         if (v.left) {
             return new Left();
         }
-        boolean moved = end.end() == Relay.End.NOT_SENT
-            || end.status() == 503 && "moved".equals(field(end, REASON));
+        boolean moved = end.end() == Relay.End.NOT_SENT || end.status() == 503 && "moved".equals(field(end, REASON));
         if (end.end() == Relay.End.LOST) {
             return said(502, List.of(), "handed on, and not heard of again: it may have run", "in-doubt");
         }
@@ -400,9 +416,8 @@
         }
         v.to = null;
         lock.lockInterruptibly();
-        try {                                                    // until who owns it is agreed on anew
-            changed.await(Math.min(LOOK_MS << Math.min(v.tries++, 3), Math.max(1, v.leftMs())),
-                TimeUnit.MILLISECONDS);
+        try { // until who owns it is agreed on anew
+            changed.await(Math.min(LOOK_MS << Math.min(v.tries++, 3), Math.max(1, v.leftMs())), TimeUnit.MILLISECONDS);
         } finally {
             lock.unlock();
         }
@@ -410,8 +425,11 @@
     }
 
     private static String field(Relay.Ended end, String name) {
-        return end.fields().stream().filter(f -> f[0].equalsIgnoreCase(name)).map(f -> f[1]).findFirst()
-            .orElse(null);
+        return end.fields().stream()
+                .filter(f -> f[0].equalsIgnoreCase(name))
+                .map(f -> f[1])
+                .findFirst()
+                .orElse(null);
     }
 
     /** Not taken here: whoever handed it on looks again. */
@@ -440,17 +458,20 @@
 
     // ------------------------------------------------------------ the lines, under the lock
 
-    @Override public long from(KeyQueue.Job job) {
+    @Override
+    public long from(KeyQueue.Job job) {
         return mine.get(job.id()).from(now());
     }
 
-    @Override public void send(KeyQueue.Job job) {
+    @Override
+    public void send(KeyQueue.Job job) {
         Mine m = mine.get(job.id());
         m.sent = true;
         m.word.signal();
     }
 
-    @Override public void answer(KeyQueue.Job job, KeyQueue.Answer why) {
+    @Override
+    public void answer(KeyQueue.Job job, KeyQueue.Answer why) {
         Mine m = mine.get(job.id());
         m.answer = why;
         m.word.signal();
@@ -494,9 +515,12 @@
         boolean news = took(next, now, before);
         if (news) {
             // Silent, and now gone: its answers are in doubt, whether waited for or not.
-            locked(() -> open.values().stream().filter(v -> v.to != null && v.slot < next.slots().size()
-                && next.slots().get(v.slot).leavers().getOrDefault(v.owner, 0L) > 0).toList())
-                .forEach(relay::cancel);
+            locked(() -> open.values().stream()
+                            .filter(v -> v.to != null
+                                    && v.slot < next.slots().size()
+                                    && next.slots().get(v.slot).leavers().getOrDefault(v.owner, 0L) > 0)
+                            .toList())
+                    .forEach(relay::cancel);
         }
         return news;
     }
@@ -546,7 +570,7 @@
     }
 
     /** A question to all electors: its number, and the epoch that it is about. */
-    record Question(long number, long epoch) { }
+    record Question(long number, long epoch) {}
 
     /** Begins one; null: not in the group yet. */
     Question ask() {
--- a/src/main/java/maplespread/partition/client/Packed.java
+++ b/src/main/java/maplespread/partition/client/Packed.java
@@ -11,22 +11,22 @@
 
 /** A table's text as the agreed value holds it: that must fit into one packet, with the table before it. */
 final class Packed {
-    private Packed() { }
+    private Packed() {}
 
     static String of(String text) {
         ByteArrayOutputStream packed = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(packed)) {
             out.write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new UncheckedIOException(e);                   // memory does not fail so
+            throw new UncheckedIOException(e); // memory does not fail so
         }
         return Base64.getEncoder().withoutPadding().encodeToString(packed.toByteArray());
     }
 
     /** An IllegalArgumentException where it is no such text. */
     static String text(String packed) {
-        try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(
-                Base64.getDecoder().decode(packed)))) {
+        try (InflaterInputStream in = new InflaterInputStream(
+                new ByteArrayInputStream(Base64.getDecoder().decode(packed)))) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
--- a/src/main/java/maplespread/parts/GroupPart.java
+++ b/src/main/java/maplespread/parts/GroupPart.java
@@ -31,14 +31,14 @@
  * relieves say, it tries again.
  */
 final class GroupPart implements Part {
-    private static final int STATUSES = 2;                       // the channel; the register has the first
+    private static final int STATUSES = 2; // the channel; the register has the first
     private static final long ROUND_MS = 500;
     private static final long CALL_MS = 1_900;
     private static final long STACK = 144 * 1024;
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
 
     /** What there is once this one is in the group. */
-    record Joined(Group group, Register register, Statuses statuses) { }
+    record Joined(Group group, Register register, Statuses statuses) {}
 
     private final String name;
     private final String zone;
@@ -46,11 +46,11 @@
     private final Host host;
     private final GroupSettings begun;
     private final Thread thread;
-    private volatile GroupSettings now;                          // as the file has it
-    private volatile Joined joined;                              // null: not yet
-    private boolean served;                                      // once: then it drains, and starts no more
+    private volatile GroupSettings now; // as the file has it
+    private volatile Joined joined; // null: not yet
+    private boolean served; // once: then it drains, and starts no more
     private volatile boolean over;
-    private String why = "";                                     // it is not, as was logged last
+    private String why = ""; // it is not, as was logged last
 
     GroupPart(GroupSettings set, Config config, Host host) {
         this.host = host;
@@ -77,7 +77,8 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    @Override public void start() {
+    @Override
+    public void start() {
         join();
         thread.start();
     }
@@ -85,20 +86,36 @@
     private void join() {
         GroupSettings set = now;
         try {
-            Group group = new Group(new MembershipSettings(name, begun.address(), begun.seeds(),
-                begun.periodMs(), begun.ackMs(), 3, 5, 6, 4, 8, 1000, 60_000, 1200), begun.listen(),
-                set.keys().byId(), seed ^ System.nanoTime());
+            Group group = new Group(
+                    new MembershipSettings(
+                            name,
+                            begun.address(),
+                            begun.seeds(),
+                            begun.periodMs(),
+                            begun.ackMs(),
+                            3,
+                            5,
+                            6,
+                            4,
+                            8,
+                            1000,
+                            60_000,
+                            1200),
+                    begun.listen(),
+                    set.keys().byId(),
+                    seed ^ System.nanoTime());
             Register register = new Register(AgreementSettings.of(name, set.electors()), group, seed);
-            Statuses statuses = new Statuses(group.boot(), version(), zone,
-                (to, bytes) -> group.send(STATUSES, to, bytes));
+            Statuses statuses =
+                    new Statuses(group.boot(), version(), zone, (to, bytes) -> group.send(STATUSES, to, bytes));
             group.channel(STATUSES, (from, bytes) -> statuses.heard(from, bytes, nowMs()));
             joined = new Joined(group, register, statuses);
             Event.of("group.joined", "member", name, "listen", begun.listen(), "electors", set.electors())
-                .info();
+                    .info();
         } catch (IOException e) {
-            if (!e.toString().equals(why)) {                     // it is tried twice a second
+            if (!e.toString().equals(why)) { // it is tried twice a second
                 why = e.toString();
-                Event.of("group.not_joined", "listen", begun.listen(), "why", e.getMessage()).warn();
+                Event.of("group.not_joined", "listen", begun.listen(), "why", e.getMessage())
+                        .warn();
             }
         }
     }
@@ -116,7 +133,7 @@
                         join();
                     }
                     tell();
-                } catch (RuntimeException | Error e) {           // the next round must still come
+                } catch (RuntimeException | Error e) { // the next round must still come
                     Event.of("group.fault", "why", e).error();
                 }
                 synchronized (this) {
@@ -135,13 +152,18 @@
         }
         List<Update> members = j.group.members();
         j.statuses.keep(members.stream().map(Update::name).toList());
-        List<String> others = members.stream().filter(m -> !m.name().equals(name)
-                && m.state() != Update.State.DEAD && m.state() != Update.State.LEFT)
-            .map(Update::name).toList();
+        List<String> others = members.stream()
+                .filter(m -> !m.name().equals(name) && m.state() != Update.State.DEAD && m.state() != Update.State.LEFT)
+                .map(Update::name)
+                .toList();
         boolean serving = host.serving();
         served |= serving;
-        j.statuses.tell(name, serving ? Status.Phase.SERVING : served ? Status.Phase.DRAINING
-            : Status.Phase.STARTING, host.figures().totals(), others, nowMs());
+        j.statuses.tell(
+                name,
+                serving ? Status.Phase.SERVING : served ? Status.Phase.DRAINING : Status.Phase.STARTING,
+                host.figures().totals(),
+                others,
+                nowMs());
     }
 
     /** The others are told at once, not at the next round. */
@@ -149,11 +171,13 @@
         notifyAll();
     }
 
-    @Override public void stop() {
+    @Override
+    public void stop() {
         soon();
     }
 
-    @Override public void reload(Config config, Operator next) {
+    @Override
+    public void reload(Config config, Operator next) {
         GroupSettings set = next.group();
         if (set == null) {
             Logger.warn("operator: group is taken out only by a restart");
@@ -180,16 +204,23 @@
             Result r = register.electors(set.electors(), CALL_MS);
             if (r.kind() != Result.Kind.NO_MAJORITY) {
                 boolean done = r.kind() == Result.Kind.DECIDED;
-                Event.write(!done, "group.electors", "wanted", set.electors(), "now",
-                    r.value() == null ? null : r.value().electors(), "why", done ? null : r.why());
+                Event.write(
+                        !done,
+                        "group.electors",
+                        "wanted",
+                        set.electors(),
+                        "now",
+                        r.value() == null ? null : r.value().electors(),
+                        "why",
+                        done ? null : r.why());
                 return;
             }
         }
     }
 
-    @Override public Map<String, Call> calls() {
-        return Map.of("GET /admin/group", ask -> new Reply(200, shown()),
-            "POST /admin/group/found", this::found);
+    @Override
+    public Map<String, Call> calls() {
+        return Map.of("GET /admin/group", ask -> new Reply(200, shown()), "POST /admin/group/found", this::found);
     }
 
     /** After a majority of electors has restarted at once: the file's electors begin anew. */
@@ -201,10 +232,12 @@
         if (j == null) {
             return new Reply(503, name + " is not in the group yet: look for group.not_joined in the log");
         }
-        Event.of("group.found_anew", "by", name, "why", ask.query("why"), "electors", now.electors()).warn();
+        Event.of("group.found_anew", "by", name, "why", ask.query("why"), "electors", now.electors())
+                .warn();
         Result r = j.register.found(now.electors(), CALL_MS);
-        return r.kind() == Result.Kind.DECIDED ? new Reply(200, "begun anew as " + r.value().epoch())
-            : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
+        return r.kind() == Result.Kind.DECIDED
+                ? new Reply(200, "begun anew as " + r.value().epoch())
+                : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
     }
 
     private String shown() {
@@ -242,7 +275,8 @@
         return GSON.toJson(all);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         over = true;
         thread.interrupt();
         Joined j = joined;
--- a/src/main/java/maplespread/parts/Part.java
+++ b/src/main/java/maplespread/parts/Part.java
@@ -17,13 +17,13 @@
 /** One optional part of a dispatcher. Each of its words is asked in the order in which the parts stand. */
 public interface Part extends Closeable {
     /** Begins, before anything is listened on; must not wait. */
-    default void start() throws IOException { }
+    default void start() throws IOException {}
 
     /** The dispatcher serves from now on. */
-    default void serving() { }
+    default void serving() {}
 
     /** Takes up a file that has been read and checked whole: nothing may fail here. */
-    default void reload(Config config, Operator next) { }
+    default void reload(Config config, Operator next) {}
 
     /** What stands before the dispatcher on the route set's way. */
     default RouteSink routes(RouteSink next) {
@@ -61,11 +61,12 @@
     }
 
     /** About every second; must be quick. */
-    default void sweep() { }
+    default void sweep() {}
 
     /** The dispatcher has been told to end, and goes on serving for a while. */
-    default void stop() { }
+    default void stop() {}
 
     /** The dispatcher has answered all that it took. */
-    @Override default void close() { }
+    @Override
+    default void close() {}
 }
--- a/src/main/java/maplespread/parts/PartitionPart.java
+++ b/src/main/java/maplespread/parts/PartitionPart.java
@@ -32,12 +32,14 @@
     }
 
     /** Comes before all else is asked of this part. */
-    @Override public RouteSink routes(RouteSink next) {
+    @Override
+    public RouteSink routes(RouteSink next) {
         Fleet fleet = new Fleet(next, begun.names());
         try {
-            keeper = new Keeper(set, new Keeper.Ground(host::config, this::ties, host::serving, this::address,
-                host.relay(), fleet));
-        } catch (TableError e) {                                 // checked when the files were read
+            keeper = new Keeper(
+                    set,
+                    new Keeper.Ground(host::config, this::ties, host::serving, this::address, host.relay(), fleet));
+        } catch (TableError e) { // checked when the files were read
             throw new IllegalArgumentException(e);
         }
         return fleet;
@@ -54,43 +56,52 @@
         if (bound == null || !set.address().isEmpty()) {
             return bound == null ? null : set.address();
         }
-        return (bound.getAddress().isAnyLocalAddress() ? groupHost : bound.getAddress().getHostAddress())
-            + ':' + bound.getPort();
+        return (bound.getAddress().isAnyLocalAddress()
+                        ? groupHost
+                        : bound.getAddress().getHostAddress())
+                + ':'
+                + bound.getPort();
     }
 
-    @Override public void serving() {
+    @Override
+    public void serving() {
         keeper.start();
     }
 
-    @Override public Turns turns() {
+    @Override
+    public Turns turns() {
         return keeper.turns();
     }
 
-    @Override public Collection<String> peers() {
+    @Override
+    public Collection<String> peers() {
         return keeper.peers();
     }
 
-    @Override public void reload(Config config, Operator next) {
+    @Override
+    public void reload(Config config, Operator next) {
         if (next.partition() == null) {
             Logger.warn("operator: partition is taken out only by a restart");
             return;
         }
         if (!set.needingRestart(next.partition()).isEmpty()) {
-            Logger.warn("operator: changed, but taken up only by a restart: {}",
-                set.needingRestart(next.partition()));
+            Logger.warn("operator: changed, but taken up only by a restart: {}", set.needingRestart(next.partition()));
         }
         keeper.file(next.partition());
     }
 
-    @Override public Map<String, Call> calls() {
+    @Override
+    public Map<String, Call> calls() {
         return keeper.calls();
     }
 
-    @Override public void stop() {
+    @Override
+    public void stop() {
         keeper.leave();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         keeper.close();
     }
 }
--- a/src/main/java/maplespread/parts/Parts.java
+++ b/src/main/java/maplespread/parts/Parts.java
@@ -22,7 +22,7 @@
 public final class Parts {
     private final List<Part> all = new ArrayList<>();
     private final Operator begun;
-    private UpgradePart upgrade;                                 // null: no other process is looked for
+    private UpgradePart upgrade; // null: no other process is looked for
 
     public Parts(Config config, Operator operator, Host host) {
         begun = operator;
@@ -34,8 +34,8 @@
             group = new GroupPart(operator.group(), config, host);
             all.add(group);
             if (operator.partition() != null) {
-                all.add(new PartitionPart(operator.partition(), config, operator.group().address(), host,
-                    group));
+                all.add(new PartitionPart(
+                        operator.partition(), config, operator.group().address(), host, group));
             }
             if (operator.release() != null) {
                 all.add(new ReleasePart(operator.release(), operator.registry(), config, host, group));
@@ -46,7 +46,7 @@
         }
         if (config.console() != null && config.tmp() != null) {
             upgrade = new UpgradePart(config, host);
-            all.add(upgrade);                                    // shares what the others leave
+            all.add(upgrade); // shares what the others leave
         }
     }
 
--- a/src/main/java/maplespread/parts/ReleasePart.java
+++ b/src/main/java/maplespread/parts/ReleasePart.java
@@ -32,49 +32,62 @@
     }
 
     private final class Fleet implements Releases.Fleet {
-        @Override public Register register() {
+        @Override
+        public Register register() {
             GroupPart.Joined j = group.joined();
             return j == null ? null : j.register();
         }
 
-        @Override public View view() {
+        @Override
+        public View view() {
             GroupPart.Joined j = group.joined();
             if (j == null) {
                 return new View(List.of(), View.Service.NONE);
             }
             Value agreed = j.register().known();
-            return sight.view(j.group().members(), j.statuses(), host.config(), GroupPart.nowMs(),
-                System.currentTimeMillis()).among(agreed == null ? List.of() : agreed.electors());
+            return sight.view(
+                            j.group().members(),
+                            j.statuses(),
+                            host.config(),
+                            GroupPart.nowMs(),
+                            System.currentTimeMillis())
+                    .among(agreed == null ? List.of() : agreed.electors());
         }
 
-        @Override public long run() {
+        @Override
+        public long run() {
             GroupPart.Joined j = group.joined();
             return j == null ? 0 : j.group().boot();
         }
 
-        @Override public boolean quiesce() {
+        @Override
+        public boolean quiesce() {
             boolean done = host.quiesce();
             group.soon();
             return done;
         }
 
-        @Override public boolean resume() {
+        @Override
+        public boolean resume() {
             boolean done = host.resume();
             group.soon();
             return done;
         }
     }
 
-    @Override public RouteSink routes(RouteSink next) {
+    @Override
+    public RouteSink routes(RouteSink next) {
         sight = new Sight(next);
         return sight;
     }
 
-    @Override public void serving() {
+    @Override
+    public void serving() {
         releases.start();
     }
 
-    @Override public void reload(Config config, Operator next) {
+    @Override
+    public void reload(Config config, Operator next) {
         if (next.release() == null) {
             Logger.warn("operator: release is taken out only by a restart");
         } else if (!next.release().equals(limits)) {
@@ -83,11 +96,13 @@
         }
     }
 
-    @Override public Map<String, Call> calls() {
+    @Override
+    public Map<String, Call> calls() {
         return releases.calls();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         releases.close();
     }
 }
--- a/src/main/java/maplespread/parts/Sources.java
+++ b/src/main/java/maplespread/parts/Sources.java
@@ -9,16 +9,22 @@
 
 /** Where the workers are learned from. */
 public final class Sources {
-    private Sources() { }
+    private Sources() {}
 
     /** {@code registry}: null where discovery has the word. */
     public static Handover.Maker of(Config config, RegistrySettings registry) {
-        RouteReader reader = new RouteReader(config.names().zones(), config.names().kinds());
+        RouteReader reader =
+                new RouteReader(config.names().zones(), config.names().kinds());
         if (registry == null) {
-            return sink -> new RouteSet(config.discovery(), reader, config.known().generation(),
-                config.times().list(), !config.settings().ask(), config.seed(), sink);
+            return sink -> new RouteSet(
+                    config.discovery(),
+                    reader,
+                    config.known().generation(),
+                    config.times().list(),
+                    !config.settings().ask(),
+                    config.seed(),
+                    sink);
         }
-        return sink -> new RegistrySource(registry, reader, config.settings().balancers(), config.seed(),
-            sink);
+        return sink -> new RegistrySource(registry, reader, config.settings().balancers(), config.seed(), sink);
     }
 }
--- a/src/main/java/maplespread/parts/StarvationPart.java
+++ b/src/main/java/maplespread/parts/StarvationPart.java
@@ -20,10 +20,12 @@
 final class StarvationPart implements Part {
     private static final int CHANNEL = 3;
     private static final long STACK = 256 * 1024;
-    private static final Gson GSON = new GsonBuilder().setPrettyPrinting()
-        .serializeSpecialFloatingPointValues().create();
+    private static final Gson GSON = new GsonBuilder()
+            .setPrettyPrinting()
+            .serializeSpecialFloatingPointValues()
+            .create();
     private final StarvationSettings set;
-    private final GroupPart group;                               // null: alone
+    private final GroupPart group; // null: alone
     private final String name;
     private final Watch watch;
     private final Thread thread;
@@ -38,28 +40,34 @@
         thread.setDaemon(true);
     }
 
-    @Override public void start() {
+    @Override
+    public void start() {
         thread.start();
     }
 
-    @Override public Ends ends() {
+    @Override
+    public Ends ends() {
         return watch;
     }
 
-    @Override public RouteSink routes(RouteSink next) {
+    @Override
+    public RouteSink routes(RouteSink next) {
         return new RouteSink() {
-            @Override public void news(RouteNews news) {
+            @Override
+            public void news(RouteNews news) {
                 watch.news(news);
                 next.news(news);
             }
 
-            @Override public void watchLost() {
+            @Override
+            public void watchLost() {
                 next.watchLost();
             }
         };
     }
 
-    @Override public void reload(Config config, Operator next) {
+    @Override
+    public void reload(Config config, Operator next) {
         watch.config(config);
     }
 
@@ -69,7 +77,7 @@
                 Thread.sleep(set.windowMs());
                 try {
                     round();
-                } catch (RuntimeException | Error e) {           // the next round must still come
+                } catch (RuntimeException | Error e) { // the next round must still come
                     Event.of("starvation.fault", "why", e).error();
                 }
             }
@@ -81,24 +89,29 @@
     private void round() {
         GroupPart.Joined joined = group == null ? null : group.joined();
         if (joined == null) {
-            watch.round(0, bytes -> { });
+            watch.round(0, bytes -> {});
             return;
         }
         if (!listens) {
             listens = true;
             joined.group().channel(CHANNEL, watch::heard);
         }
-        List<String> others = joined.group().members().stream().filter(m -> !m.name().equals(name)
-            && m.state() == Update.State.ALIVE).map(Update::name).toList();
+        List<String> others = joined.group().members().stream()
+                .filter(m -> !m.name().equals(name) && m.state() == Update.State.ALIVE)
+                .map(Update::name)
+                .toList();
         watch.round(others.size(), bytes -> others.forEach(m -> joined.group().send(CHANNEL, m, bytes)));
     }
 
-    @Override public Map<String, Call> calls() {
-        return !set.console() ? Map.of()
-            : Map.of("GET /admin/starvation", ask -> new Reply(200, GSON.toJson(watch.standing())));
+    @Override
+    public Map<String, Call> calls() {
+        return !set.console()
+                ? Map.of()
+                : Map.of("GET /admin/starvation", ask -> new Reply(200, GSON.toJson(watch.standing())));
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         thread.interrupt();
     }
 }
--- a/src/main/java/maplespread/parts/UpgradePart.java
+++ b/src/main/java/maplespread/parts/UpgradePart.java
@@ -13,7 +13,7 @@
 final class UpgradePart implements Part {
     private final Config config;
     private final Host host;
-    private Presence presence;                                   // null: the directory will not do
+    private Presence presence; // null: the directory will not do
     private volatile boolean shared;
 
     UpgradePart(Config config, Host host) {
@@ -21,19 +21,27 @@
         this.host = host;
     }
 
-    @Override public void start() {
-        presence = Presence.join(config.tmp(), config.listen().getAddress().getHostAddress() + ':'
-            + config.listen().getPort()).orElse(null);
+    @Override
+    public void start() {
+        presence = Presence.join(
+                        config.tmp(),
+                        config.listen().getAddress().getHostAddress()
+                                + ':'
+                                + config.listen().getPort())
+                .orElse(null);
         sweep();
     }
 
-    @Override public void sweep() {
+    @Override
+    public void sweep() {
         boolean now = presence != null && presence.shared();
         if (now != shared) {
             shared = now;
             host.settle();
-            Logger.info(now ? "another process of this dispatcher lives: shares the limits"
-                : "alone again: takes all of the limits");
+            Logger.info(
+                    now
+                            ? "another process of this dispatcher lives: shares the limits"
+                            : "alone again: takes all of the limits");
         }
     }
 
@@ -45,15 +53,18 @@
         return presence != null && presence.relieved();
     }
 
-    @Override public Dispatch.Settings settings(Dispatch.Settings told) {
+    @Override
+    public Dispatch.Settings settings(Dispatch.Settings told) {
         return shared ? told.shared() : told;
     }
 
-    @Override public void serving() {
+    @Override
+    public void serving() {
         say(Note.State.SERVING);
     }
 
-    @Override public void stop() {
+    @Override
+    public void stop() {
         say(Note.State.ENDING);
     }
 
@@ -63,7 +74,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         if (presence != null) {
             presence.close();
         }
--- a/src/main/java/maplespread/registry/Endpoints.java
+++ b/src/main/java/maplespread/registry/Endpoints.java
@@ -13,8 +13,8 @@
     private final Pace pace;
     private final long[] restUntil;
     private final long[] lastRest;
-    private final boolean[] proved;                              // it has been of use since it last failed
-    private final long[] failed;                                 // as a count of all failures; 0: it is well
+    private final boolean[] proved; // it has been of use since it last failed
+    private final long[] failed; // as a count of all failures; 0: it is well
     private long failures;
     private int current;
 
--- a/src/main/java/maplespread/registry/Item.java
+++ b/src/main/java/maplespread/registry/Item.java
@@ -63,7 +63,8 @@
         return text;
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return key + '@' + revision + (deleted ? " deleted" : "");
     }
 }
--- a/src/main/java/maplespread/registry/Pace.java
+++ b/src/main/java/maplespread/registry/Pace.java
@@ -8,7 +8,7 @@
  * not return in step.
  */
 final class Pace {
-    private static final double BURST = 2;                       // a check and its watch go together
+    private static final double BURST = 2; // a check and its watch go together
     private final SplittableRandom random;
     private final double perMs;
     private double tokens = BURST;
