--- a/src/main/java/maplespread/registry/RegistryCore.java
+++ b/src/main/java/maplespread/registry/RegistryCore.java
@@ -21,22 +21,27 @@
      * gone on; what was missed is read and not left to the next watch, which may be as silent as the last.
      * FOLLOWING: changes come as they are made, from the revision after the last whole one.
      */
-    public enum Phase { REBUILDING, CHECKING, CATCHING_UP, FOLLOWING }
+    public enum Phase {
+        REBUILDING,
+        CHECKING,
+        CATCHING_UP,
+        FOLLOWING
+    }
 
     private static final long NONE = Long.MIN_VALUE;
     private static final int MOST_PAGE_GROWTH = 16;
     private static final int MOST_DOUBLINGS = 5;
     private static final long REBUILD_BASE_MS = 20, REBUILD_CAP_MS = 200, REBUILD_PEER_MS = 50;
     private static final long REBUILD_MOST_MS = 1000;
-    private static final long SLOW_ANSWER_MS = 3000;             // where answer_ms has been too little
-    private static final int SPREAD = 4;                         // silences differ by a quarter
+    private static final long SLOW_ANSWER_MS = 3000; // where answer_ms has been too little
+    private static final int SPREAD = 4; // silences differ by a quarter
 
     /** A rebuild under way. */
     private final class Paging {
         final List<Map<String, Item>> fresh = new ArrayList<>();
         final long startedAt;
         final int endpoint;
-        long wordAt;                                             // its first page came then
+        long wordAt; // its first page came then
         String after = "";
         History history;
 
@@ -56,37 +61,44 @@
     private final Endpoints endpoints;
 
     private Phase phase = Phase.REBUILDING;
-    private History held;                                        // null: nothing has been read yet
-    private String gone;                                         // the newest change's key, if it deleted it
+    private History held; // null: nothing has been read yet
+    private String gone; // the newest change's key, if it deleted it
     private int goneFrom;
-    private final long[] at;                                     // by part: all up to it is held
+    private final long[] at; // by part: all up to it is held
     private final List<List<Item>> fragments = new ArrayList<>();
     private Paging paging;
     private int page;
-    private final long rebuildCap;                               // a drain may lie unread for as long
+    private final long rebuildCap; // a drain may lie unread for as long
     private long rebuildAt, rebuildRest;
     private long doubtSince = NONE;
-    private boolean otherHistory;                                // the doubt is over: it is another one
-    private boolean proved;                                      // and no answer can change that any more
-    private boolean consistent;                                  // Consul: ask the leader itself for all
+    private boolean otherHistory; // the doubt is over: it is another one
+    private boolean proved; // and no answer can change that any more
+    private boolean consistent; // Consul: ask the leader itself for all
     private long preferAt = Long.MAX_VALUE;
-    private int preferred;                                       // tries of a better endpoint since it served
-    private final long[] wordAt;                                 // by part: nothing was missing then
+    private int preferred; // tries of a better endpoint since it served
+    private final long[] wordAt; // by part: nothing was missing then
     private long askedAt, silence;
-    private int created;                                         // watches of the stream that are on
-    private int silent;                                          // calls without an answer, in a row
-    private int checked;                                         // the endpoint that was checked last
+    private int created; // watches of the stream that are on
+    private int silent; // calls without an answer, in a row
+    private int checked; // the endpoint that was checked last
     private boolean stale;
     private boolean denied;
-    private boolean broke;                                       // since the last event about the watch
+    private boolean broke; // since the last event about the watch
     private Ask out;
 
     /**
      * Follows the parts from {@code firstPart} on, so many of them. {@code peers}: dispatchers that share the
      * registry and so the requests that it is to bear. {@code now}: this core's first moment.
      */
-    public RegistryCore(RegistrySettings settings, int firstPart, int parts, int peers, View view, long seed,
-            long now, RegistrySink sink) {
+    public RegistryCore(
+            RegistrySettings settings,
+            int firstPart,
+            int parts,
+            int peers,
+            View view,
+            long seed,
+            long now,
+            RegistrySink sink) {
         this.settings = settings;
         this.whole = settings.dialect().wholeAnswers();
         this.firstPart = firstPart;
@@ -106,8 +118,17 @@
         }
         phase = whole ? Phase.FOLLOWING : Phase.REBUILDING;
         if (!settings.paceKeepsClock(peers)) {
-            sink.event(true, "registry.share_small", "key", "registry.requests_per_s", "requests_per_s",
-                settings.requestsPerS(), "dispatchers", peers, "answer_ms", settings.answerMs());
+            sink.event(
+                    true,
+                    "registry.share_small",
+                    "key",
+                    "registry.requests_per_s",
+                    "requests_per_s",
+                    settings.requestsPerS(),
+                    "dispatchers",
+                    peers,
+                    "answer_ms",
+                    settings.answerMs());
         }
     }
 
@@ -130,8 +151,9 @@
      */
     public long quietAt() {
         // A registry that is slower than answer_ms is to be followed all the same, late as it is.
-        long answer = Math.max(settings.answerMs(), Math.min(SLOW_ANSWER_MS,
-            settings.answerMs() << Math.min(MOST_DOUBLINGS, silent / endpoints.size())));
+        long answer = Math.max(
+                settings.answerMs(),
+                Math.min(SLOW_ANSWER_MS, settings.answerMs() << Math.min(MOST_DOUBLINGS, silent / endpoints.size())));
         long limit = askedAt + settings.dialMs() + answer;
         if (out instanceof Ask.Question q && q.index() > 0) {
             return limit + q.waitMs() + q.waitMs() / RegistrySettings.CONSUL_EXTRA;
@@ -155,18 +177,25 @@
     public Ask next(long now) {
         if (!stale && held != null && now - heardAt() > settings.clockMs()) {
             stale = true;
-            sink.event(true, "registry.stale", "endpoint", endpointName(), "revision", revision(),
-                "unheard_ms", now - heardAt());
+            sink.event(
+                    true,
+                    "registry.stale",
+                    "endpoint",
+                    endpointName(),
+                    "revision",
+                    revision(),
+                    "unheard_ms",
+                    now - heardAt());
         }
         int endpoint = endpoints.pick(now);
         if (endpoint < 0) {
             return new Ask.Pause(Math.max(now + 1, endpoints.soonest()));
         }
         if (paging != null && paging.endpoint != endpoint) {
-            beginAgain();                                        // the pages would be of two members
+            beginAgain(); // the pages would be of two members
         }
         if (phase == Phase.CATCHING_UP && checked != endpoint) {
-            phase = Phase.CHECKING;                              // the check was of another member
+            phase = Phase.CHECKING; // the check was of another member
         }
         if (phase == Phase.REBUILDING && paging == null && now < rebuildAt) {
             return new Ask.Pause(rebuildAt);
@@ -180,20 +209,22 @@
             preferAt = now + pace.around(settings.preferAgainMs() << Math.min(preferred, MOST_DOUBLINGS));
         }
         askedAt = now;
-        out = whole ? question(endpoint) : switch (phase) {
-            case REBUILDING -> range(endpoint, now);
-            case CHECKING -> check(endpoint);
-            case CATCHING_UP -> new Ask.Missed(endpoint, Arrays.stream(at).boxed().toList());
-            case FOLLOWING -> watch(endpoint);
-        };
+        out = whole
+                ? question(endpoint)
+                : switch (phase) {
+                    case REBUILDING -> range(endpoint, now);
+                    case CHECKING -> check(endpoint);
+                    case CATCHING_UP ->
+                        new Ask.Missed(endpoint, Arrays.stream(at).boxed().toList());
+                    case FOLLOWING -> watch(endpoint);
+                };
         return out;
     }
 
     private Ask question(int endpoint) {
         // After a break all is read at once: a registry restored meanwhile may stand at the same index.
         long index = consistent || broke || held == null ? 0 : at[0];
-        return new Ask.Question(endpoint, firstPart, index, pace.upTo(settings.askedWaitMs(), SPREAD),
-            consistent);
+        return new Ask.Question(endpoint, firstPart, index, pace.upTo(settings.askedWaitMs(), SPREAD), consistent);
     }
 
     private Ask range(int endpoint, long now) {
@@ -203,8 +234,12 @@
             rebuildRest = pace.next(REBUILD_BASE_MS, rebuildRest, rebuildCap);
             rebuildAt = now + rebuildRest;
         }
-        return new Ask.Range(endpoint, firstPart + paging.fresh.size() - 1, paging.after,
-            paging.history == null ? 0 : paging.history.revision(), page);
+        return new Ask.Range(
+                endpoint,
+                firstPart + paging.fresh.size() - 1,
+                paging.after,
+                paging.history == null ? 0 : paging.history.revision(),
+                page);
     }
 
     private Ask check(int endpoint) {
@@ -216,7 +251,7 @@
     }
 
     private Ask watch(int endpoint) {
-        fragments.forEach(List::clear);                          // half a revision is none
+        fragments.forEach(List::clear); // half a revision is none
         created = 0;
         silence = pace.upTo(settings.silenceMs(), SPREAD);
         List<Long> from = new ArrayList<>();
@@ -240,7 +275,7 @@
             return false;
         }
         if (paging.history != null && !paging.history.leadsTo(history)) {
-            return ahead(now, history);                          // the pages would be of two registries
+            return ahead(now, history); // the pages would be of two registries
         }
         if (paging.history == null) {
             paging.history = history;
@@ -268,8 +303,17 @@
         for (int i = 0; i < parts && !first && !other; i++) {
             if (view.contradicted(firstPart + i, paging.fresh.get(i), at[i])) {
                 other = true;
-                sink.event(true, "registry.history_changed", "endpoint", endpointName(), "revision",
-                    next.revision(), "held", held.revision(), "why", "old keys are not those that are held");
+                sink.event(
+                        true,
+                        "registry.history_changed",
+                        "endpoint",
+                        endpointName(),
+                        "revision",
+                        next.revision(),
+                        "held",
+                        held.revision(),
+                        "why",
+                        "old keys are not those that are held");
             }
         }
         held = next;
@@ -284,9 +328,27 @@
             sum[3] += d.restarted();
             sum[4] += d.other();
         }
-        sink.event(false, first ? "registry.built" : "registry.rebuilt", "revision", next.revision(),
-            "endpoint", endpointName(), "added", sum[0], "gone", sum[1], "drained", sum[2], "restarted",
-            sum[3], "other", sum[4], "ms", now - paging.startedAt, "orphans", view.orphans());
+        sink.event(
+                false,
+                first ? "registry.built" : "registry.rebuilt",
+                "revision",
+                next.revision(),
+                "endpoint",
+                endpointName(),
+                "added",
+                sum[0],
+                "gone",
+                sum[1],
+                "drained",
+                sum[2],
+                "restarted",
+                sum[3],
+                "other",
+                sum[4],
+                "ms",
+                now - paging.startedAt,
+                "orphans",
+                view.orphans());
         word(paging.wordAt, now);
         paging = null;
         otherHistory = false;
@@ -315,8 +377,7 @@
             return false;
         }
         checked = endpoint();
-        phase = Arrays.stream(at).allMatch(done -> done >= history.revision()) ? Phase.FOLLOWING
-            : Phase.CATCHING_UP;
+        phase = Arrays.stream(at).allMatch(done -> done >= history.revision()) ? Phase.FOLLOWING : Phase.CATCHING_UP;
         if (phase == Phase.FOLLOWING) {
             word(now, now);
         }
@@ -341,7 +402,7 @@
         for (int i = 0; i < parts; i++) {
             at[i] = history.revision();
             if (!changed.get(i).isEmpty()) {
-                gone = null;                                     // the newest change is a put
+                gone = null; // the newest change is a put
                 view.apply(firstPart + i, changed.get(i), at[i]);
             }
         }
@@ -355,7 +416,7 @@
     private void word(long then, long now) {
         Arrays.fill(wordAt, then);
         if (now - askedAt <= settings.dialMs() + settings.answerMs()) {
-            silent = 0;                                          // no longer slow
+            silent = 0; // no longer slow
         }
         fresh(now);
     }
@@ -373,10 +434,15 @@
     /** The revision that a range or a check asked for has been compacted away. */
     public boolean compacted(long now) {
         if (phase == Phase.CHECKING) {
-            lost(0);                                             // nothing can be proved any more
+            lost(0); // nothing can be proved any more
         } else if (paging != null) {
-            sink.event(true, "registry.compacted", "while", "rebuilding", "revision",
-                paging.history == null ? 0 : paging.history.revision());
+            sink.event(
+                    true,
+                    "registry.compacted",
+                    "while",
+                    "rebuilding",
+                    "revision",
+                    paging.history == null ? 0 : paging.history.revision());
             beginAgain();
         }
         return true;
@@ -413,8 +479,13 @@
         created++;
         useful();
         if (part == firstPart + parts - 1) {
-            sink.event(false, broke ? "registry.resumed" : "registry.following", "endpoint", endpointName(),
-                "revision", held.revision());
+            sink.event(
+                    false,
+                    broke ? "registry.resumed" : "registry.following",
+                    "endpoint",
+                    endpointName(),
+                    "revision",
+                    held.revision());
             broke = false;
         }
         return true;
@@ -436,7 +507,7 @@
         }
         wordAt[part - firstPart] = now;
         long done = at[part - firstPart];
-        batch.removeIf(item -> item.revision() <= done);         // replays
+        batch.removeIf(item -> item.revision() <= done); // replays
         if (batch.isEmpty()) {
             fresh(now);
             return true;
@@ -470,8 +541,7 @@
     }
 
     private void reached(History history, long revision) {
-        held = new History(held.cluster(), Math.max(held.revision(), revision),
-            Math.max(held.term(), history.term()));
+        held = new History(held.cluster(), Math.max(held.revision(), revision), Math.max(held.term(), history.term()));
     }
 
     /** A watch was ended by the registry. {@code compactRevision}: the oldest left, if that is why. */
@@ -493,22 +563,30 @@
         if (!leader) {
             return failing(now, "it knows no leader");
         }
-        long reached = Math.max(1, index);                       // below 1 a question would not block
+        long reached = Math.max(1, index); // below 1 a question would not block
         boolean back = held != null && reached < at[0];
         if (lastContactMs > settings.answerMs() && !consistent) {
             return failing(now, "it has not heard its leader for " + lastContactMs + " ms");
         }
         if (back && !consistent) {
             // Either this server lags or the index was reset: the leader itself is asked for the whole.
-            sink.event(true, "registry.doubt", "endpoint", endpointName(), "revision", reached, "held",
-                at[0]);
+            sink.event(true, "registry.doubt", "endpoint", endpointName(), "revision", reached, "held", at[0]);
             consistent = true;
             return false;
         }
         boolean first = held == null;
         if (back) {
-            sink.event(true, "registry.history_changed", "endpoint", endpointName(), "revision", reached,
-                "held", at[0], "why", "the leader's index is lower");
+            sink.event(
+                    true,
+                    "registry.history_changed",
+                    "endpoint",
+                    endpointName(),
+                    "revision",
+                    reached,
+                    "held",
+                    at[0],
+                    "why",
+                    "the leader's index is lower");
         }
         useful();
         consistent = false;
@@ -516,19 +594,46 @@
             Map<String, Item> fresh = new LinkedHashMap<>();
             items.forEach(item -> fresh.put(item.key(), item));
             // An instance's index may fall when one of its checks is removed: it proves nothing.
-            if (!first && !back && settings.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH
+            if (!first
+                    && !back
+                    && settings.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH
                     && view.contradicted(firstPart, fresh, at[0])) {
                 back = true;
-                sink.event(true, "registry.history_changed", "endpoint", endpointName(), "revision", reached,
-                    "held", at[0], "why", "old keys are not those that are held");
+                sink.event(
+                        true,
+                        "registry.history_changed",
+                        "endpoint",
+                        endpointName(),
+                        "revision",
+                        reached,
+                        "held",
+                        at[0],
+                        "why",
+                        "old keys are not those that are held");
             }
             at[0] = reached;
             held = new History("", reached, 0);
             View.Difference d = view.replace(firstPart, fresh, back, reached, now);
             if (first || back) {
-                sink.event(false, first ? "registry.built" : "registry.rebuilt", "revision", reached,
-                    "endpoint", endpointName(), "added", d.added(), "gone", d.gone(), "drained", d.drained(),
-                    "restarted", d.restarted(), "other", d.other(), "orphans", view.orphans());
+                sink.event(
+                        false,
+                        first ? "registry.built" : "registry.rebuilt",
+                        "revision",
+                        reached,
+                        "endpoint",
+                        endpointName(),
+                        "added",
+                        d.added(),
+                        "gone",
+                        d.gone(),
+                        "drained",
+                        d.drained(),
+                        "restarted",
+                        d.restarted(),
+                        "other",
+                        d.other(),
+                        "orphans",
+                        view.orphans());
             }
         }
         word(now, now);
@@ -553,7 +658,7 @@
         boolean quiet = false;
         boolean cut = how == End.BROKEN || how == End.SILENT || how == End.REFUSED;
         if (cut && paging != null && paging.history != null) {
-            beginAgain();                                        // another history may answer from now on
+            beginAgain(); // another history may answer from now on
         }
         switch (how) {
             case DONE, STOPPED -> {
@@ -587,7 +692,7 @@
                 if (out instanceof Ask.Range) {
                     endpoints.ended(endpoint, now);
                 } else if (phase == Phase.CATCHING_UP) {
-                    phase = Phase.REBUILDING;                    // in pages it is not too large
+                    phase = Phase.REBUILDING; // in pages it is not too large
                     paging = null;
                 } else {
                     endpoints.failed(endpoint, now, how);
@@ -598,9 +703,19 @@
         if (quiet) {
             sink.event(false, "registry.silent", "endpoint", endpointName(), "revision", revision());
         } else if (how != End.DONE && how != End.STOPPED) {
-            sink.event(true, how == End.DENIED ? "registry.denied" : "registry.broken", "endpoint",
-                endpointName(), "how", how, "phase", phase, "revision", revision(),
-                "unheard_ms", now - heardAt());
+            sink.event(
+                    true,
+                    how == End.DENIED ? "registry.denied" : "registry.broken",
+                    "endpoint",
+                    endpointName(),
+                    "how",
+                    how,
+                    "phase",
+                    phase,
+                    "revision",
+                    revision(),
+                    "unheard_ms",
+                    now - heardAt());
             broke = true;
         }
         if (now >= preferAt) {
@@ -641,8 +756,17 @@
     private void doubt(long now, History history) {
         if (doubtSince == NONE) {
             doubtSince = now;
-            sink.event(true, "registry.doubt", "endpoint", endpointName(), "cluster", history.cluster(),
-                "revision", history.revision(), "held", held.revision());
+            sink.event(
+                    true,
+                    "registry.doubt",
+                    "endpoint",
+                    endpointName(),
+                    "cluster",
+                    history.cluster(),
+                    "revision",
+                    history.revision(),
+                    "held",
+                    held.revision());
         }
         if (now - doubtSince >= settings.restoreAfterMs()) {
             believe(now, history, "all endpoints have said so for " + (now - doubtSince) + " ms");
@@ -652,8 +776,19 @@
     }
 
     private void believe(long now, History history, String why) {
-        sink.event(true, "registry.history_changed", "endpoint", endpointName(), "cluster", history.cluster(),
-            "revision", history.revision(), "held", held.revision(), "why", why);
+        sink.event(
+                true,
+                "registry.history_changed",
+                "endpoint",
+                endpointName(),
+                "cluster",
+                history.cluster(),
+                "revision",
+                history.revision(),
+                "held",
+                held.revision(),
+                "why",
+                why);
         otherHistory = true;
         phase = Phase.REBUILDING;
         paging = null;
@@ -673,7 +808,8 @@
         return settings.endpoints().get(endpoint());
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return phase + " at " + Arrays.toString(at) + (doubtSince == NONE ? "" : ", in doubt");
     }
 }
--- a/src/main/java/maplespread/registry/RegistrySettings.java
+++ b/src/main/java/maplespread/registry/RegistrySettings.java
@@ -13,12 +13,26 @@
  * which workers absent from a restored history are kept, {@code notReadyAfterMs} after which an old view
  * makes the dispatcher unready (0: never).
  */
-public record RegistrySettings(Dialect dialect, List<String> endpoints, List<String> follow, String tokenFile,
-        int page, int requestsPerS, long dialMs, long answerMs, long silenceMs, long waitMs,
-        long preferAgainMs, long restoreAfterMs, long forgetAfterMs, long notReadyAfterMs) {
+public record RegistrySettings(
+        Dialect dialect,
+        List<String> endpoints,
+        List<String> follow,
+        String tokenFile,
+        int page,
+        int requestsPerS,
+        long dialMs,
+        long answerMs,
+        long silenceMs,
+        long waitMs,
+        long preferAgainMs,
+        long restoreAfterMs,
+        long forgetAfterMs,
+        long notReadyAfterMs) {
     /** ETCD: v3 by its JSON gateway. CONSUL_KV: recursive keys. CONSUL_HEALTH: instances of services. */
     public enum Dialect {
-        ETCD, CONSUL_KV, CONSUL_HEALTH;
+        ETCD,
+        CONSUL_KV,
+        CONSUL_HEALTH;
 
         /** Whether every answer holds all there is, and none tells what has changed. */
         public boolean wholeAnswers() {
@@ -28,19 +42,32 @@
 
     public static final long DIAL_MS = 250, SILENCE_MS = 2000;
     private static final long LONG_WAIT_MS = 10_000, SHORT_WAIT_MS = 2000;
-    private static final int FEW_ENDPOINTS = 2;                  // 2 s are enough for a try at each
+    private static final int FEW_ENDPOINTS = 2; // 2 s are enough for a try at each
     /** Consul adds up to this part of a wait to it. */
     static final int CONSUL_EXTRA = 16;
+
     private static final long CLOCK_MS = 6000, AFTER_WAIT_MS = 2000;
-    private static final long REST_MS = 60, MARGIN_MS = 250;     // between two tries; threads, pauses
+    private static final long REST_MS = 60, MARGIN_MS = 250; // between two tries; threads, pauses
     private static final long MOST_ANSWER_MS = 1000, LEAST_ANSWER_MS = 50;
 
     /** With the defaults of the operators' file, for tools and tests. */
     public static RegistrySettings of(Dialect dialect, List<String> endpoints, List<String> follow) {
         int n = endpoints.size();
-        return new RegistrySettings(dialect, endpoints, follow, "", 1000, 2000, DIAL_MS,
-            answerFor(dialect, n, follow.size(), DIAL_MS, SILENCE_MS, waitFor(n)), SILENCE_MS, waitFor(n),
-            30_000, 3000, 15_000, 60_000);
+        return new RegistrySettings(
+                dialect,
+                endpoints,
+                follow,
+                "",
+                1000,
+                2000,
+                DIAL_MS,
+                answerFor(dialect, n, follow.size(), DIAL_MS, SILENCE_MS, waitFor(n)),
+                SILENCE_MS,
+                waitFor(n),
+                30_000,
+                3000,
+                15_000,
+                60_000);
     }
 
     /** A long wait costs the registry less; with many endpoints only a short one leaves time for them. */
@@ -49,8 +76,7 @@
     }
 
     /** The longest time for an answer that keeps the clock, in steps of 50 ms; 1 s is enough for any. */
-    public static long answerFor(Dialect dialect, int endpoints, int follow, long dialMs, long silenceMs,
-            long waitMs) {
+    public static long answerFor(Dialect dialect, int endpoints, int follow, long dialMs, long silenceMs, long waitMs) {
         long answer = MOST_ANSWER_MS, clock = clockMs(dialect, waitMs);
         while (answer > LEAST_ANSWER_MS
                 && worstMs(dialect, endpoints, follow, dialMs, answer, silenceMs, waitMs) > clock) {
@@ -81,8 +107,8 @@
      * The silence until it is noticed; a try that is lost at each other endpoint; and the one that answers:
      * for Consul the list, for etcd the check, what was missed, and a rebuild's first page of each prefix.
      */
-    private static long worstMs(Dialect dialect, int endpoints, int follow, long dialMs, long answerMs,
-            long silenceMs, long waitMs) {
+    private static long worstMs(
+            Dialect dialect, int endpoints, int follow, long dialMs, long answerMs, long silenceMs, long waitMs) {
         long call = dialMs + answerMs;
         boolean consul = dialect.wholeAnswers();
         long noticed = consul ? waitMs + call : Math.max(silenceMs, call);
@@ -107,8 +133,9 @@
             return "answer_ms";
         }
         long wait = Math.min(waitMs, SHORT_WAIT_MS);
-        return worstMs(dialMs, silenceMs, wait) <= clockMs(dialect, wait) ? "wait_ms"
-            : !dialect.wholeAnswers() && follow.size() > endpoints.size() ? "follow" : "endpoints";
+        return worstMs(dialMs, silenceMs, wait) <= clockMs(dialect, wait)
+                ? "wait_ms"
+                : !dialect.wholeAnswers() && follow.size() > endpoints.size() ? "follow" : "endpoints";
     }
 
     /** Whether a dispatcher's share of the requests comes as fast as answers may. */
--- a/src/main/java/maplespread/registry/View.java
+++ b/src/main/java/maplespread/registry/View.java
@@ -32,9 +32,9 @@
         final int part;
         final String key;
         long revision;
-        int print;                                               // of the value last seen, readable or not
-        long readAt;                                             // when its route was last read, as a count
-        Route route;                                             // null: no value of it could be read yet
+        int print; // of the value last seen, readable or not
+        long readAt; // when its route was last read, as a count
+        Route route; // null: no value of it could be read yet
         long orphanUntil = Long.MAX_VALUE;
 
         Held(int part, String key) {
@@ -46,7 +46,7 @@
     private static final int MOST_DRAINS = 50_000;
 
     /** One start of a worker that was told to be draining. */
-    private record Drain(String worker, double startedAtMs) { }
+    private record Drain(String worker, double startedAtMs) {}
 
     /** What a rebuild has changed, in workers. */
     public record Difference(int added, int gone, int drained, int restarted, int other) {
@@ -59,17 +59,19 @@
     private final RegistrySink sink;
     private final long forgetAfterMs;
     private final List<Map<String, Held>> parts = new ArrayList<>();
-    private final BitSet unread = new BitSet();                  // parts that have never been whole
+    private final BitSet unread = new BitSet(); // parts that have never been whole
     private final Map<String, List<Held>> byWorker = new HashMap<>();
     private final Map<String, Route> shown = new LinkedHashMap<>();
     /** Drains told, and up to which reading each holds whatever the registry says; 0: none. */
     private final Map<Drain, Long> drains = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<Drain, Long> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Drain, Long> eldest) {
             return size() > MOST_DRAINS;
         }
     };
+
     private long reading;
     private final Set<Held> orphans = new LinkedHashSet<>();
     private long orphansUntil = Long.MAX_VALUE;
@@ -98,15 +100,18 @@
 
     /** How many keys the registry is held to have in a part. */
     long size(int part) {
-        return parts.get(part).size() - orphans.stream().filter(h -> h.part == part).count();
+        return parts.get(part).size()
+                - orphans.stream().filter(h -> h.part == part).count();
     }
 
     /** The key of a part that was changed last; null where it has none. */
     String newest(int part) {
         Held best = null;
         for (Held h : parts.get(part).values()) {
-            if (h.orphanUntil == Long.MAX_VALUE && (best == null || h.revision > best.revision
-                    || h.revision == best.revision && h.key.compareTo(best.key) < 0)) {
+            if (h.orphanUntil == Long.MAX_VALUE
+                    && (best == null
+                            || h.revision > best.revision
+                            || h.revision == best.revision && h.key.compareTo(best.key) < 0)) {
                 best = h;
             }
         }
@@ -116,14 +121,17 @@
     /** Whether an item is what is held under the newest key; null: none is held. */
     boolean holds(int part, Item item) {
         String key = newest(part);
-        return key == null ? item == null : item != null && key.equals(item.key())
-            && same(parts.get(part).get(key), item);
+        return key == null
+                ? item == null
+                : item != null && key.equals(item.key()) && same(parts.get(part).get(key), item);
     }
 
     /** How many keys of a part have gone, where it has so many now and these have changed. */
     long gone(int part, List<Item> changed, long count) {
-        long fresh = changed.stream().map(item -> parts.get(part).get(item.key()))
-            .filter(h -> h == null || h.orphanUntil < Long.MAX_VALUE).count();
+        long fresh = changed.stream()
+                .map(item -> parts.get(part).get(item.key()))
+                .filter(h -> h == null || h.orphanUntil < Long.MAX_VALUE)
+                .count();
         return size(part) + fresh - count;
     }
 
@@ -187,7 +195,8 @@
         Map<String, Held> held = parts.get(part);
         for (Item item : fresh.values()) {
             Held h = held.get(item.key());
-            if (h == null || h.orphanUntil < Long.MAX_VALUE ? item.revision() <= revision
+            if (h == null || h.orphanUntil < Long.MAX_VALUE
+                    ? item.revision() <= revision
                     : item.revision() < h.revision || item.revision() == h.revision && !same(h, item)) {
                 return true;
             }
@@ -234,8 +243,8 @@
             route = Objects.requireNonNull(reader.read(item.key(), item.text()));
         } catch (RuntimeException e) {
             // Costs this change only: what the key said before still counts.
-            sink.event(true, "registry.unreadable", "key", item.key(), "revision", item.revision(), "why",
-                e.getMessage());
+            sink.event(
+                    true, "registry.unreadable", "key", item.key(), "revision", item.revision(), "why", e.getMessage());
             return;
         }
         if (h.route != null && !h.route.worker().equals(route.worker())) {
@@ -245,8 +254,15 @@
             List<Held> claims = byWorker.computeIfAbsent(route.worker(), w -> new ArrayList<>(1));
             claims.add(h);
             if (claims.size() > 1) {
-                sink.event(true, "registry.claimed_twice", "worker", route.worker(), "key", item.key(),
-                    "other", claims.get(0).key);
+                sink.event(
+                        true,
+                        "registry.claimed_twice",
+                        "worker",
+                        route.worker(),
+                        "key",
+                        item.key(),
+                        "other",
+                        claims.get(0).key);
             }
         }
         h.route = route;
@@ -286,16 +302,22 @@
         }
         Route r = best.route;
         if (best.readAt > drains.getOrDefault(new Drain(worker, r.startedAtMs()), 0L)) {
-            return r;                                            // nothing is held against it, or it is newer
+            return r; // nothing is held against it, or it is newer
         }
-        return new Route(r.worker(), r.address(), Route.State.DRAINING, r.weight(), r.kind(), r.cell(),
-            r.zone(), r.startedAtMs());
+        return new Route(
+                r.worker(),
+                r.address(),
+                Route.State.DRAINING,
+                r.weight(),
+                r.kind(),
+                r.cell(),
+                r.zone(),
+                r.startedAtMs());
     }
 
     private static boolean before(Held a, Held b) {
         int byStart = Double.compare(a.route.startedAtMs(), b.route.startedAtMs());
-        int byDrain = Boolean.compare(a.route.state() != Route.State.SERVING,
-            b.route.state() != Route.State.SERVING);
+        int byDrain = Boolean.compare(a.route.state() != Route.State.SERVING, b.route.state() != Route.State.SERVING);
         int byKey = a.part != b.part ? b.part - a.part : b.key.compareTo(a.key);
         return (byStart != 0 ? byStart : byDrain != 0 ? byDrain : byKey) > 0;
     }
@@ -319,8 +341,18 @@
             } else if (now != null) {
                 drains.putIfAbsent(new Drain(worker, now.startedAtMs()), 0L);
             }
-            changes.add(now != null ? now : new Route(worker, before.address(), Route.State.DELETED,
-                before.weight(), before.kind(), before.cell(), before.zone(), before.startedAtMs()));
+            changes.add(
+                    now != null
+                            ? now
+                            : new Route(
+                                    worker,
+                                    before.address(),
+                                    Route.State.DELETED,
+                                    before.weight(),
+                                    before.kind(),
+                                    before.cell(),
+                                    before.zone(),
+                                    before.startedAtMs()));
             if (before == null) {
                 added++;
             } else if (now == null) {
--- a/src/main/java/maplespread/registry/client/Follower.java
+++ b/src/main/java/maplespread/registry/client/Follower.java
@@ -18,7 +18,7 @@
     private static final long TOKEN_LOOK_MS = 250;
     private final RegistrySettings settings;
     private final RegistryCore core;
-    private final Object lock;                                   // guards the core and the view behind it
+    private final Object lock; // guards the core and the view behind it
     private final RegistryLink link;
     private final TokenFile token;
     private final Thread thread;
@@ -50,7 +50,8 @@
         link.close();
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         while (true) {
             try {
                 Ask ask;
@@ -67,7 +68,7 @@
                 carryOut(ask);
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException | Error e) {               // without this thread drains would go unseen
+            } catch (RuntimeException | Error e) { // without this thread drains would go unseen
                 Event.of("registry.fault", "why", e).error();
                 ended(End.MALFORMED);
             }
@@ -115,16 +116,15 @@
         Ask.Check check = ask instanceof Ask.Check c ? c : null;
         Ask.Missed missed = ask instanceof Ask.Missed m ? m : null;
         Request request = check != null
-            ? EtcdWire.check(settings.follow(), check.proofs(), check.gone(), check.goneAt())
-            : missed != null ? EtcdWire.missed(settings.follow(), missed.held()) : range((Ask.Range) ask);
-        String endpoint = endpoint(check != null ? check.endpoint() : missed != null ? missed.endpoint()
-            : ((Ask.Range) ask).endpoint());
+                ? EtcdWire.check(settings.follow(), check.proofs(), check.gone(), check.goneAt())
+                : missed != null ? EtcdWire.missed(settings.follow(), missed.held()) : range((Ask.Range) ask);
+        String endpoint = endpoint(
+                check != null ? check.endpoint() : missed != null ? missed.endpoint() : ((Ask.Range) ask).endpoint());
         String body;
         try {
             body = link.call(endpoint, request, core.quietAt(), false).body();
         } catch (RegistryLink.Failed e) {
-            EtcdWire.Fault fault = e.how == End.ERROR ? EtcdWire.fault(e.status, e.body)
-                : EtcdWire.Fault.OTHER;
+            EtcdWire.Fault fault = e.how == End.ERROR ? EtcdWire.fault(e.status, e.body) : EtcdWire.Fault.OTHER;
             synchronized (lock) {
                 switch (fault) {
                     case COMPACTED -> {
@@ -143,8 +143,7 @@
         if (check != null) {
             EtcdWire.Checked c = EtcdWire.checked(body, check.proofs(), check.gone() != null);
             synchronized (lock) {
-                return core.checked(nowMs(), c.history(), c.counts(), c.found(), c.gone()) ? End.DONE
-                    : End.STOPPED;
+                return core.checked(nowMs(), c.history(), c.counts(), c.found(), c.gone()) ? End.DONE : End.STOPPED;
             }
         }
         if (missed != null) {
@@ -166,22 +165,27 @@
     private End watch(Ask.Watch ask) throws RegistryLink.Failed, WireError {
         WireError[] bad = new WireError[1];
         try {
-            End end = link.stream(endpoint(ask.endpoint()), EtcdWire.watch(settings.follow(), ask.from()),
-                core::quietAt, ask.cutAtMs(), line -> {
-                    try {
-                        return line(line);
-                    } catch (WireError e) {
-                        bad[0] = e;
-                        return false;
-                    }
-                });
+            End end = link.stream(
+                    endpoint(ask.endpoint()),
+                    EtcdWire.watch(settings.follow(), ask.from()),
+                    core::quietAt,
+                    ask.cutAtMs(),
+                    line -> {
+                        try {
+                            return line(line);
+                        } catch (WireError e) {
+                            bad[0] = e;
+                            return false;
+                        }
+                    });
             if (bad[0] != null) {
                 throw bad[0];
             }
             return end;
         } catch (RegistryLink.Failed e) {
             throw e.how == End.ERROR && EtcdWire.fault(e.status, e.body) == EtcdWire.Fault.DENIED
-                ? new RegistryLink.Failed(End.DENIED, e.status, e.body) : e;
+                    ? new RegistryLink.Failed(End.DENIED, e.status, e.body)
+                    : e;
         }
     }
 
@@ -197,14 +201,14 @@
                 return core.canceled(now, n.compactRevision(), n.reason());
             }
             if (part < 0 || part >= settings.follow().size()) {
-                return true;                                     // no watch of this stream
+                return true; // no watch of this stream
             }
             if (n.created()) {
                 return core.created(now, n.history(), part);
             }
             return !n.items().isEmpty() || n.fragment()
-                ? core.changes(now, n.history(), part, n.items(), n.fragment())
-                : core.progress(now, n.history(), part);
+                    ? core.changes(now, n.history(), part, n.items(), n.fragment())
+                    : core.progress(now, n.history(), part);
         }
     }
 
@@ -213,8 +217,9 @@
     private End consul(Ask.Question ask) throws RegistryLink.Failed, WireError {
         boolean keys = settings.dialect() == Dialect.CONSUL_KV;
         String name = settings.follow().get(ask.part());
-        Request request = keys ? ConsulWire.keys(name, ask.index(), ask.waitMs(), ask.consistent())
-            : ConsulWire.health(name, ask.index(), ask.waitMs(), ask.consistent());
+        Request request = keys
+                ? ConsulWire.keys(name, ask.index(), ask.waitMs(), ask.consistent())
+                : ConsulWire.health(name, ask.index(), ask.waitMs(), ask.consistent());
         RegistryLink.Answer answer = link.call(endpoint(ask.endpoint()), request, core.quietAt(), keys);
         long index = answer.number("X-Consul-Index", -1);
         if (index < 0) {
@@ -224,7 +229,8 @@
         boolean leader = !"false".equalsIgnoreCase(answer.head().get("X-Consul-KnownLeader"));
         synchronized (lock) {
             return core.answer(nowMs(), index, leader, answer.number("X-Consul-LastContact", 0), items)
-                ? End.DONE : End.STOPPED;
+                    ? End.DONE
+                    : End.STOPPED;
         }
     }
 
--- a/src/main/java/maplespread/registry/client/RegistryAdmin.java
+++ b/src/main/java/maplespread/registry/client/RegistryAdmin.java
@@ -27,7 +27,7 @@
     }
 
     private static final int SWAPS = 5;
-    private static final long ANSWER_MS = 3000;                  // a person waits: no clock runs here
+    private static final long ANSWER_MS = 3000; // a person waits: no clock runs here
     private static final String RECALLED = "leaveTakenBack";
     private final RegistrySettings settings;
     private final RegistryLink link;
@@ -48,7 +48,8 @@
         String why = "";
         for (String endpoint : settings.endpoints()) {
             try {
-                return link.call(endpoint, request, Follower.nowMs() + ANSWER_MS, orNone).body();
+                return link.call(endpoint, request, Follower.nowMs() + ANSWER_MS, orNone)
+                        .body();
             } catch (RegistryLink.Failed e) {
                 why += (why.isEmpty() ? "" : "; ") + endpoint + ": " + e.getMessage();
                 if (!read && e.how != End.REFUSED && e.how != End.DENIED && e.how != End.ERROR) {
@@ -65,8 +66,7 @@
             List<Item> all = new ArrayList<>();
             for (String name : settings.follow()) {
                 if (!etcd) {
-                    Request ask = health ? ConsulWire.health(name, 0, 0, true)
-                        : ConsulWire.keys(name, 0, 0, true);
+                    Request ask = health ? ConsulWire.health(name, 0, 0, true) : ConsulWire.keys(name, 0, 0, true);
                     String body = call(ask, true, !health);
                     all.addAll(health ? ConsulWire.health(body) : ConsulWire.keys(body));
                     continue;
@@ -74,8 +74,8 @@
                 String after = "";
                 long revision = 0;
                 while (true) {
-                    EtcdWire.Page page = EtcdWire.page(call(EtcdWire.range(name, after, revision,
-                        settings.page()), true, false));
+                    EtcdWire.Page page =
+                            EtcdWire.page(call(EtcdWire.range(name, after, revision, settings.page()), true, false));
                     all.addAll(page.items());
                     if (!page.more()) {
                         break;
@@ -127,9 +127,9 @@
         if (health) {
             call(ConsulWire.register(settings.follow().get(0), worker, text, ttlSeconds), false, false);
         } else if (etcd) {
-            call(EtcdWire.put(keyOf(worker), text, lease.isEmpty() ? 0 : Long.parseLong(lease)), false,
-                false);
-        } else if (!call(ConsulWire.put(keyOf(worker), text, -1, lease), false, false).strip()
+            call(EtcdWire.put(keyOf(worker), text, lease.isEmpty() ? 0 : Long.parseLong(lease)), false, false);
+        } else if (!call(ConsulWire.put(keyOf(worker), text, -1, lease), false, false)
+                .strip()
                 .equals("true")) {
             throw new NotDone(keyOf(worker) + " is held by another session");
         }
@@ -205,10 +205,11 @@
             }
             try {
                 boolean done = etcd
-                    ? EtcdWire.swapped(call(EtcdWire.swap(item.key(), value.toString(), item.revision()),
-                        false, false))
-                    : call(ConsulWire.put(item.key(), value.toString(), item.revision(), ""), false, false)
-                        .strip().equals("true");
+                        ? EtcdWire.swapped(
+                                call(EtcdWire.swap(item.key(), value.toString(), item.revision()), false, false))
+                        : call(ConsulWire.put(item.key(), value.toString(), item.revision(), ""), false, false)
+                                .strip()
+                                .equals("true");
                 if (done) {
                     return true;
                 }
@@ -225,17 +226,23 @@
         if (item == null) {
             return false;
         }
-        call(health ? ConsulWire.deregister(worker) : etcd ? EtcdWire.delete(item.key())
-            : ConsulWire.delete(item.key()), false, false);
+        call(
+                health
+                        ? ConsulWire.deregister(worker)
+                        : etcd ? EtcdWire.delete(item.key()) : ConsulWire.delete(item.key()),
+                false,
+                false);
         return true;
     }
 
     /** A lease, or session, that ends by itself unless it is kept; empty where a check does its work. */
     public String lease(long seconds) throws NotDone {
         try {
-            return health ? "" : etcd
-                ? Long.toString(EtcdWire.lease(call(EtcdWire.grant(seconds), false, false)))
-                : ConsulWire.session(call(ConsulWire.session(seconds), false, false));
+            return health
+                    ? ""
+                    : etcd
+                            ? Long.toString(EtcdWire.lease(call(EtcdWire.grant(seconds), false, false)))
+                            : ConsulWire.session(call(ConsulWire.session(seconds), false, false));
         } catch (WireError e) {
             throw new NotDone(e.getMessage());
         }
@@ -251,7 +258,9 @@
             return !call(ConsulWire.renew(lease), true, true).isEmpty();
         }
         try {
-            return EtcdWire.left(call(EtcdWire.keepAlive(Long.parseLong(lease)), true, false).strip()) > 0;
+            return EtcdWire.left(call(EtcdWire.keepAlive(Long.parseLong(lease)), true, false)
+                            .strip())
+                    > 0;
         } catch (WireError e) {
             throw new NotDone(e.getMessage());
         }
@@ -268,7 +277,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         link.close();
     }
 }
--- a/src/main/java/maplespread/registry/client/RegistryLink.java
+++ b/src/main/java/maplespread/registry/client/RegistryLink.java
@@ -29,8 +29,13 @@
         final String body;
 
         Failed(End how, int status, String body) {
-            super(how + (status > 0 ? " " + status : "") + (body.isEmpty() ? "" : ": "
-                + body.substring(0, Math.min(200, body.length()))), null, false, false);
+            super(
+                    how
+                            + (status > 0 ? " " + status : "")
+                            + (body.isEmpty() ? "" : ": " + body.substring(0, Math.min(200, body.length()))),
+                    null,
+                    false,
+                    false);
             this.how = how;
             this.status = status;
             this.body = body;
@@ -98,8 +103,7 @@
      * is silent: {@code quietAt} says when, anew after each line. Bytes that make no whole line are silence.
      * A line that is cut off by the connection's end is never handed on.
      */
-    End stream(String endpoint, Request request, LongSupplier quietAt, long byMs, LineTaker taker)
-            throws Failed {
+    End stream(String endpoint, Request request, LongSupplier quietAt, long byMs, LineTaker taker) throws Failed {
         ByteArrayOutputStream error = new ByteArrayOutputStream();
         Failed[] inside = new Failed[1];
         boolean[] stopped = new boolean[1];
@@ -148,15 +152,17 @@
         } catch (IOException e) {
             throw failed(e);
         } finally {
-            drop();                                              // a watch's connection has no other use
+            drop(); // a watch's connection has no other use
         }
         if (inside[0] != null) {
             throw inside[0];
         }
         int status = parser.head().status();
         if (status != 200 && parser.headDone()) {
-            throw new Failed(status == 401 || status == 403 ? End.DENIED : End.ERROR, status,
-                error.toString(StandardCharsets.UTF_8));
+            throw new Failed(
+                    status == 401 || status == 403 ? End.DENIED : End.ERROR,
+                    status,
+                    error.toString(StandardCharsets.UTF_8));
         }
         return stopped[0] ? End.STOPPED : End.DONE;
     }
@@ -230,7 +236,8 @@
     }
 
     /** Ends whatever call is out, from any thread; no other call succeeds after that. */
-    @Override public void close() {
+    @Override
+    public void close() {
         over = true;
         HttpConnection now = link;
         if (now != null) {
--- a/src/main/java/maplespread/registry/client/RegistrySource.java
+++ b/src/main/java/maplespread/registry/client/RegistrySource.java
@@ -19,7 +19,7 @@
 
 /** Workers from a registry. One conversation for all of etcd's prefixes, one for each of Consul's names. */
 public final class RegistrySource implements RouteSource {
-    private static final long STACK = 256 * 1024;                // Gson recurses once a level
+    private static final long STACK = 256 * 1024; // Gson recurses once a level
     private final RegistrySettings settings;
     private final View view;
     private final List<RegistryCore> cores = new ArrayList<>();
@@ -30,11 +30,13 @@
     public RegistrySource(RegistrySettings settings, RouteReader reader, int peers, long seed, RouteSink to) {
         this.settings = settings;
         RegistrySink sink = new RegistrySink() {
-            @Override public void news(RouteNews news) {
+            @Override
+            public void news(RouteNews news) {
                 to.news(news);
             }
 
-            @Override public void event(boolean warning, String name, Object... pairs) {
+            @Override
+            public void event(boolean warning, String name, Object... pairs) {
                 Event.write(warning, name, pairs);
             }
         };
@@ -42,11 +44,10 @@
         view = new View(parts, claims(reader), settings.forgetAfterMs(), sink);
         int each = settings.dialect().wholeAnswers() ? 1 : parts;
         for (int first = 0; first < parts; first += each) {
-            RegistryCore core = new RegistryCore(settings, first, each, peers, view, seed + first, startedAt,
-                sink);
+            RegistryCore core = new RegistryCore(settings, first, each, peers, view, seed + first, startedAt, sink);
             cores.add(core);
-            followers.add(new Follower(settings, core, view, "registry " + settings.follow().get(first),
-                STACK));
+            followers.add(new Follower(
+                    settings, core, view, "registry " + settings.follow().get(first), STACK));
         }
     }
 
@@ -66,32 +67,36 @@
                     throw new IllegalArgumentException("it names no worker");
                 }
                 return route;
-            } catch (RuntimeException e) {                       // the text may be long, and not for the log
+            } catch (RuntimeException e) { // the text may be long, and not for the log
                 throw new IllegalArgumentException(e.getClass().getSimpleName() + ": "
-                    + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+                        + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
         };
     }
 
-    @Override public void start() {
+    @Override
+    public void start() {
         followers.forEach(Follower::start);
     }
 
     /** The core keeps its own pace. */
-    @Override public void watch() { }
+    @Override
+    public void watch() {}
 
-    @Override public boolean move(InetSocketAddress address) {
+    @Override
+    public boolean move(InetSocketAddress address) {
         return false;
     }
 
-    @Override public String unready() {
+    @Override
+    public String unready() {
         long most = settings.notReadyAfterMs();
         synchronized (view) {
             for (RegistryCore core : cores) {
                 long age = Follower.nowMs() - core.heardAt();
                 if (most > 0 && age > most) {
                     return "the registry has said nothing for " + age / 1000 + " s"
-                        + (core.denied() ? ": it refuses the token" : "");
+                            + (core.denied() ? ": it refuses the token" : "");
                 }
             }
             return null;
@@ -105,7 +110,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         followers.forEach(Follower::close);
     }
 }
--- a/src/main/java/maplespread/registry/client/TokenFile.java
+++ b/src/main/java/maplespread/registry/client/TokenFile.java
@@ -10,7 +10,7 @@
 /** A token in a file, read anew when the file has changed. The token itself is never logged. */
 final class TokenFile {
     private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    private final Path file;                                     // null: no token is needed
+    private final Path file; // null: no token is needed
     private FileTime readOf;
     private long lookedAt;
     private String token = "";
@@ -39,7 +39,7 @@
             if (text.equals(token)) {
                 return false;
             }
-            if (!text.matches("[!-~]+")) {                       // it is to stand in a header
+            if (!text.matches("[!-~]+")) { // it is to stand in a header
                 Event.of("registry.token_unusable", "file", file).warn();
                 return false;
             }
@@ -47,7 +47,13 @@
             return true;
         } catch (IOException e) {
             // The one held goes on: a file is often absent for a moment while it is replaced.
-            Event.of("registry.token_unreadable", "file", file, "why", e.getClass().getSimpleName()).warn();
+            Event.of(
+                            "registry.token_unreadable",
+                            "file",
+                            file,
+                            "why",
+                            e.getClass().getSimpleName())
+                    .warn();
             readOf = FileTime.fromMillis(0);
             return false;
         }
--- a/src/main/java/maplespread/registry/wire/ConsulWire.java
+++ b/src/main/java/maplespread/registry/wire/ConsulWire.java
@@ -17,26 +17,24 @@
 
 /** Consul's HTTP API: blocking questions for recursive keys, and for the health of a service's instances. */
 public final class ConsulWire {
-    private ConsulWire() { }
+    private ConsulWire() {}
 
     // ------------------------------------------------------------ requests
 
     /** All keys under a prefix, once the index is above this one (0: at once). */
     public static Request keys(String prefix, long index, long waitMs, boolean consistent) {
-        return new Request("GET", "/v1/kv/" + path(prefix) + "?recurse=true"
-            + block(index, waitMs, consistent), "");
+        return new Request("GET", "/v1/kv/" + path(prefix) + "?recurse=true" + block(index, waitMs, consistent), "");
     }
 
     /** All instances of a service, failing ones too. */
     public static Request health(String service, long index, long waitMs, boolean consistent) {
         String block = block(index, waitMs, consistent);
-        return new Request("GET", "/v1/health/service/" + path(service)
-            + (block.isEmpty() ? "" : "?" + block.substring(1)), "");
+        return new Request(
+                "GET", "/v1/health/service/" + path(service) + (block.isEmpty() ? "" : "?" + block.substring(1)), "");
     }
 
     private static String block(long index, long waitMs, boolean consistent) {
-        return (index > 0 ? "&index=" + index + "&wait=" + waitMs + "ms" : "")
-            + (consistent ? "&consistent" : "");
+        return (index > 0 ? "&index=" + index + "&wait=" + waitMs + "ms" : "") + (consistent ? "&consistent" : "");
     }
 
     public static Request get(String key) {
@@ -55,8 +53,10 @@
 
     /** A session whose keys are deleted when it ends. */
     public static Request session(long seconds) {
-        return new Request("PUT", "/v1/session/create", "{\"TTL\":\"" + seconds
-            + "s\",\"Behavior\":\"delete\",\"LockDelay\":\"0s\"}");
+        return new Request(
+                "PUT",
+                "/v1/session/create",
+                "{\"TTL\":\"" + seconds + "s\",\"Behavior\":\"delete\",\"LockDelay\":\"0s\"}");
     }
 
     public static Request renew(String session) {
@@ -69,8 +69,8 @@
 
     /** Maintenance mode of a service's instance at its agent: a drain. */
     public static Request maintenance(String instance, boolean on) {
-        return new Request("PUT", "/v1/agent/service/maintenance/" + path(instance) + "?enable=" + on
-            + "&reason=drain", "");
+        return new Request(
+                "PUT", "/v1/agent/service/maintenance/" + path(instance) + "?enable=" + on + "&reason=drain", "");
     }
 
     /** Registers an instance at the agent, in discovery's members. */
@@ -90,8 +90,10 @@
         }
         o.add("Meta", meta);
         if (ttlSeconds > 0) {
-            o.add("Check", JsonParser.parseString("{\"TTL\":\"" + ttlSeconds + "s\",\"Status\":\"passing\","
-                + "\"DeregisterCriticalServiceAfter\":\"1m\"}"));
+            o.add(
+                    "Check",
+                    JsonParser.parseString("{\"TTL\":\"" + ttlSeconds + "s\",\"Status\":\"passing\","
+                            + "\"DeregisterCriticalServiceAfter\":\"1m\"}"));
         }
         return new Request("PUT", "/v1/agent/service/register", o.toString());
     }
@@ -105,7 +107,9 @@
     }
 
     private static String path(String text) {
-        return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20").replace("%2F", "/");
+        return URLEncoder.encode(text, StandardCharsets.UTF_8)
+                .replace("+", "%20")
+                .replace("%2F", "/");
     }
 
     // ------------------------------------------------------------ answers
@@ -141,7 +145,7 @@
                 case "ModifyIndex" -> index = in.nextLong();
                 case "Value" -> {
                     if (in.peek() == JsonToken.NULL) {
-                        in.nextNull();                           // a key without a value
+                        in.nextNull(); // a key without a value
                     } else {
                         value = in.nextString();
                     }
@@ -154,8 +158,11 @@
             throw new IllegalArgumentException("a key without its Key or ModifyIndex");
         }
         String coded = value == null ? "" : value;
-        return Item.lazy(key, index, coded.hashCode(), () ->
-            new String(Base64.getDecoder().decode(coded), StandardCharsets.UTF_8));
+        return Item.lazy(
+                key,
+                index,
+                coded.hashCode(),
+                () -> new String(Base64.getDecoder().decode(coded), StandardCharsets.UTF_8));
     }
 
     /**
@@ -175,10 +182,13 @@
                 for (JsonElement check : checks) {
                     latest = Math.max(latest, index(check.getAsJsonObject()));
                 }
-                String key = service.get("Service").getAsString() + '/' + node.get("Node").getAsString() + '/'
-                    + service.get("ID").getAsString();
-                items.add(Item.lazy(key, latest * 64 + Math.min(63, checks.size()), 0, () ->
-                    instance(service, node, checks)));
+                String key = service.get("Service").getAsString()
+                        + '/'
+                        + node.get("Node").getAsString()
+                        + '/'
+                        + service.get("ID").getAsString();
+                items.add(Item.lazy(
+                        key, latest * 64 + Math.min(63, checks.size()), 0, () -> instance(service, node, checks)));
             }
             return items;
         } catch (RuntimeException e) {
@@ -194,16 +204,20 @@
         JsonObject o = new JsonObject();
         o.addProperty("instanceId", service.get("ID").getAsString());
         String host = service.has("Address") ? service.get("Address").getAsString() : "";
-        o.addProperty("hostPort", (host.isEmpty() ? node.get("Address").getAsString() : host) + ':'
-            + service.get("Port").getAsInt());
+        o.addProperty(
+                "hostPort",
+                (host.isEmpty() ? node.get("Address").getAsString() : host)
+                        + ':'
+                        + service.get("Port").getAsInt());
         boolean serving = true;
         for (JsonElement check : checks) {
-            serving &= List.of("passing", "warning").contains(check.getAsJsonObject().get("Status")
-                .getAsString());
+            serving &= List.of("passing", "warning")
+                    .contains(check.getAsJsonObject().get("Status").getAsString());
         }
         o.addProperty("lifecycle", serving ? "SERVING" : "DRAINING");
         if (service.has("Weights") && service.get("Weights").isJsonObject()) {
-            o.addProperty("weight", service.getAsJsonObject("Weights").get("Passing").getAsDouble());
+            o.addProperty(
+                    "weight", service.getAsJsonObject("Weights").get("Passing").getAsDouble());
         }
         if (service.has("Meta") && service.get("Meta").isJsonObject()) {
             JsonObject meta = service.getAsJsonObject("Meta");
--- a/src/main/java/maplespread/registry/wire/EtcdWire.java
+++ b/src/main/java/maplespread/registry/wire/EtcdWire.java
@@ -19,22 +19,34 @@
  */
 public final class EtcdWire {
     /** A range's answer. */
-    public record Page(History history, List<Item> items, boolean more) { }
+    public record Page(History history, List<Item> items, boolean more) {}
 
     /** A check's answer. */
-    public record Checked(History history, List<Long> counts, List<Item> found, boolean gone) { }
+    public record Checked(History history, List<Long> counts, List<Item> found, boolean gone) {}
 
     /** By prefix how many keys there are, and which of them have changed. */
-    public record Missed(History history, List<Long> counts, List<List<Item>> changed) { }
+    public record Missed(History history, List<Long> counts, List<List<Item>> changed) {}
 
     /** One line of a watch; {@code watch} is the id that the request gave. */
-    public record Notice(History history, long watch, boolean created, boolean canceled, long compactRevision,
-                         String reason, boolean fragment, List<Item> items) { }
+    public record Notice(
+            History history,
+            long watch,
+            boolean created,
+            boolean canceled,
+            long compactRevision,
+            String reason,
+            boolean fragment,
+            List<Item> items) {}
 
     /** What an answer other than 200 means. */
-    public enum Fault { COMPACTED, AHEAD, DENIED, OTHER }
+    public enum Fault {
+        COMPACTED,
+        AHEAD,
+        DENIED,
+        OTHER
+    }
 
-    private EtcdWire() { }
+    private EtcdWire() {}
 
     // ------------------------------------------------------------ requests
 
@@ -135,9 +147,12 @@
     public static Request swap(String key, String value, long revision) {
         JsonObject put = JsonParser.parseString(put(key, value, 0).body()).getAsJsonObject();
         put.addProperty("ignore_lease", true);
-        return new Request("POST", "/v3/kv/txn", "{\"compare\":[{\"key\":\"" + base64(key)
-            + "\",\"target\":\"MOD\",\"result\":\"EQUAL\",\"mod_revision\":\"" + revision
-            + "\"}],\"success\":[{\"request_put\":" + put + "}]}");
+        return new Request(
+                "POST",
+                "/v3/kv/txn",
+                "{\"compare\":[{\"key\":\"" + base64(key)
+                        + "\",\"target\":\"MOD\",\"result\":\"EQUAL\",\"mod_revision\":\"" + revision
+                        + "\"}],\"success\":[{\"request_put\":" + put + "}]}");
     }
 
     public static Request delete(String key) {
@@ -180,7 +195,11 @@
                 List<Item> items = proof.key() == null ? List.of() : items(ranged(all, next++), "kvs");
                 found.add(items.isEmpty() ? null : items.get(0));
             }
-            return new Checked(history(o), counts, found, gone && !items(ranged(all, next), "kvs").isEmpty());
+            return new Checked(
+                    history(o),
+                    counts,
+                    found,
+                    gone && !items(ranged(all, next), "kvs").isEmpty());
         } catch (RuntimeException e) {
             throw new WireError("not a check's answer", e);
         }
@@ -215,13 +234,20 @@
                 for (JsonElement e : o.getAsJsonArray("events")) {
                     JsonObject event = e.getAsJsonObject();
                     JsonObject kv = event.getAsJsonObject("kv");
-                    boolean gone = event.has("type") && event.get("type").getAsString().equals("DELETE");
+                    boolean gone =
+                            event.has("type") && event.get("type").getAsString().equals("DELETE");
                     items.add(gone ? Item.deleted(text(kv, "key"), number(kv, "mod_revision")) : item(kv));
                 }
             }
-            return new Notice(history(o), number(o, "watch_id"), flag(o, "created"), flag(o, "canceled"),
-                number(o, "compact_revision"), o.has("cancel_reason") ? o.get("cancel_reason").getAsString()
-                : "", flag(o, "fragment"), items);
+            return new Notice(
+                    history(o),
+                    number(o, "watch_id"),
+                    flag(o, "created"),
+                    flag(o, "canceled"),
+                    number(o, "compact_revision"),
+                    o.has("cancel_reason") ? o.get("cancel_reason").getAsString() : "",
+                    flag(o, "fragment"),
+                    items);
         } catch (RuntimeException e) {
             throw new WireError("not a watch's line", e);
         }
@@ -234,7 +260,9 @@
         String text = body;
         try {
             JsonObject o = object(body);
-            text = o.has("message") ? o.get("message").getAsString() : o.get("error").toString();
+            text = o.has("message")
+                    ? o.get("message").getAsString()
+                    : o.get("error").toString();
         } catch (RuntimeException e) {
             // the status and the raw text must do
         }
@@ -244,9 +272,13 @@
         if (text.contains("is a future revision")) {
             return Fault.AHEAD;
         }
-        return status == 401 || status == 403 || text.contains("permission denied")
-            || text.contains("invalid auth token") || text.contains("user name is empty") ? Fault.DENIED
-            : Fault.OTHER;
+        return status == 401
+                        || status == 403
+                        || text.contains("permission denied")
+                        || text.contains("invalid auth token")
+                        || text.contains("user name is empty")
+                ? Fault.DENIED
+                : Fault.OTHER;
     }
 
     /** The id of a lease granted. */
@@ -303,8 +335,9 @@
     }
 
     private static String text(JsonObject o, String name) {
-        return o.has(name) ? new String(Base64.getDecoder().decode(o.get(name).getAsString()),
-            StandardCharsets.UTF_8) : "";
+        return o.has(name)
+                ? new String(Base64.getDecoder().decode(o.get(name).getAsString()), StandardCharsets.UTF_8)
+                : "";
     }
 
     private static long number(JsonObject o, String name) {
@@ -333,7 +366,7 @@
             n--;
         }
         if (n == 0) {
-            return Base64.getEncoder().encodeToString(new byte[1]);      // to the end of all keys
+            return Base64.getEncoder().encodeToString(new byte[1]); // to the end of all keys
         }
         byte[] end = Arrays.copyOf(bytes, n);
         end[n - 1]++;
--- a/src/main/java/maplespread/release/Commands.java
+++ b/src/main/java/maplespread/release/Commands.java
@@ -27,8 +27,7 @@
 public final class Commands {
     private static final int MOST_TRIES = 3;
 
-    private Commands() {
-    }
+    private Commands() {}
 
     // ------------------------------------------------------------ an operator's
 
@@ -52,7 +51,8 @@
                 if (now.release().plan().equals(plan)) {
                     return now;
                 }
-                throw refused(Reason.RELEASE_ON, "release " + now.release().plan().id() + " is on");
+                throw refused(
+                        Reason.RELEASE_ON, "release " + now.release().plan().id() + " is on");
             }
             if (now.halt() != null) {
                 throw refused(Reason.HALTED, "halted: " + now.halt().why());
@@ -105,12 +105,17 @@
 
     /** No leave from here on, release or not. A second halt counts as the newest one. */
     public static Command halt(String by, String why) {
-        return now -> new Draft(now).log(by, "halt", why).acted(new Halt(now.acts() + 1, by, why)).done();
+        return now -> new Draft(now)
+                .log(by, "halt", why)
+                .acted(new Halt(now.acts() + 1, by, why))
+                .done();
     }
 
     /** A halt that an instance comes to by itself; nothing where one stands, or an act has come since. */
     public static Command haltByItself(String by, String why, long act) {
-        return now -> now.halt() != null || now.acts() != act || !now.on() ? now : halt(by, why).apply(now);
+        return now -> now.halt() != null || now.acts() != act || !now.on()
+                ? now
+                : halt(by, why).apply(now);
     }
 
     /** Lifts the halt; goes on where it was going. */
@@ -123,8 +128,8 @@
             Draft d = retried(new Draft(now).log(by, "go on", why).acted(null));
             Release r = d.release;
             // Service as it is now is the operator's will: what was before the release counts no more.
-            d.release = r == null ? null : new Release(r.plan(), r.moves(), r.steps(), r.open(), r.tries(),
-                Service.NONE);
+            d.release =
+                    r == null ? null : new Release(r.plan(), r.moves(), r.steps(), r.open(), r.tries(), Service.NONE);
             return d.done();
         };
     }
@@ -193,8 +198,13 @@
      */
     public static boolean stands(State now, String member, long run, long number) {
         Leave l = now.leaves().get(member);
-        return l != null && l.number() == number && l.run() == run && (l.release().isEmpty()
-            || now.halt() == null && now.on() && l.why().equals(now.release().moves().name()));
+        return l != null
+                && l.number() == number
+                && l.run() == run
+                && (l.release().isEmpty()
+                        || now.halt() == null
+                                && now.on()
+                                && l.why().equals(now.release().moves().name()));
     }
 
     /** Throws why a drain is refused; returns where nothing is on, or the member has leave that stands. */
@@ -202,12 +212,14 @@
         boolean bound = now.on() || !now.inForce().isEmpty() || now.halt() != null;
         Leave l = now.leaves().get(member);
         if (l != null && !stands(now, member, l.run(), l.number())) {
-            throw refused(now.halt() != null ? Reason.HALTED : Reason.STALE, "the leave of " + member
-                + " is called back");
+            throw refused(
+                    now.halt() != null ? Reason.HALTED : Reason.STALE, "the leave of " + member + " is called back");
         }
         if (bound && l == null) {
-            throw refused(Reason.NO_LEAVE, member + " has no leave to be out, and "
-                + (now.on() ? "release " + now.release().plan().id() + " is on" : "limits are on"));
+            throw refused(
+                    Reason.NO_LEAVE,
+                    member + " has no leave to be out, and "
+                            + (now.on() ? "release " + now.release().plan().id() + " is on" : "limits are on"));
         }
     }
 
@@ -224,7 +236,9 @@
             }
             Release r = now.release();
             int step = now.step();
-            if (r.moves() == Phase.ABANDONING || step < 0 || !r.steps().get(step).contains(member)
+            if (r.moves() == Phase.ABANDONING
+                    || step < 0
+                    || !r.steps().get(step).contains(member)
                     || !now.todo().contains(member)) {
                 throw refused(Reason.NOT_DUE, member + " is not to move now");
             }
@@ -244,8 +258,9 @@
     public static Command leaveByHand(String by, String member, long seen, View view, String why) {
         return now -> {
             if (now.on()) {
-                throw refused(Reason.RELEASE_ON, "release " + now.release().plan().id()
-                    + " is on, and gives leave in its own order");
+                throw refused(
+                        Reason.RELEASE_ON,
+                        "release " + now.release().plan().id() + " is on, and gives leave in its own order");
             }
             Member m = free(now, member, seen, view);
             Draft d = new Draft(now).log(by, "leave " + member, why);
@@ -257,15 +272,20 @@
     /** The member, where it may have leave by all that is told and all that the proposer sees. */
     private static Member free(State now, String member, long seen, View view) throws ReleaseRefused {
         if (now.halt() != null) {
-            throw refused(Reason.HALTED, "halted by " + now.halt().by() + ": " + now.halt().why());
+            throw refused(
+                    Reason.HALTED,
+                    "halted by " + now.halt().by() + ": " + now.halt().why());
         }
         if (now.leaves().containsKey(member)) {
             throw refused(Reason.NOT_DUE, member + " has leave");
         }
         calm(now, seen);
         Member m = view.member(member);
-        if (m == null || !m.serving() || !now.members().containsKey(member)
-                || m.run() < now.members().get(member).run() || now.accidents().containsKey(member)) {
+        if (m == null
+                || !m.serving()
+                || !now.members().containsKey(member)
+                || m.run() < now.members().get(member).run()
+                || now.accidents().containsKey(member)) {
             throw refused(Reason.MEMBER, member + " is not seen serving");
         }
         Set<String> out = now.out();
@@ -280,8 +300,9 @@
             }
             if (k.getValue().role() == Role.WORKER) {
                 all += k.getValue().full();
-                stays += k.getKey().equals(member) || out.contains(k.getKey()) ? 0
-                    : Math.min(x.capacity(), k.getValue().full());
+                stays += k.getKey().equals(member) || out.contains(k.getKey())
+                        ? 0
+                        : Math.min(x.capacity(), k.getValue().full());
             }
         }
         out.add(member);
@@ -295,11 +316,14 @@
             }
         }
         // Whoever is out may be restarted, and an elector that was knows nothing: a majority must stay.
-        long electors = view.electors().stream().filter(e -> seenNow.containsKey(e)
-            && seenNow.get(e).serving() && !out.contains(e)).count();
+        long electors = view.electors().stream()
+                .filter(e -> seenNow.containsKey(e) && seenNow.get(e).serving() && !out.contains(e))
+                .count();
         if (view.electors().contains(member) && 2 * electors <= view.electors().size()) {
-            throw refused(Reason.LIMIT, "of " + view.electors().size() + " electors only " + electors
-                + " would stay, and nothing could be decided");
+            throw refused(
+                    Reason.LIMIT,
+                    "of " + view.electors().size() + " electors only " + electors
+                            + " would stay, and nothing could be decided");
         }
         return m;
     }
@@ -309,11 +333,10 @@
         return now -> {
             Leave held = now.leaves().get(seen.id());
             if (held == null || held.number() != number) {
-                return now;                                      // told before, by another
+                return now; // told before, by another
             }
             if (seen.run() <= held.run() || !seen.serving() || !seen.warm()) {
-                throw refused(Reason.MEMBER, seen.id() + " is not back: " + seen.status() + ", run "
-                    + seen.run());
+                throw refused(Reason.MEMBER, seen.id() + " is not back: " + seen.status() + ", run " + seen.run());
             }
             Draft d = new Draft(now);
             d.calm++;
@@ -322,7 +345,8 @@
             Known was = now.members().get(seen.id());
             boolean named = now.on() && !held.release().isEmpty();
             boolean to = named && !byVersion(now, seen)
-                ? now.release().moves() != Phase.ROLLING_BACK : judge(now, seen, was.changed());
+                    ? now.release().moves() != Phase.ROLLING_BACK
+                    : judge(now, seen, was.changed());
             d.members.put(seen.id(), known(now, seen, was, to));
             State next = d.done();
             if (!named || !next.todo().contains(seen.id())) {
@@ -334,8 +358,13 @@
             int n = tries.merge(seen.id(), 1, Integer::sum);
             Release r = next.release();
             again.release = new Release(r.plan(), r.moves(), r.steps(), -1, tries, r.before());
-            return n < MOST_TRIES ? again.done() : haltByItself(by, seen.id() + " came back " + n
-                + " times as version " + seen.version(), now.acts()).apply(again.done());
+            return n < MOST_TRIES
+                    ? again.done()
+                    : haltByItself(
+                                    by,
+                                    seen.id() + " came back " + n + " times as version " + seen.version(),
+                                    now.acts())
+                            .apply(again.done());
         };
     }
 
@@ -361,7 +390,9 @@
                 return now;
             }
             if (now.halt() != null) {
-                throw refused(Reason.HALTED, "halted by " + now.halt().by() + ": " + now.halt().why());
+                throw refused(
+                        Reason.HALTED,
+                        "halted by " + now.halt().by() + ": " + now.halt().why());
             }
             Release r = now.release();
             for (Leave l : now.leaves().values()) {
@@ -374,8 +405,11 @@
                 for (String id : step) {
                     Member m = view.member(id);
                     boolean wanted = r.moves() == Phase.RUNNING;
-                    if (m == null || !m.serving() || now.accidents().containsKey(id)
-                            || m.run() < now.members().get(id).run() || judge(now, m, wanted) != wanted
+                    if (m == null
+                            || !m.serving()
+                            || now.accidents().containsKey(id)
+                            || m.run() < now.members().get(id).run()
+                            || judge(now, m, wanted) != wanted
                             || now.members().get(id).changed() != wanted) {
                         throw refused(Reason.NOT_DUE, id + " is not yet seen as it should be");
                     }
@@ -387,8 +421,7 @@
                 }
             }
             Draft d = new Draft(now);
-            d.release = r.with(left ? Phase.ABANDONED : r.moves() == Phase.RUNNING ? Phase.DONE
-                : Phase.ROLLED_BACK);
+            d.release = r.with(left ? Phase.ABANDONED : r.moves() == Phase.RUNNING ? Phase.DONE : Phase.ROLLED_BACK);
             return d.log(by, d.release.moves().name(), r.plan().id()).done();
         };
     }
@@ -441,9 +474,10 @@
                 return d.members.equals(now.members()) ? now : d.done();
             }
             // A restart has nothing to do with who has just come.
-            fresh.removeIf(id -> now.release() == null || now.release().moves() == Phase.ABANDONED
-                || now.release().moves() == Phase.ROLLED_BACK
-                || !now.release().plan().names(id, d.members.get(id)));
+            fresh.removeIf(id -> now.release() == null
+                    || now.release().moves() == Phase.ABANDONED
+                    || now.release().moves() == Phase.ROLLED_BACK
+                    || !now.release().plan().names(id, d.members.get(id)));
             if (!fresh.isEmpty()) {
                 List<List<String>> steps = new ArrayList<>(d.release.steps());
                 steps.add(List.copyOf(fresh));
@@ -458,8 +492,17 @@
         Known was = d.members.get(m.id());
         if (was != null) {
             if (m.run() >= was.run()) {
-                d.members.put(m.id(), new Known(m.address(), m.role(), m.zone(), m.kind(), m.cell(),
-                    full(now, m, was), was.run(), was.changed()));
+                d.members.put(
+                        m.id(),
+                        new Known(
+                                m.address(),
+                                m.role(),
+                                m.zone(),
+                                m.kind(),
+                                m.cell(),
+                                full(now, m, was),
+                                was.run(),
+                                was.changed()));
             }
             return false;
         }
@@ -474,7 +517,7 @@
             return true;
         }
         Known k = d.members.get(old);
-        if (m.run() > k.run()) {                                 // else the view is older than the state
+        if (m.run() > k.run()) { // else the view is older than the state
             d.members.remove(old);
             d.members.put(m.id(), known(now, m, k, judge(now, m, k.changed())));
             Leave l = d.leaves.remove(old);
@@ -512,12 +555,20 @@
             return was;
         }
         Plan p = now.release().plan();
-        return m.version().equals(p.to()) || was && !p.from().isEmpty() && !m.version().equals(p.from());
+        return m.version().equals(p.to())
+                || was && !p.from().isEmpty() && !m.version().equals(p.from());
     }
 
     private static Known known(State now, Member m, Known was, boolean changed) {
-        return new Known(m.address(), m.role(), m.zone(), m.kind(), m.cell(), was == null ? m.capacity()
-            : full(now, m, was), Math.max(m.run(), was == null ? 0 : was.run()), changed);
+        return new Known(
+                m.address(),
+                m.role(),
+                m.zone(),
+                m.kind(),
+                m.cell(),
+                was == null ? m.capacity() : full(now, m, was),
+                Math.max(m.run(), was == null ? 0 : was.run()),
+                changed);
     }
 
     private static Known changed(Known k, boolean changed) {
--- a/src/main/java/maplespread/release/Draft.java
+++ b/src/main/java/maplespread/release/Draft.java
@@ -45,9 +45,19 @@
     }
 
     State done() {
-        return new State(limits, release, members, leaves, accidents, halt, calm, grants, acts, beats,
-            ended.subList(Math.max(0, ended.size() - ENDED), ended.size()),
-            log.subList(Math.max(0, log.size() - LOG), log.size()));
+        return new State(
+                limits,
+                release,
+                members,
+                leaves,
+                accidents,
+                halt,
+                calm,
+                grants,
+                acts,
+                beats,
+                ended.subList(Math.max(0, ended.size() - ENDED), ended.size()),
+                log.subList(Math.max(0, log.size() - LOG), log.size()));
     }
 
     Draft log(String by, String what, String why) {
--- a/src/main/java/maplespread/release/Driver.java
+++ b/src/main/java/maplespread/release/Driver.java
@@ -21,7 +21,7 @@
  * driver that is late or wrong is refused there.
  */
 public final class Driver {
-    private static final long ENOUGH = 100;                      // answers, for shares and waits to be judged
+    private static final long ENOUGH = 100; // answers, for shares and waits to be judged
 
     /**
      * {@code staggerMs}: by how much later each next instance acts; {@code missMs}: how long one has to be
@@ -38,7 +38,7 @@
      * {@code orders}: to be carried out; {@code again}: when to look again at the latest (a new state or
      * view: at once); {@code waits}: for what, in words, empty where nothing is on.
      */
-    public record Next(List<Command> propose, List<Order> orders, long again, String waits) { }
+    public record Next(List<Command> propose, List<Order> orders, long again, String waits) {}
 
     private final Settings set;
     private final String self;
@@ -50,7 +50,7 @@
     private State aloneAt;
     private long alone;
     private Service before;
-    private Map<String, Long> since = new HashMap<>();           // what is waited for -> since when
+    private Map<String, Long> since = new HashMap<>(); // what is waited for -> since when
     private Set<String> wanted = new HashSet<>();
     private final Set<Long> recalled = new HashSet<>();
     private State state;
@@ -77,7 +77,7 @@
         state = newest;
         view = seen;
         wanted = new HashSet<>();
-        if (now - lookedAt >= 3 * set.missMs) {                      // stood still: no wait was whole
+        if (now - lookedAt >= 3 * set.missMs) { // stood still: no wait was whole
             since.clear();
             calm = -1;
             aloneSince = -1;
@@ -92,8 +92,9 @@
             before = view.service();
         }
         acts = state.acts();
-        place = view.members().stream().filter(m -> m.role() == Role.DISPATCHER && m.serving()
-            && m.id().compareTo(self) < 0).count();
+        place = view.members().stream()
+                .filter(m -> m.role() == Role.DISPATCHER && m.serving() && m.id().compareTo(self) < 0)
+                .count();
         majority(majority);
         List<Command> propose = new ArrayList<>();
         List<Order> orders = new ArrayList<>();
@@ -112,10 +113,12 @@
         }
         orders(orders);
         since.keySet().retainAll(wanted);
-        recalled.removeIf(n -> state.leaves().values().stream().noneMatch(l -> l.number() == n)
-            && n <= state.grants());
-        return new Next(propose, orders, now + (on || !state.inForce().isEmpty() ? Math.min(set.staggerMs,
-            set.missMs / 2) : set.missMs / 2), waits);
+        recalled.removeIf(n -> state.leaves().values().stream().noneMatch(l -> l.number() == n) && n <= state.grants());
+        return new Next(
+                propose,
+                orders,
+                now + (on || !state.inForce().isEmpty() ? Math.min(set.staggerMs, set.missMs / 2) : set.missMs / 2),
+                waits);
     }
 
     /** Whether this has been so for so long; staggered: and for as long again as stands before this place. */
@@ -134,8 +137,9 @@
             }
         } else if (aloneSince >= 0) {
             // Others may have had one meanwhile: then somebody has shown it.
-            boolean none = state.beats() == aloneAt.beats() && state.calm() == aloneAt.calm()
-                && state.grants() == aloneAt.grants();
+            boolean none = state.beats() == aloneAt.beats()
+                    && state.calm() == aloneAt.calm()
+                    && state.grants() == aloneAt.grants();
             alone = none ? now - aloneSince : 0;
             aloneSince = -1;
         }
@@ -206,8 +210,12 @@
                 if (waited("miss " + id, set.missMs, false) && waited("tell " + id, 0, true)) {
                     out.add(id);
                 }
-            } else if (serves && (told || state.on() && state.release().names(id)
-                    && m.run() > k.getValue().run() && !state.leaves().containsKey(id))) {
+            } else if (serves
+                    && (told
+                            || state.on()
+                                    && state.release().names(id)
+                                    && m.run() > k.getValue().run()
+                                    && !state.leaves().containsKey(id))) {
                 if (waited("here " + id + " " + m.run(), set.missMs, true)) {
                     serving.add(m);
                 }
@@ -219,8 +227,10 @@
         List<Member> put = new ArrayList<>();
         for (Member m : view.members()) {
             Known k = state.members().get(m.id());
-            boolean grown = k != null && m.warm() && m.role() == Role.WORKER && (m.capacity() > k.full() * 1.1
-                || !state.on() && m.capacity() < k.full() * 0.9);
+            boolean grown = k != null
+                    && m.warm()
+                    && m.role() == Role.WORKER
+                    && (m.capacity() > k.full() * 1.1 || !state.on() && m.capacity() < k.full() * 0.9);
             if (m.serving() && (k == null || grown) && waited("put " + m.id(), set.missMs, true)) {
                 put.add(m);
             }
@@ -235,7 +245,10 @@
             Member m = view.member(id);
             if (recalled.contains(l.number())) {
                 propose.add(Commands.returned(self, l.number()));
-            } else if (m != null && m.serving() && m.warm() && m.run() > l.run()
+            } else if (m != null
+                    && m.serving()
+                    && m.warm()
+                    && m.run() > l.run()
                     && waited("back " + l.number(), 0, true)) {
                 propose.add(Commands.back(self, l.number(), m));
             }
@@ -247,7 +260,8 @@
     /** Leave for those whose turn it is, or the end. Returns for what it waits. */
     private String goOn(List<Command> propose) {
         if (state.halt() != null) {
-            return "for an operator: halted by " + state.halt().by() + ", " + state.halt().why();
+            return "for an operator: halted by " + state.halt().by() + ", "
+                    + state.halt().why();
         }
         int step = state.step();
         boolean opens = step != state.release().open();
@@ -299,9 +313,9 @@
                 return;
             }
             boolean by = !l.release().isEmpty();
-            boolean back = by && state.on() && !l.why().equals(state.release().moves().name());
-            if (back && (m.serving() || m.status() == Status.DRAINING)
-                    || state.halt() != null && by && m.serving()) {
+            boolean back =
+                    by && state.on() && !l.why().equals(state.release().moves().name());
+            if (back && (m.serving() || m.status() == Status.DRAINING) || state.halt() != null && by && m.serving()) {
                 orders.add(new Order.Recall(id, l.run(), l.number()));
             } else if (m.serving() && waited("order " + l.number(), 0, !id.equals(self))) {
                 orders.add(new Order.Drain(id, l.run(), l.number()));
--- a/src/main/java/maplespread/release/Limits.java
+++ b/src/main/java/maplespread/release/Limits.java
@@ -11,11 +11,20 @@
  * stays. {@code worse...}: what is worse than before the release by more than that halts it; refusals and
  * errors as a difference of shares, waits as a part of the wait before.
  */
-public record Limits(double dispatchersOut, double workersOut, double workersOutZone, double workersOutKind,
-        double leastCapacity, long quietMs, long backMs, double worseRefused, double worseErrors,
+public record Limits(
+        double dispatchersOut,
+        double workersOut,
+        double workersOutZone,
+        double workersOutKind,
+        double leastCapacity,
+        long quietMs,
+        long backMs,
+        double worseRefused,
+        double worseErrors,
         double worseWait) {
     /** For a figure that is not to bind. */
     public static final double ANY = 1e9;
+
     public static final Limits DEFAULT = new Limits(1, 1, ANY, ANY, 0.7, 2_000, 120_000, 0.05, 0.02, 0.5);
     /** Binds nothing: what a plan does not name of its own limits. */
     public static final Limits NONE = new Limits(ANY, ANY, ANY, ANY, 0, 0, (long) ANY, ANY, ANY, ANY);
@@ -46,7 +55,7 @@
 
     /** The first limit that these members out exceed, in words; empty: none. */
     String exceeded(Map<String, State.Known> members, Set<String> out) {
-        Map<String, int[]> groups = new TreeMap<>();             // figure's name -> members, out
+        Map<String, int[]> groups = new TreeMap<>(); // figure's name -> members, out
         members.forEach((id, m) -> {
             int gone = out.contains(id) ? 1 : 0;
             for (String g : groups(m)) {
@@ -76,20 +85,25 @@
         double largest = 0;
         for (Map.Entry<String, State.Known> m : members.entrySet()) {
             all += m.getValue().full();
-            largest = Math.max(largest, named.contains(m.getKey()) ? m.getValue().full() : 0);
+            largest =
+                    Math.max(largest, named.contains(m.getKey()) ? m.getValue().full() : 0);
         }
-        return all - largest < leastCapacity * all ? "the largest worker can never leave: less than "
-            + leastCapacity + " of all capacity would stay" : "";
+        return all - largest < leastCapacity * all
+                ? "the largest worker can never leave: less than " + leastCapacity + " of all capacity would stay"
+                : "";
     }
 
     private static String[] groups(State.Known m) {
-        return m.role() == Role.DISPATCHER ? new String[] {"the dispatchers"}
-            : new String[] {"the workers", "the workers in zone " + m.zone(),
-                "the workers of kind " + m.kind()};
+        return m.role() == Role.DISPATCHER
+                ? new String[] {"the dispatchers"}
+                : new String[] {"the workers", "the workers in zone " + m.zone(), "the workers of kind " + m.kind()};
     }
 
     private double figure(String group) {
-        return group.equals("the dispatchers") ? dispatchersOut : group.equals("the workers") ? workersOut
-            : group.startsWith("the workers in zone ") ? workersOutZone : workersOutKind;
+        return group.equals("the dispatchers")
+                ? dispatchersOut
+                : group.equals("the workers")
+                        ? workersOut
+                        : group.startsWith("the workers in zone ") ? workersOutZone : workersOutKind;
     }
 }
--- a/src/main/java/maplespread/release/Order.java
+++ b/src/main/java/maplespread/release/Order.java
@@ -17,11 +17,11 @@
      * Drain. Refused once a {@link Recall} of this or a later number was carried out; the host then says
      * {@link Driver#recalled} again, for the one that was told may be gone.
      */
-    record Drain(String member, long run, long leave) implements Order { }
+    record Drain(String member, long run, long leave) implements Order {}
 
     /**
      * Serve on, or again, and refuse every later {@link Drain} up to this number. When that is sure, the host
      * says so by {@link Driver#recalled}.
      */
-    record Recall(String member, long run, long leave) implements Order { }
+    record Recall(String member, long run, long leave) implements Order {}
 }
--- a/src/main/java/maplespread/release/Plan.java
+++ b/src/main/java/maplespread/release/Plan.java
@@ -21,28 +21,72 @@
  * {@code steps}: sizes of the steps, the last one repeats. {@code limits}: of its own, beside the standing
  * ones, or null.
  */
-public record Plan(String id, String from, String to, boolean dispatchers, boolean workers,
-        List<String> zones, List<String> kinds, List<String> cells, List<String> names, String first,
-        List<String> order, List<Integer> steps, Limits limits) {
-    private static final Set<String> KEYS = Set.of("id", "from", "to", "dispatchers", "workers", "zones",
-        "kinds", "cells", "names", "first", "order", "steps", "limits");
-    private static final List<String> LIMITS = List.of("dispatchers_out", "workers_out", "workers_out_zone",
-        "workers_out_kind", "least_capacity", "quiet_ms", "back_ms", "worse_refused", "worse_errors",
-        "worse_wait");
+public record Plan(
+        String id,
+        String from,
+        String to,
+        boolean dispatchers,
+        boolean workers,
+        List<String> zones,
+        List<String> kinds,
+        List<String> cells,
+        List<String> names,
+        String first,
+        List<String> order,
+        List<Integer> steps,
+        Limits limits) {
+    private static final Set<String> KEYS = Set.of(
+            "id",
+            "from",
+            "to",
+            "dispatchers",
+            "workers",
+            "zones",
+            "kinds",
+            "cells",
+            "names",
+            "first",
+            "order",
+            "steps",
+            "limits");
+    private static final List<String> LIMITS = List.of(
+            "dispatchers_out",
+            "workers_out",
+            "workers_out_zone",
+            "workers_out_kind",
+            "least_capacity",
+            "quiet_ms",
+            "back_ms",
+            "worse_refused",
+            "worse_errors",
+            "worse_wait");
 
     /** Reads the console's JSON; what is not named has its default. */
     public static Plan read(String json) throws ReleaseRefused {
         try {
             JsonObject o = JsonParser.parseString(json).getAsJsonObject();
             known("", o, KEYS);
-            Plan p = new Plan(text(o, "id", ""), text(o, "from", ""), text(o, "to", ""),
-                flag(o, "dispatchers"), flag(o, "workers"), list(o, "zones"), list(o, "kinds"),
-                list(o, "cells"), list(o, "names"), text(o, "first", "workers"), list(o, "order"),
-                sizes(o), o.has("limits") ? limits(o.getAsJsonObject("limits")) : null);
+            Plan p = new Plan(
+                    text(o, "id", ""),
+                    text(o, "from", ""),
+                    text(o, "to", ""),
+                    flag(o, "dispatchers"),
+                    flag(o, "workers"),
+                    list(o, "zones"),
+                    list(o, "kinds"),
+                    list(o, "cells"),
+                    list(o, "names"),
+                    text(o, "first", "workers"),
+                    list(o, "order"),
+                    sizes(o),
+                    o.has("limits") ? limits(o.getAsJsonObject("limits")) : null);
             p.check();
             return p;
-        } catch (JsonParseException | IllegalStateException | ClassCastException
-                | UnsupportedOperationException | IllegalArgumentException e) {
+        } catch (JsonParseException
+                | IllegalStateException
+                | ClassCastException
+                | UnsupportedOperationException
+                | IllegalArgumentException e) {
             throw bad("the plan cannot be read: " + e.getMessage());
         }
     }
@@ -71,8 +115,11 @@
     }
 
     boolean names(String member, Known m) {
-        return (m.role() == Role.DISPATCHER ? dispatchers : workers) && of(zones, m.zone())
-            && of(kinds, m.kind()) && of(cells, m.cell()) && of(names, member);
+        return (m.role() == Role.DISPATCHER ? dispatchers : workers)
+                && of(zones, m.zone())
+                && of(kinds, m.kind())
+                && of(cells, m.cell())
+                && of(names, member);
     }
 
     private static boolean of(List<String> list, String x) {
@@ -85,7 +132,7 @@
         mine.entrySet().removeIf(e -> !names(e.getKey(), e.getValue()));
         List<String> all = new ArrayList<>(mine.keySet());
         all.sort(Comparator.comparing((String m) -> place(mine.get(m)), State::compare)
-            .thenComparing(Comparator.naturalOrder()));
+                .thenComparing(Comparator.naturalOrder()));
         List<List<String>> cut = new ArrayList<>();
         List<String> step = new ArrayList<>();
         List<String> before = List.of();
@@ -151,10 +198,17 @@
     private static Limits limits(JsonObject o) throws ReleaseRefused {
         known("limits.", o, LIMITS);
         Limits n = Limits.NONE;
-        return new Limits(number(o, 0, n.dispatchersOut()), number(o, 1, n.workersOut()),
-            number(o, 2, n.workersOutZone()), number(o, 3, n.workersOutKind()), number(o, 4, 0),
-            (long) number(o, 5, 0), (long) number(o, 6, n.backMs()), number(o, 7, n.worseRefused()),
-            number(o, 8, n.worseErrors()), number(o, 9, n.worseWait()));
+        return new Limits(
+                number(o, 0, n.dispatchersOut()),
+                number(o, 1, n.workersOut()),
+                number(o, 2, n.workersOutZone()),
+                number(o, 3, n.workersOutKind()),
+                number(o, 4, 0),
+                (long) number(o, 5, 0),
+                (long) number(o, 6, n.backMs()),
+                number(o, 7, n.worseRefused()),
+                number(o, 8, n.worseErrors()),
+                number(o, 9, n.worseWait()));
     }
 
     private static double number(JsonObject o, int key, double none) {
--- a/src/main/java/maplespread/release/ReleaseRefused.java
+++ b/src/main/java/maplespread/release/ReleaseRefused.java
@@ -15,14 +15,15 @@
         /** There is no release that this could be about. */
         NO_RELEASE("everything", "begin a release first, or leave it"),
         /** Halted: no leave is granted. */
-        HALTED("service; members that are out may come back",
-            "look at why, then go on, roll back or abandon"),
+        HALTED("service; members that are out may come back", "look at why, then go on, roll back or abandon"),
         /** Leave and accidents together would exceed a limit. */
-        LIMIT("service; members that are out may come back",
-            "wait, bring back who is out, or say of whoever never comes back that it is gone"),
+        LIMIT(
+                "service; members that are out may come back",
+                "wait, bring back who is out, or say of whoever never comes back that it is gone"),
         /** Too little working capacity would stay. */
-        CAPACITY("service; members that are out may come back",
-            "wait until workers are warm, add workers, or begin with a lower least capacity"),
+        CAPACITY(
+                "service; members that are out may come back",
+                "wait until workers are warm, add workers, or begin with a lower least capacity"),
         /** The fleet has changed since the proposer looked: its quiet time begins anew. */
         NOT_QUIET("service, and the release", "nothing: it is asked again after the quiet time"),
         /** It is not this member's turn, or it needs no change. */
@@ -32,8 +33,7 @@
         /** What the command speaks of is no longer the newest. */
         STALE("service; what was decided meanwhile counts", "look at the release again, then call again"),
         /** A drain without leave, while a release or limits are on. */
-        NO_LEAVE("service; the member goes on",
-            "ask for leave by the call without force, or force it with a word");
+        NO_LEAVE("service; the member goes on", "ask for leave by the call without force, or force it with a word");
 
         final String works;
         final String remedy;
--- a/src/main/java/maplespread/release/State.java
+++ b/src/main/java/maplespread/release/State.java
@@ -23,18 +23,41 @@
  * number of the last leave; {@code acts}: grows with every act of an operator and every halt, so that a late
  * act is told from one that knew of it; {@code ended}: names of the releases before.
  */
-public record State(Limits limits, Release release, SortedMap<String, Known> members,
-        SortedMap<String, Leave> leaves, SortedMap<String, Accident> accidents, Halt halt, long calm,
-        long grants, long acts, long beats, List<String> ended, List<Act> log) {
-
-    public enum Phase { RUNNING, HALTED, ROLLING_BACK, ABANDONING, DONE, ROLLED_BACK, ABANDONED }
+public record State(
+        Limits limits,
+        Release release,
+        SortedMap<String, Known> members,
+        SortedMap<String, Leave> leaves,
+        SortedMap<String, Accident> accidents,
+        Halt halt,
+        long calm,
+        long grants,
+        long acts,
+        long beats,
+        List<String> ended,
+        List<Act> log) {
+
+    public enum Phase {
+        RUNNING,
+        HALTED,
+        ROLLING_BACK,
+        ABANDONING,
+        DONE,
+        ROLLED_BACK,
+        ABANDONED
+    }
 
     /**
      * {@code moves}: the phase but for a halt; {@code open}: the step in which leave needs no quiet time, -1:
      * none; {@code tries}: how often a member came back other than wanted.
      */
-    public record Release(Plan plan, Phase moves, List<List<String>> steps, int open,
-            SortedMap<String, Integer> tries, Service before) {
+    public record Release(
+            Plan plan,
+            Phase moves,
+            List<List<String>> steps,
+            int open,
+            SortedMap<String, Integer> tries,
+            Service before) {
         public Release {
             steps = List.copyOf(steps);
             tries = sorted(tries);
@@ -62,21 +85,21 @@
      * A member of the fleet. {@code full}: its capacity when warm; {@code run}: the newest that was told;
      * {@code changed}: it is where the release goes to, and would have to move where that is rolled back.
      */
-    public record Known(String address, Role role, String zone, String kind, String cell, double full,
-            long run, boolean changed) { }
+    public record Known(
+            String address, Role role, String zone, String kind, String cell, double full, long run, boolean changed) {}
 
     /**
      * {@code number}: grows with every grant; {@code run}: the one that may leave, 0: none any more;
      * {@code release}: empty for one by hand; {@code why}: of a release the phase, else the operator's words.
      */
-    public record Leave(long number, long run, String release, String why) { }
+    public record Leave(long number, long run, String release, String why) {}
 
     /** Out without leave: who saw it, and what. */
-    public record Accident(String by, String why) { }
+    public record Accident(String by, String why) {}
 
-    public record Halt(long number, String by, String why) { }
+    public record Halt(long number, String by, String why) {}
 
-    public record Act(String by, String what, String why) { }
+    public record Act(String by, String what, String why) {}
 
     public static final State EMPTY = new State(null, null, null, null, null, null, 0, 0, 0, 0, null, null);
     private static final Gson GSON = new Gson();
@@ -106,8 +129,7 @@
 
     /** "" is the empty state. */
     public static State read(String text) {
-        return text.isEmpty() ? EMPTY
-            : GSON.fromJson(text.startsWith("{") ? text : unpacked(text), State.class);
+        return text.isEmpty() ? EMPTY : GSON.fromJson(text.startsWith("{") ? text : unpacked(text), State.class);
     }
 
     /** JSON; packed where it is long, for a register takes only so much. */
@@ -149,8 +171,10 @@
 
     /** Whether a release is on: not yet done, rolled back or abandoned. */
     public boolean on() {
-        return release != null && (release.moves == Phase.RUNNING || release.moves == Phase.ROLLING_BACK
-            || release.moves == Phase.ABANDONING);
+        return release != null
+                && (release.moves == Phase.RUNNING
+                        || release.moves == Phase.ROLLING_BACK
+                        || release.moves == Phase.ABANDONING);
     }
 
     /** The limits that count now, all of them: the standing ones and the release's own. */
@@ -189,8 +213,9 @@
 
     /** The release's members that have still to move, leave or not. */
     public Set<String> todo() {
-        return release == null || release.moves == Phase.ABANDONING ? Set.of()
-            : whose(release.moves == Phase.ROLLING_BACK || release.moves == Phase.ROLLED_BACK);
+        return release == null || release.moves == Phase.ABANDONING
+                ? Set.of()
+                : whose(release.moves == Phase.ROLLING_BACK || release.moves == Phase.ROLLED_BACK);
     }
 
     private Set<String> whose(boolean changed) {
--- a/src/main/java/maplespread/release/View.java
+++ b/src/main/java/maplespread/release/View.java
@@ -7,18 +7,36 @@
  * told).
  */
 public record View(List<Member> members, Service service, List<String> electors) {
-    public enum Role { DISPATCHER, WORKER }
+    public enum Role {
+        DISPATCHER,
+        WORKER
+    }
 
     /** UNKNOWN: nothing is heard of it. Whatever is not SERVING counts as out. */
-    public enum Status { SERVING, DRAINING, DOWN, UNKNOWN }
+    public enum Status {
+        SERVING,
+        DRAINING,
+        DOWN,
+        UNKNOWN
+    }
 
     /**
      * One that can be out. {@code run} grows with every start of the member's process, from 1 on;
      * {@code capacity}: work a second that it can do now, a cold one what it can do while cold (dispatchers:
      * 0).
      */
-    public record Member(String id, String address, Role role, String zone, String kind, String cell,
-            long run, String version, Status status, double capacity, boolean warm) {
+    public record Member(
+            String id,
+            String address,
+            Role role,
+            String zone,
+            String kind,
+            String cell,
+            long run,
+            String version,
+            Status status,
+            double capacity,
+            boolean warm) {
         public boolean serving() {
             return status == Status.SERVING;
         }
--- a/src/main/java/maplespread/release/client/CallRefused.java
+++ b/src/main/java/maplespread/release/client/CallRefused.java
@@ -9,8 +9,10 @@
     /** Why, for a program; {@link #wrong()} says it in words. */
     public enum Reason {
         /** This instance is not in the group yet. */
-        NOT_JOINED(503, "service, and what is agreed at other instances",
-            "call another instance; here look for group.not_joined in the log"),
+        NOT_JOINED(
+                503,
+                "service, and what is agreed at other instances",
+                "call another instance; here look for group.not_joined in the log"),
         /** More calls wait for the fleet than there are places. */
         TOO_MANY(503, "service, and the calls that do not wait for the fleet", "call again, one at a time"),
         /** The call lacks what it is about. */
--- a/src/main/java/maplespread/release/client/Releases.java
+++ b/src/main/java/maplespread/release/client/Releases.java
@@ -56,30 +56,30 @@
 
     private static final String SECTION = "release";
     private static final long STACK = 144 * 1024;
-    private static final long CALL_MS = 1_900;                   // of a call that waits for the fleet
-    private static final long PROPOSE_MS = 500;                  // less than a driver takes for a standstill
+    private static final long CALL_MS = 1_900; // of a call that waits for the fleet
+    private static final long PROPOSE_MS = 500; // less than a driver takes for a standstill
     private static final long LOOK_MS = 250;
-    private static final long CONTACT_MS = 3_000;                // a majority reached so long ago is not sure
-    private static final long HAND_MS = CONTACT_MS + 1_000;      // after that no console asks for a drain
+    private static final long CONTACT_MS = 3_000; // a majority reached so long ago is not sure
+    private static final long HAND_MS = CONTACT_MS + 1_000; // after that no console asks for a drain
     private static final int CALLS = 4;
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
     private final String self;
     private final Fleet fleet;
     private final Workers workers;
     private final Semaphore places = new Semaphore(CALLS);
-    private final Semaphore halts = new Semaphore(CALLS);        // a halt waits behind no other call
+    private final Semaphore halts = new Semaphore(CALLS); // a halt waits behind no other call
     private final Thread thread;
-    private final Object turn = new Object();                    // of drains and of what takes them back
-    private long recalled;                                       // no drain by a leave up to this one
-    private boolean forced;                                      // drained without leave, by an operator
-    private final Set<Long> back = new HashSet<>();              // leaves that the driver is to hear are back
-    private final Map<String, String> wanted = new TreeMap<>();  // by an operator's hand: worker -> what
-    private Map<Long, Long> backSince = new HashMap<>();         // leaves called back by hand -> since when
-    private volatile Command limits;                             // to be proposed; null: done
+    private final Object turn = new Object(); // of drains and of what takes them back
+    private long recalled; // no drain by a leave up to this one
+    private boolean forced; // drained without leave, by an operator
+    private final Set<Long> back = new HashSet<>(); // leaves that the driver is to hear are back
+    private final Map<String, String> wanted = new TreeMap<>(); // by an operator's hand: worker -> what
+    private Map<Long, Long> backSince = new HashMap<>(); // leaves called back by hand -> since when
+    private volatile Command limits; // to be proposed; null: done
     private volatile boolean majority;
     private volatile long contactAt;
     private volatile String waits = "";
-    private Value read;                                          // and what it says:
+    private Value read; // and what it says:
     private State state = State.EMPTY;
 
     /** {@code workers}: what drains them; {@code limits}: the operators' file's. */
@@ -89,7 +89,8 @@
         this.workers = workers;
         this.limits = now -> {
             if (now.limits() != null && !now.limits().equals(limits)) {
-                Event.of("release.limits_differ", "file", limits, "agreed", now.limits()).warn();
+                Event.of("release.limits_differ", "file", limits, "agreed", now.limits())
+                        .warn();
             }
             return now.limits() == null ? Commands.limits(self, limits).apply(now) : now;
         };
@@ -106,7 +107,8 @@
         limits = Commands.limits(self, next);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         thread.interrupt();
         workers.close();
     }
@@ -166,7 +168,7 @@
                 if (register != null) {
                     again = Math.min(again, look(driver, register));
                 }
-            } catch (RuntimeException | Error e) {               // the next look must still come
+            } catch (RuntimeException | Error e) { // the next look must still come
                 Event.of("release.fault", "why", e).error();
             }
             try {
@@ -185,7 +187,9 @@
             now = state(register.known());
         }
         Command mine = limits;
-        if (mine != null && majority && put(register, change(mine), PROPOSE_MS).kind() == Result.Kind.DECIDED
+        if (mine != null
+                && majority
+                && put(register, change(mine), PROPOSE_MS).kind() == Result.Kind.DECIDED
                 && limits == mine) {
             limits = null;
             now = state(register.known());
@@ -226,8 +230,9 @@
     private boolean stands(Register register, Order order) {
         long asked = now();
         State newest = newest(register, PROPOSE_MS);
-        return newest != null && Commands.stands(newest, order.member(), order.run(), order.leave())
-            && now() - asked <= PROPOSE_MS;
+        return newest != null
+                && Commands.stands(newest, order.member(), order.run(), order.leave())
+                && now() - asked <= PROPOSE_MS;
     }
 
     /** A drain, or what takes one back, of this very instance. */
@@ -236,7 +241,7 @@
         if (order.run() != fleet.run() || drain && !stands(register, order)) {
             return;
         }
-        synchronized (turn) {                                    // a drain may not pass what takes it back
+        synchronized (turn) { // a drain may not pass what takes it back
             if (drain && order.leave() > recalled && fleet.quiesce()) {
                 Event.of("release.out", "member", self, "leave", order.leave()).info();
             } else if (!drain) {
@@ -248,7 +253,7 @@
     /** Serves again, and refuses each later drain by this leave. Under the lock. */
     private void takeBack(long leave) {
         recalled = Math.max(recalled, leave);
-        if (forced || fleet.resume()) {                          // an operator's own drain stays
+        if (forced || fleet.resume()) { // an operator's own drain stays
             back.add(leave);
             Event.of("release.taken_back", "member", self, "leave", leave).info();
         }
@@ -259,13 +264,13 @@
         if (!workers.byRegistry()) {
             View.Member m = fleet.view().member(order.member());
             if (!drain || majority && now() - contactAt <= CONTACT_MS) {
-                synchronized (wanted) {                          // what may be over is asked of nobody
+                synchronized (wanted) { // what may be over is asked of nobody
                     wanted.put(order.member(), drain ? "drain" : "serve");
                 }
             }
             // Not before every console that has not heard of it has stopped to ask for the drain.
             if (!drain && m != null && m.serving() && now() - backSince.get(order.leave()) >= HAND_MS) {
-                taken(order.leave());                            // who drains it later has no leave
+                taken(order.leave()); // who drains it later has no leave
             }
         } else if (drain) {
             workers.drain(order, () -> stands(register, order));
@@ -285,26 +290,33 @@
     /** The console's, by method and path. */
     public Map<String, Call> calls() {
         return Map.of(
-            "GET /admin/release", ask -> new Reply(200, shown()),
-            "POST /admin/release", waiting((r, ask) -> {
-                Plan plan = Plan.read(ask.body());
-                return told(put(r, change(Commands.begin(by(ask), plan, fleet.view())), CALL_MS));
-            }),
-            "POST /admin/release/halt", waiting(halts, (r, ask) -> {
-                need(ask, "why");
-                return told(put(r, change(Commands.halt(by(ask), ask.query("why"))), CALL_MS));
-            }),
-            "POST /admin/release/go-on", act((ask, act) -> Commands.goOn(by(ask), ask.query("why"), act)),
-            "POST /admin/release/roll-back",
-            act((ask, act) -> Commands.rollBack(by(ask), ask.query("why"), act)),
-            "POST /admin/release/abandon",
-            act((ask, act) -> Commands.abandon(by(ask), ask.query("why"), act)),
-            "POST /admin/release/gone", waiting((r, ask) -> {
-                need(ask, "member");
-                return told(put(r, change(Commands.gone(by(ask), ask.query("member"))), CALL_MS));
-            }),
-            "POST /admin/quiesce", this::quiesce,
-            "POST /admin/resume", this::resume);
+                "GET /admin/release",
+                ask -> new Reply(200, shown()),
+                "POST /admin/release",
+                waiting((r, ask) -> {
+                    Plan plan = Plan.read(ask.body());
+                    return told(put(r, change(Commands.begin(by(ask), plan, fleet.view())), CALL_MS));
+                }),
+                "POST /admin/release/halt",
+                waiting(halts, (r, ask) -> {
+                    need(ask, "why");
+                    return told(put(r, change(Commands.halt(by(ask), ask.query("why"))), CALL_MS));
+                }),
+                "POST /admin/release/go-on",
+                act((ask, act) -> Commands.goOn(by(ask), ask.query("why"), act)),
+                "POST /admin/release/roll-back",
+                act((ask, act) -> Commands.rollBack(by(ask), ask.query("why"), act)),
+                "POST /admin/release/abandon",
+                act((ask, act) -> Commands.abandon(by(ask), ask.query("why"), act)),
+                "POST /admin/release/gone",
+                waiting((r, ask) -> {
+                    need(ask, "member");
+                    return told(put(r, change(Commands.gone(by(ask), ask.query("member"))), CALL_MS));
+                }),
+                "POST /admin/quiesce",
+                this::quiesce,
+                "POST /admin/resume",
+                this::resume);
     }
 
     /** A call that is put to the fleet. */
@@ -331,8 +343,7 @@
     private Call waiting(Semaphore free, Put put) {
         return ask -> {
             if (!free.tryAcquire()) {
-                return told(503, new CallRefused(CallRefused.Reason.TOO_MANY,
-                    "other calls wait for the fleet"));
+                return told(503, new CallRefused(CallRefused.Reason.TOO_MANY, "other calls wait for the fleet"));
             }
             try {
                 Register register = fleet.register();
@@ -364,7 +375,8 @@
         return switch (r.kind()) {
             case DECIDED -> {
                 State now = state(r.value());
-                yield new Reply(200, now.phase() == null ? "no release" : now.phase().toString());
+                yield new Reply(
+                        200, now.phase() == null ? "no release" : now.phase().toString());
             }
             case REFUSED -> told(409, r.why());
             case NO_MAJORITY -> told(503, r.why());
@@ -382,35 +394,39 @@
             return force(word);
         }
         return waiting((register, a) -> {
-            long end = now() + CALL_MS;
-            Result r = put(register, Change.READ, CALL_MS);
-            if (r.kind() != Result.Kind.DECIDED) {
-                return told(409, r.why());                       // what is agreed cannot be known
-            }
-            State known = state(r.value());
-            State.Leave held = known.leaves().get(self);
-            boolean bound = known.on() || !known.inForce().isEmpty() || known.halt() != null;
-            if (bound && (held == null || held.run() != fleet.run())) {
-                if (known.on()) {
-                    Commands.checkDrain(known, self);
-                }
-                r = put(register, change(Commands.leaveByHand(by(a), self, known.calm(), fleet.view(),
-                    a.query("why"))), Math.max(1, end - now()));
-                if (r.kind() != Result.Kind.DECIDED) {
-                    return told(409, r.why());
-                }
-                held = state(r.value()).leaves().get(self);
-            } else if (held != null) {
-                Commands.checkDrain(known, self);                // its leave may be called back
-            }
-            synchronized (turn) {
-                if (bound && (held == null || held.number() <= recalled)) {
-                    return new Reply(409, "the leave has been given back meanwhile");
-                }
-                return fleet.quiesce() ? new Reply(200, "drains; resume ends it")
-                    : new Reply(409, "not in service");
-            }
-        }).answer(ask);
+                    long end = now() + CALL_MS;
+                    Result r = put(register, Change.READ, CALL_MS);
+                    if (r.kind() != Result.Kind.DECIDED) {
+                        return told(409, r.why()); // what is agreed cannot be known
+                    }
+                    State known = state(r.value());
+                    State.Leave held = known.leaves().get(self);
+                    boolean bound = known.on() || !known.inForce().isEmpty() || known.halt() != null;
+                    if (bound && (held == null || held.run() != fleet.run())) {
+                        if (known.on()) {
+                            Commands.checkDrain(known, self);
+                        }
+                        r = put(
+                                register,
+                                change(Commands.leaveByHand(by(a), self, known.calm(), fleet.view(), a.query("why"))),
+                                Math.max(1, end - now()));
+                        if (r.kind() != Result.Kind.DECIDED) {
+                            return told(409, r.why());
+                        }
+                        held = state(r.value()).leaves().get(self);
+                    } else if (held != null) {
+                        Commands.checkDrain(known, self); // its leave may be called back
+                    }
+                    synchronized (turn) {
+                        if (bound && (held == null || held.number() <= recalled)) {
+                            return new Reply(409, "the leave has been given back meanwhile");
+                        }
+                        return fleet.quiesce()
+                                ? new Reply(200, "drains; resume ends it")
+                                : new Reply(409, "not in service");
+                    }
+                })
+                .answer(ask);
     }
 
     /** An operator's word goes before all that is agreed, also without a majority; it is logged at least. */
@@ -423,9 +439,13 @@
             forced = true;
         }
         Reply told = waiting((r, ask) -> told(put(r, change(Commands.force(self, self, word)), CALL_MS)))
-            .answer(null);
-        return new Reply(200, "drains without leave" + (told.status() == 200 ? "; the fleet knows"
-            : "; the fleet could not be told: " + told.text()));
+                .answer(null);
+        return new Reply(
+                200,
+                "drains without leave"
+                        + (told.status() == 200
+                                ? "; the fleet knows"
+                                : "; the fleet could not be told: " + told.text()));
     }
 
     private Reply resume(Ask ask) {
--- a/src/main/java/maplespread/release/client/Sight.java
+++ b/src/main/java/maplespread/release/client/Sight.java
@@ -21,7 +21,7 @@
  * by the whole route set, a subset or not.
  */
 public final class Sight implements RouteSink {
-    private static final long FRESH_MS = 3_000;                  // a word older than this says nothing
+    private static final long FRESH_MS = 3_000; // a word older than this says nothing
     private final RouteSink next;
     private final Map<String, Route> workers = new HashMap<>();
 
@@ -29,7 +29,8 @@
         this.next = next;
     }
 
-    @Override public void news(RouteNews news) {
+    @Override
+    public void news(RouteNews news) {
         synchronized (workers) {
             if (news.kind() != RouteNews.Kind.CHANGES) {
                 workers.clear();
@@ -45,7 +46,8 @@
         next.news(news);
     }
 
-    @Override public void watchLost() {
+    @Override
+    public void watchLost() {
         next.watchLost();
     }
 
@@ -57,10 +59,22 @@
         double waits = 0;
         long samples = 0;
         for (Update u : members) {
-            Optional<Status> said = statuses.of(u.name()).filter(h -> nowMs - h.atMs() <= FRESH_MS)
-                .map(Statuses.Heard::status).filter(s -> s.run() == u.boot());
-            all.add(new Member(u.name(), u.address(), Role.DISPATCHER, said.map(Status::zone).orElse(""), "",
-                "", u.boot(), said.map(Status::version).orElse(""), status(u, said), 0, true));
+            Optional<Status> said = statuses.of(u.name())
+                    .filter(h -> nowMs - h.atMs() <= FRESH_MS)
+                    .map(Statuses.Heard::status)
+                    .filter(s -> s.run() == u.boot());
+            all.add(new Member(
+                    u.name(),
+                    u.address(),
+                    Role.DISPATCHER,
+                    said.map(Status::zone).orElse(""),
+                    "",
+                    "",
+                    u.boot(),
+                    said.map(Status::version).orElse(""),
+                    status(u, said),
+                    0,
+                    true));
             if (said.isPresent()) {
                 Status s = said.get();
                 refused += s.refused() * s.samples();
@@ -82,10 +96,11 @@
             return View.Status.DOWN;
         }
         return said.map(s -> switch (s.phase()) {
-            case STARTING -> View.Status.DOWN;
-            case SERVING -> View.Status.SERVING;
-            case DRAINING -> View.Status.DRAINING;
-        }).orElse(View.Status.UNKNOWN);
+                    case STARTING -> View.Status.DOWN;
+                    case SERVING -> View.Status.SERVING;
+                    case DRAINING -> View.Status.DRAINING;
+                })
+                .orElse(View.Status.UNKNOWN);
     }
 
     private static Member worker(Route r, Config config, long wallMs) {
@@ -93,11 +108,18 @@
         double age = r.startedAtMs() <= 0 ? Double.MAX_VALUE : Math.max(0, wallMs - r.startedAtMs());
         boolean warm = age >= rules.warmWithinMs();
         double warmth = warm ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.warmWithinMs();
-        return new Member(r.worker(), r.address(), Role.WORKER, name(config.names().zones(), r.zone()),
-            name(config.names().kinds(), r.kind()), Integer.toString(r.cell()),
-            Math.max(1, (long) r.startedAtMs()), "",
-            r.state() == Route.State.SERVING ? View.Status.SERVING : View.Status.DRAINING,
-            r.weight() * warmth, warm);
+        return new Member(
+                r.worker(),
+                r.address(),
+                Role.WORKER,
+                name(config.names().zones(), r.zone()),
+                name(config.names().kinds(), r.kind()),
+                Integer.toString(r.cell()),
+                Math.max(1, (long) r.startedAtMs()),
+                "",
+                r.state() == Route.State.SERVING ? View.Status.SERVING : View.Status.DRAINING,
+                r.weight() * warmth,
+                warm);
     }
 
     private static String name(List<String> names, int place) {
--- a/src/main/java/maplespread/release/client/Workers.java
+++ b/src/main/java/maplespread/release/client/Workers.java
@@ -22,8 +22,8 @@
     private static final long STACK = 144 * 1024;
     private static final int WAITING = 64;
     private static final long AGAIN_MS = 2_000;
-    private final RegistrySettings registry;                     // null: by an operator's hand
-    private final Map<String, Long> triedAt = new HashMap<>();   // the driver's thread alone
+    private final RegistrySettings registry; // null: by an operator's hand
+    private final Map<String, Long> triedAt = new HashMap<>(); // the driver's thread alone
     private final ThreadPoolExecutor work;
 
     /** {@code registry}: null where there is none. */
@@ -45,7 +45,8 @@
     void drain(Order order, BooleanSupplier stands) {
         once("drain ", order, admin -> {
             if (stands.getAsBoolean() && admin.drain(order.member(), order.run(), order.leave())) {
-                Event.of("release.worker_drained", "worker", order.member(), "leave", order.leave()).info();
+                Event.of("release.worker_drained", "worker", order.member(), "leave", order.leave())
+                        .info();
             }
         });
     }
@@ -55,7 +56,7 @@
         once("recall ", order, admin -> {
             if (admin.recall(order.member(), order.run(), order.leave())) {
                 Event.of("release.worker_taken_back", "worker", order.member(), "leave", order.leave())
-                    .info();
+                        .info();
                 sure.run();
             }
         });
@@ -78,7 +79,7 @@
                     task.run(admin);
                 } catch (RegistryAdmin.NotDone e) {
                     Event.of("release.worker_not_done", "worker", order.member(), "why", e.getMessage())
-                        .warn();
+                            .warn();
                 } catch (RuntimeException e) {
                     Event.of("release.fault", "why", e).error();
                 }
@@ -88,7 +89,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         work.shutdownNow();
     }
 }
--- a/src/main/java/maplespread/routes/Handover.java
+++ b/src/main/java/maplespread/routes/Handover.java
@@ -11,7 +11,7 @@
  */
 public final class Handover implements RouteSource {
     /** Makes a source that reports to the sink; it is started here. */
-    public interface Maker extends Function<RouteSink, RouteSource> { }
+    public interface Maker extends Function<RouteSink, RouteSource> {}
 
     private final RouteSink to;
     private RouteSource newest;
@@ -27,11 +27,13 @@
     private RouteSource make(Maker maker) {
         RouteSource[] made = new RouteSource[1];
         made[0] = maker.apply(new RouteSink() {
-            @Override public void news(RouteNews news) {
+            @Override
+            public void news(RouteNews news) {
                 Handover.this.news(made[0], news);
             }
 
-            @Override public void watchLost() {
+            @Override
+            public void watchLost() {
                 synchronized (Handover.this) {
                     if (!over && (made[0] == newest || made[0] == spoken)) {
                         to.watchLost();
@@ -50,7 +52,7 @@
             if (over) {
                 return;
             }
-            before = newest != spoken ? newest : null;           // it never spoke
+            before = newest != spoken ? newest : null; // it never spoke
             now = make(next);
             newest = now;
         }
@@ -69,7 +71,7 @@
             }
             if (from == newest && spoken != newest) {
                 if (news.kind() == RouteNews.Kind.CHANGES) {
-                    return;                                      // not yet all that there is
+                    return; // not yet all that there is
                 }
                 old = spoken;
                 spoken = newest;
@@ -86,21 +88,25 @@
         }
     }
 
-    @Override public void start() {
+    @Override
+    public void start() {
         newest().start();
     }
 
-    @Override public void watch() {
+    @Override
+    public void watch() {
         newest().watch();
         spoken().watch();
     }
 
-    @Override public boolean move(InetSocketAddress address) {
+    @Override
+    public boolean move(InetSocketAddress address) {
         return newest().move(address);
     }
 
-    @Override public String unready() {
-        return spoken().unready();                               // not under the lock: it takes its own
+    @Override
+    public String unready() {
+        return spoken().unready(); // not under the lock: it takes its own
     }
 
     private synchronized RouteSource spoken() {
@@ -111,7 +117,8 @@
         return newest;
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         RouteSource a;
         RouteSource b;
         synchronized (this) {
--- a/src/main/java/maplespread/routes/Narrowed.java
+++ b/src/main/java/maplespread/routes/Narrowed.java
@@ -22,7 +22,7 @@
     private final IntConsumer sharers;
     private final Cut cut;
     private final Map<String, Route> listed = new LinkedHashMap<>();
-    private Set<String> shown = Set.of();                         // what the dispatcher has been told of
+    private Set<String> shown = Set.of(); // what the dispatcher has been told of
     private long generation;
     private int told;
 
@@ -33,7 +33,8 @@
         this.to = to;
     }
 
-    @Override public synchronized void news(RouteNews news) {
+    @Override
+    public synchronized void news(RouteNews news) {
         generation = news.generation();
         boolean whole = news.kind() != RouteNews.Kind.CHANGES;
         if (whole) {
@@ -83,7 +84,7 @@
                 continue;
             }
             if (left != null && left.state() == Route.State.DRAINING) {
-                next.add(worker);                                // its end is still to be told
+                next.add(worker); // its end is still to be told
                 if (whole || changed.containsKey(worker)) {
                     on.add(left);
                 }
@@ -96,8 +97,15 @@
     }
 
     private static Route gone(Route r) {
-        return new Route(r.worker(), r.address(), Route.State.DELETED, r.weight(), r.kind(), r.cell(),
-            r.zone(), r.startedAtMs());
+        return new Route(
+                r.worker(),
+                r.address(),
+                Route.State.DELETED,
+                r.weight(),
+                r.kind(),
+                r.cell(),
+                r.zone(),
+                r.startedAtMs());
     }
 
     /** How many workers the whole list has. */
@@ -105,7 +113,8 @@
         return listed.size();
     }
 
-    @Override public void watchLost() {
+    @Override
+    public void watchLost() {
         to.watchLost();
     }
 }
--- a/src/main/java/maplespread/routes/RouteReader.java
+++ b/src/main/java/maplespread/routes/RouteReader.java
@@ -34,7 +34,7 @@
     public RouteNews read(String text) throws Malformed {
         try {
             return read(JsonParser.parseString(text).getAsJsonObject());
-        } catch (RuntimeException e) {                           // Gson has several for what is malformed
+        } catch (RuntimeException e) { // Gson has several for what is malformed
             throw new Malformed("not a JSON object");
         }
     }
@@ -46,8 +46,10 @@
                 routes.add(route(e.getAsJsonObject()));
             }
             boolean whole = o.has("reset") && o.get("reset").getAsBoolean();
-            return new RouteNews(whole ? RouteNews.Kind.WHOLE : RouteNews.Kind.CHANGES,
-                o.get("generation").getAsLong(), routes);
+            return new RouteNews(
+                    whole ? RouteNews.Kind.WHOLE : RouteNews.Kind.CHANGES,
+                    o.get("generation").getAsLong(),
+                    routes);
         } catch (RuntimeException e) {
             throw new Malformed("not a route set: " + e.getMessage());
         }
@@ -58,10 +60,15 @@
         String address = o.get("hostPort").getAsString();
         address(address);
         Route.State state = Route.State.valueOf(o.get("lifecycle").getAsString());
-        return new Route(o.get("instanceId").getAsString(), address, state,
-            o.has("weight") ? o.get("weight").getAsDouble() : 1, place(kinds, o, "machineType"),
-            o.has("cell") ? o.get("cell").getAsInt() : 0, place(zones, o, "zone"),
-            o.has("startedAtMs") ? o.get("startedAtMs").getAsDouble() : 0);
+        return new Route(
+                o.get("instanceId").getAsString(),
+                address,
+                state,
+                o.has("weight") ? o.get("weight").getAsDouble() : 1,
+                place(kinds, o, "machineType"),
+                o.has("cell") ? o.get("cell").getAsInt() : 0,
+                place(zones, o, "zone"),
+                o.has("startedAtMs") ? o.get("startedAtMs").getAsDouble() : 0);
     }
 
     private static int place(List<String> names, JsonObject o, String key) {
@@ -76,8 +83,7 @@
             throw new IllegalArgumentException("not a numeric address: " + text);
         }
         try {
-            return new InetSocketAddress(InetAddress.getByName(host),
-                Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
         } catch (UnknownHostException e) {
             throw new IllegalArgumentException("not an address: " + text);
         }
--- a/src/main/java/maplespread/routes/RouteSet.java
+++ b/src/main/java/maplespread/routes/RouteSet.java
@@ -25,19 +25,25 @@
     private static final int LONGEST_LINE = 1 << 20;
     private static final long STACK = 144 * 1024;
     private static final long DIAL_MS = 2500;
-    private static final long AGENT_AGAIN_MS = 100;              // pushed: between two calls while it is out
+    private static final long AGENT_AGAIN_MS = 100; // pushed: between two calls while it is out
     private final ListClock clock;
     private final boolean pushed;
     private final SplittableRandom random;
     private final Seldom seldom = new Seldom();
     private final RouteSink to;
     private final RouteReader reader;
-    private Source newest;                                       // the address that is asked
-    private Source spoken;                                       // the last one that has said anything
+    private Source newest; // the address that is asked
+    private Source spoken; // the last one that has said anything
 
     /** {@code generation}: of the list held; {@code pushed}: it comes from an agent that pushes it. */
-    public RouteSet(InetSocketAddress address, RouteReader reader, long generation, ListClock clock,
-            boolean pushed, long seed, RouteSink to) {
+    public RouteSet(
+            InetSocketAddress address,
+            RouteReader reader,
+            long generation,
+            ListClock clock,
+            boolean pushed,
+            long seed,
+            RouteSink to) {
         this.reader = reader;
         this.clock = clock;
         this.pushed = pushed;
@@ -48,7 +54,8 @@
     }
 
     /** Begins; the first watch is the module's word, unless the list is pushed. */
-    @Override public synchronized void start() {
+    @Override
+    public synchronized void start() {
         if (pushed) {
             newest.watch();
         }
@@ -56,31 +63,35 @@
     }
 
     /** Asks for a watch; passed over while one is on. */
-    @Override public synchronized void watch() {
+    @Override
+    public synchronized void watch() {
         newest.watch();
     }
 
     /** Discovery is at another address from now on. False where that is the one in use. */
-    @Override public synchronized boolean move(InetSocketAddress address) {
+    @Override
+    public synchronized boolean move(InetSocketAddress address) {
         if (newest.over || newest.address.equals(address)) {
             return false;
         }
         if (newest != spoken) {
-            newest.close();                                      // it never spoke
+            newest.close(); // it never spoke
         }
-        newest = new Source(address, 0);                         // its generations may count otherwise
+        newest = new Source(address, 0); // its generations may count otherwise
         newest.watch();
         newest.begin();
         return true;
     }
 
     /** The list last told holds, however old: the platform's rules ask for no more. */
-    @Override public String unready() {
+    @Override
+    public String unready() {
         return null;
     }
 
     /** Ends all watches. */
-    @Override public synchronized void close() {
+    @Override
+    public synchronized void close() {
         newest.close();
         spoken.close();
     }
@@ -107,8 +118,8 @@
     private final class Source implements Runnable {
         final InetSocketAddress address;
         long generation;
-        boolean heard;                                           // news of the watch that is on
-        boolean spoke;                                           // a line of it; its own thread's
+        boolean heard; // news of the watch that is on
+        boolean spoke; // a line of it; its own thread's
         boolean wanted;
         boolean following;
         boolean over;
@@ -138,7 +149,8 @@
             RouteSet.this.notifyAll();
         }
 
-        @Override public void run() {
+        @Override
+        public void run() {
             try {
                 while (awaitWanted()) {
                     String end = watched();
@@ -178,7 +190,7 @@
                     seldom.warn(address + ": the watch is silent; it is begun anew");
                 } catch (IOException e) {
                     return "the watch broke: " + e.getMessage();
-                } catch (RuntimeException | Error e) {           // without this thread drains would go unseen
+                } catch (RuntimeException | Error e) { // without this thread drains would go unseen
                     Logger.error(e, "the watch failed");
                     return "the watch failed";
                 }
@@ -201,7 +213,7 @@
         private boolean ended() {
             synchronized (RouteSet.this) {
                 following = false;
-                over |= this != newest;                          // an address left behind is not asked again
+                over |= this != newest; // an address left behind is not asked again
                 return !over;
             }
         }
@@ -222,14 +234,16 @@
                     }
                 }
                 String host = address.getHostString() + ':' + address.getPort();
-                link.send(HttpWriter.request("GET", "/v1/endpoints?follow=1&since=" + since, host).bytes());
+                link.send(HttpWriter.request("GET", "/v1/endpoints?follow=1&since=" + since, host)
+                        .bytes());
                 ObjectLines objects = new ObjectLines();
-                HttpParser parser = HttpParser.response(Long.MAX_VALUE, new Lines(LONGEST_LINE,
-                    text -> line(objects, text)));
+                HttpParser parser =
+                        HttpParser.response(Long.MAX_VALUE, new Lines(LONGEST_LINE, text -> line(objects, text)));
                 long firstBy = System.nanoTime() + firstMs * 1_000_000;
                 while (!parser.feed(link.buffer())) {
                     if (parser.headDone() && parser.head().status() != 200) {
-                        throw new IOException("discovery answered " + parser.head().status());
+                        throw new IOException(
+                                "discovery answered " + parser.head().status());
                     }
                     if (!link.fill(spoke ? silenceMs : (firstBy - System.nanoTime()) / 1_000_000)) {
                         return;
--- a/src/main/java/maplespread/routes/RouteSource.java
+++ b/src/main/java/maplespread/routes/RouteSource.java
@@ -18,5 +18,6 @@
     String unready();
 
     /** Ends; nothing is reported after it. */
-    @Override void close();
+    @Override
+    void close();
 }
--- a/src/main/java/maplespread/starvation/Code.java
+++ b/src/main/java/maplespread/starvation/Code.java
@@ -16,12 +16,13 @@
     /** Where the bins begin, ms; the last one holds all above an hour. */
     static final int[] BINS = bins();
 
-    private Code() { }
+    private Code() {}
 
     private static int[] bins() {
         IntCountsHistogram shape = new IntCountsHistogram(3_600_000, 1);
         return java.util.stream.LongStream.iterate(0, v -> v <= 3_600_000, shape::nextNonEquivalentValue)
-            .mapToInt(v -> (int) v).toArray();
+                .mapToInt(v -> (int) v)
+                .toArray();
     }
 
     static int binOf(double ms) {
--- a/src/main/java/maplespread/starvation/Comparison.java
+++ b/src/main/java/maplespread/starvation/Comparison.java
@@ -17,9 +17,9 @@
     /** A stratum's waits with what is made once for all groups in it. */
     static final class Table {
         final int n, held;
-        final double tauMs, meanMs;                              // the deadline; the restricted mean
-        private final double[] hazard = new double[Code.BINS.length];    // Nelson and Aalen's, by bin's end
-        private final double[] within = new double[Code.BINS.length];    // for one served in the bin
+        final double tauMs, meanMs; // the deadline; the restricted mean
+        private final double[] hazard = new double[Code.BINS.length]; // Nelson and Aalen's, by bin's end
+        private final double[] within = new double[Code.BINS.length]; // for one served in the bin
 
         Table(Sample all, double tauMs) {
             this.tauMs = tauMs;
@@ -34,7 +34,7 @@
                     hazard[bin] = sum;
                 }
                 if (!all.held(i)) {
-                    double more = 0;                             // served one after the other, in any order
+                    double more = 0; // served one after the other, in any order
                     for (int k = 0; k < all.count(i); k++) {
                         more += 1 / (at - k);
                     }
@@ -53,8 +53,8 @@
     static final class Sum {
         int n, held, others, othersHeld;
         double observed, expected;
-        double own, beside, deadlines;                           // each times the jobs
-        private double toCut;                                    // jobs not taken out yet, below one
+        double own, beside, deadlines; // each times the jobs
+        private double toCut; // jobs not taken out yet, below one
 
         /** Adds another so many times; below 0: takes it out. */
         void add(Sum o, int times) {
@@ -94,12 +94,13 @@
 
         /** How likely it is by chance to wait so much longer, where all spread wider by a factor. */
         double chance(double wider) {
-            return expected <= observed ? 1
-                : GammaDistribution.of(observed / wider + 1, 1).survivalProbability(expected / wider);
+            return expected <= observed
+                    ? 1
+                    : GammaDistribution.of(observed / wider + 1, 1).survivalProbability(expected / wider);
         }
     }
 
-    private Comparison() { }
+    private Comparison() {}
 
     /**
      * Adds to the sum what a group's jobs in a stratum tell against the others. {@code kept}: what share of
@@ -108,14 +109,14 @@
     static void add(Sum sum, Table all, Sample own, double kept) {
         int others = all.n - own.n();
         if (others <= 0) {
-            return;                                              // nobody beside it
+            return; // nobody beside it
         }
         sum.toCut += own.n() * (1 - kept);
         int out = Math.min(own.n(), (int) sum.toCut);
         sum.toCut -= out;
         int n = own.n() - out;
         int[] counts = new int[own.size()];
-        out = worst(own, counts, true, out);                     // held the longest, then served the latest
+        out = worst(own, counts, true, out); // held the longest, then served the latest
         worst(own, counts, false, out);
         double beside = (all.n * all.meanMs - own.n() * mean(own, own.n(), all.tauMs)) / others;
         for (int i = 0; i < counts.length; i++) {
--- a/src/main/java/maplespread/starvation/Exchange.java
+++ b/src/main/java/maplespread/starvation/Exchange.java
@@ -14,9 +14,9 @@
  */
 public final class Exchange {
     private static final int VERSION = 1;
-    private static final int MOST = 1 << 20;                     // entries, and jobs of one
+    private static final int MOST = 1 << 20; // entries, and jobs of one
 
-    private Exchange() { }
+    private Exchange() {}
 
     /** What is sent to each of the others so that all of it stays within so many bytes a second. */
     public static int bytesEach(long bytesPerS, int windowMs, int others) {
@@ -47,8 +47,7 @@
         for (int i = 0; i < open.length; i++) {
             open[i] = hash(w.open()[i], i) < part ? open[i] : 0;
         }
-        return new Window(w.process(), w.run(), w.number(), w.lengthMs(), left, w.codes(), counts, w.open(),
-            open);
+        return new Window(w.process(), w.run(), w.number(), w.lengthMs(), left, w.codes(), counts, w.open(), open);
     }
 
     /** From 0 to 1. */
@@ -143,8 +142,7 @@
         if (in.at != bytes.length) {
             throw new NotAWindow("goes on beyond its end");
         }
-        return new Window(process, run, number, lengthMs, left, ended[0], ints(ended[1]), open[0],
-            ints(open[1]));
+        return new Window(process, run, number, lengthMs, left, ended[0], ints(ended[1]), open[0], ints(open[1]));
     }
 
     private static long[][] entries(In in) throws NotAWindow {
@@ -154,8 +152,7 @@
         long before = 0;
         for (int i = 0; i < n; i++) {
             codes[i] = before + in.next(Code.HIGHEST);
-            if (codes[i] > Code.HIGHEST || i > 0 && codes[i] == before
-                    || Code.bin(codes[i]) >= Code.BINS.length) {
+            if (codes[i] > Code.HIGHEST || i > 0 && codes[i] == before || Code.bin(codes[i]) >= Code.BINS.length) {
                 throw new NotAWindow("out of range or order");
             }
             counts[i] = in.next(MOST);
--- a/src/main/java/maplespread/starvation/Judge.java
+++ b/src/main/java/maplespread/starvation/Judge.java
@@ -26,25 +26,26 @@
 public final class Judge {
     /** Jobs of a tenant in a place below which nothing is said. */
     static final int FEW = 5;
+
     private static final int FEW_OTHERS = 20;
-    private static final double ALPHA = 1e-4;                    // a round of all that judge
-    private static final double WEAK = 0.01;                     // while it stands
-    private static final int ENTER = 2, LEAVE = 3;               // rounds
-    private static final int FOR_SPREAD = 30;                    // comparisons that tell of the spread
-    private static final double MEDIAN = 0.4549;                 // of chi-squared with one degree
-    private static final double LEAST_HEARD = 0.5;               // of the processes, to judge the fleet
-    private static final double GREEDY = 0.2;                    // of what it asks, in a crowded place
-    private static final double TAKEN_OUT = 1.5;                 // of the excess: what is due is a guess
-    private static final double FULL = 0.5;                      // of the deadline: slow without compare
+    private static final double ALPHA = 1e-4; // a round of all that judge
+    private static final double WEAK = 0.01; // while it stands
+    private static final int ENTER = 2, LEAVE = 3; // rounds
+    private static final int FOR_SPREAD = 30; // comparisons that tell of the spread
+    private static final double MEDIAN = 0.4549; // of chi-squared with one degree
+    private static final double LEAST_HEARD = 0.5; // of the processes, to judge the fleet
+    private static final double GREEDY = 0.2; // of what it asks, in a crowded place
+    private static final double TAKEN_OUT = 1.5; // of the excess: what is due is a guess
+    private static final double FULL = 0.5; // of the deadline: slow without compare
     private static final double LONG_Z = 6;
     private static final int LONG_FEW = 50;
     private static final int BANDS = 16;
 
     /** Whom a verdict is of. */
-    private record Subject(int tenant, int cls, int place) { }
+    private record Subject(int tenant, int cls, int place) {}
 
     /** What this round says of a subject: a kind if it is clear, and one if it is half seen. */
-    private record Seen(Kind clear, Kind half, Figures figures) { }
+    private record Seen(Kind clear, Kind half, Figures figures) {}
 
     private static final class Standing {
         Kind kind = Kind.FINE;
@@ -84,14 +85,14 @@
     private final Map<Subject, Standing> standing = new HashMap<>();
     private Set<Subject> known = new HashSet<>();
     private Map<Integer, Double> excess = new HashMap<>();
-    private Map<Integer, Double> sure = new HashMap<>();         // that cannot be a deadline's jobs at once
+    private Map<Integer, Double> sure = new HashMap<>(); // that cannot be a deadline's jobs at once
     private int heard;
     private boolean enough;
     private double spread = 1;
     private List<Test> tests = List.of();
     private final boolean alone;
-    private final Judge fleet;                                   // knows who asks too much; null: nobody does
-    private final double limit;                                  // of what is called chance, a round
+    private final Judge fleet; // knows who asks too much; null: nobody does
+    private final double limit; // of what is called chance, a round
 
     /** {@code matters}: what share of the deadline a wait must be longer by to be worth a word. */
     public Judge(Site site, double matters) {
@@ -142,7 +143,9 @@
         Map<Long, Group> groups = groups(view);
         boolean guess = alone && site.processes() > 1;
         boolean told = fleet != null && fleet.enough;
-        sure = told ? fleet.sure : excess(view, Arrays.stream(site.deadlinesMs()).max().orElse(1000));
+        sure = told
+                ? fleet.sure
+                : excess(view, Arrays.stream(site.deadlinesMs()).max().orElse(1000));
         excess = told ? fleet.excess : guess ? sure : excess(view, 1000);
         Map<Subject, Test> pooled = new HashMap<>();
         List<Test> all = new ArrayList<>();
@@ -183,9 +186,12 @@
             known.add(t.of);
             clear.put(t.of, t);
         });
-        Map<Long, List<Group>> places = new HashMap<>();         // of a tenant and class
-        groups.values().forEach(g -> g.tenants.keySet().forEach(t ->
-            places.computeIfAbsent((long) t << 32 | g.cls, k -> new ArrayList<>()).add(g)));
+        Map<Long, List<Group>> places = new HashMap<>(); // of a tenant and class
+        groups.values()
+                .forEach(g -> g.tenants
+                        .keySet()
+                        .forEach(t -> places.computeIfAbsent((long) t << 32 | g.cls, k -> new ArrayList<>())
+                                .add(g)));
         for (Test t : all) {
             tenant(t, clear, places, seen);
         }
@@ -198,7 +204,7 @@
         Map<Long, Group> groups = new TreeMap<>();
         view.strata().forEach((s, sample) -> {
             if (Code.cls(s) >= site.deadlinesMs().length) {
-                return;                                          // of a dispatcher with other settings
+                return; // of a dispatcher with other settings
             }
             Group g = groups.computeIfAbsent(key(s), k -> new Group(Code.cls(s), Code.place(s)));
             g.totals[Code.band(s)] = sample;
@@ -207,8 +213,7 @@
         view.cells().forEach((cell, sample) -> {
             Group g = groups.get(key(cell));
             if (g != null) {
-                g.tenants.computeIfAbsent(Code.tenant(cell), t -> new Sample[BANDS])[Code.band(cell)]
-                    = sample;
+                g.tenants.computeIfAbsent(Code.tenant(cell), t -> new Sample[BANDS])[Code.band(cell)] = sample;
             }
         });
         return groups;
@@ -237,8 +242,8 @@
         for (int t = 0; t < tenants && seconds > 0; t++) {
             double rate = view.jobs(t) / seconds;
             double others = site.allowances() - site.allowance(t);
-            double part = Math.max((double) heard / site.processes(),
-                others > 0 ? Math.min(1, (rates - rate) / others) : 0);
+            double part =
+                    Math.max((double) heard / site.processes(), others > 0 ? Math.min(1, (rates - rate) / others) : 0);
             double due = site.allowance(t) * part;
             double beyond = due > 0 ? view.beyond(t, due, slackMs) : 0;
             if (beyond > 0) {
@@ -253,7 +258,8 @@
         if (all.size() < FOR_SPREAD) {
             return 1;
         }
-        double[] z = all.stream().mapToDouble(t -> t.sum.z() * t.sum.z()).sorted().toArray();
+        double[] z =
+                all.stream().mapToDouble(t -> t.sum.z() * t.sum.z()).sorted().toArray();
         return Math.max(1, z[z.length / 2] / MEDIAN);
     }
 
@@ -269,8 +275,7 @@
 
     // ------------------------------------------------------------ what it is
 
-    private void tenant(Test t, Map<Subject, Test> tests, Map<Long, List<Group>> places,
-            Map<Subject, Seen> seen) {
+    private void tenant(Test t, Map<Subject, Test> tests, Map<Long, List<Group>> places, Map<Subject, Seen> seen) {
         boolean half = t.chance < WEAK && t.sum.effect() >= matters / 2;
         if (!half) {
             return;
@@ -278,8 +283,8 @@
         boolean clear = t.clear && t.sum.effect() >= matters;
         double beyond = excess.getOrDefault(t.of.tenant, 0.0);
         // What is beyond its share may wait: what is left, its best jobs, must be worse off, too.
-        boolean within = beyond == 0
-            || t.trimmed.chance(spread) <= limit / tests.size() && t.trimmed.effect() >= matters;
+        boolean within =
+                beyond == 0 || t.trimmed.chance(spread) <= limit / tests.size() && t.trimmed.effect() >= matters;
         double elsewhere = Double.NaN;
         if (t.of.place >= 0) {
             Sum own = elsewhere(t.of, places.get((long) t.of.tenant << 32 | t.of.cls));
@@ -287,17 +292,17 @@
             Test everywhere = tests.get(new Subject(t.of.tenant, t.of.cls, Verdict.ALL));
             boolean same = own.others >= FEW && own.effect() < matters / 2;
             if (same && (everywhere == null || everywhere.sum.effect() < matters / 2)) {
-                return;                                          // as long as its own elsewhere
+                return; // as long as its own elsewhere
             }
         }
         boolean guess = alone && site.processes() > 1;
         if (guess && fleet != null && fleet.enough) {
             within = beyond < GREEDY / 2;
         } else if (guess && beyond > 0 && (within || beyond < 2 * GREEDY)) {
-            return;                                              // one or the other: better no word
+            return; // one or the other: better no word
         }
         if (!within && sure.getOrDefault(t.of.tenant, 0.0) == 0) {
-            return;                                              // too much, or a few that ended together
+            return; // too much, or a few that ended together
         }
         Kind kind = within ? Kind.STARVED : Kind.BEYOND_SHARE;
         seen.put(t.of, new Seen(clear ? kind : null, kind, figures(t.sum, elsewhere, t.chance, beyond)));
@@ -315,18 +320,21 @@
             if (s.place < 0) {
                 wide.add(s);
             } else if (what.clear != null) {
-                narrow.computeIfAbsent((long) s.tenant << 32 | s.cls, k -> new ArrayList<>()).add(s);
+                narrow.computeIfAbsent((long) s.tenant << 32 | s.cls, k -> new ArrayList<>())
+                        .add(s);
             }
         });
-        wide.sort((a, b) -> Integer.compare(b.place, a.place));  // all first
+        wide.sort((a, b) -> Integer.compare(b.place, a.place)); // all first
         for (Subject w : wide) {
-            if (w.place != Verdict.ALL && seen.containsKey(new Subject(w.tenant, w.cls, Verdict.ALL))
+            if (w.place != Verdict.ALL
+                    && seen.containsKey(new Subject(w.tenant, w.cls, Verdict.ALL))
                     && seen.get(new Subject(w.tenant, w.cls, Verdict.ALL)).clear != null) {
                 seen.remove(w);
                 continue;
             }
             List<Subject> in = narrow.getOrDefault((long) w.tenant << 32 | w.cls, List.of()).stream()
-                .filter(s -> site.has(w.place, s.place)).toList();
+                    .filter(s -> site.has(w.place, s.place))
+                    .toList();
             Sum rest = new Sum();
             rest.add(tests.get(w).sum, 1);
             in.forEach(s -> rest.add(tests.get(s).sum, -1));
@@ -341,8 +349,18 @@
     }
 
     private static Figures figures(Sum s, double elsewhere, double chance, double beyond) {
-        return new Figures(s.n, s.held, s.others, s.othersHeld, s.ownMs(), s.othersMs(), s.moreMs(),
-            s.effect(), elsewhere, chance, beyond);
+        return new Figures(
+                s.n,
+                s.held,
+                s.others,
+                s.othersHeld,
+                s.ownMs(),
+                s.othersMs(),
+                s.moreMs(),
+                s.effect(),
+                elsewhere,
+                chance,
+                beyond);
     }
 
     /** The tenant's waits here against its own in other places. */
@@ -368,7 +386,9 @@
     /** Places that are slow for all, whoever is starved there left out. */
     private void crowds(Map<Long, Group> groups, Map<Subject, Seen> seen) {
         Map<Integer, List<Group>> classes = new TreeMap<>();
-        groups.values().forEach(g -> classes.computeIfAbsent(g.cls, c -> new ArrayList<>()).add(g));
+        groups.values()
+                .forEach(g ->
+                        classes.computeIfAbsent(g.cls, c -> new ArrayList<>()).add(g));
         classes.forEach((cls, all) -> {
             Table[] total = new Table[BANDS];
             for (int b = 0; b < BANDS; b++) {
@@ -418,17 +438,43 @@
         if (!half) {
             return;
         }
-        Figures f = new Figures(jobs, sum.held, sum.others, sum.othersHeld, area / jobs, sum.othersMs(),
-            sum.moreMs(), Math.max(sum.effect(), full), Double.NaN, sum.chance(spread), 0);
+        Figures f = new Figures(
+                jobs,
+                sum.held,
+                sum.others,
+                sum.othersHeld,
+                area / jobs,
+                sum.othersMs(),
+                sum.moreMs(),
+                Math.max(sum.effect(), full),
+                Double.NaN,
+                sum.chance(spread),
+                0);
         seen.put(of, new Seen(clear ? Kind.CROWDED : null, Kind.CROWDED, f));
-        g.tenants.forEach((tenant, bands) -> {                   // whoever asks too much has its own word
+        g.tenants.forEach((tenant, bands) -> { // whoever asks too much has its own word
             Subject s = new Subject(tenant, g.cls, g.place);
             double beyond = sure.getOrDefault(tenant, 0.0);
             if (beyond >= GREEDY && known.contains(s) && !seen.containsKey(s)) {
-                int n = Arrays.stream(bands).mapToInt(x -> x == null ? 0 : x.n()).sum();
-                seen.put(s, new Seen(clear ? Kind.BEYOND_SHARE : null, Kind.BEYOND_SHARE, new Figures(n, 0,
-                    seenJobs - n, 0, f.ownMs(), f.othersMs(), f.moreMs(), f.effect(), Double.NaN, 1,
-                    beyond)));
+                int n = Arrays.stream(bands)
+                        .mapToInt(x -> x == null ? 0 : x.n())
+                        .sum();
+                seen.put(
+                        s,
+                        new Seen(
+                                clear ? Kind.BEYOND_SHARE : null,
+                                Kind.BEYOND_SHARE,
+                                new Figures(
+                                        n,
+                                        0,
+                                        seenJobs - n,
+                                        0,
+                                        f.ownMs(),
+                                        f.othersMs(),
+                                        f.moreMs(),
+                                        f.effect(),
+                                        Double.NaN,
+                                        1,
+                                        beyond)));
             }
         });
     }
@@ -439,7 +485,7 @@
         for (Group g : groups.values()) {
             g.tenants.forEach((tenant, bands) -> {
                 double[] of = classes.computeIfAbsent(g.cls, c -> new HashMap<>())
-                    .computeIfAbsent(tenant, t -> new double[3]);
+                        .computeIfAbsent(tenant, t -> new double[3]);
                 for (int b = 1; b < BANDS; b++) {
                     int n = bands[b] == null ? 0 : bands[b].n();
                     of[0] += n;
@@ -466,9 +512,23 @@
         double more = own - mean;
         if (more >= matters / 2 * tau(s.cls) && more / Math.sqrt(variance / of[0]) >= LONG_Z) {
             Kind kind = Kind.LONG_JOBS;
-            seen.put(s, new Seen(more >= matters * tau(s.cls) ? kind : null, kind, new Figures((int) of[0], 0,
-                (int) others, 0, own, mean, more, more / tau(s.cls), Double.NaN, 1,
-                excess.getOrDefault(s.tenant, 0.0))));
+            seen.put(
+                    s,
+                    new Seen(
+                            more >= matters * tau(s.cls) ? kind : null,
+                            kind,
+                            new Figures(
+                                    (int) of[0],
+                                    0,
+                                    (int) others,
+                                    0,
+                                    own,
+                                    mean,
+                                    more,
+                                    more / tau(s.cls),
+                                    Double.NaN,
+                                    1,
+                                    excess.getOrDefault(s.tenant, 0.0))));
         }
     }
 
@@ -514,8 +574,7 @@
     }
 
     private Verdict verdict(Subject of, Standing s) {
-        return new Verdict(s.kind, of.tenant, of.cls, of.place, s.sinceMs, s.figures, heard,
-            site.processes());
+        return new Verdict(s.kind, of.tenant, of.cls, of.place, s.sinceMs, s.figures, heard, site.processes());
     }
 
     /** All that stand. */
@@ -534,8 +593,11 @@
         if (!known.contains(new Subject(Verdict.ALL, Verdict.ALL, Verdict.ALL))) {
             return Kind.NOT_KNOWN;
         }
-        for (Subject s : List.of(new Subject(tenant, cls, place), new Subject(tenant, cls, site.zone(place)),
-                new Subject(tenant, cls, site.kind(place)), new Subject(tenant, cls, Verdict.ALL),
+        for (Subject s : List.of(
+                new Subject(tenant, cls, place),
+                new Subject(tenant, cls, site.zone(place)),
+                new Subject(tenant, cls, site.kind(place)),
+                new Subject(tenant, cls, Verdict.ALL),
                 new Subject(Verdict.ALL, cls, place))) {
             Standing at = standing.get(s);
             if (at != null && at.kind != Kind.FINE) {
--- a/src/main/java/maplespread/starvation/NotAWindow.java
+++ b/src/main/java/maplespread/starvation/NotAWindow.java
@@ -7,8 +7,9 @@
     private static final long serialVersionUID = 1;
 
     NotAWindow(String why) {
-        super("what another dispatcher sent of its waits cannot be read: " + why,
-            "all else; its waits are missing in the verdicts, which say so",
-            "have all dispatchers run versions that understand each other");
+        super(
+                "what another dispatcher sent of its waits cannot be read: " + why,
+                "all else; its waits are missing in the verdicts, which say so",
+                "have all dispatchers run versions that understand each other");
     }
 }
--- a/src/main/java/maplespread/starvation/Relief.java
+++ b/src/main/java/maplespread/starvation/Relief.java
@@ -28,35 +28,39 @@
      * {@code most}: a weight; {@code step}: it rises by a round; {@code total}: all weights together above 1;
      * {@code guarded}: false only to show what tenants do that chase each other.
      */
-    public record Limits(double most, double step, double total, boolean guarded) { }
+    public record Limits(double most, double step, double total, boolean guarded) {}
 
     /** What has changed: a relief began, was lowered for another tenant's sake, or is over. */
     public record Change(What what, int tenant, double weight, int victim) {
-        public enum What { BEGUN, LOWERED, ENDED }
+        public enum What {
+            BEGUN,
+            LOWERED,
+            ENDED
+        }
     }
 
     /** A weight above 1. */
-    public record Weight(int tenant, double weight) { }
+    public record Weight(int tenant, double weight) {}
 
     private static final int SLOWER = 5;
-    private static final int HOLD = 3;                           // rounds without a word, then it falls
+    private static final int HOLD = 3; // rounds without a word, then it falls
     private static final int MOST_HOLD = 600;
-    private static final int GRACE = 2;                          // rounds in which it cannot have harmed
-    private static final int FORGET = 10;                        // views without a word: all begins anew
+    private static final int GRACE = 2; // rounds in which it cannot have harmed
+    private static final int FORGET = 10; // views without a word: all begins anew
     private static final double LEAST = 1e-9;
 
     /** What is remembered of a tenant. Times are rounds. */
     private static final class Ward {
         double extra, ceiling;
-        int begun, over = Integer.MIN_VALUE / 2;                 // of the relief; over: or what it was for
-        int since, well;                                         // starved since; not any more for so long
+        int begun, over = Integer.MIN_VALUE / 2; // of the relief; over: or what it was for
+        int since, well; // starved since; not any more for so long
         int hold = HOLD;
-        boolean starved, own;                                    // own: without any other's relief, too
-        final Map<Integer, Double> blamed = new TreeMap<>();     // whose was halved for it, from what
+        boolean starved, own; // own: without any other's relief, too
+        final Map<Integer, Double> blamed = new TreeMap<>(); // whose was halved for it, from what
     }
 
     private final Limits limits;
-    private final int settle;                                    // until nothing of before is seen any more
+    private final int settle; // until nothing of before is seen any more
     private final Map<Integer, Ward> wards = new TreeMap<>();
     private int now;
 
@@ -79,11 +83,11 @@
                 (v.kind() == Kind.STARVED ? starved : lowered).add(v.tenant());
             }
         }
-        starved.removeAll(lowered);                              // its own doing, in part at least
+        starved.removeAll(lowered); // its own doing, in part at least
         starved.forEach(t -> wards.computeIfAbsent(t, k -> new Ward()));
         wards.forEach((t, w) -> seen(w, starved.contains(t)));
         List<Change> changes = new ArrayList<>();
-        Set<Integer> waiting = new HashSet<>();                  // victims, and whom they wait for
+        Set<Integer> waiting = new HashSet<>(); // victims, and whom they wait for
         if (limits.guarded) {
             wards.forEach((t, w) -> {
                 if (w.starved && !w.own && victim(t, w, lowered, waiting, changes)) {
@@ -121,10 +125,10 @@
 
     private void seen(Ward w, boolean starved) {
         if (starved && !w.starved) {
-            if (w.since == 0) {                                  // new here
+            if (w.since == 0) { // new here
                 w.ceiling = limits.most - 1;
             } else if (limits.guarded && w.extra > 0 && w.well > w.hold) {
-                w.hold = Math.min(MOST_HOLD, 2 * w.hold);        // it fell too early
+                w.hold = Math.min(MOST_HOLD, 2 * w.hold); // it fell too early
             }
             w.since = now;
             w.blamed.clear();
@@ -134,8 +138,7 @@
     }
 
     /** Whether it may be starved by another's relief, which is lowered for it then. */
-    private boolean victim(int tenant, Ward w, Set<Integer> lowered, Set<Integer> waiting,
-            List<Change> changes) {
+    private boolean victim(int tenant, Ward w, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
         boolean waits = false;
         for (Map.Entry<Integer, Ward> e : wards.entrySet()) {
             Ward o = e.getValue();
@@ -148,11 +151,11 @@
                 }
                 waits = true;
             } else if (before && w.blamed.containsKey(e.getKey()) && now - o.over < settle) {
-                waiting.add(e.getKey());                         // it must not begin again so soon
+                waiting.add(e.getKey()); // it must not begin again so soon
                 waits = true;
             }
         }
-        if (!waits) {                                            // none is up, and it is starved all the same
+        if (!waits) { // none is up, and it is starved all the same
             w.own = true;
             w.blamed.forEach((t, ceiling) -> {
                 Ward o = wards.get(t);
@@ -172,7 +175,9 @@
 
     /** All weights above 1. */
     public List<Weight> weights() {
-        return wards.entrySet().stream().filter(e -> e.getValue().extra > 0)
-            .map(e -> new Weight(e.getKey(), 1 + e.getValue().extra)).toList();
+        return wards.entrySet().stream()
+                .filter(e -> e.getValue().extra > 0)
+                .map(e -> new Weight(e.getKey(), 1 + e.getValue().extra))
+                .toList();
     }
 }
--- a/src/main/java/maplespread/starvation/Sample.java
+++ b/src/main/java/maplespread/starvation/Sample.java
@@ -8,7 +8,7 @@
  * exactly whatever the order; only bins in use are kept, as most samples are of a few jobs.
  */
 final class Sample {
-    private int[] keys = new int[4];                             // a bin and whether held, ascending
+    private int[] keys = new int[4]; // a bin and whether held, ascending
     private int[] counts = new int[4];
     private int size, n, heldN;
 
--- a/src/main/java/maplespread/starvation/Site.java
+++ b/src/main/java/maplespread/starvation/Site.java
@@ -30,13 +30,14 @@
     }
 
     /** The part in words. */
-    public String words(int part, java.util.function.IntFunction<String> zones,
-            java.util.function.IntFunction<String> kindNames) {
+    public String words(
+            int part, java.util.function.IntFunction<String> zones, java.util.function.IntFunction<String> kindNames) {
         if (part >= 0) {
             return zones.apply(part / kinds) + "/" + kindNames.apply(part % kinds);
         }
-        return part == Verdict.ALL ? "all" : part % 2 == 0 ? "zone " + zones.apply(-(part + 2) / 2)
-            : "kind " + kindNames.apply(-(part + 3) / 2);
+        return part == Verdict.ALL
+                ? "all"
+                : part % 2 == 0 ? "zone " + zones.apply(-(part + 2) / 2) : "kind " + kindNames.apply(-(part + 3) / 2);
     }
 
     double allowance(int tenant) {
--- a/src/main/java/maplespread/starvation/Verdict.java
+++ b/src/main/java/maplespread/starvation/Verdict.java
@@ -5,15 +5,15 @@
  * {@link #ALL} where it is of every place; {@code sinceMs}: when it was first seen, on the clock that was
  * passed in; {@code heard} of {@code processes} told of their waits.
  */
-public record Verdict(Kind kind, int tenant, int cls, int place, long sinceMs, Figures figures, int heard,
-                      int processes) {
+public record Verdict(
+        Kind kind, int tenant, int cls, int place, long sinceMs, Figures figures, int heard, int processes) {
     /** Of all tenants, classes or places. */
     public static final int ALL = -1;
 
     /** In the operators' terms; FINE is only ever the end of another one. */
     public enum Kind {
         STARVED("give its jobs way: raise its allowance or weight, or see what its workers, its key or this "
-            + "dispatcher have that others have not"),
+                + "dispatcher have that others have not"),
         CROWDED("slow for all tenants: add workers there, move work elsewhere, or see whether they are cold"),
         BEYOND_SHARE("it asks more than its allowancePerS: have it ask less, or raise the allowance"),
         LONG_JOBS("its own jobs are long: more of them at once, or a class with a longer deadline"),
@@ -38,8 +38,18 @@
      * elsewhereMs}: its own wait in other places, NaN where it has none; {@code chance}: how likely it is by
      * chance, before the correction; {@code excess}: share of what it asks that is beyond its allowance.
      */
-    public record Figures(int jobs, int held, int others, int othersHeld, double ownMs, double othersMs,
-                          double moreMs, double effect, double elsewhereMs, double chance, double excess) {
+    public record Figures(
+            int jobs,
+            int held,
+            int others,
+            int othersHeld,
+            double ownMs,
+            double othersMs,
+            double moreMs,
+            double effect,
+            double elsewhereMs,
+            double chance,
+            double excess) {
         static final Figures NONE = new Figures(0, 0, 0, 0, 0, 0, 0, 0, Double.NaN, 1, 0);
     }
 
--- a/src/main/java/maplespread/starvation/View.java
+++ b/src/main/java/maplespread/starvation/View.java
@@ -14,23 +14,23 @@
     /** What is known of a process. {@code seen}: its newest numbers as bits, the newest lowest. */
     private static final class Source {
         long run, newest = -1, seen, heardMs;
-        Window open;                                             // the window whose open jobs count
+        Window open; // the window whose open jobs count
     }
 
-    private record Kept(long atMs, Window window) { }
+    private record Kept(long atMs, Window window) {}
 
     private static final int MOST_SOURCES = 4096;
-    private static final int MOST_ENTRIES = 4_000_000;           // 12 bytes each
+    private static final int MOST_ENTRIES = 4_000_000; // 12 bytes each
     private final long keepMs;
     private final boolean places;
     private final ArrayDeque<Kept> kept = new ArrayDeque<>();
     private final Map<String, Source> sources = new TreeMap<>();
-    private final Map<Long, Sample> cells = new HashMap<>();     // by cell
-    private final Map<Long, Sample> strata = new HashMap<>();    // all tenants of a class, place and band
-    private final TreeMap<Long, int[]> jobs = new TreeMap<>();   // that ended, by time and tenant
+    private final Map<Long, Sample> cells = new HashMap<>(); // by cell
+    private final Map<Long, Sample> strata = new HashMap<>(); // all tenants of a class, place and band
+    private final TreeMap<Long, int[]> jobs = new TreeMap<>(); // that ended, by time and tenant
     private int slotMs = 1;
     private int entries;
-    private long jobsMs;                                         // of all windows, for rates
+    private long jobsMs; // of all windows, for rates
     private long dropped;
 
     /**
@@ -150,7 +150,7 @@
         }
         jobs.headMap((nowMs - keepMs) / slotMs, true).clear();
         for (Source s : sources.values()) {
-            if (nowMs - s.heardMs >= keepMs) {                   // its open jobs are of long ago
+            if (nowMs - s.heardMs >= keepMs) { // its open jobs are of long ago
                 open(s, null);
             }
         }
@@ -158,7 +158,9 @@
 
     /** How many processes are in it. */
     public int heard(long nowMs) {
-        return (int) sources.values().stream().filter(s -> nowMs - s.heardMs < keepMs).count();
+        return (int) sources.values().stream()
+                .filter(s -> nowMs - s.heardMs < keepMs)
+                .count();
     }
 
     /** How long the view reaches back on the mean of its processes, seconds. */
@@ -181,7 +183,9 @@
 
     /** The tenant's jobs in it that had ended. */
     int jobs(int tenant) {
-        return jobs.values().stream().mapToInt(of -> tenant < of.length ? of[tenant] : 0).sum();
+        return jobs.values().stream()
+                .mapToInt(of -> tenant < of.length ? of[tenant] : 0)
+                .sum();
     }
 
     /**
--- a/src/main/java/maplespread/starvation/Waits.java
+++ b/src/main/java/maplespread/starvation/Waits.java
@@ -17,16 +17,22 @@
  */
 public final class Waits {
     /** How a job ended. */
-    public enum End { SERVED, REFUSED, FAILED, LEFT }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT
+    }
 
     /** A job that was taken. {@code workMs}: NaN where nobody said. */
-    private record Open(int tenant, int cls, int place, double workMs, long takenMs) { }
+    private record Open(int tenant, int cls, int place, double workMs, long takenMs) {}
 
     /** The job ended where it was to be. */
     public static final int WHERE_TAKEN = -1;
+
     private static final int MOST_CELLS = 4096;
     private static final int MOST_OPEN = 8192;
-    private static final long STILL = 3;                         // windows
+    private static final long STILL = 3; // windows
     private final String process;
     private final long run;
     private final int lengthMs;
@@ -47,7 +53,9 @@
 
     /** A job was taken; {@code place}: where it would be, as far as is known. */
     public void taken(long nowMs, long id, int tenant, int cls, int place, double workMs) {
-        if (open.size() < MOST_OPEN && tenant < Code.MOST_TENANTS && cls < Code.MOST_CLASSES
+        if (open.size() < MOST_OPEN
+                && tenant < Code.MOST_TENANTS
+                && cls < Code.MOST_CLASSES
                 && place < Code.MOST_PLACES) {
             open.put(id, new Open(tenant, cls, place, workMs, nowMs));
         }
@@ -106,12 +114,11 @@
         TreeMap<Long, Integer> waiting = new TreeMap<>();
         for (Open job : open.values()) {
             if (nowMs - job.takenMs > lengthMs) {
-                waiting.merge(Code.of(cell(job, job.place), true, bin(job, nowMs - job.takenMs)), 1,
-                    Integer::sum);
+                waiting.merge(Code.of(cell(job, job.place), true, bin(job, nowMs - job.takenMs)), 1, Integer::sum);
             }
         }
-        Window w = new Window(process, run, number++, lengthMs, left, codes(ended), counts(ended),
-            codes(waiting), counts(waiting));
+        Window w = new Window(
+                process, run, number++, lengthMs, left, codes(ended), counts(ended), codes(waiting), counts(waiting));
         cells = new HashMap<>();
         left = 0;
         return w;
