--- a/src/main/java/maplespread/starvation/client/Watch.java
+++ b/src/main/java/maplespread/starvation/client/Watch.java
@@ -33,12 +33,12 @@
  * for, this dispatcher's zone and its class's kind.
  */
 public final class Watch implements Ends {
-    private static final int MOST_WAITING = 4096;                // windows of others that wait for a round
-    private static final int MOST_TOLD = 100;                    // verdicts a round
-    private static final int FEW_PLACES = 8;                     // so many, one dispatcher tells apart
+    private static final int MOST_WAITING = 4096; // windows of others that wait for a round
+    private static final int MOST_TOLD = 100; // verdicts a round
+    private static final int FEW_PLACES = 8; // so many, one dispatcher tells apart
 
     /** One that tells nothing of the others where this one has all there is. */
-    private record Scope(String name, View view, Judge judge) { }
+    private record Scope(String name, View view, Judge judge) {}
 
     private final StarvationSettings set;
     private final String name;
@@ -46,26 +46,25 @@
     private Config config;
     private Waits waits;
     private Site site;
-    private List<Scope> scopes;                                  // the fleet, then this dispatcher
+    private List<Scope> scopes; // the fleet, then this dispatcher
     private final boolean talks;
     private final Consumer<double[]> weights;
-    private Relief relief;                                       // null: nobody is relieved
+    private Relief relief; // null: nobody is relieved
     private long run, jobs;
-    private volatile Map<String, Integer> places = Map.of();     // by worker
+    private volatile Map<String, Integer> places = Map.of(); // by worker
     private volatile Told standing = new Told(List.of(), List.of());
 
     /** A verdict and whose view it is from. */
-    public record Shown(String scope, Verdict verdict) { }
+    public record Shown(String scope, Verdict verdict) {}
 
     /** All that stands: verdicts, and what the jobs of tenants that are relieved count for. */
-    public record Told(List<Shown> verdicts, List<Relief.Weight> relief) { }
+    public record Told(List<Shown> verdicts, List<Relief.Weight> relief) {}
 
     /**
      * {@code talks}: other dispatchers' windows are to come; {@code weights}: hears what a tenant's requests
      * count for, whenever that changes.
      */
-    public Watch(StarvationSettings set, Config config, boolean talks, long run,
-            Consumer<double[]> weights) {
+    public Watch(StarvationSettings set, Config config, boolean talks, long run, Consumer<double[]> weights) {
         this.set = set;
         this.talks = talks;
         this.weights = weights;
@@ -77,7 +76,8 @@
     /** Other classes, tenants or dispatchers: begins anew, as a later run. */
     public synchronized void config(Config next) {
         Dispatch.Settings s = next.settings();
-        if (config != null && next.names().equals(config.names())
+        if (config != null
+                && next.names().equals(config.names())
                 && s.classes().equals(config.settings().classes())
                 && s.tenants().equals(config.settings().tenants())
                 && s.balancers() == config.settings().balancers()) {
@@ -100,15 +100,19 @@
         if (fleet != null) {
             scopes.add(new Scope("fleet", new View(keep, true), fleet));
         }
-        scopes.add(new Scope(one ? "fleet" : "dispatcher", new View(keep, one || all <= FEW_PLACES),
-            Judge.alone(then, set.matters(), fleet)));
+        scopes.add(new Scope(
+                one ? "fleet" : "dispatcher",
+                new View(keep, one || all <= FEW_PLACES),
+                Judge.alone(then, set.matters(), fleet)));
     }
 
     private static Site site(Config c) {
         Dispatch.Settings s = c.settings();
-        return new Site(s.classes().stream().mapToDouble(Dispatch.ClassSpec::deadlineMs).toArray(),
-            s.tenants().stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray(), s.balancers(),
-            Math.max(1, c.names().kinds().size()));
+        return new Site(
+                s.classes().stream().mapToDouble(Dispatch.ClassSpec::deadlineMs).toArray(),
+                s.tenants().stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray(),
+                s.balancers(),
+                Math.max(1, c.names().kinds().size()));
     }
 
     private static long now() {
@@ -117,8 +121,7 @@
 
     /** What is known of the workers: where they stand. */
     public void news(RouteNews news) {
-        Map<String, Integer> next = news.kind() == RouteNews.Kind.CHANGES ? new HashMap<>(places)
-            : new HashMap<>();
+        Map<String, Integer> next = news.kind() == RouteNews.Kind.CHANGES ? new HashMap<>(places) : new HashMap<>();
         for (Route r : news.routes()) {
             if (r.state() == Route.State.DELETED) {
                 next.remove(r.worker());
@@ -135,22 +138,25 @@
 
     // ------------------------------------------------------------ from the legs
 
-    @Override public synchronized long taken(Transaction t) {
+    @Override
+    public synchronized long taken(Transaction t) {
         if (t.cls() >= site.deadlinesMs().length) {
-            return -1;                                           // of a class that was added this moment
+            return -1; // of a class that was added this moment
         }
         int kind = config.settings().classes().get(t.cls()).kind();
         waits.taken(now(), ++jobs, t.tenant(), t.cls(), place(config.settings().zone(), kind), t.workMs());
         return jobs;
     }
 
-    @Override public synchronized void ended(long job, How how, String worker) {
-        Waits.End end = switch (how) {
-            case SERVED -> Waits.End.SERVED;
-            case BUSY -> Waits.End.REFUSED;
-            case FAILED -> Waits.End.FAILED;
-            case LEFT -> Waits.End.LEFT;
-        };
+    @Override
+    public synchronized void ended(long job, How how, String worker) {
+        Waits.End end =
+                switch (how) {
+                    case SERVED -> Waits.End.SERVED;
+                    case BUSY -> Waits.End.REFUSED;
+                    case FAILED -> Waits.End.FAILED;
+                    case LEFT -> Waits.End.LEFT;
+                };
         Integer at = worker == null ? null : places.get(worker);
         waits.ended(now(), job, at == null ? Waits.WHERE_TAKEN : at, end);
     }
@@ -220,10 +226,17 @@
     private void relieve(Relief relief, Scope scope, int count, IntFunction<String> tenants) {
         List<Relief.Change> changes = relief.round(scope.judge.standing(), scope.judge.heardEnough());
         for (Relief.Change c : changes) {
-            Event.write(c.what() != Relief.Change.What.ENDED, "starvation.relief",
-                "relief", c.what().name().toLowerCase(java.util.Locale.ROOT),
-                "tenant", tenants.apply(c.tenant()), "weight", Math.round(c.weight() * 100) / 100.0,
-                "for", c.victim() == Verdict.ALL ? null : tenants.apply(c.victim()));
+            Event.write(
+                    c.what() != Relief.Change.What.ENDED,
+                    "starvation.relief",
+                    "relief",
+                    c.what().name().toLowerCase(java.util.Locale.ROOT),
+                    "tenant",
+                    tenants.apply(c.tenant()),
+                    "weight",
+                    Math.round(c.weight() * 100) / 100.0,
+                    "for",
+                    c.victim() == Verdict.ALL ? null : tenants.apply(c.victim()));
         }
         double[] all = new double[count];
         java.util.Arrays.setAll(all, relief::weight);
@@ -239,18 +252,52 @@
         return i -> i == Verdict.ALL ? "all" : i < names.size() ? names.get(i) : Integer.toString(i);
     }
 
-    private static void log(String scope, Verdict v, Site site, long now, IntFunction<String> tenants,
-            IntFunction<String> classes, IntFunction<String> zones, IntFunction<String> kinds) {
+    private static void log(
+            String scope,
+            Verdict v,
+            Site site,
+            long now,
+            IntFunction<String> tenants,
+            IntFunction<String> classes,
+            IntFunction<String> zones,
+            IntFunction<String> kinds) {
         Verdict.Figures f = v.figures();
-        Event.write(v.kind() != Verdict.Kind.FINE, "starvation.verdict",
-            "verdict", v.kind().name().toLowerCase(java.util.Locale.ROOT),
-            "tenant", tenants.apply(v.tenant()), "class", classes.apply(v.cls()),
-            "place", site.words(v.place(), zones, kinds), "scope", scope, "for_ms", now - v.sinceMs(),
-            "jobs", f.jobs(), "held", f.held(), "own_ms", Math.round(f.ownMs()),
-            "others_ms", Math.round(f.othersMs()),
-            "elsewhere_ms", Double.isNaN(f.elsewhereMs()) ? null : Math.round(f.elsewhereMs()),
-            "of_deadline", Math.round(f.effect() * 100) / 100.0,
-            "beyond_share", Math.round(f.excess() * 100) / 100.0,
-            "heard", v.heard(), "of", v.processes(), "partial", v.partial(), "do", v.kind().remedy());
+        Event.write(
+                v.kind() != Verdict.Kind.FINE,
+                "starvation.verdict",
+                "verdict",
+                v.kind().name().toLowerCase(java.util.Locale.ROOT),
+                "tenant",
+                tenants.apply(v.tenant()),
+                "class",
+                classes.apply(v.cls()),
+                "place",
+                site.words(v.place(), zones, kinds),
+                "scope",
+                scope,
+                "for_ms",
+                now - v.sinceMs(),
+                "jobs",
+                f.jobs(),
+                "held",
+                f.held(),
+                "own_ms",
+                Math.round(f.ownMs()),
+                "others_ms",
+                Math.round(f.othersMs()),
+                "elsewhere_ms",
+                Double.isNaN(f.elsewhereMs()) ? null : Math.round(f.elsewhereMs()),
+                "of_deadline",
+                Math.round(f.effect() * 100) / 100.0,
+                "beyond_share",
+                Math.round(f.excess() * 100) / 100.0,
+                "heard",
+                v.heard(),
+                "of",
+                v.processes(),
+                "partial",
+                v.partial(),
+                "do",
+                v.kind().remedy());
     }
 }
--- a/src/main/java/maplespread/subset/Aperture.java
+++ b/src/main/java/maplespread/subset/Aperture.java
@@ -16,16 +16,15 @@
  * positions of indices below it never change); a worker that joins moving more than the edges of arcs.
  */
 public final class Aperture {
-    private static final double LEAST = 1e-9;                    // a weight below this is no connection
+    private static final double LEAST = 1e-9; // a weight below this is no connection
 
-    private Aperture() { }
+    private Aperture() {}
 
     /**
      * The subset of dispatcher {@code index} (0 to {@code dispatchers - 1}): worker to weight. {@code width}:
      * workers a dispatcher covers, at least 1; all workers where it is {@code workers.size()} or more.
      */
-    public static Map<String, Double> of(int index, int dispatchers, double width, List<String> workers,
-                                         long seed) {
+    public static Map<String, Double> of(int index, int dispatchers, double width, List<String> workers, long seed) {
         if (dispatchers < 1 || index < 0 || index >= dispatchers) {
             throw new IllegalArgumentException("index " + index + " of " + dispatchers + " dispatchers");
         }
@@ -55,7 +54,7 @@
             }
             return;
         }
-        double from = position(index) * m;                       // in units of one worker's arc
+        double from = position(index) * m; // in units of one worker's arc
         double end = from + width;
         for (long j = (long) Math.floor(from); j < Math.ceil(end); j++) {
             double covered = Math.min(end, j + 1) - Math.max(from, j);
@@ -77,8 +76,10 @@
     /** The workers in the order all dispatchers agree on; a worker's place depends on its id and the seed. */
     static String[] ordered(List<String> workers, long seed) {
         String[] all = workers.stream().distinct().toArray(String[]::new);
-        Arrays.sort(all, Comparator.comparingLong((String w) -> Numbers.hash(seed + "/" + w))
-            .thenComparing(w -> w));
+        Arrays.sort(
+                all,
+                Comparator.comparingLong((String w) -> Numbers.hash(seed + "/" + w))
+                        .thenComparing(w -> w));
         return all;
     }
 }
--- a/src/main/java/maplespread/subset/Cover.java
+++ b/src/main/java/maplespread/subset/Cover.java
@@ -6,7 +6,7 @@
 
 /** Figures of a fleet's subsets: how evenly they cover the workers and how much moves on a change. */
 public final class Cover {
-    private Cover() { }
+    private Cover() {}
 
     /** Each worker's load: the sum of its weights over all dispatchers. */
     public static Map<String, Double> loads(int dispatchers, double width, List<String> workers, long seed) {
@@ -27,8 +27,8 @@
     }
 
     /** The share of all weight that differs between two fleets' subsets: what a change moves. */
-    public static double moved(int before, List<String> workersBefore, int after, List<String> workersAfter,
-                               double width, long seed) {
+    public static double moved(
+            int before, List<String> workersBefore, int after, List<String> workersAfter, double width, long seed) {
         double changed = 0;
         double total = 0;
         String[] orderBefore = Aperture.ordered(workersBefore, seed);
--- a/src/main/java/maplespread/subset/Cut.java
+++ b/src/main/java/maplespread/subset/Cut.java
@@ -22,7 +22,8 @@
  */
 public final class Cut {
     private record Spot(long hash, String worker) implements Comparable<Spot> {
-        @Override public int compareTo(Spot o) {
+        @Override
+        public int compareTo(Spot o) {
             return hash != o.hash ? Long.compare(hash, o.hash) : worker.compareTo(o.worker);
         }
     }
--- a/src/main/java/maplespread/upgrade/Note.java
+++ b/src/main/java/maplespread/upgrade/Note.java
@@ -10,7 +10,11 @@
  */
 public record Note(String listen, State state) {
     /** STARTING: takes no clients yet; SERVING: takes them; ENDING: has been told to end. */
-    public enum State { STARTING, SERVING, ENDING }
+    public enum State {
+        STARTING,
+        SERVING,
+        ENDING
+    }
 
     private static final String VERSION = "maplespread-1";
 
--- a/src/main/java/maplespread/upgrade/Presence.java
+++ b/src/main/java/maplespread/upgrade/Presence.java
@@ -103,33 +103,35 @@
     private boolean is(String who, Note.State wanted) throws IOException {
         Path lock = dir.resolve(who + LOCK);
         Path note = dir.resolve(who + NOTE);
-        if (!held(lock)) {                                       // of a process that has ended: cleared away
+        if (!held(lock)) { // of a process that has ended: cleared away
             Files.deleteIfExists(note);
             Files.deleteIfExists(lock);
             return false;
         }
         if (!Files.exists(note)) {
-            return false;                                        // it has only just begun, or is ending
+            return false; // it has only just begun, or is ending
         }
         Optional<Note> says = Note.read(Files.readString(note));
         if (says.isEmpty()) {
             seldom.warn(note.getFileName() + " is no note of this version: passed over");
         }
-        return says.isPresent() && says.get().listen().equals(listen)
-            && (wanted == null || says.get().state() == wanted);
+        return says.isPresent()
+                && says.get().listen().equals(listen)
+                && (wanted == null || says.get().state() == wanted);
     }
 
     private static boolean held(Path lock) throws IOException {
         try (FileChannel other = FileChannel.open(lock, StandardOpenOption.WRITE)) {
             FileLock got = other.tryLock();
             return got == null;
-        } catch (OverlappingFileLockException mine) {            // another one in this very process
+        } catch (OverlappingFileLockException mine) { // another one in this very process
             return true;
         }
     }
 
     /** Ends this process's presence; its files go. */
-    @Override public void close() {
+    @Override
+    public void close() {
         try {
             Files.deleteIfExists(dir.resolve(me + NOTE));
             Files.deleteIfExists(dir.resolve(me + LOCK));
--- a/src/main/java/maplespread/worker/Branches.java
+++ b/src/main/java/maplespread/worker/Branches.java
@@ -21,9 +21,9 @@
 
 /** Runs branches: one request to one worker each, sent once and never again by itself. */
 public final class Branches {
-    private static final int LONGEST_LINE = 256 * 1024;          // a result of 64 KiB, escaped
+    private static final int LONGEST_LINE = 256 * 1024; // a result of 64 KiB, escaped
     private static final long MOST_BYTES = 1 << 20;
-    private static final long TAIL_MS = 50;                      // for the final chunk after the final line
+    private static final long TAIL_MS = 50; // for the final chunk after the final line
 
     /** A branch that is out: where it can be cut off. */
     private static final class Running {
@@ -60,7 +60,7 @@
         public final Outcome outcome;
         public final byte[] result;
         public final Load load;
-        private final Links.Link link;                           // null where it cannot carry another request
+        private final Links.Link link; // null where it cannot carry another request
         private final HttpParser parser;
 
         private Ended(Outcome outcome, byte[] result, Load load, Links.Link link, HttpParser parser) {
@@ -78,7 +78,9 @@
             }
             try {
                 link.connection.receive(parser, TAIL_MS);
-                if (parser.done() && parser.head().keepsAlive() && !link.connection.buffer().hasRemaining()) {
+                if (parser.done()
+                        && parser.head().keepsAlive()
+                        && !link.connection.buffer().hasRemaining()) {
                     links.release(link);
                     return;
                 }
@@ -146,14 +148,15 @@
             return ended(Outcome.NEVER_SENT);
         }
         HttpWriter request = HttpWriter.request(message.method(), message.target(), branch.address())
-            .field("X-Txn", message.id()).field("X-Remaining-Ms", Long.toString(left));
+                .field("X-Txn", message.id())
+                .field("X-Remaining-Ms", Long.toString(left));
         message.fields().forEach(f -> request.field(f[0], f[1]));
         try {
             link.connection.send(request.body(message.body()));
             figures.attempt();
-        } catch (IOException e) {                                // its last byte was never written
+        } catch (IOException e) { // its last byte was never written
             links.close(link);
-            if (me.cancelled()) {                                // cut off here: no word against the worker
+            if (me.cancelled()) { // cut off here: no word against the worker
                 return ended(Outcome.NEVER_SENT);
             }
             links.used(link, true);
@@ -168,25 +171,28 @@
     }
 
     private Ended answer(Branch branch, Message message, Running me, Links.Link link) {
-        JobLines lines = new JobLines(message.id(), (started, share) ->
-            dispatcher.report(branch, started, share));
+        JobLines lines = new JobLines(message.id(), (started, share) -> dispatcher.report(branch, started, share));
         HttpParser parser = HttpParser.response(MOST_BYTES, new Lines(LONGEST_LINE, lines::line));
         // A worker's head comes when it has taken the job, long before the job's end: without it, the
         // connection or the worker is silent. Only what may be repeated can be given up for that.
-        long firstByteBy = dispatcher.repeatable(branch) ? now() + config.get().times().firstByteMs()
-            : Long.MAX_VALUE;
+        long firstByteBy =
+                dispatcher.repeatable(branch) ? now() + config.get().times().firstByteMs() : Long.MAX_VALUE;
         boolean heard = false;
         try {
             while (lines.outcome == null) {
                 boolean whole = parser.feed(link.connection.buffer());
                 if (parser.headDone() && parser.head().status() != 200) {
-                    return new Ended(refused(parser.head()), null,
-                        JobLines.load(parser.head().get("X-Pressure")), link, parser);
+                    return new Ended(
+                            refused(parser.head()),
+                            null,
+                            JobLines.load(parser.head().get("X-Pressure")),
+                            link,
+                            parser);
                 }
                 if (lines.outcome != null) {
                     break;
                 }
-                if (whole) {                                     // ended before the last line
+                if (whole) { // ended before the last line
                     links.close(link);
                     return ended(Outcome.RESET);
                 }
@@ -213,7 +219,7 @@
             }
             if (e instanceof HttpError) {
                 if (link.kept) {
-                    links.strayed();                             // it may belong to an answer before it
+                    links.strayed(); // it may belong to an answer before it
                 }
                 seldom.warn("malformed answer of worker " + branch.worker() + ": " + e.getMessage());
                 return ended(Outcome.RESET);
--- a/src/main/java/maplespread/worker/JobLines.java
+++ b/src/main/java/maplespread/worker/JobLines.java
@@ -19,7 +19,7 @@
 
     private final String id;
     private final Progress progress;
-    Outcome outcome;                                             // null until the final line
+    Outcome outcome; // null until the final line
     byte[] result;
     Load load;
 
@@ -42,8 +42,7 @@
                 case "running" -> progress.told(false, o.get("share").getAsDouble());
                 case "done" -> {
                     JsonElement r = o.get("result");
-                    result = (r.isJsonPrimitive() ? r.getAsString() : r.toString())
-                        .getBytes(StandardCharsets.UTF_8);
+                    result = (r.isJsonPrimitive() ? r.getAsString() : r.toString()).getBytes(StandardCharsets.UTF_8);
                     outcome = Outcome.SERVED;
                 }
                 case "failed" -> outcome = Outcome.ERROR;
@@ -54,7 +53,7 @@
             if (outcome != null && o.has("load") && o.get("load").isJsonObject()) {
                 load = figures(o.getAsJsonObject("load"));
             }
-        } catch (RuntimeException e) {                           // Gson has several for what is malformed
+        } catch (RuntimeException e) { // Gson has several for what is malformed
             throw new HttpError(502, "malformed line");
         }
     }
@@ -96,12 +95,12 @@
     /** Sockets and settings name some figures apart; the settings' names count. */
     private static Load named(Map<String, Double> figures) {
         Map<String, Double> all = new HashMap<>(figures);
-        Map.of("inflight", "active", "queue", "waiting", "util", "cpu", "latency_ms", "avg_ms", "eps",
-            "err_rps").forEach((socket, setting) -> {
-                if (figures.containsKey(socket)) {
-                    all.put(setting, figures.get(socket));
-                }
-            });
+        Map.of("inflight", "active", "queue", "waiting", "util", "cpu", "latency_ms", "avg_ms", "eps", "err_rps")
+                .forEach((socket, setting) -> {
+                    if (figures.containsKey(socket)) {
+                        all.put(setting, figures.get(socket));
+                    }
+                });
         return new Load(all);
     }
 }
--- a/src/main/java/maplespread/worker/Links.java
+++ b/src/main/java/maplespread/worker/Links.java
@@ -23,10 +23,10 @@
     static final class Link {
         final HttpConnection connection;
         final String address;
-        boolean kept;                                            // it has carried a request before
-        boolean inUse = true;                                    // counted in out
+        boolean kept; // it has carried a request before
+        boolean inUse = true; // counted in out
         long idleSince;
-        long idled;                                              // for how long, before this use
+        long idled; // for how long, before this use
 
         Link(HttpConnection connection, String address) {
             this.connection = connection;
@@ -45,9 +45,9 @@
     private final Dialer dialer;
     private final Map<String, ArrayDeque<Link>> idle = new HashMap<>();
     private int idleCount;
-    private int out;                                             // in use, or being connected
-    private long idleNanos;                                      // how long an idle one is trusted
-    private double broken;                                       // share of kept ones that broke, of late
+    private int out; // in use, or being connected
+    private long idleNanos; // how long an idle one is trusted
+    private double broken; // share of kept ones that broke, of late
 
     /** {@code sizes}: how much may be held at present. */
     public Links(Supplier<Config> config, Supplier<Config.Sizes> sizes) {
@@ -116,8 +116,10 @@
         out++;
         String longest = null;
         for (Map.Entry<String, ArrayDeque<Link>> e : idle.entrySet()) {
-            if (idleCount > room() && (longest == null
-                || e.getValue().peekFirst().idleSince < idle.get(longest).peekFirst().idleSince)) {
+            if (idleCount > room()
+                    && (longest == null
+                            || e.getValue().peekFirst().idleSince
+                                    < idle.get(longest).peekFirst().idleSince)) {
                 longest = e.getKey();
             }
         }
@@ -159,8 +161,9 @@
     synchronized void used(Link link, boolean broke) {
         if (link.kept) {
             broken = 0.97 * broken + (broke ? 0.03 : 0);
-            idleNanos = broke ? Math.max(LEAST_IDLE_NANOS, Math.min(idleNanos, link.idled / 2))
-                : Math.min(config.get().times().linkIdleMs() * 1_000_000, idleNanos + idleNanos / 50);
+            idleNanos = broke
+                    ? Math.max(LEAST_IDLE_NANOS, Math.min(idleNanos, link.idled / 2))
+                    : Math.min(config.get().times().linkIdleMs() * 1_000_000, idleNanos + idleNanos / 50);
         }
     }
 
@@ -197,12 +200,13 @@
         ArrayDeque<Link> old = new ArrayDeque<>();
         long limit = config.get().times().linkIdleMs() * 1_000_000;
         synchronized (this) {
-            for (Iterator<Map.Entry<String, ArrayDeque<Link>>> i = idle.entrySet().iterator(); i.hasNext();) {
+            for (Iterator<Map.Entry<String, ArrayDeque<Link>>> i =
+                            idle.entrySet().iterator();
+                    i.hasNext(); ) {
                 Map.Entry<String, ArrayDeque<Link>> e = i.next();
                 boolean gone = !listed.contains(e.getKey());
                 ArrayDeque<Link> links = e.getValue();
-                while (!links.isEmpty()
-                    && (gone || System.nanoTime() - links.peekFirst().idleSince > limit)) {
+                while (!links.isEmpty() && (gone || System.nanoTime() - links.peekFirst().idleSince > limit)) {
                     old.add(links.removeFirst());
                     idleCount--;
                 }
--- a/src/main/java/maplespread/worker/Prober.java
+++ b/src/main/java/maplespread/worker/Prober.java
@@ -34,7 +34,8 @@
         try {
             link = links.get(probe.address(), config.get().times().dialMs(), true);
             outcome = Outcome.RESET;
-            link.connection.send(HttpWriter.request("GET", "/status/load", probe.address()).bytes());
+            link.connection.send(
+                    HttpWriter.request("GET", "/status/load", probe.address()).bytes());
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             HttpParser parser = HttpParser.response(MOST_BYTES, body::write);
             link.connection.receive(parser, config.get().times().probeMs());
@@ -47,7 +48,7 @@
             }
         } catch (SocketTimeoutException e) {
             outcome = link == null ? Outcome.NOT_CONNECTED : Outcome.TIMED_OUT;
-        } catch (IOException | RuntimeException | Error e) {     // unreported, the module would wait for ever
+        } catch (IOException | RuntimeException | Error e) { // unreported, the module would wait for ever
             outcome = link == null ? Outcome.NOT_CONNECTED : Outcome.RESET;
         }
         if (link != null) {
--- a/src/main/java/maplespread/worker/Relay.java
+++ b/src/main/java/maplespread/worker/Relay.java
@@ -13,10 +13,14 @@
     private static final long MOST_BYTES = 1 << 20;
 
     /** NOT_SENT: no whole request has reached it, so it cannot have run; LOST: it may have run. */
-    public enum End { ANSWERED, NOT_SENT, LOST }
+    public enum End {
+        ANSWERED,
+        NOT_SENT,
+        LOST
+    }
 
     /** What came of it; the answer's parts only where it was answered. */
-    public record Ended(End end, int status, List<String[]> fields, byte[] body) { }
+    public record Ended(End end, int status, List<String[]> fields, byte[] body) {}
 
     private final Links links;
     private final Map<Object, Links.Link> running = new ConcurrentHashMap<>();
@@ -47,7 +51,7 @@
         try {
             try {
                 link.connection.send(request.body(body));
-            } catch (IOException e) {                            // its last byte was never written
+            } catch (IOException e) { // its last byte was never written
                 links.used(link, true);
                 return ended(End.NOT_SENT);
             }
@@ -61,8 +65,7 @@
             }
             links.used(link, false);
             whole = parser.head().keepsAlive() && !link.connection.buffer().hasRemaining();
-            return new Ended(End.ANSWERED, parser.head().status(), parser.head().fields(),
-                said.toByteArray());
+            return new Ended(End.ANSWERED, parser.head().status(), parser.head().fields(), said.toByteArray());
         } finally {
             running.remove(job);
             if (whole) {
