--- a/src/test/java/maplespread/partition/FenceTest.java
+++ b/src/test/java/maplespread/partition/FenceTest.java
@@ -77,7 +77,7 @@
         Owners gone = MINE.members(Set.of("n1#1"));
         Owners back = gone.members(Set.of("n0#1"));
         assertEquals(Set.of("n1#1"), back.slots().get(0).leavers().keySet());
-        fence.learned(100, back, 100);                           // it never heard that the slot was away
+        fence.learned(100, back, 100); // it never heard that the slot was away
         assertEquals(Fence.NEVER, from(100, MINE));
         assertEquals(502, from(100, back));
         fence.learned(200, gone.members(Set.of("n2#1")), 100);
