--- a/src/main/java/maplespread/decision/Logic.java
+++ b/src/main/java/maplespread/decision/Logic.java
@@ -24,6 +24,7 @@
 public final class Logic implements Dispatch.Events {
     private static final long TICK = 1;
     private static final double TOLD = 6000;             // then a change counts as told, whatever failed
+    private static final double LINE_COST = 0.7;         // of discovery for a line of a whole list, with a margin
     private Settings set;
     private Rules rules;
     private Permissions allow;
@@ -80,12 +81,14 @@
         priced = null;
         looks.forEach(q -> q.asked.clear());
         if (kind == ListKind.HELD) {
-            watchAt = now;                                       // asked for at the first upkeep
+            // A whole fleet may start at once, and discovery answers one call after another: spread them.
+            watchAt = now + random.nextDouble() * Math.min(TOLD * 2 / 3, LINE_COST * set.balancers() * entries.size());
+            staleAt = set.ask() ? now + TOLD / 2 : Double.POSITIVE_INFINITY;
             double first = period * (0.5 + random.nextDouble() / 2);        // nodes must not tick in step
             tickAt = now + first;
             actions.timer(first, TICK);
         } else {
-            watchAt = Double.POSITIVE_INFINITY;
+            watchAt = staleAt = Double.POSITIVE_INFINITY;
             watchFails = 0;
         }
     }
@@ -96,6 +99,7 @@
         double most = Math.min(rules.askWithinMs() / 4, TOLD / 5), took = watchAt < 1e300 ? now - askedAt : 0;
         double wait = Math.min(most, horizon / 20 * (1L << Math.min(++watchFails, 6)));
         watchAt = now + Math.max(wait, Math.min(took, TOLD / 3)) * (0.4 + 0.8 * random.nextDouble());
+        staleAt = staleAt < 1e300 && took < TOLD / 6 ? now + TOLD / 2 : staleAt;      // it is down, and tells nobody
     }
 
     @Override public void request(long nowUs, Request r) {
@@ -116,21 +120,18 @@
     }
 
     @Override public void progress(long nowUs, long id, int n, String worker, boolean started, double share) {
-        at(nowUs);
-        Attempt a = attempt(id, n);
-        if (a != null) {
-            a.worker.alive();
-            a.worker.ran(a, started ? 0 : clamp(share, 0, 1));
-        }
+        heard(nowUs, id, n).ifPresent(a -> a.worker.ran(a, started ? 0 : clamp(share, 0, 1)));
     }
 
     @Override public void opened(long nowUs, long id, int attempt, String worker) {
+        heard(nowUs, id, attempt).ifPresent(a -> a.req.streaming = true);
+    }
+
+    private Optional<Attempt> heard(long nowUs, long id, int n) {
         at(nowUs);
-        Attempt a = attempt(id, attempt);
-        if (a != null) {
-            a.worker.alive();
-            a.req.streaming = true;
-        }
+        Optional<Attempt> a = Optional.ofNullable(attempt(id, n));
+        a.ifPresent(of -> of.worker.alive());
+        return a;
     }
 
     @Override public void outcome(long nowUs, long id, int attempt, String worker, Verdict verdict,
@@ -211,7 +212,7 @@
 
     // ------------------------------------------------------------ roster: list, asking, drains
 
-    private double watchAt = Double.POSITIVE_INFINITY, askedAt;
+    private double watchAt = Double.POSITIVE_INFINITY, askedAt, staleAt = Double.POSITIVE_INFINITY;
     private int watchFails;
 
     private void entry(Entry e) {
@@ -276,8 +277,7 @@
         /** Brings speed, c and the unseen work up to date, when looked at and at its events. */
         void refresh() {
             double m = meanAll(), keep = fade((now - learnAt) / (2 * horizon));
-            // Unconfirmed it returns to the kind's speed, or one thought slow would never be tried again; the
-            // prior weighs two mean jobs.
+            // Unconfirmed it returns to the kind's speed, or none thought slow is tried again; prior: two mean jobs.
             speed = clamp((work * keep + 2 * m) / (time * keep + 2 * m / kind.speed), 0.02, 50);
             cap = speed * slots() * warmth();
             extra = foreignWork();
@@ -776,9 +776,13 @@
     private Req priced;                                          // the request of these costs
     private boolean allowed;                                     // any of them is finite
 
-    /** Every send passes here: rules 1 and 2 (legal), 3 (only workers listed as active), 4 (coldRoom). */
+    /**
+     * Every send passes here: rules 1 and 2 (legal), 3 (only workers listed as active), 4 (coldRoom). From {@code
+     * staleAt} on a list held at the start may hide drains that count as told; for so long, or it would end service.
+     */
     private boolean gate(Req q, Worker w) {
-        return w.health == Health.ACTIVE && (q.spec.kind() < 0 || q.spec.kind() == w.kindNo)
+        return w.health == Health.ACTIVE && (now < staleAt || now > staleAt + TOLD)
+            && (q.spec.kind() < 0 || q.spec.kind() == w.kindNo)
             && Math.max(q.slots, q.memory) <= Math.max(1, w.slots()) && q.of.allows(w.id)
             && q.legal(w) && w.coldRoom(q.x);
     }
@@ -905,10 +909,7 @@
         return cost < 1 || now - lastSent > horizon / 2 ? cost + toll + w.failing(q.cls) : REFUSED;
     }
 
-    /**
-     * d of rule (25), with the departure "own aim": the job's own hinted run on this worker's cores against
-     * its own aim; hints are rough, so d rises from 0 to 1 about the point, not in a step.
-     */
+    /** d of rule (25), departure "own aim": its own hinted run against its own aim; 0 to 1, as hints are rough. */
     private double late(Req q, Worker w, double wait) {
         double left = Math.min(q.spec.aimMs() + q.spec.stretch() * q.x - (now - q.arrived), q.deadline - now);
         double takes = wait + q.x / w.speed + fetch(q, w);
@@ -916,11 +917,10 @@
     }
 
     /**
-     * Departure "key": a miss is priced as this many mean jobs. Its own wait is under one, but it also takes
-     * of the store that all share and drives out a set that others will miss. From a mean wait of one mean
-     * job on no slot is free and those it holds are missed, at two it costs CRAMMED more. HOME, OTHER and
-     * SECOND: how likely a miss is at the key's home, where it went from here lately, and at its second
-     * choice. KEPT: data sets that a worker keeps a slot.
+     * Departure "key": a miss is priced as this many mean jobs. Its own wait is under one, but it also takes of the
+     * store that all share and drives out a set that others will miss. From a mean wait of one mean job on no slot is
+     * free and those it holds are missed, at two it costs CRAMMED more. HOME, OTHER and SECOND: how likely a miss is at
+     * the key's home, where it went from here lately, and at its second choice. KEPT: data sets a worker keeps a slot.
      */
     private static final double FETCH = 3, CRAMMED = 3, HOME = 0.1, OTHER = 0.2, SECOND = 0.5, KEPT = 1.4;
 
--- a/src/test/java/maplespread/decision/Host.java
+++ b/src/test/java/maplespread/decision/Host.java
@@ -34,6 +34,7 @@
     final Set<String> mute = new HashSet<>();
     final Map<String, Report> reports = new HashMap<>();
     int watches, cancels, answered;
+    boolean confirms = true; // a list held at the start is confirmed at once: nothing has changed
     double now = 1000;
     Logic node;
 
@@ -81,6 +82,9 @@
             listed.put(e.worker(), e);
         }
         node.list(us(), kind, 1, List.of(entries));
+        if (kind == ListKind.HELD && confirms) {
+            node.list(us(), ListKind.CHANGES, 1, List.of());
+        }
     }
 
     Call take(long id, double work) {
--- a/src/test/java/maplespread/decision/LogicTest.java
+++ b/src/test/java/maplespread/decision/LogicTest.java
@@ -4,6 +4,7 @@
 
 import java.util.List;
 import java.util.Random;
+import java.util.stream.IntStream;
 import maplespread.decision.Dispatch.*;
 import org.junit.jupiter.api.Test;
 
@@ -230,9 +231,76 @@
         assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500 / 2, "sent " + sent);
     }
 
+    /** Guards discovery against a whole fleet that starts in one instant: the first calls come one after another. */
+    @Test
+    void theFirstCallsOfALargeFleetAreSpreadAndThoseOfASmallOneAreNot() {
+        double[] latest = new double[2];
+        double soonest = Double.MAX_VALUE;
+        int[] fleets = {2, 100};
+        Entry[] workers =
+                IntStream.range(0, 60).mapToObj(i -> Host.entry("w" + i, 0, 0)).toArray(Entry[]::new);
+        for (int f = 0; f < fleets.length; f++) {
+            for (int seed = 0; seed < 40; seed++) {
+                Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, fleets[f]));
+                h.node = new Logic(h.set, seed, h);
+                h.confirms = false;
+                h.list(ListKind.HELD, workers);
+                double from = h.now;
+                while (h.watches == 0) {
+                    h.pass(10);
+                }
+                latest[f] = Math.max(latest[f], h.now - from);
+                soonest = f == 1 ? Math.min(soonest, h.now - from) : soonest;
+            }
+        }
+        assertTrue(latest[0] <= 300, "of 2 nodes after " + latest[0]);
+        assertTrue(soonest < 600 && latest[1] > 3000 && latest[1] <= 4300, soonest + " to " + latest[1]);
+    }
+
+    /**
+     * Guards the rule on drains at a start: with a list that nobody has confirmed nothing is sent from 3 s on, as
+     * what it hides may count as told, nor is service ended by that for good.
+     */
+    @Test
+    void aListHeldAtTheStartIsNotTrustedForLongUnlessDiscoveryIsDown() {
+        for (boolean down : new boolean[] {false, true}) {
+            Host h = unconfirmed(7);
+            for (int i = 0; i < 11; i++) {
+                if (down) {
+                    h.pass(500);
+                    h.node.listFailed(h.us()); // at once: refused
+                    h.pass(500);
+                } else {
+                    h.pass(1000);
+                }
+                int sent = h.take(100 + i, 20).tries.size();
+                boolean hidden = !down && i >= 2 && i < 9;
+                assertEquals(hidden ? 0 : 1, sent, (down ? "down" : "silent") + " after " + (i + 1) + " s");
+                h.pass(0);
+                if (sent == 1) {
+                    h.settle(100 + i, Verdict.OK);
+                }
+            }
+        }
+        Host h = unconfirmed(7);
+        h.pass(3500);
+        assertEquals(0, h.take(1, 20).tries.size());
+        h.list(ListKind.FULL, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        assertEquals(1, h.take(2, 20).tries.size(), "confirmed, it is trusted at once");
+    }
+
+    /** Two workers, by a list held at the start that discovery has said nothing of yet. */
+    private static Host unconfirmed(long seed) {
+        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), true, 1));
+        h.node = new Logic(h.set, seed, h);
+        h.confirms = false;
+        h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        return h;
+    }
+
     @Test
     void theListIsAskedForAgainAfterAFailure() {
-        Host h = two();
+        Host h = unconfirmed(7);
         h.pass(400);
         assertEquals(1, h.watches);
         h.node.listFailed(h.us());
@@ -246,7 +314,7 @@
      */
     @Test
     void noOutageMakesTheListWaitedForTooLong() {
-        Host h = two();
+        Host h = unconfirmed(7);
         h.pass(400);
         for (int i = 0; i < 40; i++) {
             int asked = h.watches;
@@ -264,9 +332,7 @@
     void aCallThatWaitedInVainIsFollowedLater() {
         double soonest = Double.MAX_VALUE, latest = 0;
         for (int i = 0; i < 40; i++) {
-            Host h = two();
-            h.node = new Logic(h.set, i, h);
-            h.list(ListKind.HELD, Host.entry("a", 0, 0));
+            Host h = unconfirmed(i);
             h.pass(400);
             h.pass(2000); // the call waits
             h.node.listFailed(h.us());
