--- a/src/main/java/maplespread/cli/Measure.java
+++ b/src/main/java/maplespread/cli/Measure.java
@@ -7,6 +7,7 @@
 import maplespread.lab.RegistryMeasure;
 import maplespread.lab.ReleaseMeasure;
 import maplespread.lab.Report;
+import maplespread.lab.ScaleMeasure;
 import maplespread.lab.StarvationMeasure;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -17,7 +18,7 @@
         name = "measure",
         mixinStandardHelpOptions = true,
         description = "Measures a part against its aims; exit status 1 where one is missed.",
-        subcommands = {Measure.Registry.class, Measure.Address.class, Measure.Fleet.class})
+        subcommands = {Measure.Registry.class, Measure.Address.class, Measure.Fleet.class, Measure.Scale.class})
 final class Measure implements Runnable {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -72,6 +73,17 @@
         }
     }
 
+    @Command(
+            name = "scale",
+            mixinStandardHelpOptions = true,
+            description = "What control costs a dispatcher against the size of the fleet: bytes, processor, memory.")
+    static final class Scale extends Part {
+        @Override
+        void run(Report report) throws Exception {
+            new ScaleMeasure(quick, report).run();
+        }
+    }
+
     @Command(
             name = "fleet",
             mixinStandardHelpOptions = true,
--- a/src/main/java/maplespread/console/Calls.java
+++ b/src/main/java/maplespread/console/Calls.java
@@ -40,7 +40,8 @@
         return ask -> call.getAsBoolean() ? new Reply(200, yes) : new Reply(status, no);
     }
 
-    Reply answer(String method, String target, String body) {
+    /** Answers one call: 404 where there is none at that path, 405 where it wants another method. */
+    public Reply answer(String method, String target, String body) {
         int at = target.indexOf('?');
         String path = at < 0 ? target : target.substring(0, at);
         Call call = table.get(method + ' ' + path);
--- a/src/main/java/maplespread/membership/client/Group.java
+++ b/src/main/java/maplespread/membership/client/Group.java
@@ -26,6 +26,9 @@
     /** Most bytes of one payload on a channel. */
     public static final int MOST_PAYLOAD = 60 * 1024;
 
+    /** The channel of the membership's own messages. */
+    private static final int MEMBERSHIP = 0;
+
     private static final int MOST_BYTES = 64 * 1024, BUFFER = 1024 * 1024;
     private static final long STACK = 144 * 1024;
     private static final long FRESH_MS = 30_000;
@@ -36,6 +39,7 @@
     private final List<BiConsumer<Update, Update>> listeners = new CopyOnWriteArrayList<>();
     private final Map<Integer, BiConsumer<String, byte[]>> channels = new ConcurrentHashMap<>();
     private final long boot;
+    private final Traffic traffic = new Traffic();
     private final Thread receives;
     private boolean over;
 
@@ -132,6 +136,11 @@
         return sealed.dropped();
     }
 
+    /** What has passed the socket so far. */
+    public Traffic traffic() {
+        return traffic;
+    }
+
     /** This run's number. */
     public long boot() {
         return boot;
@@ -156,16 +165,17 @@
             to = m.address();
             packet = sealed.seal(id, payload, System.currentTimeMillis());
         }
-        return send(to, packet);
+        return transmit(id, to, packet);
     }
 
     private void send(String to, Message message) {
-        send(to, sealed.seal(message, System.currentTimeMillis()));
+        transmit(MEMBERSHIP, to, sealed.seal(message, System.currentTimeMillis()));
     }
 
-    private boolean send(String to, byte[] packet) {
+    private boolean transmit(int channel, String to, byte[] packet) {
         try {
             socket.send(new DatagramPacket(packet, packet.length, address(to)));
+            traffic.sent(channel, packet.length);
             return true;
         } catch (IOException | IllegalArgumentException e) { // as good as lost on its way
             return false;
@@ -181,7 +191,12 @@
                 Sealed.Opened o;
                 synchronized (this) {
                     o = sealed.open(buffer, packet.getLength(), System.currentTimeMillis());
-                    if (o == null || over) {
+                    if (o == null) {
+                        traffic.dropped(packet.getLength());
+                        continue;
+                    }
+                    traffic.received(o.channel(), packet.getLength());
+                    if (over) {
                         continue;
                     }
                     if (o.message() != null) {
--- a/src/test/java/maplespread/LayersTest.java
+++ b/src/test/java/maplespread/LayersTest.java
@@ -219,7 +219,8 @@
                 "starvation",
                 "starvation/client",
                 "lab/starvation",
-                "lab/rig")) {
+                "lab/rig",
+                "lab/scale")) {
             assertTrue(Files.exists(Path.of("src/main/java/maplespread", p, "package-info.java")), p);
         }
         try (Stream<Path> all = Files.walk(Path.of("src/main/java/maplespread/registry"))) {
