--- a/src/main/java/maplespread/decision/Logic.java
+++ b/src/main/java/maplespread/decision/Logic.java
@@ -81,8 +81,9 @@
         priced = null;
         looks.forEach(q -> q.asked.clear());
         if (kind == ListKind.HELD) {
-            // A whole fleet may start at once, and discovery answers one call after another: spread them.
-            watchAt = now + random.nextDouble() * Math.min(TOLD * 2 / 3, LINE_COST * set.balancers() * entries.size());
+            // A whole large fleet may start at once, and discovery answers one call after another: each has its turn.
+            double last = Math.min(TOLD * 2 / 3, LINE_COST * set.balancers() * entries.size()) - TOLD / 30;
+            watchAt = now + Math.max(0, last) * (set.index() % set.balancers()) / set.balancers();
             staleAt = set.ask() ? now + TOLD / 2 : Double.POSITIVE_INFINITY;
             double first = period * (0.5 + random.nextDouble() / 2);        // nodes must not tick in step
             tickAt = now + first;
--- a/src/test/java/maplespread/decision/Host.java
+++ b/src/test/java/maplespread/decision/Host.java
@@ -48,9 +48,13 @@
     }
 
     static Settings settings(ClassSpec spec, boolean copies, int balancers) {
+        return settings(spec, copies, balancers, 0);
+    }
+
+    static Settings settings(ClassSpec spec, boolean copies, int balancers, int index) {
         return new Settings(
                 balancers,
-                0,
+                index,
                 0,
                 true,
                 true,
--- a/src/test/java/maplespread/decision/LogicTest.java
+++ b/src/test/java/maplespread/decision/LogicTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.*;
 
+import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
@@ -233,28 +234,27 @@
 
     /** Guards discovery against a whole fleet that starts in one instant: the first calls come one after another. */
     @Test
-    void theFirstCallsOfALargeFleetAreSpreadAndThoseOfASmallOneAreNot() {
-        double[] latest = new double[2];
-        double soonest = Double.MAX_VALUE;
-        int[] fleets = {2, 100};
+    void theFirstCallsOfALargeFleetComeInTurnAndThoseOfASmallOneAtOnce() {
         Entry[] workers =
                 IntStream.range(0, 60).mapToObj(i -> Host.entry("w" + i, 0, 0)).toArray(Entry[]::new);
-        for (int f = 0; f < fleets.length; f++) {
-            for (int seed = 0; seed < 40; seed++) {
-                Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, fleets[f]));
-                h.node = new Logic(h.set, seed, h);
+        double[] latest = new double[101];
+        int[] inASecond = new int[6];
+        for (int fleet : new int[] {4, 100}) {
+            for (int index = 0; index < fleet; index++) {
+                Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, fleet, index));
                 h.confirms = false;
                 h.list(ListKind.HELD, workers);
                 double from = h.now;
                 while (h.watches == 0) {
                     h.pass(10);
                 }
-                latest[f] = Math.max(latest[f], h.now - from);
-                soonest = f == 1 ? Math.min(soonest, h.now - from) : soonest;
+                latest[fleet] = Math.max(latest[fleet], h.now - from);
+                inASecond[fleet == 100 ? (int) (h.now - from) / 1000 : 5]++;
             }
         }
-        assertTrue(latest[0] <= 300, "of 2 nodes after " + latest[0]);
-        assertTrue(soonest < 600 && latest[1] > 3000 && latest[1] <= 4300, soonest + " to " + latest[1]);
+        assertTrue(latest[4] <= 300, "of 4 nodes after " + latest[4]);
+        assertTrue(latest[100] > 3500 && latest[100] <= 4300, "of 100 nodes after " + latest[100]);
+        assertTrue(IntStream.range(0, 3).allMatch(s -> inASecond[s] < 32), () -> Arrays.toString(inASecond));
     }
 
     /**
