--- a/src/main/java/maplespread/agreement/Agreement.java
+++ b/src/main/java/maplespread/agreement/Agreement.java
@@ -29,6 +29,9 @@
 
     private static final int MOST_RUNS = 512;
     private static final int LOST_WAITS = 4; // before a majority is called lost
+    private static final int FRESH_ROUNDS = 6; // in which a decision is looked after
+    private static final long LEAST_NEWS_STRETCH = 2; // of the time between two such rounds, later on
+    private static final long MOST_NEWS_STRETCH = 10;
 
     /** What a caller asked for; one is in work at a time. */
     private static final class Job {
@@ -88,6 +91,7 @@
     private final Map<String, Long> empty = new TreeMap<>(); // runs that kept nothing when asked
     private long askAt, askWait;
     private long newsAt, staleSince;
+    private int freshNews; // rounds that still follow a decision
     // the proposer
     private final ArrayDeque<Job> jobs = new ArrayDeque<>();
     private Try open;
@@ -210,8 +214,11 @@
         if (open == null && !jobs.isEmpty() && at >= tryAt) {
             begin(at, false);
         }
+        if (freshNews > 0) {
+            newsAt = Math.min(newsAt, at + set.mostRetryMs());
+        }
         if (at >= newsAt) {
-            newsAt = at + set.mostRetryMs();
+            newsAt = at + newsMs();
             news(new ArrayList<>(members));
             List<String> electors = new ArrayList<>(names(lists(known)));
             electors.remove(set.name());
@@ -237,6 +244,20 @@
         return Math.max(next, at + 1);
     }
 
+    /**
+     * Until the next look for members that lack a decision: soon while one is fresh, else the later the more members
+     * there are for each elector, so that what an elector hears does not grow with the fleet.
+     */
+    private long newsMs() {
+        if (freshNews > 0) {
+            freshNews--;
+            return set.mostRetryMs();
+        }
+        int electors = names(lists(known)).size();
+        long stretch = Math.max(LEAST_NEWS_STRETCH, Math.min(MOST_NEWS_STRETCH, members.size() / electors));
+        return stretch * set.mostRetryMs();
+    }
+
     private void news(List<String> among) {
         if (!among.isEmpty()) {
             String to = among.get(random.nextInt(among.size()));
@@ -266,7 +287,35 @@
 
     private Word word(Kind kind, Ballot ballot, boolean founding, long asker, Map<String, Long> quorum, Held held) {
         return new Word(
-                kind, set.name(), boot, runs, ballot, promised, blind, founding, asker, set.electors(), quorum, held);
+                kind,
+                set.name(),
+                boot,
+                vector(),
+                ballot,
+                promised,
+                blind,
+                founding,
+                asker,
+                set.electors(),
+                quorum,
+                held);
+    }
+
+    /**
+     * The crash vector: the newest known runs of all whose votes may count, and of no other member, so that a word's
+     * size does not grow with the fleet.
+     */
+    private Map<String, Long> vector() {
+        Set<String> names = names(lists(accepted));
+        names.addAll(names(lists(known)));
+        names.addAll(set.electors());
+        names.add(set.name());
+        if (open != null) {
+            names.addAll(open.asked);
+        }
+        Map<String, Long> vector = new TreeMap<>(runs);
+        vector.keySet().retainAll(names);
+        return vector;
     }
 
     private void send(String to, Kind kind, Ballot ballot, Held held) {
@@ -518,6 +567,7 @@
         Value before = known();
         if (v.after(before)) {
             known = held;
+            freshNews = FRESH_ROUNDS;
             if (before != null && before.epoch() != v.epoch()) {
                 sink.event(
                         true,
@@ -754,9 +804,12 @@
         open = null;
         tries = 0;
         tryAt = at;
+        boolean unchanged = known != null && known.kept().equals(held.kept());
         decided(held);
         Set<String> all = others(held.kept().lists());
-        all.addAll(members);
+        if (!unchanged) { // a read is news to nobody
+            all.addAll(members);
+        }
         all.forEach(n -> send(n, Kind.DECIDED, held.at(), held));
         Kept kept = held.kept();
         if (job.electors != null
--- a/src/main/java/maplespread/agreement/Word.java
+++ b/src/main/java/maplespread/agreement/Word.java
@@ -43,4 +43,9 @@
         quorum = new TreeMap<>(quorum);
         electors = List.copyOf(electors);
     }
+
+    /** The same word with what it tells. */
+    Word with(Held told) {
+        return new Word(kind, from, boot, runs, ballot, promised, blind, founding, asker, electors, quorum, told);
+    }
 }
--- a/src/main/java/maplespread/agreement/Words.java
+++ b/src/main/java/maplespread/agreement/Words.java
@@ -3,6 +3,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -10,43 +12,95 @@
 import maplespread.agreement.Kept.Held;
 import maplespread.agreement.Word.Kind;
 
-/** Words as bytes. */
-public final class Words {
+/**
+ * Words as bytes. The form is one that members which know no references can read, as long as a word has neither a
+ * reference nor holdings: of the flags they look at the first three alone.
+ */
+final class Words {
     private static final byte VERSION = 1;
     private static final int FIXED = 256; // beside texts, more than enough
+    private static final int BLIND = 1;
+    private static final int FOUNDING = 2;
+    private static final int WHOLE = 4; // what is held follows
+    private static final int REFERENCES = 8; // the sender understands them
+    private static final int REFERENCE = 16; // the ballot and the digest of what is held follow
+    private static final int HOLDINGS = 32; // digests of what the sender could resolve follow
+
+    /**
+     * A word as it came.
+     *
+     * @param word without what is held where that came by reference
+     * @param references whether its sender understands them
+     * @param reference to what is held, or null
+     * @param at the ballot under which that was taken, or null
+     * @param holdings what its sender can resolve
+     */
+    record Parsed(Word word, boolean references, Digest reference, Ballot at, List<Digest> holdings) {}
 
     private Words() {}
 
-    public static byte[] bytes(Word w) {
-        ByteBuffer out = ByteBuffer.allocate(size(w));
+    /**
+     * The word in bytes.
+     *
+     * @param reference in place of what is held; null: that goes whole
+     * @param holdings what this member can resolve; empty for members that do not understand references
+     */
+    static byte[] bytes(Word w, Digest reference, Collection<Digest> holdings) {
+        ByteBuffer out = ByteBuffer.allocate(size(w, reference != null) + holdings.size() * Digest.BYTES);
         out.put(VERSION).put((byte) w.kind().ordinal());
         text(out, w.from());
         out.putLong(w.boot());
         runs(out, w.runs());
         ballot(out, w.ballot());
         ballot(out, w.promised());
-        out.put((byte) ((w.blind() ? 1 : 0) | (w.founding() ? 2 : 0) | (w.held() != null ? 4 : 0)));
+        out.put((byte) flags(w, reference != null, !holdings.isEmpty()));
         out.putLong(w.asker());
         texts(out, w.electors());
         runs(out, w.quorum());
-        if (w.held() != null) {
+        if (reference != null) {
             ballot(out, w.held().at());
-            Value v = w.held().kept().value();
-            out.putLong(v.epoch()).putLong(v.version()).putLong(v.electorsNumber());
-            text(out, v.text());
-            texts(out, v.electors());
-            texts(out, w.held().kept().before());
-            out.putInt(w.held().kept().done().size());
-            for (Done d : w.held().kept().done()) {
-                text(out, d.name());
-                out.putLong(d.boot()).putLong(d.number()).putLong(d.version());
-            }
+            reference.write(out);
+        } else if (w.held() != null) {
+            ballot(out, w.held().at());
+            kept(out, w.held().kept());
+        }
+        if (!holdings.isEmpty()) {
+            out.put((byte) holdings.size());
+            holdings.forEach(h -> h.write(out));
+        }
+        return Arrays.copyOf(out.array(), out.position());
+    }
+
+    private static int flags(Word w, boolean reference, boolean holdings) {
+        int flags = REFERENCES;
+        flags |= w.blind() ? BLIND : 0;
+        flags |= w.founding() ? FOUNDING : 0;
+        flags |= w.held() == null ? 0 : reference ? REFERENCE : WHOLE;
+        return flags | (holdings ? HOLDINGS : 0);
+    }
+
+    /** What is kept, as it stands in a word: its digest is taken of this. */
+    static byte[] bytes(Kept kept) {
+        ByteBuffer out = ByteBuffer.allocate(FIXED + size(kept));
+        kept(out, kept);
+        return Arrays.copyOf(out.array(), out.position());
+    }
+
+    private static void kept(ByteBuffer out, Kept kept) {
+        Value v = kept.value();
+        out.putLong(v.epoch()).putLong(v.version()).putLong(v.electorsNumber());
+        text(out, v.text());
+        texts(out, v.electors());
+        texts(out, kept.before());
+        out.putInt(kept.done().size());
+        for (Done d : kept.done()) {
+            text(out, d.name());
+            out.putLong(d.boot()).putLong(d.number()).putLong(d.version());
         }
-        return java.util.Arrays.copyOf(out.array(), out.position());
     }
 
     /** Null where it is not a word. */
-    public static Word read(byte[] bytes) {
+    static Parsed parse(byte[] bytes) {
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes);
             if (in.get() != VERSION) {
@@ -58,33 +112,36 @@
             Map<String, Long> runs = runs(in);
             Ballot ballot = ballot(in);
             Ballot promised = ballot(in);
-            byte flags = in.get();
+            int flags = in.get();
             long asker = in.getLong();
             List<String> electors = texts(in);
             Map<String, Long> quorum = runs(in);
-            Held held = (flags & 4) == 0 ? null : held(in);
-            return in.hasRemaining()
+            boolean blind = (flags & BLIND) != 0;
+            boolean founding = (flags & FOUNDING) != 0;
+            Ballot at = (flags & (WHOLE | REFERENCE)) == 0 ? null : ballot(in);
+            Held held = (flags & WHOLE) == 0 ? null : new Held(at, kept(in));
+            Digest reference = (flags & REFERENCE) == 0 ? null : Digest.read(in);
+            List<Digest> holdings = (flags & HOLDINGS) == 0 ? List.of() : digests(in);
+            boolean twice = held != null && reference != null;
+            Word word =
+                    new Word(kind, from, boot, runs, ballot, promised, blind, founding, asker, electors, quorum, held);
+            return in.hasRemaining() || twice
                     ? null
-                    : new Word(
-                            kind,
-                            from,
-                            boot,
-                            runs,
-                            ballot,
-                            promised,
-                            (flags & 1) != 0,
-                            (flags & 2) != 0,
-                            asker,
-                            electors,
-                            quorum,
-                            held);
+                    : new Parsed(word, (flags & REFERENCES) != 0, reference, at, holdings);
         } catch (RuntimeException e) { // ends inside a member, or names none
             return null;
         }
     }
 
-    private static Held held(ByteBuffer in) {
-        Ballot at = ballot(in);
+    private static List<Digest> digests(ByteBuffer in) {
+        List<Digest> all = new ArrayList<>();
+        for (int n = in.get(); n > 0; n--) {
+            all.add(Digest.read(in));
+        }
+        return all;
+    }
+
+    private static Kept kept(ByteBuffer in) {
         long epoch = in.getLong();
         long version = in.getLong();
         long number = in.getLong();
@@ -94,10 +151,10 @@
         for (int n = in.getInt(); n > 0; n--) {
             done.add(new Done(text(in), in.getLong(), in.getLong(), in.getLong()));
         }
-        return new Held(at, new Kept(value, before, done));
+        return new Kept(value, before, done);
     }
 
-    private static int size(Word w) {
+    private static int size(Word w, boolean reference) {
         int size = FIXED
                 + 3
                         * (w.from().length()
@@ -108,14 +165,19 @@
         }
         size += size(w.electors());
         if (w.held() != null) {
-            Kept k = w.held().kept();
-            size += 3 * (w.held().at().name().length() + k.value().text().length());
-            size += size(k.value().electors()) + size(k.before());
-            size += k.done().stream().mapToInt(d -> 28 + 3 * d.name().length()).sum();
+            size += 3 * w.held().at().name().length() + Digest.BYTES;
+            size += reference ? 0 : size(w.held().kept());
         }
         return size;
     }
 
+    private static int size(Kept k) {
+        return 3 * k.value().text().length()
+                + size(k.value().electors())
+                + size(k.before())
+                + k.done().stream().mapToInt(d -> 28 + 3 * d.name().length()).sum();
+    }
+
     private static int size(List<String> texts) {
         return texts.stream().mapToInt(t -> 4 + 3 * t.length()).sum();
     }
--- a/src/main/java/maplespread/agreement/client/Register.java
+++ b/src/main/java/maplespread/agreement/client/Register.java
@@ -17,7 +17,7 @@
 import maplespread.agreement.Result;
 import maplespread.agreement.Value;
 import maplespread.agreement.Word;
-import maplespread.agreement.Words;
+import maplespread.agreement.WordCodec;
 import maplespread.log.Event;
 import maplespread.membership.client.Group;
 
@@ -40,6 +40,7 @@
     private final AgreementSettings set;
     private final Group group;
     private final Agreement core;
+    private final WordCodec codec = new WordCodec(); // under the lock, as the core
     private final List<Consumer<Value>> listeners = new CopyOnWriteArrayList<>();
     private final BlockingQueue<Value> news = new LinkedBlockingQueue<>();
     private final Thread ticks, tells;
@@ -52,7 +53,7 @@
         core = new Agreement(set, group.boot(), seed, now(), new AgreementSink() {
             @Override
             public void send(String to, Word word) {
-                group.send(CHANNEL, to, Words.bytes(word)); // unsent is as good as lost
+                group.send(CHANNEL, to, codec.encode(to, word)); // unsent is as good as lost
             }
 
             @Override
@@ -82,18 +83,24 @@
     }
 
     private void heard(String from, byte[] payload) {
-        Word w = Words.read(payload);
-        if (w == null || !w.from().equals(from)) {
-            Event.of("agreement.not_a_word", "member", from, "bytes", payload.length)
-                    .warn();
-            return;
-        }
+        byte[] reply;
         synchronized (this) {
-            if (!over) {
-                core.received(now(), w);
+            WordCodec.Received received = codec.decode(from, payload);
+            Word word = received.word();
+            reply = received.reply();
+            if (!received.readable() || word != null && !word.from().equals(from)) {
+                Event.of("agreement.not_a_word", "member", from, "bytes", payload.length)
+                        .warn();
+                return;
+            }
+            if (word != null && !over) {
+                core.received(now(), word);
                 notifyAll();
             }
         }
+        if (reply != null) {
+            group.send(CHANNEL, from, reply);
+        }
     }
 
     private synchronized void tick() {
@@ -176,6 +183,11 @@
         return core.blind();
     }
 
+    /** How values went to other members so far. */
+    public synchronized WordCodec.Counts valuesSent() {
+        return codec.counts();
+    }
+
     /** See {@link Agreement#voted}. */
     public synchronized Value voted() {
         return core.voted();
--- a/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
+++ b/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
@@ -18,10 +18,11 @@
 import maplespread.agreement.Result;
 import maplespread.agreement.Value;
 import maplespread.agreement.Word;
+import maplespread.agreement.WordCodec;
 
 /** Members and a network between them; some words go as bytes. Deterministic by seed. */
 public final class VirtualAgreement {
-    private record Packet(long at, long order, String from, String to, Word word) implements Comparable<Packet> {
+    private record Packet(long at, long order, String from, String to, byte[] bytes) implements Comparable<Packet> {
         @Override
         public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -35,6 +36,7 @@
     public final class Node {
         public final String name;
         public final Agreement core;
+        private final WordCodec codec = new WordCodec();
         private long due, stalledUntil;
         private boolean dead;
         private Value last;
@@ -45,7 +47,7 @@
                     new AgreementSettings(name, electors, 50, 500), boot, random.nextLong(), now, new AgreementSink() {
                         @Override
                         public void send(String to, Word word) {
-                            post(Node.this.name, to, word);
+                            post(Node.this.name, to, codec.encode(to, word), word.held() != null);
                         }
 
                         @Override
@@ -105,7 +107,7 @@
     private final List<String> faults = new ArrayList<>();
     private final Set<String> movingTo = new HashSet<>();
     private long movingUntil; // words of a move may be under way
-    private long now = 1, order, boots, sent;
+    private long now = 1, order, boots, sent, sentBytes;
     /** Chances of a packet to be lost, and to come twice; the most that it is delayed, in milliseconds. */
     public double loss, twice;
 
@@ -127,6 +129,11 @@
         return sent;
     }
 
+    /** Of all words so far, as they stand in their packets. */
+    public long sentBytes() {
+        return sentBytes;
+    }
+
     public int events(String name) {
         return events.getOrDefault(name, 0);
     }
@@ -207,13 +214,14 @@
         nodes.values().forEach(n -> n.stalledUntil = 0);
     }
 
-    private void post(String from, String to, Word word) {
+    private void post(String from, String to, byte[] bytes, boolean value) {
         sent++;
+        sentBytes += bytes.length;
         int copies = random.nextDouble() < twice ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= loss && !cut.contains(from + ' ' + to)) {
-                long at = now + 1 + random.nextInt(delayMs) + (word.held() == null ? 0 : valueMs);
-                packets.add(new Packet(at, ++order, from, to, word));
+                long at = now + 1 + random.nextInt(delayMs) + (value ? valueMs : 0);
+                packets.add(new Packet(at, ++order, from, to, bytes));
             }
         }
     }
@@ -234,10 +242,9 @@
                 Packet p = packets.remove();
                 Node to = nodes.get(p.to());
                 if (to != null && to.stalledUntil > now) {
-                    packets.add(new Packet(to.stalledUntil, p.order(), p.from(), p.to(), p.word()));
+                    packets.add(new Packet(to.stalledUntil, p.order(), p.from(), p.to(), p.bytes()));
                 } else if (to != null && !to.dead) {
-                    to.core.received(now, p.word());
-                    to.due = now;
+                    arrived(to, p);
                 }
             }
             for (Node n : nodes.values()) {
@@ -248,6 +255,20 @@
         }
     }
 
+    private void arrived(Node to, Packet p) {
+        WordCodec.Received received = to.codec.decode(p.from(), p.bytes());
+        if (!received.readable()) {
+            faults.add(to.name + " cannot read what " + p.from() + " sent");
+        }
+        if (received.reply() != null) {
+            post(to.name, p.from(), received.reply(), false);
+        }
+        if (received.word() != null) {
+            to.core.received(now, received.word());
+            to.due = now;
+        }
+    }
+
     // ------------------------------------------------------------ the check
 
     private void saw(Value v) {
--- a/src/main/java/maplespread/parts/GroupPart.java
+++ b/src/main/java/maplespread/parts/GroupPart.java
@@ -272,6 +272,7 @@
         }
         all.add("members", members);
         all.add("dropped", GSON.toJsonTree(j.group.dropped()));
+        all.add("values_sent", GSON.toJsonTree(j.register.valuesSent()));
         all.add("traffic", GSON.toJsonTree(j.group.traffic().byChannel()));
         return GSON.toJson(all);
     }
--- a/src/main/java/maplespread/release/client/Releases.java
+++ b/src/main/java/maplespread/release/client/Releases.java
@@ -181,7 +181,7 @@
 
     private long look(Driver driver, Register register) {
         State now = state(register.known());
-        boolean on = now.on() || !now.inForce().isEmpty();
+        boolean on = now.on() || !now.leaves().isEmpty(); // else nobody waits for what a majority knows
         if (!majority || on && now() - contactAt > CONTACT_MS) {
             put(register, Change.READ, PROPOSE_MS);
             now = state(register.known());
--- /dev/null
+++ b/src/test/java/maplespread/agreement/AgreementCostTest.java
@@ -0,0 +1,93 @@
+package maplespread.agreement;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import maplespread.lab.agreement.VirtualAgreement;
+import org.junit.jupiter.api.Test;
+
+/** What agreement sends, in exact counts: its cost must not grow with the fleet, nor with the value. */
+class AgreementCostTest {
+    private static final List<String> ELECTORS =
+            IntStream.range(0, 6).mapToObj(i -> "n10" + i).toList();
+    private static final long SETTLE_MS = 10_000;
+    private static final long READ_MS = 50;
+    private static final int LONG = 20_000;
+
+    /** A sound fleet that has agreed on a text of this length and then had time to spread it. */
+    private static VirtualAgreement settled(int members, int textLength, long seed) {
+        VirtualAgreement g = new VirtualAgreement(ELECTORS, seed);
+        IntStream.range(0, members).forEach(i -> g.start("n" + (100 + i)));
+        g.run(SETTLE_MS);
+        List<Result> results = new ArrayList<>();
+        g.node("n100").change("", v -> "x".repeat(textLength), 5000, results::add);
+        g.run(SETTLE_MS);
+        assertEquals(Result.Kind.DECIDED, results.get(0).kind());
+        assertTrue(g.alive().stream().allMatch(n -> n.core.known().text().length() == textLength));
+        return g;
+    }
+
+    /** Bytes of all words while a member that is no elector reads, before anybody looks for news. */
+    private static long readBytes(VirtualAgreement g, int reader) {
+        List<Result> results = new ArrayList<>();
+        long before = g.sentBytes();
+        g.node("n" + (100 + reader)).core.change(g.now(), Change.READ, g.now() + 900, results::add);
+        g.run(READ_MS);
+        assertEquals(Result.Kind.DECIDED, results.get(0).kind());
+        return g.sentBytes() - before;
+    }
+
+    private static long idleBytes(VirtualAgreement g, long ms) {
+        long before = g.sentBytes();
+        g.run(ms);
+        return g.sentBytes() - before;
+    }
+
+    @Test
+    void aReadCostsTheSameInEveryFleetAndForEveryValue() {
+        for (int members : new int[] {25, 100}) {
+            for (int length : new int[] {10, LONG}) {
+                VirtualAgreement g = settled(members, length, members);
+                readBytes(g, 20); // acquaints the reader with the electors
+                long bytes = readBytes(g, 20);
+                assertTrue(bytes < LONG, members + " members, text of " + length + ": " + bytes + " bytes a read");
+            }
+        }
+    }
+
+    /** With nothing to do: what an elector hears and says is bounded whatever the fleet, and a word's size is, too. */
+    @Test
+    void anIdleFleetsWordsDoNotGrowWithIt() {
+        for (int members : new int[] {25, 100}) {
+            VirtualAgreement g = settled(members, LONG, 3);
+            long sent = g.sent();
+            long bytes = idleBytes(g, 20_000);
+            double words = g.sent() - sent;
+            assertTrue(bytes / words < 450, members + " members: " + bytes / words + " bytes a word");
+            double perMember = bytes / 20.0 / members;
+            assertTrue(perMember < 1200, members + " members: " + perMember + " bytes a second and member");
+        }
+    }
+
+    /** A decision whose first telling is lost everywhere is known to all that can be reached soon all the same. */
+    @Test
+    void aDecisionThatWasLostOnItsWayIsLookedAfterSoon() {
+        for (int seed = 0; seed < 2; seed++) {
+            VirtualAgreement g = settled(100, 10, seed);
+            List<Result> results = new ArrayList<>();
+            IntStream.range(6, 100).forEach(i -> ELECTORS.forEach(e -> g.cut(e, "n" + (100 + i))));
+            g.node("n100").change("", v -> "later", 5000, results::add);
+            g.run(300);
+            assertEquals(Result.Kind.DECIDED, results.get(0).kind());
+            g.heal();
+            g.run(6_500);
+            long lacking = g.alive().stream()
+                    .filter(n -> !n.core.known().text().equals("later"))
+                    .count();
+            assertEquals(0, lacking, "seed " + seed);
+        }
+    }
+}
--- a/src/test/java/maplespread/agreement/AgreementTest.java
+++ b/src/test/java/maplespread/agreement/AgreementTest.java
@@ -341,16 +341,16 @@
                 THREE,
                 java.util.Map.of("n0", 4L),
                 new Kept.Held(Ballot.NONE, new Kept(g.last(), THREE, done)));
-        byte[] bytes = Words.bytes(w);
+        byte[] bytes = Words.bytes(w, null, List.of());
         assertTrue(bytes.length <= 60 * 1024, bytes.length + " bytes");
-        assertEquals(w, Words.read(bytes));
+        assertEquals(w, Words.parse(bytes).word());
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 5000; i++) { // whatever comes, reading ends
             byte[] broken = java.util.Arrays.copyOf(bytes, random.nextInt(6000));
             for (int n = random.nextInt(4); n > 0 && broken.length > 0; n--) {
                 broken[random.nextInt(broken.length)] ^= (byte) (1 + random.nextInt(255));
             }
-            assertEquals(null, Words.read(broken));
+            assertEquals(null, Words.parse(broken));
         }
     }
 }
