--- a/src/main/java/maplespread/lab/ScaleMeasure.java
+++ b/src/main/java/maplespread/lab/ScaleMeasure.java
@@ -27,8 +27,8 @@
 
     private static final List<String> ROLES = List.of("elector", "member");
 
-    private static final Map<Integer, String> CHANNELS = Map.of(
-            0, "membership", 1, "agreement", 2, "statuses", 3, "waits", 4, "leases", 5, "gossip", 128, "dropped");
+    private static final Map<Integer, String> CHANNELS =
+            Map.of(0, "membership", 1, "agreement", 2, "statuses", 3, "waits", 4, "leases", 128, "dropped");
 
     /** Sizes that are fitted, how often the largest is played, and the one that is held out. */
     private record Sizes(int[] fitted, int seeds, int heldOut) {}
@@ -81,11 +81,11 @@
 
     private List<Stage> stages(Sizes sizes) {
         if (quick) {
-            return List.of(new Stage("all", new Features(true, true, true, false), sizes));
+            return List.of(new Stage("all", new Features(true, true, true), sizes));
         }
         return List.of(
-                new Stage("group", new Features(true, false, true, false), sizes),
-                new Stage("leases", new Features(false, true, false, false), sizes));
+                new Stage("group", new Features(true, false, true), sizes),
+                new Stage("leases", new Features(false, true, false), sizes));
     }
 
     private void play(Stage stage) throws IOException, InterruptedException {
--- a/src/main/java/maplespread/lab/scale/HollowFleet.java
+++ b/src/main/java/maplespread/lab/scale/HollowFleet.java
@@ -29,9 +29,9 @@
 /** Hollow members of one group on loopback, all in this process. */
 public final class HollowFleet implements Closeable {
     /** Which parts are on beside the group itself. */
-    public record Features(boolean release, boolean partition, boolean starvation, boolean gossip) {
+    public record Features(boolean release, boolean partition, boolean starvation) {
         /** What the operators' file has after the group. */
-        String text(FleetPlan plan) {
+        String text() {
             return (release ? ",\"release\":{}" : "")
                     + (partition ? ",\"partition\":{\"table\":" + TABLE + "}" : "")
                     + (starvation ? ",\"starvation\":{\"verdicts\":\"console\"}" : "");
@@ -137,7 +137,7 @@
             electors.add("n" + i);
         }
         return OperatorReader.text("{\"group\":{\"listen\":\"127.0.0.1:" + ports.get(index) + "\",\"seeds\":" + seeds
-                + ",\"electors\":" + electors + ",\"key_files\":[\"" + key + "\"]}" + features.text(plan) + "}");
+                + ",\"electors\":" + electors + ",\"key_files\":[\"" + key + "\"]}" + features.text() + "}");
     }
 
     /** Blocks until every member knows that all are there. */
