--- /dev/null
+++ b/src/test/java/maplespread/parts/GroupGoldenTest.java
@@ -0,0 +1,70 @@
+package maplespread.parts;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.lang.reflect.Proxy;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.TreeSet;
+import maplespread.agreement.Change;
+import maplespread.agreement.Result;
+import maplespread.config.Config;
+import maplespread.config.ConfigReader;
+import maplespread.config.GroupSettings;
+import maplespread.config.OperatorReader;
+import maplespread.console.Calls.Ask;
+import maplespread.console.Calls.Reply;
+import maplespread.figures.Figures;
+import maplespread.release.GoldenFile;
+import org.junit.jupiter.api.Test;
+
+/** The admin calls about the group, before this dispatcher is in it and after; figures that vary are masked. */
+class GroupGoldenTest {
+    private static Host host(Config config) {
+        Map<Class<?>, Object> results = Map.of(Config.class, config, Figures.class, new Figures(), boolean.class, true);
+        return (Host) Proxy.newProxyInstance(
+                Host.class.getClassLoader(), new Class<?>[] {Host.class}, (proxy, method, arguments) -> {
+                    return results.get(method.getReturnType());
+                });
+    }
+
+    private static String answer(GroupPart part, String call, Map<String, String> query) {
+        Reply reply = part.calls().get(call).answer(new Ask(query, ""));
+        return call + query + " -> " + reply.status() + ' ' + reply.text() + '\n';
+    }
+
+    @Test
+    void groupCallsAreAnsweredTheSame() throws Exception {
+        Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
+        String address;
+        try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            address = "127.0.0.1:" + free.getLocalPort();
+        }
+        GroupSettings settings = OperatorReader.text("{\"group\":{\"listen\":\"" + address
+                        + "\",\"electors\":[\"toy\"],\"version\":\"1.5\",\"key_files\":[\"deploy/group.key\"]}}")
+                .group();
+        GroupPart part = new GroupPart(settings, config, host(config));
+        StringBuilder found = new StringBuilder(new TreeSet<>(part.calls().keySet()) + "\n");
+        found.append(answer(part, "GET /admin/group", Map.of()));
+        found.append(answer(part, "POST /admin/group/found", Map.of()));
+        found.append(answer(part, "POST /admin/group/found", Map.of("why", "all restarted")));
+        try {
+            part.start();
+            while (part.joined() == null
+                    || part.joined().register().change(Change.READ, 1000).kind() != Result.Kind.DECIDED
+                    || part.joined().statuses().of("toy").isEmpty()) {
+                Thread.yield(); // the address was taken, its time was over, or the first round is not
+            }
+            found.append(answer(part, "GET /admin/group", Map.of()).replaceAll("[0-9]+(?=[,\\n])", "N"));
+            found.append(answer(part, "POST /admin/group/found", Map.of("why", "all restarted"))
+                    .replaceAll("as [0-9]+", "as N"));
+        } finally {
+            part.close();
+        }
+        GoldenFile.assertMatches("parts/group.txt", found.toString().replace(address, "ADDRESS"));
+        assertEquals(true, found.indexOf("deploy/group.key") < 0, "no key is shown");
+    }
+}
--- /dev/null
+++ b/src/test/java/maplespread/release/GoldenFile.java
@@ -0,0 +1,20 @@
+package maplespread.release;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+
+/** Compares a text with the one kept in src/test/resources/golden; a text that differs is left in target/golden. */
+public final class GoldenFile {
+    private GoldenFile() {}
+
+    /** Fails where {@code actual} is not, byte for byte, what the file {@code name} holds. */
+    public static void assertMatches(String name, String actual) throws Exception {
+        Path expected = Path.of("src/test/resources/golden", name);
+        Path found = Path.of("target/golden", name);
+        Files.createDirectories(found.getParent());
+        Files.writeString(found, actual);
+        assertEquals(Files.exists(expected) ? Files.readString(expected) : "", actual, found + " is what was found");
+    }
+}
