--- a/src/test/java/maplespread/net/Loopback.java
+++ b/src/test/java/maplespread/net/Loopback.java
@@ -442,6 +442,14 @@
         }
     }
 
+    /** The same, with the body of an answer that is not 200 too. */
+    Call callOrError(String startLine) throws IOException {
+        try (HttpConnection link = dialConsole()) {
+            link.send((startLine + " HTTP/1.1\r\nHost: c\r\n\r\n").getBytes());
+            return call(link, body -> HttpParser.responseOrError(1 << 20, body));
+        }
+    }
+
     HttpConnection dialConsole() throws IOException {
         return dialConsole(server);
     }
--- /dev/null
+++ b/src/test/java/maplespread/starvation/StarvationGoldenTest.java
@@ -0,0 +1,230 @@
+package maplespread.starvation;
+
+import com.google.gson.GsonBuilder;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import maplespread.GoldenOutput;
+import maplespread.starvation.Verdict.Kind;
+import maplespread.starvation.client.Watch;
+import org.junit.jupiter.api.Test;
+
+/** What dispatchers send each other of waits, what operators are shown, and verdicts to the last digit. */
+class StarvationGoldenTest {
+    private final StringBuilder seen = new StringBuilder();
+
+    private StringBuilder line(Object... parts) {
+        for (Object part : parts) {
+            seen.append(part).append(' ');
+        }
+        return seen.append('\n');
+    }
+
+    private static Window window() {
+        Waits waits = new Waits("n-1", 1_700_000_000_000L, 1000, new double[] {2000, 500});
+        Waits.End[] ends = Waits.End.values();
+        for (int i = 0; i < 60; i++) {
+            waits.taken(i, i, i % 5 * 300, i % 2, i % 7 * 11, i % 3 == 0 ? Double.NaN : 40 * i);
+            if (i % 6 != 5) {
+                waits.ended(i * 31, i, i % 4 == 0 ? Waits.WHERE_TAKEN : i % 9, ends[i % 4]);
+            }
+        }
+        waits.ended(3000, 999, 0, Waits.End.SERVED); // never taken
+        return waits.close(2500);
+    }
+
+    @Test
+    void bytesOfWindows() throws Exception {
+        Window whole = window();
+        for (int most : new int[] {Integer.MAX_VALUE, 120, 40}) {
+            byte[] bytes = Exchange.encode(whole, most);
+            Window back = Exchange.decode(bytes);
+            line(HexFormat.of().formatHex(bytes));
+            line(back.process(), back.run(), back.number(), back.lengthMs(), back.left(), back.jobs());
+            line(Arrays.toString(back.codes()), Arrays.toString(back.counts()));
+            line(Arrays.toString(back.open()), Arrays.toString(back.openCounts()));
+        }
+        for (long[] of :
+                new long[][] {{200_000, 1000, 0}, {200_000, 1000, 199}, {1000, 100, 1}, {100_000_000, 60_000, 2}}) {
+            line(Exchange.bytesEach(of[0], (int) of[1], (int) of[2]));
+        }
+        GoldenOutput.assertMatches("starvation/windows.txt", seen.toString());
+    }
+
+    @Test
+    void codesAndBins() throws Exception {
+        int[][] cells = {{0, 0, 0, 0}, {1, 2, 3, 4}, {65_535, 63, 65_535, 15}};
+        for (int[] c : cells) {
+            long cell = Code.cell(c[0], c[1], c[2], c[3]);
+            line(cell, Code.of(cell, true, 77), Code.of(cell, false, 0), View.stratum(cell));
+        }
+        line(Code.HIGHEST, Code.BINS.length, Arrays.hashCode(Code.BINS), Code.binOf(1234.5), Code.binOf(9e9));
+        for (double work : new double[] {Double.NaN, 0, 1, 3, 4, 15, 16, 1e3, 1e6, 1e12}) {
+            line(work, Code.bandOf(work), Code.work(Code.bandOf(work)));
+        }
+        GoldenOutput.assertMatches("starvation/codes.txt", seen.toString());
+    }
+
+    @Test
+    void bytesThatAreNoWindow() throws Exception {
+        String good = HexFormat.of().formatHex(Exchange.encode(window(), 60));
+        String[] bad = {
+            "",
+            "02",
+            "01ff01",
+            "0105616263",
+            good.substring(0, good.length() - 2),
+            good + "00",
+            "01016e" + "0000808080808080808080",
+            "01016e0001e807000201010000",
+            "01016e0001e8070001ff3f010000"
+        };
+        for (String hex : bad) {
+            try {
+                line("read", Exchange.decode(HexFormat.of().parseHex(hex)).number());
+            } catch (NotAWindow e) {
+                line(e.getMessage());
+            }
+        }
+        GoldenOutput.assertMatches("starvation/no-windows.txt", seen.toString());
+    }
+
+    @Test
+    void adminAnswer() throws Exception {
+        Verdict.Figures figures = new Verdict.Figures(7, 2, 40, 3, 120.5, 30.25, 90.25, 0.045, 31, 1e-9, 0);
+        Verdict starved = new Verdict(Kind.STARVED, 3, 1, 5, 1234, figures, 4, 5);
+        Verdict unknown = new Verdict(Kind.NOT_KNOWN, -1, -1, -1, 99, Verdict.Figures.NONE, 1, 5);
+        Watch.Told told = new Watch.Told(
+                List.of(new Watch.Shown("fleet", starved), new Watch.Shown("dispatcher", unknown)),
+                List.of(new Relief.Weight(3, 1.3)));
+        seen.append(new GsonBuilder()
+                .setPrettyPrinting()
+                .serializeSpecialFloatingPointValues()
+                .create()
+                .toJson(told));
+        seen.append('\n');
+        for (Kind kind : Kind.values()) {
+            line(kind, kind.remedy());
+        }
+        Site site = new Site(new double[] {1}, new double[] {}, 1, 3);
+        for (int part : new int[] {-1, 0, 7, site.zone(7), site.kind(7)}) {
+            line(site.words(part, z -> "z" + z, k -> "k" + k));
+        }
+        GoldenOutput.assertMatches("starvation/admin.txt", seen.toString());
+    }
+
+    // ------------------------------------------------------------ verdicts and weights
+
+    private void verdict(String what, Verdict v) {
+        Verdict.Figures f = v.figures();
+        line(what, v.kind(), v.tenant(), v.cls(), v.place(), v.sinceMs(), v.heard(), v.processes(), v.partial());
+        line(f.jobs(), f.held(), f.others(), f.othersHeld(), f.ownMs(), f.othersMs(), f.moreMs());
+        line(f.effect(), f.elsewhereMs(), f.chance(), f.excess());
+    }
+
+    /** One dispatcher's second: fair but for what begins in its turn at 8, 16, 24 and 32 s. */
+    private static void second(Waits waits, SplittableRandom random, int second) {
+        for (int job = 0; job < 150; job++) {
+            int tenant = random.nextInt(second >= 16 && second < 24 && job % 2 == 0 ? 1 : 12);
+            int cls = random.nextInt(2);
+            int place = random.nextInt(4);
+            double work = Math.exp(2 + 2 * random.nextDouble()) * (tenant == 7 && second >= 24 ? 40 : 1);
+            double wait = -30 * Math.log(1 - random.nextDouble());
+            boolean harmed = tenant == 3 && place == 1 && second >= 8 && second < 16;
+            wait += harmed ? 700 : 0;
+            wait += place == 2 && second >= 32 ? 900 : 0;
+            Waits.End end =
+                    random.nextInt(50) == 0 || harmed && random.nextInt(3) == 0 ? Waits.End.REFUSED : Waits.End.SERVED;
+            long at = second * 1000L + random.nextInt(1000);
+            long id = second * 1000L + job;
+            waits.taken(at, id, tenant, cls, place, random.nextInt(9) == 0 ? Double.NaN : work);
+            if (random.nextInt(40) != 0) {
+                waits.ended(at + Math.round(work + wait), id, random.nextInt(4) == 0 ? Waits.WHERE_TAKEN : place, end);
+            }
+        }
+    }
+
+    @Test
+    void verdictsOfARun() throws Exception {
+        double[] allowances = new double[12];
+        Arrays.fill(allowances, 30);
+        Site site = new Site(new double[] {2000, 1500}, allowances, 4, 2);
+        List<Waits> all = new ArrayList<>();
+        IntStream.range(0, 4).forEach(i -> all.add(new Waits("n-" + i, 1, 1000, site.deadlinesMs())));
+        Judge fleet = new Judge(site, 0.1);
+        Judge alone = Judge.alone(site, 0.1, fleet);
+        Judge silent = Judge.alone(site, 0.1, null);
+        View[] views = {new View(10_000, true), new View(10_000, true), new View(10_000, false)};
+        Judge[] judges = {fleet, alone, silent};
+        Relief relief = new Relief(new Relief.Limits(2, 0.1, 1.5, true), 10);
+        SplittableRandom random = new SplittableRandom(11);
+        for (int second = 0; second < 56; second++) {
+            long now = second * 1000L + 1000;
+            for (int i = 0; i < 4; i++) {
+                second(all.get(i), random, second);
+                Window w = all.get(i).close(now);
+                if (i > 0 && second >= 40) {
+                    continue; // not heard any more
+                }
+                views[0].add(now, w);
+                if (i == 0) {
+                    views[1].add(now, w);
+                    views[2].add(now, w);
+                }
+            }
+            for (int j = 0; j < judges.length; j++) {
+                views[j].age(now);
+                List<Verdict> changes = new ArrayList<>(judges[j].round(now, views[j]));
+                changes.sort((a, b) -> Integer.compare(order(a), order(b)));
+                String at = second + "/" + j;
+                changes.forEach(v -> verdict(at, v));
+                line(
+                        at,
+                        judges[j].spread(),
+                        judges[j].comparisons(),
+                        judges[j].heardEnough(),
+                        judges[j].standing().size(),
+                        views[j].heard(now),
+                        views[j].bytes());
+            }
+            relief.round(fleet.standing(), fleet.heardEnough());
+            line(relief.weights().stream()
+                    .map(w -> w.tenant() + "=" + w.weight())
+                    .toList());
+        }
+        GoldenOutput.assertMatches("starvation/verdicts.txt", seen.toString());
+    }
+
+    private static int order(Verdict v) {
+        return (v.tenant() * 100 + v.cls()) * 1000 + v.place();
+    }
+
+    @Test
+    void weightsOfRandomVerdicts() throws Exception {
+        for (boolean guarded : new boolean[] {true, false}) {
+            SplittableRandom random = new SplittableRandom(5);
+            Relief relief = new Relief(new Relief.Limits(2.5, 0.2, 2, guarded), 5);
+            boolean[] starved = new boolean[6];
+            for (int round = 0; round < 300; round++) {
+                List<Verdict> standing = new ArrayList<>();
+                for (int t = 0; t < starved.length; t++) {
+                    starved[t] ^= random.nextInt(12) == 0;
+                    Kind kind = random.nextInt(30) == 0 ? Kind.BEYOND_SHARE : Kind.STARVED;
+                    if (starved[t]) {
+                        standing.add(new Verdict(kind, t, 0, 0, 0, Verdict.Figures.NONE, 1, 1));
+                    }
+                }
+                for (Relief.Change c : relief.round(standing, random.nextInt(25) != 0)) {
+                    line(round, c.what(), c.tenant(), c.weight(), c.victim());
+                }
+            }
+            line(relief.weights().stream()
+                    .map(w -> w.tenant() + "=" + w.weight())
+                    .toList());
+        }
+        GoldenOutput.assertMatches("starvation/weights.txt", seen.toString());
+    }
+}
