--- /dev/null
+++ b/src/test/java/maplespread/decision/ReplayFleet.java
@@ -0,0 +1,693 @@
+package maplespread.decision;
+
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.UncheckedIOException;
+import java.security.DigestOutputStream;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.function.Predicate;
+
+/**
+ * A seeded virtual fleet around one {@link Logic}. Its clients, workers and discovery react to the node's actions, and
+ * every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an arithmetic
+ * order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
+ */
+final class ReplayFleet implements Dispatch.Actions {
+    /** Which figures the workers' load reports have. */
+    enum ReportFields {
+        NONE,
+        ACTIVE_AND_FREE_SLOTS,
+        FREE_SLOTS,
+        SERVICE_TIME
+    }
+
+    /** What one replay varies; {@code load}: offered work over the fleet's capacity, as a mean over time. */
+    record Plan(
+            String name,
+            Dispatch.Settings settings,
+            int workers,
+            int slots,
+            double load,
+            boolean keyed,
+            ReportFields reports,
+            int seconds) {}
+
+    private record Due(long atUs, long order, Runnable work) implements Comparable<Due> {
+        @Override
+        public int compareTo(Due other) {
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
+        }
+    }
+
+    private static final class ModelWorker {
+        final String id;
+        final int zone;
+        final int cell;
+        final int kind;
+        final int slots;
+        final double speed;
+        final ArrayDeque<Job> queue = new ArrayDeque<>();
+        final List<Job> running = new ArrayList<>();
+        Dispatch.Health health = Dispatch.Health.ACTIVE;
+        boolean listed = true;
+        boolean up = true;
+        boolean unreachable;
+        boolean hanging;
+        double slowness = 1;
+        int failingClass = -1;
+        double startedAtMs;
+        double lastServiceMs = Double.NaN;
+
+        ModelWorker(String id, int zone, int cell, int kind, int slots, double speed) {
+            this.id = id;
+            this.zone = zone;
+            this.cell = cell;
+            this.kind = kind;
+            this.slots = slots;
+            this.speed = speed;
+        }
+
+        double usedSlots() {
+            double used = 0;
+            for (Job job : running) {
+                used += job.call.slots;
+            }
+            return used;
+        }
+    }
+
+    private static final class Call {
+        final long id;
+        final int cls;
+        final double deadlineMs;
+        final double slots;
+        final double workMs;
+        final Dispatch.ClassSpec spec;
+        final List<Job> jobs = new ArrayList<>(2);
+        boolean ended;
+
+        Call(long id, int cls, double deadlineMs, double slots, double workMs, Dispatch.ClassSpec spec) {
+            this.id = id;
+            this.cls = cls;
+            this.deadlineMs = deadlineMs;
+            this.slots = slots;
+            this.workMs = workMs;
+            this.spec = spec;
+        }
+    }
+
+    private static final class Job {
+        final Call call;
+        final int attempt;
+        final ModelWorker worker;
+        final double sentAtMs;
+        double startedAtMs;
+        double takesMs;
+        boolean over;
+
+        Job(Call call, int attempt, ModelWorker worker, double sentAtMs) {
+            this.call = call;
+            this.attempt = attempt;
+            this.worker = worker;
+            this.sentAtMs = sentAtMs;
+        }
+    }
+
+    private static final long START_US = 1_000_000_000L;
+    private static final double MEAN_WORK_MS = 60;
+    private final Plan plan;
+    private final SplittableRandom random;
+    private final MessageDigest digest;
+    private final DataOutputStream hashed;
+    private final Logic node;
+    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final List<ModelWorker> workers = new ArrayList<>();
+    private final Map<String, ModelWorker> byId = new HashMap<>();
+    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<String, Integer> counts = new java.util.TreeMap<>();
+    private Dispatch.Settings settings;
+    private Dispatch.Settings before;
+    private long nowUs = START_US;
+    private long order;
+    private long lastId;
+    private long events;
+    private double capacity; // work in ms a ms
+    private double discoveryBackMs;
+    private long version = 1;
+
+    ReplayFleet(Plan plan, long seed) {
+        this.plan = plan;
+        random = new SplittableRandom(seed * 1_000_003 + plan.name().hashCode());
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+        hashed = new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
+        settings = plan.settings();
+        before = settings;
+        node = new Logic(settings, seed, this);
+        for (int i = 0; i < plan.workers(); i++) {
+            double speed = 0.5 + 1.5 * random.nextDouble();
+            int kind = i % 3 == 0 ? 1 : 0;
+            add(new ModelWorker("10.0.0." + i + ":9000", i % 3, i % 5, kind, plan.slots() + i % 2, speed));
+        }
+    }
+
+    private void add(ModelWorker worker) {
+        workers.add(worker);
+        byId.put(worker.id, worker);
+        capacity += worker.speed * worker.slots;
+    }
+
+    /** Plays the whole and returns what was counted and the hash of all actions, as one line. */
+    String play() {
+        list(Dispatch.ListKind.HELD);
+        after(20 + random.nextInt(300), () -> {
+            list(Dispatch.ListKind.FULL);
+            confirm();
+        });
+        after(1, this::arrival);
+        after(300, this::disturb);
+        after(500, this::strayEvent);
+        long endUs = START_US + plan.seconds() * 1_000_000L;
+        while (!due.isEmpty() && due.peek().atUs() <= endUs) {
+            Due next = due.remove();
+            nowUs = Math.max(nowUs, next.atUs());
+            next.work().run();
+            if (++events % 50 == 0) {
+                put('#', node.avoided(), node.listUsable(nowUs) ? 1 : 0);
+            }
+        }
+        StringBuilder line = new StringBuilder("events=" + events);
+        counts.forEach(
+                (what, count) -> line.append(' ').append(what).append('=').append(count));
+        return line.append(" sha256=")
+                .append(HexFormat.of().formatHex(digest.digest()))
+                .toString();
+    }
+
+    // ------------------------------------------------------------ clients
+
+    private void arrival() {
+        double wave = 1 + 0.6 * StrictMath.sin((nowUs - START_US) / 4e6);
+        after(-StrictMath.log(1 - random.nextDouble()) * MEAN_WORK_MS / (capacity * plan.load() * wave), this::arrival);
+        int cls = random.nextInt(settings.classes().size());
+        request(cls, settings.classes().get(cls).deadlineMs(), true);
+    }
+
+    private void request(int cls, double leftMs, boolean mayRepeat) {
+        Dispatch.Settings under = chance(0.05) && cls < before.classes().size() ? before : null;
+        double work = MEAN_WORK_MS * -StrictMath.log(1 - random.nextDouble()) + 1;
+        double hint = chance(0.1) ? Double.NaN : chance(0.01) ? 1e12 : work * (0.5 + random.nextDouble());
+        double slots = chance(0.1) ? 2 : chance(0.01) ? 1e6 : 1;
+        double memory = chance(0.1) ? 1 + random.nextInt(2) : 0;
+        String key = plan.keyed() ? "key-" + random.nextInt(1 + random.nextInt(40)) : chance(0.02) ? "" : null;
+        double counts = chance(0.8) ? 1 : 4 * random.nextDouble();
+        Predicate<String> among = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
+        Dispatch.ClassSpec spec = (under == null ? settings : under).classes().get(cls);
+        Call call = new Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
+        calls.put(call.id, call);
+        node.request(
+                nowUs,
+                new Dispatch.Request(
+                        call.id,
+                        cls,
+                        random.nextInt(2),
+                        Math.round(call.deadlineMs * 1000),
+                        hint,
+                        slots,
+                        memory,
+                        key,
+                        under,
+                        counts,
+                        among));
+        after(leftMs, () -> leave(call));
+        if (chance(0.01)) {
+            after(leftMs * random.nextDouble(), () -> leave(call));
+        }
+        if (mayRepeat && chance(0.3)) { // where it is refused soon, its client comes again
+            after(40, () -> {
+                if (call.ended && call.jobs.isEmpty() && leftMs > 100) {
+                    request(cls, leftMs - 40, false);
+                }
+            });
+        }
+    }
+
+    private void leave(Call call) {
+        if (!call.ended) {
+            call.ended = true;
+            node.gone(nowUs, call.id);
+        }
+        if (call.jobs.stream().allMatch(job -> job.over)) {
+            calls.remove(call.id);
+        }
+    }
+
+    // ------------------------------------------------------------ workers
+
+    private void reach(Job job) {
+        ModelWorker worker = job.worker;
+        double fate = random.nextDouble();
+        if (worker.unreachable) {
+            after(settings.permissions().dialTimeoutMs(), () -> end(job, Dispatch.Verdict.NO_CONNECTION));
+        } else if (!worker.up) {
+            end(job, Dispatch.Verdict.NO_CONNECTION);
+        } else if (worker.hanging || fate < 0.004) { // its connection is dead, or the worker
+            double waitMs = Math.min(2500, Math.max(1, job.call.deadlineMs - ms()));
+            after(waitMs, () -> end(job, Dispatch.Verdict.TIMEOUT));
+        } else if (fate < 0.006) {
+            end(job, Dispatch.Verdict.MOOT);
+        } else if (fate < 0.008) {
+            end(job, Dispatch.Verdict.CUT);
+        } else if (fate < 0.010) {
+            end(job, Dispatch.Verdict.RESET);
+        } else if (fate < 0.012 || worker.failingClass == job.call.cls) {
+            end(job, Dispatch.Verdict.ERROR);
+        } else if (worker.queue.size() > 6 * worker.slots || worker.health != Dispatch.Health.ACTIVE && chance(0.7)) {
+            end(job, Dispatch.Verdict.FULL);
+        } else {
+            worker.queue.add(job);
+            startNext(worker);
+        }
+    }
+
+    private void startNext(ModelWorker worker) {
+        while (!worker.queue.isEmpty()
+                && (worker.running.isEmpty() || worker.usedSlots() + worker.queue.peek().call.slots <= worker.slots)) {
+            Job job = worker.queue.remove();
+            if (job.over) {
+                continue;
+            }
+            worker.running.add(job);
+            double warm =
+                    clampWarmth((ms() - worker.startedAtMs) / settings.rules().warmWithinMs());
+            job.startedAtMs = ms();
+            job.takesMs = job.call.workMs / worker.speed / warm * worker.slowness * (0.8 + 0.4 * random.nextDouble());
+            if (settings.tellsStart() && chance(0.97)) {
+                after(0.2, () -> progress(job, true, 0));
+            }
+            if (settings.progressMs() > 0) {
+                after(settings.progressMs(), () -> goOn(job));
+            }
+            if (job.call.spec.streaming()) {
+                after(job.takesMs / 2, () -> {
+                    if (!job.over) {
+                        node.opened(nowUs, job.call.id, job.attempt, worker.id);
+                    }
+                });
+            }
+            after(job.takesMs, () -> finish(job));
+        }
+    }
+
+    private static double clampWarmth(double warm) {
+        return Math.max(0.1, Math.min(1, warm));
+    }
+
+    private void progress(Job job, boolean started, double share) {
+        if (!job.over) {
+            node.progress(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
+        }
+    }
+
+    private void goOn(Job job) {
+        if (!job.over) {
+            progress(job, false, (ms() - job.startedAtMs) / job.takesMs * (chance(0.02) ? 0.5 : 1));
+            after(settings.progressMs(), () -> goOn(job));
+        }
+    }
+
+    private void finish(Job job) {
+        job.worker.lastServiceMs = job.takesMs;
+        end(job, Dispatch.Verdict.OK);
+    }
+
+    private void end(Job job, Dispatch.Verdict verdict) {
+        ModelWorker worker = job.worker;
+        worker.running.remove(job);
+        worker.queue.remove(job);
+        if (job.over) {
+            return;
+        }
+        job.over = true;
+        job.call.ended |= verdict == Dispatch.Verdict.OK;
+        double lagMs = ms() - job.sentAtMs;
+        Dispatch.Report report = verdict == Dispatch.Verdict.OK || chance(0.3) ? report(worker) : null;
+        node.outcome(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
+        startNext(worker);
+    }
+
+    private Dispatch.Report report(ModelWorker worker) {
+        double nan = Double.NaN;
+        if (chance(0.003)) {
+            return new Dispatch.Report(1e7, 0, 0, 1, 1e7, 0); // absurd
+        }
+        int active = worker.running.size() + worker.queue.size();
+        double free = Math.max(0, worker.slots - worker.usedSlots());
+        double memory = chance(0.5) ? nan : free;
+        return switch (plan.reports()) {
+            case NONE -> null;
+            case ACTIVE_AND_FREE_SLOTS ->
+                new Dispatch.Report(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
+            case FREE_SLOTS -> new Dispatch.Report(nan, nan, nan, worker.lastServiceMs, free, memory);
+            case SERVICE_TIME -> new Dispatch.Report(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
+        };
+    }
+
+    private void crash(ModelWorker worker, double downMs) {
+        worker.up = false;
+        List<Job> lost = new ArrayList<>(worker.running);
+        lost.addAll(worker.queue);
+        worker.running.clear();
+        worker.queue.clear();
+        for (Job job : lost) {
+            after(random.nextInt(5), () -> end(job, Dispatch.Verdict.RESET));
+        }
+        after(downMs, () -> {
+            worker.up = true;
+            worker.startedAtMs = ms();
+            if (chance(0.7)) {
+                changed(worker);
+            }
+        });
+    }
+
+    // ------------------------------------------------------------ discovery
+
+    private boolean discoveryDown() {
+        return ms() < discoveryBackMs;
+    }
+
+    private Dispatch.Entry entry(ModelWorker worker) {
+        return new Dispatch.Entry(
+                worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
+    }
+
+    private void list(Dispatch.ListKind kind) {
+        List<Dispatch.Entry> entries = new ArrayList<>();
+        for (ModelWorker worker : workers) {
+            if (worker.listed) {
+                entries.add(entry(worker));
+            }
+        }
+        node.list(nowUs, kind, ++version, entries);
+    }
+
+    private void changed(ModelWorker worker) {
+        if (!discoveryDown()) {
+            node.list(nowUs, Dispatch.ListKind.CHANGES, ++version, List.of(entry(worker)));
+        }
+    }
+
+    private void confirm() {
+        node.listConfirmed(nowUs);
+    }
+
+    private void answerWatch() {
+        if (discoveryDown()) {
+            Dispatch.ListLoss loss = chance(0.3) ? Dispatch.ListLoss.REFUSED : Dispatch.ListLoss.NO_ANSWER;
+            double tookMs = loss == Dispatch.ListLoss.REFUSED ? 1 : 400 + random.nextInt(1600);
+            after(tookMs, () -> node.listFailed(nowUs, chance(0.05) ? Dispatch.ListLoss.NOT_ASKED : loss, tookMs));
+        } else {
+            list(Dispatch.ListKind.FULL);
+            confirm();
+        }
+    }
+
+    private void discoveryFault() {
+        double outageMs = chance(0.3) ? 9000 * random.nextDouble() : 400 * random.nextDouble();
+        discoveryBackMs = ms() + outageMs;
+        if (!settings.ask() || chance(0.3)) {
+            after(outageMs + 50, this::answerWatch);
+        }
+        switch (random.nextInt(4)) {
+            case 0 -> node.listFailed(nowUs, Dispatch.ListLoss.ENDED, 0);
+            case 1 -> node.listFailed(nowUs, Dispatch.ListLoss.NO_ANSWER, 2000);
+            case 2 -> {
+                node.listUnconfirmed(nowUs, Dispatch.ListDoubt.SILENT, 3000);
+                after(100, this::answerWatch);
+            }
+            default -> {
+                node.listUnconfirmed(nowUs, Dispatch.ListDoubt.MOVED, 0);
+                after(300, this::answerWatch);
+            }
+        }
+    }
+
+    // ------------------------------------------------------------ what goes wrong
+
+    private void disturb() {
+        after(50 + random.nextInt(400), this::disturb);
+        ModelWorker worker = workers.get(random.nextInt(workers.size()));
+        double forMs = 200 + random.nextInt(3000);
+        switch (random.nextInt(13)) {
+            case 0 -> crash(worker, forMs);
+            case 1 -> hang(worker, forMs);
+            case 2 -> {
+                worker.unreachable = true;
+                after(forMs, () -> worker.unreachable = false);
+            }
+            case 3 -> {
+                worker.slowness = 2 + 10 * random.nextDouble();
+                after(forMs, () -> worker.slowness = 1);
+            }
+            case 4 -> {
+                worker.failingClass = random.nextInt(settings.classes().size());
+                after(forMs, () -> worker.failingClass = -1);
+            }
+            case 5 -> drain(worker, forMs);
+            case 6 -> discoveryFault();
+            case 7 -> nowUs += chance(0.3) ? 1000L * random.nextInt(1500) : 1000L * random.nextInt(60); // a stall
+            case 8 -> changeSettings();
+            case 9 -> restartAll();
+            case 10 -> join();
+            case 11 -> removeByFullList(worker, forMs);
+            default -> {}
+        }
+    }
+
+    private void hang(ModelWorker worker, double forMs) {
+        worker.hanging = true;
+        after(forMs, () -> worker.hanging = false);
+    }
+
+    private void drain(ModelWorker worker, double forMs) {
+        worker.health = Dispatch.Health.LEAVING;
+        changed(worker);
+        after(forMs, () -> {
+            worker.health = Dispatch.Health.LEFT;
+            changed(worker);
+        });
+        after(2 * forMs, () -> {
+            worker.health = Dispatch.Health.ACTIVE;
+            worker.startedAtMs = ms();
+            changed(worker);
+        });
+    }
+
+    private void removeByFullList(ModelWorker worker, double forMs) {
+        worker.listed = false;
+        if (!discoveryDown()) {
+            list(Dispatch.ListKind.FULL);
+            confirm();
+        }
+        after(forMs, () -> {
+            worker.listed = true;
+            changed(worker);
+        });
+    }
+
+    private void join() {
+        if (workers.size() < 2 * plan.workers()) {
+            int number = workers.size();
+            ModelWorker worker =
+                    new ModelWorker("10.0.1." + number + ":9000", number % 3, number % 5, number % 2, plan.slots(), 1);
+            worker.startedAtMs = ms();
+            add(worker);
+            changed(worker);
+        }
+    }
+
+    private void restartAll() {
+        if (chance(0.2)) {
+            for (ModelWorker worker : workers) {
+                if (chance(0.7)) {
+                    crash(worker, 100 + random.nextInt(400));
+                }
+            }
+        }
+    }
+
+    private void changeSettings() {
+        before = settings;
+        List<Dispatch.ClassSpec> classes = new ArrayList<>(settings.classes());
+        if (chance(0.3) && classes.size() < 8) {
+            classes.add(classes.get(random.nextInt(classes.size())));
+        } else {
+            int at = random.nextInt(classes.size());
+            Dispatch.ClassSpec old = classes.get(at);
+            classes.set(
+                    at,
+                    new Dispatch.ClassSpec(
+                            old.aimMs() * (0.8 + 0.4 * random.nextDouble()),
+                            old.stretch(),
+                            old.deadlineMs(),
+                            old.worth(),
+                            old.lateShare(),
+                            old.effect(),
+                            old.group(),
+                            old.windowMs(),
+                            old.streaming(),
+                            old.kind()));
+        }
+        settings = settings.with(classes);
+        if (chance(0.3)) {
+            settings = chance(0.5)
+                    ? plan.settings().shared().with(classes)
+                    : plan.settings().with(classes);
+        }
+        node.settings(nowUs, settings);
+    }
+
+    /** Events that do not fit: they cost that event and no more. */
+    private void strayEvent() {
+        after(700, this::strayEvent);
+        long known = Math.max(1, lastId - random.nextInt(50));
+        switch (random.nextInt(8)) {
+            case 0 -> node.outcome(nowUs, lastId + 99, 0, "10.0.0.1:9000", Dispatch.Verdict.OK, 1, true, null);
+            case 1 -> node.progress(nowUs, known, 7, "10.0.0.1:9000", true, 0);
+            case 2 -> node.progress(nowUs, known, -1, "10.0.0.1:9000", false, 3);
+            case 3 -> node.probed(nowUs, "10.9.9.9:1", Dispatch.Verdict.OK, 1, null);
+            case 4 -> node.gone(nowUs, lastId + 99);
+            case 5 -> node.timer(nowUs, 1 + 1 + known);
+            case 6 -> rejected(() -> node.request(nowUs, new Dispatch.Request(++lastId, -1, 0, nowUs, 1, 1, 0)));
+            default -> rejected(() -> node.opened(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
+        }
+    }
+
+    private void rejected(Runnable event) {
+        try {
+            event.run();
+            put('!', 0, 0);
+        } catch (IllegalArgumentException | IllegalStateException e) {
+            put('!', 1, e.getMessage().hashCode());
+        }
+    }
+
+    // ------------------------------------------------------------ the node's actions
+
+    @Override
+    public void send(long id, String worker) {
+        count("send");
+        put('S', id, worker.hashCode());
+        Call call = calls.get(id);
+        Job job = new Job(call, call.jobs.size(), byId.get(worker), ms());
+        call.jobs.add(job);
+        after(0.1 + random.nextDouble() * (chance(0.01) ? 200 : 1), () -> reach(job));
+    }
+
+    @Override
+    public void refuse(long id, double pauseMs, Dispatch.Refusal why) {
+        count("reject." + why);
+        put('R', id, Double.doubleToLongBits(pauseMs));
+        put('r', why.ordinal(), 0);
+        calls.get(id).ended = true;
+    }
+
+    @Override
+    public void fail(long id, Dispatch.Refusal why) {
+        count("fail." + why);
+        put('F', id, why.ordinal());
+        calls.get(id).ended = true;
+    }
+
+    @Override
+    public void cancel(long id, int attempt) {
+        count("cancel");
+        put('C', id, attempt);
+        Job job = calls.get(id).jobs.get(attempt);
+        after(0.5, () -> end(job, Dispatch.Verdict.CANCELLED));
+    }
+
+    @Override
+    public void probe(String worker) {
+        count("probe");
+        put('P', worker.hashCode(), 0);
+        ModelWorker probed = byId.get(worker);
+        if (probed.hanging || chance(0.03)) {
+            after(1000, () -> node.probed(nowUs, worker, Dispatch.Verdict.TIMEOUT, 1000, null));
+        } else if (!probed.up || probed.unreachable) {
+            double lagMs = probed.up ? settings.permissions().dialTimeoutMs() : 0.5;
+            after(lagMs, () -> node.probed(nowUs, worker, Dispatch.Verdict.NO_CONNECTION, lagMs, null));
+        } else {
+            double lagMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
+            after(lagMs, () -> node.probed(nowUs, worker, Dispatch.Verdict.OK, lagMs, report(probed)));
+        }
+    }
+
+    @Override
+    public void watch() {
+        count("watch");
+        put('W', 0, 0);
+        after(5 + random.nextInt(50), this::answerWatch);
+    }
+
+    @Override
+    public void timer(double delayMs, long label) {
+        put('T', label, Double.doubleToLongBits(delayMs));
+        after(delayMs, () -> node.timer(nowUs, label));
+    }
+
+    @Override
+    public void listState(Dispatch.ListState from, Dispatch.ListState to, double ageMs) {
+        count("list." + to);
+        put('L', from.ordinal() * 10L + to.ordinal(), Double.doubleToLongBits(ageMs));
+    }
+
+    @Override
+    public void log(String line) {
+        count("log");
+        put('G', line.hashCode(), 0);
+    }
+
+    // ------------------------------------------------------------ clock, chance and hash
+
+    private double ms() {
+        return nowUs / 1000.0;
+    }
+
+    private void after(double delayMs, Runnable work) {
+        due.add(new Due(nowUs + Math.round(delayMs * 1000), ++order, work));
+    }
+
+    private boolean chance(double probability) {
+        return random.nextDouble() < probability;
+    }
+
+    private void count(String what) {
+        counts.merge(what, 1, Integer::sum);
+    }
+
+    private void put(char kind, long first, long second) {
+        try {
+            hashed.writeByte(kind);
+            hashed.writeLong(nowUs);
+            hashed.writeLong(first);
+            hashed.writeLong(second);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
