--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -16,8 +16,6 @@
 import maplespread.http.HttpParser;
 import maplespread.log.Event;
 import org.tinylog.Logger;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 
 /**
  * What the way in and the command line both start: {@code serve} is one real dispatcher, {@code drill} speaks
@@ -144,14 +142,7 @@
 
     /** Guards against the JVM's own answer to SIGHUP, which is to exit: the first thing that a start does. */
     static void onHangup(Runnable work) {
-        try {
-            if (Signal.handle(new Signal("HUP"), signal -> work.run()) == SignalHandler.SIG_IGN) {
-                Logger.warn("SIGHUP was ignored when this process was started, as under nohup, and is not "
-                        + "heard: start it otherwise, or restart it for a new configuration");
-            }
-        } catch (IllegalArgumentException e) {
-            Logger.warn("SIGHUP cannot be heard here: {}", e.getMessage());
-        }
+        HangupSignal.handle(work, warning -> Logger.warn("{}", warning));
     }
 
     /** The decisions on the simulator's wire. */
--- a/src/main/java/maplespread/drill/WireAdapter.java
+++ b/src/main/java/maplespread/drill/WireAdapter.java
@@ -23,6 +23,8 @@
 public final class WireAdapter {
     /** A line that cannot be read. */
     public static final class Malformed extends RuntimeException {
+        private static final long serialVersionUID = 1;
+
         Malformed(String message) {
             super(message);
         }
--- a/src/main/java/maplespread/lab/registry/Store.java
+++ b/src/main/java/maplespread/lab/registry/Store.java
@@ -206,7 +206,7 @@
             return;
         }
         while (logFrom < at && !log.isEmpty()) {
-            for (Version old : log.get((int) 0)) {
+            for (Version old : log.get(0)) {
                 trim(old.key(), at);
             }
             log.remove(0);
--- a/src/main/java/maplespread/lab/scale/HollowMember.java
+++ b/src/main/java/maplespread/lab/scale/HollowMember.java
@@ -135,7 +135,7 @@
             return;
         }
         for (jobsDue += perS * elapsedS; jobsDue >= 1; jobsDue--) {
-            int tenant = (int) Math.floorMod(nowNanos / 1000, tenants);
+            int tenant = Math.floorMod(nowNanos / 1000, tenants);
             Transaction job = new Transaction(0, tenant, nowNanos / 1000 + runsNanos, Double.NaN, 1, 1, null);
             running.add(new Job(ends.taken(job), nowNanos + runsNanos));
         }
--- a/src/main/java/maplespread/release/ReleaseRefused.java
+++ b/src/main/java/maplespread/release/ReleaseRefused.java
@@ -4,6 +4,8 @@
 
 /** A command that the newest state does not allow. Nothing has changed. */
 public final class ReleaseRefused extends FleetError {
+    private static final long serialVersionUID = 1;
+
     /** Why, for a program; {@link #wrong()} says it in words. */
     public enum Reason {
         /** The plan or the limits cannot be used as they stand. */
