--- a/src/main/java/maplespread/Server.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -19,33 +19,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import maplespread.caller.Listener;
-import maplespread.caller.Service;
+import maplespread.admin.AdminRoutes;
+import maplespread.admin.AdminServer;
+import maplespread.caller.ClientListener;
+import maplespread.caller.ServingContext;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
-import maplespread.config.Operator;
-import maplespread.console.Calls;
-import maplespread.console.Console;
-import maplespread.decision.Dispatch;
+import maplespread.config.ConfigException;
+import maplespread.config.OperatorConfig;
+import maplespread.discovery.EndpointListener;
+import maplespread.discovery.EndpointSourceSwitch;
 import maplespread.facade.Action;
-import maplespread.facade.Dispatcher;
+import maplespread.facade.DecisionService;
 import maplespread.facade.EndpointUpdate;
 import maplespread.facade.Outcome;
-import maplespread.figures.Figures;
-import maplespread.parts.Host;
-import maplespread.parts.Parts;
-import maplespread.parts.Sources;
+import maplespread.feature.EndpointSources;
+import maplespread.feature.FeatureContext;
+import maplespread.feature.Features;
+import maplespread.metrics.Metrics;
+import maplespread.policy.Dispatch;
 import maplespread.registry.RegistrySettings;
-import maplespread.routes.DiscoverySwitch;
-import maplespread.routes.RouteSink;
 import maplespread.worker.AttemptRunner;
-import maplespread.worker.Links;
+import maplespread.worker.ConnectionPool;
+import maplespread.worker.PeerForwarder;
 import maplespread.worker.Prober;
-import maplespread.worker.Relay;
 import org.tinylog.Logger;
 
 /** One running dispatcher: puts the parts together and takes them through the phases. */
-public final class Server {
+public final class DispatcherServer {
     private static final long STACK = 144 * 1024; // times the counts in Config.Sizes
     private static final int BACKLOG = 2048;
     private static final int SPARE_LEGS = 16;
@@ -60,109 +60,109 @@
     private static final long LAST_MS = 100; // for the last answers' way
 
     /** Where a new configuration comes from; the operators' file is read whole or not at all. */
-    public interface Source {
-        Config read() throws ConfigError;
+    public interface ConfigSource {
+        Config read() throws ConfigException;
 
-        default Operator operator() throws ConfigError {
-            return Operator.NONE;
+        default OperatorConfig operator() throws ConfigException {
+            return OperatorConfig.NONE;
         }
     }
 
     private volatile Config config; // what a reload cannot change stays in it
-    private final Source source;
+    private final ConfigSource source;
     private final Semaphore reloads = new Semaphore(0);
     private final Lifecycle lifecycle = new Lifecycle();
-    private final Dispatcher dispatcher;
-    private final Links links;
+    private final DecisionService dispatcher;
+    private final ConnectionPool links;
     private final AttemptRunner branches;
     private final Prober prober;
-    private final DiscoverySwitch routes;
-    private final RouteSink sink;
-    private final Parts parts;
+    private final EndpointSourceSwitch routes;
+    private final EndpointListener sink;
+    private final Features parts;
     private volatile Consumer<EndpointUpdate> tap = news -> {};
     private RegistrySettings registry; // null: discovery has the word
     private final List<Thread> threads;
     private final ExecutorService probes;
     private volatile ServerSocket socket; // null before it is bound
-    private volatile Listener listener;
+    private volatile ClientListener listener;
     private volatile long lastUs = Long.MAX_VALUE; // by when all must be answered
     private long sweptAt = System.nanoTime();
     private long countedAt = sweptAt;
     private long drainedAt; // 0: no drain by call
-    private final Figures figures = new Figures();
-    private Console console; // null: none is named
+    private final Metrics figures = new Metrics();
+    private AdminServer console; // null: none is named
     private final Object turn = new Object(); // of those who give the module settings
     private final CountDownLatch told = new CountDownLatch(1); // of the route set, since the start
 
     /** {@code source}: asked at each reload. */
-    public Server(Config config, Source source) {
-        this(config, Operator.NONE, source);
+    public DispatcherServer(Config config, ConfigSource source) {
+        this(config, OperatorConfig.NONE, source);
     }
 
     /** With what the operators' own file says. */
-    public Server(Config config, Operator operator, Source source) {
+    public DispatcherServer(Config config, OperatorConfig operator, ConfigSource source) {
         this.config = config;
         this.source = source;
-        probes = threads("probe", config.sizes().probes());
-        dispatcher = new Dispatcher(config.settings(), config.seed(), operator.fair());
-        links = new Links(this::config, this::sizes);
+        probes = threads("probe", config.limits().probes());
+        dispatcher = new DecisionService(config.settings(), config.seed(), operator.fair());
+        links = new ConnectionPool(this::config, this::sizes);
         branches = new AttemptRunner(this::config, links, dispatcher, figures);
         figures.show(config.names().classes());
         prober = new Prober(this::config, links, dispatcher);
         registry = operator.registry();
-        RouteSink all = new RouteSink() {
+        EndpointListener all = new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {
+            public void endpointsChanged(EndpointUpdate news) {
                 dispatcher.report(news);
-                if (news.kind() != EndpointUpdate.Kind.HELD) { // that one is of before the start
+                if (news.kind() != EndpointUpdate.Kind.CACHED_SNAPSHOT) { // that one is of before the start
                     told.countDown();
                 }
                 tap.accept(news);
             }
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
                 dispatcher.reportWatchLost(loss, heardAgoMs);
             }
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {
-                dispatcher.reportUnconfirmed(why, heardAgoMs);
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+                dispatcher.reportListUnconfirmed(why, heardAgoMs);
             }
         };
-        parts = new Parts(config, operator, new Own());
-        sink = parts.routes(all);
-        routes = new DiscoverySwitch(Sources.of(config, registry), sink);
+        parts = new Features(config, operator, new Own());
+        sink = parts.wrapListener(all);
+        routes = new EndpointSourceSwitch(EndpointSources.create(config, registry), sink);
         threads = List.of(thread("ticker", this::tick), thread("reloader", this::reloads));
     }
 
     /** This dispatcher as its parts see it. */
-    private final class Own implements Host {
+    private final class Own implements FeatureContext {
         @Override
         public Config config() {
             return config;
         }
 
         @Override
-        public Figures figures() {
+        public Metrics metrics() {
             return figures;
         }
 
         @Override
-        public Figures.Hosts hosts() {
-            return dispatcher.hosts();
+        public Metrics.HostCounts hostCounts() {
+            return dispatcher.hostCounts();
         }
 
         @Override
-        public void settle() {
+        public void reapplySettings() {
             synchronized (turn) {
-                dispatcher.report(parts.settings(config.settings()));
+                dispatcher.report(parts.adjustSettings(config.settings()));
             }
         }
 
         @Override
-        public void relief(double[] weights) {
-            dispatcher.relief(weights);
+        public void setPriorityBoosts(double[] weights) {
+            dispatcher.setPriorityBoosts(weights);
         }
 
         @Override
@@ -176,24 +176,24 @@
         }
 
         @Override
-        public boolean serving() {
+        public boolean isServing() {
             return lifecycle.serving();
         }
 
         @Override
-        public boolean accepting() {
+        public boolean isAccepting() {
             return lifecycle.accepting();
         }
 
         @Override
-        public InetSocketAddress listens() {
+        public InetSocketAddress listenAddress() {
             ServerSocket s = socket;
             return s == null ? null : (InetSocketAddress) s.getLocalSocketAddress();
         }
 
         @Override
-        public Relay relay() {
-            return new Relay(links);
+        public PeerForwarder peerForwarder() {
+            return new PeerForwarder(links);
         }
     }
 
@@ -202,9 +202,9 @@
      * whose age nobody knows, nothing is sent, and clients do better elsewhere until then.
      */
     public void start() throws IOException {
-        sink.news(config.known());
+        sink.endpointsChanged(config.cachedEndpoints());
         if (config.console() != null) {
-            console = new Console(config.console(), Config.CONSOLE_PLACES, calls());
+            console = new AdminServer(config.console(), Config.MAX_ADMIN_CONNECTIONS, calls());
             console.start();
         }
         parts.start();
@@ -226,22 +226,23 @@
         InetSocketAddress at = config.listen();
         socket.bind(at, BACKLOG);
         this.socket = socket;
-        Service service = new Service(
+        ServingContext service = new ServingContext(
                 this::config,
                 dispatcher,
                 branches,
-                threads("transaction", config.sizes().transactions() + 8),
+                threads("transaction", config.limits().requestsInFlight() + 8),
                 this::sizes,
                 figures,
                 lifecycle::serving,
-                routes::unready,
+                routes::notReadyReason,
                 lifecycle::parting,
                 () -> lastUs,
-                parts.ends(),
-                parts.turns());
-        listener = new Listener(socket, service, queued("leg", config.sizes().legs()), threads("spare", SPARE_LEGS));
+                parts.requestListener(),
+                parts.requestSequencer());
+        listener = new ClientListener(
+                socket, service, queued("leg", config.limits().clientConnections()), threads("spare", SPARE_LEGS));
         thread("listener", listener).start();
-        parts.serving();
+        parts.onServing();
         lifecycle.enter(Lifecycle.Phase.SERVING);
         Logger.info("{} serves on {}", config.name(), socket.getLocalSocketAddress());
     }
@@ -251,22 +252,23 @@
     }
 
     /** How much may be held now: part of it while another process of this dispatcher lives. */
-    private Config.Sizes sizes() {
-        return parts.shared() ? config.sizes().shared() : config.sizes();
+    private Config.Limits sizes() {
+        return parts.hasPeerProcess() ? config.limits().shared() : config.limits();
     }
 
     /** What the operators are shown. */
     private String figures() {
-        figures.hosts(parts.hosts(dispatcher.hosts()));
+        figures.hosts(parts.adjustHostCounts(dispatcher.hostCounts()));
         return figures.text();
     }
 
-    private Calls calls() {
-        return parts.calls(Map.of(
-                "GET /admin/health", Calls.yes(lifecycle::accepting, "takes clients", 503, "takes no clients"),
-                "GET /admin/stats", ask -> new Calls.Reply(200, figures()),
-                "POST /admin/quiesce", Calls.yes(lifecycle::quiesce, "drains; resume ends it", 409, "not in service"),
-                "POST /admin/resume", Calls.yes(lifecycle::resume, "at work", 409, "not in service")));
+    private AdminRoutes calls() {
+        return parts.adminRoutes(Map.of(
+                "GET /admin/health", AdminRoutes.yes(lifecycle::accepting, "takes clients", 503, "takes no clients"),
+                "GET /admin/stats", ask -> new AdminRoutes.AdminResponse(200, figures()),
+                "POST /admin/quiesce",
+                        AdminRoutes.yes(lifecycle::quiesce, "drains; resume ends it", 409, "not in service"),
+                "POST /admin/resume", AdminRoutes.yes(lifecycle::resume, "at work", 409, "not in service")));
     }
 
     /** Has the configuration read anew; asked several times at once, it is read after the last of them. */
@@ -291,7 +293,7 @@
         try {
             Config read = source.read();
             Config next = read.after(config);
-            Operator operator = source.operator();
+            OperatorConfig operator = source.operator();
             operator.check(next);
             RegistrySettings then = operator.registry();
             List<String> later = config.needingRestart(read);
@@ -300,14 +302,14 @@
             }
             figures.show(next.names().live());
             synchronized (turn) {
-                dispatcher.report(parts.settings(next.settings()));
+                dispatcher.report(parts.adjustSettings(next.settings()));
                 config = next; // last: the module must know a class first
             }
             parts.reload(next, operator);
             figures.reconfigured(true);
             if (!Objects.equals(registry, then)) {
                 registry = then;
-                routes.change(Sources.of(next, then));
+                routes.switchTo(EndpointSources.create(next, then));
                 Logger.info(
                         "configuration: read anew; routes come from {}",
                         then == null ? "discovery at " + next.discovery() : then.dialect() + " at " + then.endpoints());
@@ -316,8 +318,8 @@
             Logger.info(
                     "configuration: read anew; discovery at {}{}",
                     next.discovery(),
-                    routes.move(next.discovery()) ? ", watched from now on" : " as before");
-        } catch (ConfigError e) {
+                    routes.moveTo(next.discovery()) ? ", watched from now on" : " as before");
+        } catch (ConfigException e) {
             figures.reconfigured(false);
             Logger.error("configuration: {}; the old one stays", e.getMessage());
         } catch (RuntimeException | Error e) { // the next reload must still be heard
@@ -352,7 +354,7 @@
      * Among how many dispatchers, processes counted, the module shares out what a cold worker may be sent.
      */
     public int sharing() {
-        return dispatcher.sharing();
+        return dispatcher.dispatcherCount();
     }
 
     /** The port that is listened on. */
@@ -377,10 +379,10 @@
         try {
             long ms = 1_000_000;
             long start = System.nanoTime();
-            long end = start + config.times().endMs() * ms;
-            lastUs = dispatcher.nowUs() + (config.times().endMs() - LAST_MS) * 1000;
-            boolean relieved = parts.relieved();
-            parts.stop();
+            long end = start + config.times().shutdownMs() * ms;
+            lastUs = dispatcher.nowUs() + (config.times().shutdownMs() - LAST_MS) * 1000;
+            boolean relieved = parts.hasServingPeerProcess();
+            parts.beginShutdown();
             if (relieved) { // who serves beside it accepts all
                 Logger.info("another process of this dispatcher has taken over");
                 listener.close();
@@ -389,7 +391,7 @@
                 Thread.sleep(config.times().acceptMs());
             }
             while (listener.wanted(relieved ? 0 : AGAIN_MS)
-                    && System.nanoTime() - start < config.times().holdMs() * ms) {
+                    && System.nanoTime() - start < config.times().drainMs() * ms) {
                 if (relieved) {
                     listener.endQuiet(SWIFT_MS);
                 }
@@ -425,7 +427,7 @@
                     if (chore instanceof Action.Probe probe) {
                         probe(probe);
                     } else if (chore instanceof Action.Cancel cancel) {
-                        branches.cancel(cancel.branch());
+                        branches.cancel(cancel.attempt());
                     } else {
                         routes.watch();
                     }
@@ -433,14 +435,14 @@
                 part();
                 if (System.nanoTime() - sweptAt > SWEEP_MS * 1_000_000) {
                     sweptAt = System.nanoTime();
-                    Set<String> used = new HashSet<>(dispatcher.addresses());
-                    used.addAll(parts.peers());
-                    links.sweep(used);
+                    Set<String> used = new HashSet<>(dispatcher.endpointAddresses());
+                    used.addAll(parts.peerAddresses());
+                    links.closeExpired(used);
                     branches.sweep();
                     if (listener != null) {
                         listener.sweep();
                     }
-                    parts.sweep();
+                    parts.maintain();
                     count();
                 }
             } catch (InterruptedException e) {
--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
-import maplespread.drill.WireAdapter;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
 import maplespread.log.Event;
+import maplespread.simulator.SimulatorAdapter;
 import org.tinylog.Logger;
 
 /**
@@ -34,12 +34,12 @@
         serve(null, Start::rehearse);
     }
 
-    private static void serve(String file, BiConsumer<Server, Config> started) {
+    private static void serve(String file, BiConsumer<DispatcherServer, Config> started) {
         Hangups hangups = new Hangups();
         onHangup(hangups);
         try {
             Map<String, String> env = System.getenv();
-            Operator operator = Operator.NONE;
+            OperatorConfig operator = OperatorConfig.NONE;
             if (file != null && !file.isEmpty()) {
                 operator = OperatorReader.file(file);
                 if (operator.jsonLog()) {
@@ -48,15 +48,15 @@
             }
             Config config = ConfigReader.fromEnvironment(env);
             operator.check(config);
-            Server server = new Server(config, operator, new Server.Source() {
+            DispatcherServer server = new DispatcherServer(config, operator, new DispatcherServer.ConfigSource() {
                 @Override
-                public Config read() throws ConfigError {
+                public Config read() throws ConfigException {
                     return ConfigReader.again(env);
                 }
 
                 @Override
-                public Operator operator() throws ConfigError {
-                    return file == null || file.isEmpty() ? Operator.NONE : OperatorReader.file(file);
+                public OperatorConfig operator() throws ConfigException {
+                    return file == null || file.isEmpty() ? OperatorConfig.NONE : OperatorReader.file(file);
                 }
             });
             hangups.to(server::reload);
@@ -71,7 +71,7 @@
             server.start();
             started.accept(server, config);
             server.lifecycle().await(Lifecycle.Phase.STOPPED);
-        } catch (ConfigError e) {
+        } catch (ConfigException e) {
             System.err.println("configuration: " + e.getMessage());
             Runtime.getRuntime().halt(2);
         } catch (IOException e) {
@@ -86,7 +86,7 @@
      * Asks the dispatcher once and ends it. The build has this run recorded in a class archive, from which a
      * start on a part of a core takes its classes: a restart is an outage for as long as it lasts.
      */
-    private static void rehearse(Server server, Config config) {
+    private static void rehearse(DispatcherServer server, Config config) {
         for (String call : new String[] {"GET /admin/health", "GET /admin/stats"}) {
             try (HttpConnection link = HttpConnection.dial(server.consoleAddress(), 1000)) {
                 link.send((call + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -148,8 +148,8 @@
     /** The decisions on the simulator's wire. */
     public static void drill() throws IOException {
         try (PrintStream out = new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, "UTF-8")) {
-            new WireAdapter(System.in, out).run();
-        } catch (WireAdapter.Malformed bad) {
+            new SimulatorAdapter(System.in, out).run();
+        } catch (SimulatorAdapter.Malformed bad) {
             System.err.println(bad.getMessage());
             System.exit(1);
         }
--- a/src/main/java/maplespread/address/Claims.java
+++ b/src/main/java/maplespread/address/ClaimClient.java
@@ -4,14 +4,14 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import maplespread.address.ClaimWord.Kind;
+import maplespread.address.ClaimMessage.Kind;
 
 /**
  * A claimant's orders: before the first byte of one goes to a worker, a majority of the electors holds its
  * id for this run of this instance. A gate before a branch; where the branch goes is the module's word, as
  * always.
  */
-public final class Claims {
+public final class ClaimClient {
     /** What is known of an id. */
     public sealed interface Verdict {
         /** It is this instance's to send, once, at once. */
@@ -28,8 +28,8 @@
     }
 
     /** Where words and verdicts go. */
-    public interface Sink {
-        void send(String to, ClaimWord word);
+    public interface Transport {
+        void send(String to, ClaimMessage word);
 
         void decided(String id, Verdict verdict);
     }
@@ -48,13 +48,13 @@
 
     private final ClaimSettings set;
     private final long boot;
-    private final Sink sink;
+    private final Transport sink;
     private final Map<String, Open> open = new HashMap<>();
     private final Map<String, Long> granted = new HashMap<>(); // until their outcome: the attempt
     private long attempts;
 
     /** {@code boot}: tells this run from others of its name. */
-    public Claims(ClaimSettings set, long boot, Sink sink) {
+    public ClaimClient(ClaimSettings set, long boot, Transport sink) {
         this.set = set;
         this.boot = boot;
         this.sink = sink;
@@ -66,7 +66,7 @@
             sink.decided(id, new Verdict.InDoubt());
             return;
         }
-        Open o = new Open(++attempts, now + set.askMs());
+        Open o = new Open(++attempts, now + set.claimTimeoutMs());
         open.put(id, o);
         for (String elector : set.electors()) {
             if (open.get(id) == o) { // an answer may come within the call
@@ -75,27 +75,27 @@
         }
     }
 
-    private ClaimWord word(Kind kind, String id, long attempt, long term, String outcome) {
-        return ClaimWord.of(kind, set.name(), boot, id, attempt, term, outcome);
+    private ClaimMessage word(Kind kind, String id, long attempt, long term, String outcome) {
+        return ClaimMessage.of(kind, set.name(), boot, id, attempt, term, outcome);
     }
 
     /**
      * What an elector says. A vote that is read after the claim's time counts for nothing, even if it came
      * before: electors that have restarted rely on that time.
      */
-    public void received(long now, ClaimWord w) {
+    public void received(long now, ClaimMessage w) {
         tick(now);
         Open o = open.get(w.id());
         if (o == null
                 || o.attempt != w.attempt()
                 || w.term() != boot
-                || !set.electors().contains(w.from())) {
+                || !set.electors().contains(w.sender())) {
             return;
         }
-        o.heard.add(w.from());
+        o.heard.add(w.sender());
         switch (w.kind()) {
-            case YES -> {
-                o.yes.add(w.from());
+            case GRANTED -> {
+                o.yes.add(w.sender());
                 if (o.yes.size() >= set.majority()) {
                     open.remove(w.id());
                     granted.put(w.id(), o.attempt);
@@ -148,7 +148,7 @@
         }
     }
 
-    private void tell(ClaimWord w) {
+    private void tell(ClaimMessage w) {
         set.electors().forEach(elector -> sink.send(elector, w));
     }
 }
--- a/src/main/java/maplespread/address/ClaimWord.java
+++ b/src/main/java/maplespread/address/ClaimMessage.java
@@ -9,10 +9,10 @@
  * known; {@code entries}: SYNC: claims held. In a SYNC the id is the part's number and the term how many
  * parts there are.
  */
-public record ClaimWord(
+public record ClaimMessage(
         Kind kind,
-        String from,
-        long boot,
+        String sender,
+        long incarnation,
         String id,
         long attempt,
         long term,
@@ -22,19 +22,19 @@
     /** YES: the claim is held here; HELD: another's is; BLIND: this elector does not know yet. */
     public enum Kind {
         CLAIM,
-        YES,
+        GRANTED,
         HELD,
-        BLIND,
+        RECOVERING,
         RECORD,
         ABANDON,
-        SYNC_ASK,
-        SYNC
+        SYNC_REQUEST,
+        SYNC_RESPONSE
     }
 
     /** A claim as an elector holds it; {@code ageMs} since it was made or its outcome recorded. */
-    public record Entry(String id, String claimant, long boot, long attempt, String outcome, long ageMs) {}
+    public record Entry(String id, String claimant, long incarnation, long attempt, String outcome, long ageMs) {}
 
-    static ClaimWord of(Kind kind, String from, long boot, String id, long attempt, long term, String outcome) {
-        return new ClaimWord(kind, from, boot, id, attempt, term, outcome, List.of(), true);
+    static ClaimMessage of(Kind kind, String from, long boot, String id, long attempt, long term, String outcome) {
+        return new ClaimMessage(kind, from, boot, id, attempt, term, outcome, List.of(), true);
     }
 }
--- a/src/main/java/maplespread/address/ClaimSettings.java
+++ b/src/main/java/maplespread/address/ClaimSettings.java
@@ -6,10 +6,10 @@
  * {@code keepMs}: how long a claim or an outcome is kept: longer than any client goes on trying one id;
  * {@code askMs}: for a majority's answer; {@code most}: claims held at once. Times in milliseconds.
  */
-public record ClaimSettings(String name, List<String> electors, long keepMs, long askMs, int most) {
+public record ClaimSettings(String name, List<String> electors, long retentionMs, long claimTimeoutMs, int maxClaims) {
     public ClaimSettings {
         electors = List.copyOf(electors);
-        if (keepMs <= 4 * askMs || most < 1) {
+        if (retentionMs <= 4 * claimTimeoutMs || maxClaims < 1) {
             throw new IllegalArgumentException("keepMs must be above four times askMs, most above 0");
         }
     }
@@ -22,7 +22,7 @@
      * How many others an elector that knows nothing must read to know of every claim that it may have held:
      * with it, a majority held each, so of the others at least one less did.
      */
-    int sources() {
+    int requiredSyncSources() {
         return electors.size() - majority() + 1;
     }
 }
--- a/src/main/java/maplespread/address/ClaimTable.java
+++ b/src/main/java/maplespread/address/ClaimTable.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.address.ClaimWord.Entry;
-import maplespread.address.ClaimWord.Kind;
+import maplespread.address.ClaimMessage.Entry;
+import maplespread.address.ClaimMessage.Kind;
 
 /**
  * An elector's claims: which run of which instance holds an order id, and what came of it. One id has one
@@ -38,29 +38,29 @@
     }
 
     /** Where words go. */
-    public interface Sink {
-        void send(String to, ClaimWord word);
+    public interface Transport {
+        void send(String to, ClaimMessage word);
     }
 
     private final ClaimSettings set;
     private final long boot;
-    private final Sink sink;
+    private final Transport sink;
     private final Map<String, Held> held = new LinkedHashMap<>(); // the oldest first
     private final Set<String> sources = new HashSet<>();
     private final long startedAt;
     private long askedAt = Long.MIN_VALUE / 2;
     private long highest;
-    private boolean blind = true;
+    private boolean recovering = true;
 
-    public ClaimTable(ClaimSettings set, long boot, long now, Sink sink) {
+    public ClaimTable(ClaimSettings set, long boot, long now, Transport sink) {
         this.set = set;
         this.boot = boot;
         this.sink = sink;
         startedAt = now;
     }
 
-    public boolean blind() {
-        return blind;
+    public boolean recovering() {
+        return recovering;
     }
 
     public int size() {
@@ -74,19 +74,19 @@
 
     /** Asks others while it is blind, and lets go of what is over. */
     public void tick(long now) {
-        blind &= now - startedAt <= set.keepMs() && sources.size() < set.sources();
+        recovering &= now - startedAt <= set.retentionMs() && sources.size() < set.requiredSyncSources();
         // Not before every claim is over for which the run before may have voted: a vote that another elector
         // gives to such a claim after it was read would complete a majority that nobody here remembers.
-        if (blind && now - startedAt >= 2 * set.askMs() && now - askedAt >= SYNC_AGAIN_MS) {
+        if (recovering && now - startedAt >= 2 * set.claimTimeoutMs() && now - askedAt >= SYNC_AGAIN_MS) {
             askedAt = now;
             for (String other : set.electors()) {
                 if (!other.equals(set.name())) {
-                    sink.send(other, ClaimWord.of(Kind.SYNC_ASK, set.name(), boot, "", 0, highest, null));
+                    sink.send(other, ClaimMessage.of(Kind.SYNC_REQUEST, set.name(), boot, "", 0, highest, null));
                 }
             }
         }
         for (Iterator<Held> all = held.values().iterator(); all.hasNext(); ) {
-            if (now - all.next().at <= set.keepMs()) {
+            if (now - all.next().at <= set.retentionMs()) {
                 break;
             }
             all.remove();
@@ -94,7 +94,7 @@
     }
 
     /** What a claimant or another elector says. */
-    public void received(long now, ClaimWord w) {
+    public void received(long now, ClaimMessage w) {
         tick(now);
         switch (w.kind()) {
             case CLAIM -> claim(now, w);
@@ -105,44 +105,45 @@
                     held.remove(w.id()); // it was never sent
                 }
             }
-            case SYNC_ASK -> {
-                if (!blind) {
-                    sync(now, w.from());
+            case SYNC_REQUEST -> {
+                if (!recovering) {
+                    sync(now, w.sender());
                 }
             }
-            case SYNC -> learn(now, w);
+            case SYNC_RESPONSE -> learn(now, w);
             default -> {}
         }
     }
 
-    private static Claimant claimant(ClaimWord w) {
-        return new Claimant(w.from(), w.boot(), w.attempt());
+    private static Claimant claimant(ClaimMessage w) {
+        return new Claimant(w.sender(), w.incarnation(), w.attempt());
     }
 
-    private void claim(long now, ClaimWord w) {
+    private void claim(long now, ClaimMessage w) {
         Held h = held.get(w.id());
-        if (blind) {
-            answer(w, Kind.BLIND, null);
+        if (recovering) {
+            answer(w, Kind.RECOVERING, null);
         } else if (h != null) {
-            answer(w, h.claimants.equals(Set.of(claimant(w))) ? Kind.YES : Kind.HELD, h.outcome);
-        } else if (w.term() < highest || held.size() >= set.most()) {
+            answer(w, h.claimants.equals(Set.of(claimant(w))) ? Kind.GRANTED : Kind.HELD, h.outcome);
+        } else if (w.term() < highest || held.size() >= set.maxClaims()) {
             // An older lease's, or no room: whoever has it may not be forgotten for it.
-            answer(w, Kind.BLIND, null);
+            answer(w, Kind.RECOVERING, null);
         } else {
             highest = w.term();
             held.computeIfAbsent(w.id(), id -> new Held(now)).claimants.add(claimant(w));
-            answer(w, Kind.YES, null);
+            answer(w, Kind.GRANTED, null);
         }
     }
 
     /** To the run that asked, and no other: attempts of two runs may have one number. */
-    private void answer(ClaimWord asked, Kind kind, String outcome) {
+    private void answer(ClaimMessage asked, Kind kind, String outcome) {
         sink.send(
-                asked.from(), ClaimWord.of(kind, set.name(), boot, asked.id(), asked.attempt(), asked.boot(), outcome));
+                asked.sender(),
+                ClaimMessage.of(kind, set.name(), boot, asked.id(), asked.attempt(), asked.incarnation(), outcome));
     }
 
     /** An outcome is kept also where the claim was never heard of. */
-    private void record(long now, ClaimWord w) {
+    private void record(long now, ClaimMessage w) {
         Held h = held.remove(w.id());
         h = h == null ? new Held(now) : h;
         h.claimants.add(claimant(w));
@@ -168,8 +169,8 @@
         for (int i = 0; i < parts.size(); i++) {
             sink.send(
                     to,
-                    new ClaimWord(
-                            Kind.SYNC,
+                    new ClaimMessage(
+                            Kind.SYNC_RESPONSE,
                             set.name(),
                             boot,
                             Integer.toString(i),
@@ -188,23 +189,23 @@
     private long answers;
 
     /** Part of another's claims; that one counts as read only when all parts of one answer have come. */
-    private void learn(long now, ClaimWord w) {
+    private void learn(long now, ClaimMessage w) {
         for (Entry e : w.entries()) {
-            if (blind && e.ageMs() <= set.keepMs()) {
+            if (recovering && e.ageMs() <= set.retentionMs()) {
                 Held h = held.computeIfAbsent(e.id(), id -> new Held(now - e.ageMs()));
-                h.claimants.add(new Claimant(e.claimant(), e.boot(), e.attempt()));
+                h.claimants.add(new Claimant(e.claimant(), e.incarnation(), e.attempt()));
                 h.outcome = e.outcome() != null ? e.outcome() : h.outcome;
                 h.at = Math.max(h.at, now - e.ageMs());
             }
         }
-        Answer a = read.get(w.from());
-        if (a == null || a.boot() != w.boot() || a.number() != w.attempt()) {
-            a = new Answer(w.boot(), w.attempt(), new HashSet<>());
-            read.put(w.from(), a);
+        Answer a = read.get(w.sender());
+        if (a == null || a.boot() != w.incarnation() || a.number() != w.attempt()) {
+            a = new Answer(w.incarnation(), w.attempt(), new HashSet<>());
+            read.put(w.sender(), a);
         }
         a.parts().add(w.id());
         if (a.parts().size() == w.term()) {
-            sources.add(w.from());
+            sources.add(w.sender());
         }
         tick(now);
     }
--- a/src/main/java/maplespread/address/Ballot.java
+++ b/src/main/java/maplespread/address/ElectionMessage.java
@@ -6,13 +6,14 @@
  * seq}: of the request; {@code holder}: REFUSE: who has this elector's vote, GIVE_UP: who is to have it
  * next; {@code leftMs}: REFUSE: for how long.
  */
-public record Ballot(Kind kind, String from, long boot, long term, long seq, String holder, long leftMs) {
+public record ElectionMessage(
+        Kind kind, String sender, long incarnation, long term, long sequence, String holder, long voteRemainingMs) {
     /** TAKE_OVER asks the owner to give up for a candidate that is preferred. */
     public enum Kind {
         REQUEST,
         GRANT,
         REFUSE,
-        GIVE_UP,
-        TAKE_OVER
+        RELEASE,
+        HANDOVER_REQUEST
     }
 }
--- a/src/main/java/maplespread/address/ElectionSettings.java
+++ b/src/main/java/maplespread/address/ElectionSettings.java
@@ -19,8 +19,8 @@
         long renewMs,
         long staggerMs,
         long stableMs,
-        long restMs,
-        long mostRestMs) {
+        long backoffMs,
+        long maxBackoffMs) {
     public ElectionSettings {
         electors = List.copyOf(electors);
         candidates = List.copyOf(candidates);
--- a/src/main/java/maplespread/address/Election.java
+++ b/src/main/java/maplespread/address/LeaderElection.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplespread.address.Ballot.Kind;
+import maplespread.address.ElectionMessage.Kind;
 
 /**
  * One instance's part in who owns the address: elector, candidate or both.
@@ -19,17 +19,17 @@
  * <p>Nothing is stored. An elector that begins knows neither its votes nor the terms: it is silent for longer
  * than any lease. Terms begin at Unix time, so that they grow over restarts of all.
  */
-public final class Election {
+public final class LeaderElection {
     /** ELECTED counts while {@link #mayAct} says so. */
     public enum Role {
-        FOLLOWING,
-        ASKING,
-        ELECTED,
-        RESTING
+        FOLLOWER,
+        CANDIDATE,
+        LEADER,
+        BACKOFF
     }
 
     private final ElectionSettings set;
-    private final ElectionSink sink;
+    private final ElectionTransport sink;
     private final SplittableRandom random;
     private final boolean elector;
     private final int rank; // -1: no candidate
@@ -44,20 +44,20 @@
     private long highest; // term ever heard of
 
     // as a candidate
-    private Role role = Role.FOLLOWING;
+    private Role role = Role.FOLLOWER;
     private long term, seq, askedAt, leaseUntil;
     private long nextAt;
     private long rest;
     private long stableSince;
     private long ownedSince;
-    private String owner = "";
+    private String knownOwner = "";
     private long ownerSeenAt;
     private final Set<String> granted = new HashSet<>();
     private final Set<String> refused = new HashSet<>();
     private boolean over;
 
     /** {@code boot} tells runs of one name apart; {@code now}: of a monotonic clock. */
-    public Election(ElectionSettings set, long boot, long seed, long now, ElectionSink sink) {
+    public LeaderElection(ElectionSettings set, long boot, long seed, long now, ElectionTransport sink) {
         this.set = set;
         this.sink = sink;
         this.boot = boot;
@@ -80,8 +80,8 @@
     }
 
     /** Who was last heard to own the address; empty: nobody. */
-    public String owner() {
-        return owner;
+    public String knownOwner() {
+        return knownOwner;
     }
 
     /**
@@ -89,7 +89,7 @@
      * clock as it is then; guards against one that stood still beyond its lease and has not noticed.
      */
     public boolean mayAct(long now) {
-        return role == Role.ELECTED && now < leaseUntil;
+        return role == Role.LEADER && now < leaseUntil;
     }
 
     // ------------------------------------------------------------ time
@@ -99,34 +99,34 @@
         if (over) {
             return Long.MAX_VALUE;
         }
-        if (role == Role.ELECTED && now >= leaseUntil) {
+        if (role == Role.LEADER && now >= leaseUntil) {
             lose(now, "the lease has run out", "");
         }
         if (now >= nextAt && rank >= 0) {
             switch (role) {
-                case ELECTED -> ask(now, false);
-                case RESTING -> {
-                    role = Role.FOLLOWING;
+                case LEADER -> ask(now, false);
+                case BACKOFF -> {
+                    role = Role.FOLLOWER;
                     nextAt = now + delay(0);
                 }
-                case ASKING -> retreat(now); // no majority in time
-                case FOLLOWING -> follow(now, wallMs);
+                case CANDIDATE -> retreat(now); // no majority in time
+                case FOLLOWER -> follow(now, wallMs);
             }
         }
-        return role == Role.ELECTED ? Math.min(nextAt, leaseUntil) : rank < 0 ? Long.MAX_VALUE : nextAt;
+        return role == Role.LEADER ? Math.min(nextAt, leaseUntil) : rank < 0 ? Long.MAX_VALUE : nextAt;
     }
 
     private void follow(long now, long wallMs) {
-        boolean known = !owner.isEmpty() && now - ownerSeenAt < set.leaseMs();
+        boolean known = !knownOwner.isEmpty() && now - ownerSeenAt < set.leaseMs();
         if (!known) {
             term = Math.max(highest + 1, wallMs);
-            role = Role.ASKING;
+            role = Role.CANDIDATE;
             ask(now, true);
             return;
         }
-        int better = set.candidates().indexOf(owner);
+        int better = set.candidates().indexOf(knownOwner);
         if (better > rank && now - stableSince >= set.stableMs()) {
-            sink.send(owner, new Ballot(Kind.TAKE_OVER, set.name(), boot, highest, 0, "", 0));
+            sink.send(knownOwner, new ElectionMessage(Kind.HANDOVER_REQUEST, set.name(), boot, highest, 0, "", 0));
         }
         // Looked at again when the owner's last word is a lease old, the preferred ones first.
         nextAt = Math.max(now + 1, ownerSeenAt + set.leaseMs()) + delay(0);
@@ -145,7 +145,7 @@
         granted.clear();
         refused.clear();
         nextAt = now + (first ? set.leaseMs() / 2 : set.renewMs());
-        Ballot b = new Ballot(Kind.REQUEST, set.name(), boot, term, seq, "", 0);
+        ElectionMessage b = new ElectionMessage(Kind.REQUEST, set.name(), boot, term, seq, "", 0);
         for (String to : set.electors()) {
             if (to.equals(set.name())) {
                 vote(now, b);
@@ -158,7 +158,7 @@
     // ------------------------------------------------------------ what came
 
     /** A ballot, known to be of the instance that it names. */
-    public void received(long now, Ballot b) {
+    public void received(long now, ElectionMessage b) {
         if (over) {
             return;
         }
@@ -170,11 +170,11 @@
             }
             case GRANT -> granted(now, b);
             case REFUSE -> refused(now, b);
-            case GIVE_UP -> givenUp(now, b);
-            case TAKE_OVER -> {
-                int asks = set.candidates().indexOf(b.from());
+            case RELEASE -> givenUp(now, b);
+            case HANDOVER_REQUEST -> {
+                int asks = set.candidates().indexOf(b.sender());
                 if (mayAct(now) && asks >= 0 && asks < rank && now - ownedSince >= set.stableMs()) {
-                    stepDown(now, b.from());
+                    stepDown(now, b.sender());
                 }
             }
         }
@@ -183,55 +183,58 @@
     private void heard(long now, String holder, long ofTerm) {
         highest = Math.max(highest, ofTerm);
         if (!holder.equals(set.name()) && ofTerm >= highest) {
-            owner = holder;
+            knownOwner = holder;
             ownerSeenAt = now;
         }
     }
 
-    private void vote(long now, Ballot b) {
-        boolean same = votedFor.equals(b.from()) && votedBoot == b.boot() && votedTerm == b.term();
-        boolean free = now >= votedUntil && (now >= reservedUntil || reservedFor.equals(b.from()));
+    private void vote(long now, ElectionMessage b) {
+        boolean same = votedFor.equals(b.sender()) && votedBoot == b.incarnation() && votedTerm == b.term();
+        boolean free = now >= votedUntil && (now >= reservedUntil || reservedFor.equals(b.sender()));
         // One that has just begun may have voted before, and does not know for whom.
         boolean blind = now - startedAt < set.quarantineMs();
         if (!blind
                 && b.term() >= highest
                 && (same && now < votedUntil || free && b.term() > votedTerm)
-                && set.candidates().contains(b.from())) {
-            votedFor = b.from();
-            votedBoot = b.boot();
+                && set.candidates().contains(b.sender())) {
+            votedFor = b.sender();
+            votedBoot = b.incarnation();
             votedTerm = b.term();
             votedUntil = now + set.leaseMs();
             highest = b.term();
             reservedUntil = now;
-            heard(now, b.from(), b.term());
-            answer(now, b, new Ballot(Kind.GRANT, set.name(), boot, b.term(), b.seq(), "", 0));
+            heard(now, b.sender(), b.term());
+            answer(now, b, new ElectionMessage(Kind.GRANT, set.name(), boot, b.term(), b.sequence(), "", 0));
         } else {
             highest = Math.max(highest, b.term());
             answer(
                     now,
                     b,
-                    new Ballot(
+                    new ElectionMessage(
                             Kind.REFUSE,
                             set.name(),
                             boot,
                             highest,
-                            b.seq(),
+                            b.sequence(),
                             now < votedUntil ? votedFor : "",
                             Math.max(0, votedUntil - now)));
         }
     }
 
-    private void answer(long now, Ballot asked, Ballot answer) {
-        if (!asked.from().equals(set.name())) {
-            sink.send(asked.from(), answer);
+    private void answer(long now, ElectionMessage asked, ElectionMessage answer) {
+        if (!asked.sender().equals(set.name())) {
+            sink.send(asked.sender(), answer);
         } else if (answer.kind() == Kind.GRANT) {
             granted(now, answer);
         }
     }
 
-    private void granted(long now, Ballot b) {
-        boolean mine = (role == Role.ASKING || role == Role.ELECTED) && b.seq() == seq && b.term() == term;
-        if (!mine || !set.electors().contains(b.from()) || !granted.add(b.from()) || granted.size() < set.majority()) {
+    private void granted(long now, ElectionMessage b) {
+        boolean mine = (role == Role.CANDIDATE || role == Role.LEADER) && b.sequence() == seq && b.term() == term;
+        if (!mine
+                || !set.electors().contains(b.sender())
+                || !granted.add(b.sender())
+                || granted.size() < set.majority()) {
             return;
         }
         long until = askedAt + set.ownLeaseMs();
@@ -239,24 +242,24 @@
             return; // the votes came too late to be of use
         }
         leaseUntil = until;
-        if (role == Role.ASKING) {
-            role = Role.ELECTED;
+        if (role == Role.CANDIDATE) {
+            role = Role.LEADER;
             ownedSince = now;
-            owner = set.name();
+            knownOwner = set.name();
             nextAt = askedAt + set.renewMs();
             sink.event(false, "address.owned", "term", term);
-            sink.owns(term);
+            sink.acquired(term);
         }
     }
 
-    private void refused(long now, Ballot b) {
+    private void refused(long now, ElectionMessage b) {
         highest = Math.max(highest, b.term());
-        if (b.seq() != seq || role != Role.ASKING) {
+        if (b.sequence() != seq || role != Role.CANDIDATE) {
             return;
         }
-        refused.add(b.from());
+        refused.add(b.sender());
         if (!b.holder().isEmpty() && !b.holder().equals(set.name())) {
-            owner = b.holder();
+            knownOwner = b.holder();
             ownerSeenAt = now;
         }
         if (refused.size() > set.electors().size() - set.majority()) {
@@ -269,22 +272,22 @@
      * everybody's way for a lease. Grants that are still on their way count for nothing from here on.
      */
     private void retreat(long now) {
-        role = Role.FOLLOWING;
+        role = Role.FOLLOWER;
         nextAt = now + delay(set.renewMs() / 2);
         giveUp(now, "");
     }
 
     /** The owner has given its lease up: its vote here is free, for the successor first. */
-    private void givenUp(long now, Ballot b) {
+    private void givenUp(long now, ElectionMessage b) {
         highest = Math.max(highest, b.term());
-        if (votedFor.equals(b.from()) && votedBoot == b.boot() && votedTerm == b.term()) {
+        if (votedFor.equals(b.sender()) && votedBoot == b.incarnation() && votedTerm == b.term()) {
             votedUntil = Math.min(votedUntil, now);
             reservedFor = b.holder();
             reservedUntil = b.holder().isEmpty() ? now : now + set.leaseMs() / 2;
         }
-        if (owner.equals(b.from())) {
-            owner = "";
-            if (role == Role.FOLLOWING && rank >= 0) {
+        if (knownOwner.equals(b.sender())) {
+            knownOwner = "";
+            if (role == Role.FOLLOWER && rank >= 0) {
                 nextAt = b.holder().equals(set.name())
                         ? now
                         : now + delay(b.holder().isEmpty() ? 0 : set.leaseMs() / 2);
@@ -297,7 +300,7 @@
      * then do the electors hear of it.
      */
     public void stepDown(long now, String successor) {
-        if (role != Role.ELECTED) {
+        if (role != Role.LEADER) {
             return;
         }
         lose(now, "given up", successor);
@@ -305,7 +308,7 @@
     }
 
     private void giveUp(long now, String successor) {
-        Ballot b = new Ballot(Kind.GIVE_UP, set.name(), boot, term, seq, successor, 0);
+        ElectionMessage b = new ElectionMessage(Kind.RELEASE, set.name(), boot, term, seq, successor, 0);
         Set<String> all = new HashSet<>(set.electors());
         all.addAll(set.candidates());
         List<String> others = new ArrayList<>(all);
@@ -329,11 +332,11 @@
         // One that loses it soon after it had it is not stable, and waits longer each time.
         boolean soon = now - ownedSince < set.stableMs();
         rest = successor.isEmpty() && soon
-                ? Math.min(set.mostRestMs(), Math.max(set.restMs(), rest * 2))
-                : set.restMs();
+                ? Math.min(set.maxBackoffMs(), Math.max(set.backoffMs(), rest * 2))
+                : set.backoffMs();
         sink.event(!why.equals("given up"), "address.lost", "term", term, "why", why, "rests_ms", rest);
-        role = Role.RESTING;
-        owner = "";
+        role = Role.BACKOFF;
+        knownOwner = "";
         stableSince = now;
         nextAt = now + rest;
         sink.lost(term, successor);
--- a/src/main/java/maplespread/console/Calls.java
+++ b/src/main/java/maplespread/admin/AdminRoutes.java
@@ -1,4 +1,4 @@
-package maplespread.console;
+package maplespread.admin;
 
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
@@ -8,9 +8,9 @@
 import java.util.function.BooleanSupplier;
 
 /** The calls, by method and path such as {@code GET /admin/health}. */
-public final class Calls {
+public final class AdminRoutes {
     /** What a call brings: the query's parts, decoded, and the body. */
-    public record Ask(Map<String, String> query, String body) {
+    public record AdminRequest(Map<String, String> query, String body) {
         /** Empty where the query has no such part. */
         public String query(String key) {
             return query.getOrDefault(key, "");
@@ -18,35 +18,35 @@
     }
 
     /** What is said to a call; {@code allow}: the method that would do, for a 405. */
-    public record Reply(int status, String text, String allow) {
-        public Reply(int status, String text) {
+    public record AdminResponse(int status, String text, String allow) {
+        public AdminResponse(int status, String text) {
             this(status, text, null);
         }
     }
 
     /** Answers one call, on a thread of its own; must not wait for longer than 2 s. */
     public interface Call {
-        Reply answer(Ask ask);
+        AdminResponse answer(AdminRequest ask);
     }
 
     private final Map<String, Call> table;
 
-    public Calls(Map<String, Call> table) {
+    public AdminRoutes(Map<String, Call> table) {
         this.table = Map.copyOf(table);
     }
 
     /** One that can be done or not, and says so. */
     public static Call yes(BooleanSupplier call, String yes, int status, String no) {
-        return ask -> call.getAsBoolean() ? new Reply(200, yes) : new Reply(status, no);
+        return ask -> call.getAsBoolean() ? new AdminResponse(200, yes) : new AdminResponse(status, no);
     }
 
     /** Answers one call: 404 where there is none at that path, 405 where it wants another method. */
-    public Reply answer(String method, String target, String body) {
+    public AdminResponse answer(String method, String target, String body) {
         int at = target.indexOf('?');
         String path = at < 0 ? target : target.substring(0, at);
         Call call = table.get(method + ' ' + path);
         if (call != null) {
-            return call.answer(new Ask(parts(at < 0 ? "" : target.substring(at + 1)), body));
+            return call.answer(new AdminRequest(parts(at < 0 ? "" : target.substring(at + 1)), body));
         }
         TreeSet<String> allow = new TreeSet<>();
         for (String line : table.keySet()) {
@@ -55,10 +55,10 @@
             }
         }
         if (allow.isEmpty()) {
-            return new Reply(404, "no such call");
+            return new AdminResponse(404, "no such call");
         }
         String words = String.join(", ", allow);
-        return new Reply(405, words + " only", words);
+        return new AdminResponse(405, words + " only", words);
     }
 
     /** What cannot be decoded is taken as it stands: the calls say themselves what they cannot use. */
--- a/src/main/java/maplespread/console/Console.java
+++ b/src/main/java/maplespread/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package maplespread.console;
+package maplespread.admin;
 
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import maplespread.http.HttpConnection;
-import maplespread.http.HttpError;
+import maplespread.http.HttpException;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 import maplespread.http.RateLimitedLogger;
@@ -21,19 +21,19 @@
  * a call; there are a few places, and for one more the connection that came first ends, which has had the
  * most time.
  */
-public final class Console implements Closeable, Runnable {
+public final class AdminServer implements Closeable, Runnable {
     private static final long STACK = 144 * 1024;
     private static final long CALL_MS = 5_000; // for a whole call, from connecting on
     private static final long LAST_MS = 200; // for its sender to close first
     private static final int MOST_BODY = 16 * 1024;
     private final ServerSocket socket = new ServerSocket();
-    private final Calls calls;
+    private final AdminRoutes calls;
     private final int places;
     private final RateLimitedLogger seldom = new RateLimitedLogger();
     private final ArrayDeque<HttpConnection> open = new ArrayDeque<>(); // the oldest first
 
     /** {@code places}: connections at once. */
-    public Console(InetSocketAddress at, int places, Calls calls) throws IOException {
+    public AdminServer(InetSocketAddress at, int places, AdminRoutes calls) throws IOException {
         this.places = places;
         this.calls = calls;
         socket.setReuseAddress(true);
@@ -115,15 +115,15 @@
         try {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             HttpParser parser = HttpParser.request(MOST_BODY, body::write);
-            Calls.Reply reply;
+            AdminRoutes.AdminResponse reply;
             try {
                 link.receive(parser, CALL_MS);
                 reply = calls.answer(
                         parser.head().method(), parser.head().target(), body.toString(StandardCharsets.UTF_8));
-            } catch (HttpError bad) {
-                reply = new Calls.Reply(bad.status(), bad.getMessage(), null);
+            } catch (HttpException bad) {
+                reply = new AdminRoutes.AdminResponse(bad.status(), bad.getMessage(), null);
             } catch (SocketTimeoutException slow) {
-                reply = new Calls.Reply(408, "call not whole in time", null);
+                reply = new AdminRoutes.AdminResponse(408, "call not whole in time", null);
             }
             HttpWriter head = HttpWriter.response(reply.status())
                     .field("Content-Type", "text/plain")
--- a/src/main/java/maplespread/announce/BgpCodec.java
+++ b/src/main/java/maplespread/announce/BgpCodec.java
@@ -79,7 +79,7 @@
     // ------------------------------------------------------------ reading
 
     /** Takes bytes in; the messages that are whole by now, in order. */
-    public List<BgpMessage> feed(byte[] bytes, int length) throws BgpError {
+    public List<BgpMessage> feed(byte[] bytes, int length) throws BgpException {
         List<BgpMessage> all = new ArrayList<>();
         int at = 0;
         while (at < length) {
@@ -102,24 +102,24 @@
         return all;
     }
 
-    private void head() throws BgpError {
+    private void head() throws BgpException {
         for (int i = 0; i < 16; i++) {
             if (in.get(i) != (byte) 0xff) {
-                throw new BgpError(1, 1, "no marker");
+                throw new BgpException(1, 1, "no marker");
             }
         }
         int length = Short.toUnsignedInt(in.getShort(16));
         int type = in.get(18);
         if (type < OPEN || type > KEEPALIVE) {
-            throw new BgpError(1, 3, "a message of type " + type);
+            throw new BgpException(1, 3, "a message of type " + type);
         }
         int least = type == OPEN ? 29 : type == UPDATE ? 23 : type == NOTIFICATION ? 21 : HEAD;
         if (length < least || length > MOST || type == KEEPALIVE && length != HEAD) {
-            throw new BgpError(1, 2, "a message of " + length + " bytes");
+            throw new BgpException(1, 2, "a message of " + length + " bytes");
         }
     }
 
-    private static BgpMessage read(int type, ByteBuffer in) throws BgpError {
+    private static BgpMessage read(int type, ByteBuffer in) throws BgpException {
         try {
             return switch (type) {
                 case OPEN -> open(in);
@@ -129,23 +129,23 @@
             };
         } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
             throw type == OPEN
-                    ? new BgpError(2, 0, "an OPEN that ends early")
-                    : new BgpError(3, 1, "malformed attributes or prefixes");
+                    ? new BgpException(2, 0, "an OPEN that ends early")
+                    : new BgpException(3, 1, "malformed attributes or prefixes");
         }
     }
 
-    private static Open open(ByteBuffer in) throws BgpError {
+    private static Open open(ByteBuffer in) throws BgpException {
         if (in.get() != 4) {
-            throw new BgpError(2, 1, "not version 4");
+            throw new BgpException(2, 1, "not version 4");
         }
         long as = Short.toUnsignedInt(in.getShort());
         int hold = Short.toUnsignedInt(in.getShort());
         int id = in.getInt();
         if (hold == 1 || hold == 2) {
-            throw new BgpError(2, 6, "a hold time of " + hold + " s");
+            throw new BgpException(2, 6, "a hold time of " + hold + " s");
         }
         if (id == 0) {
-            throw new BgpError(2, 3, "an identifier of zero");
+            throw new BgpException(2, 3, "an identifier of zero");
         }
         ByteBuffer parameters = part(in, in.get() & 255);
         while (parameters.hasRemaining()) {
@@ -169,7 +169,7 @@
         return part;
     }
 
-    private static Update update(ByteBuffer in) throws BgpError {
+    private static Update update(ByteBuffer in) throws BgpException {
         List<Prefix> withdrawn = prefixes(part(in, Short.toUnsignedInt(in.getShort())));
         ByteBuffer attributes = part(in, Short.toUnsignedInt(in.getShort()));
         List<Prefix> announced = prefixes(in);
@@ -190,7 +190,7 @@
             }
         }
         if (!announced.isEmpty() && !known) {
-            throw new BgpError(3, 3, "no next hop");
+            throw new BgpException(3, 3, "no next hop");
         }
         return new Update(withdrawn, announced, nextHop, preference);
     }
--- a/src/main/java/maplespread/announce/BgpError.java
+++ b/src/main/java/maplespread/announce/BgpException.java
@@ -1,11 +1,11 @@
 package maplespread.announce;
 
 /** What a NOTIFICATION says: an error's code and subcode, RFC 4271 section 4.5. */
-public final class BgpError extends Exception {
+public final class BgpException extends Exception {
     private static final long serialVersionUID = 1;
     public final int code, subcode;
 
-    BgpError(int code, int subcode, String what) {
+    BgpException(int code, int subcode, String what) {
         super(what, null, false, false);
         this.code = code;
         this.subcode = subcode;
--- a/src/main/java/maplespread/announce/BgpSpeaker.java
+++ b/src/main/java/maplespread/announce/BgpSpeaker.java
@@ -117,7 +117,7 @@
             deadAt = now + OPEN_MS;
             sink.connect();
         } else if (state != State.IDLE && now >= deadAt) {
-            fail(now, state == State.CONNECT ? null : new BgpError(4, 0, "the peer has been silent"));
+            fail(now, state == State.CONNECT ? null : new BgpException(4, 0, "the peer has been silent"));
         } else if (state.ordinal() >= State.OPEN_CONFIRM.ordinal() && now >= aliveAt) {
             send(now, new Keepalive());
         }
@@ -149,21 +149,21 @@
                 }
                 take(now, m);
             }
-        } catch (BgpError e) {
+        } catch (BgpException e) {
             fail(now, e);
         }
     }
 
-    private void take(long now, BgpMessage m) throws BgpError {
+    private void take(long now, BgpMessage m) throws BgpException {
         if (m instanceof Notification n) {
             sink.event(true, "bgp.notified", "code", n.code(), "subcode", n.subcode());
             fail(now, null);
         } else if (state == State.OPEN_SENT) {
             if (!(m instanceof Open open)) {
-                throw new BgpError(5, 1, "no OPEN at first");
+                throw new BgpException(5, 1, "no OPEN at first");
             }
             if (open.as() != as) {
-                throw new BgpError(2, 2, "system " + open.as() + " is not this one's");
+                throw new BgpException(2, 2, "system " + open.as() + " is not this one's");
             }
             int hold = Math.min(holdS, open.holdS());
             keepMs = hold * 1000L / 3;
@@ -172,7 +172,7 @@
             heard(now);
             send(now, new Keepalive());
         } else if (m instanceof Open) {
-            throw new BgpError(5, state == State.OPEN_CONFIRM ? 2 : 3, "a second OPEN");
+            throw new BgpException(5, state == State.OPEN_CONFIRM ? 2 : 3, "a second OPEN");
         } else {
             heard(now);
             if (state == State.OPEN_CONFIRM && m instanceof Keepalive) {
@@ -181,7 +181,7 @@
                 sink.event(false, "bgp.established", "hold_ms", holdMs);
                 tell(now);
             } else if (state == State.OPEN_CONFIRM) {
-                throw new BgpError(5, 2, "an UPDATE before the session is up");
+                throw new BgpException(5, 2, "an UPDATE before the session is up");
             }
         }
     }
@@ -192,7 +192,7 @@
         deadAt = holdMs == 0 ? Long.MAX_VALUE : now + holdMs;
     }
 
-    private void fail(long now, BgpError why) {
+    private void fail(long now, BgpException why) {
         if (why != null) {
             sink.event(true, "bgp.failed", "code", why.code, "subcode", why.subcode, "why", why.getMessage());
             sink.send(BgpCodec.bytes(new Notification(why.code, why.subcode)));
--- a/src/main/java/maplespread/caller/CallerLeg.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -7,19 +7,19 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.RejectedExecutionException;
 import maplespread.config.Config;
-import maplespread.decision.Dispatch;
 import maplespread.facade.Attempt;
 import maplespread.facade.Decision;
-import maplespread.facade.Dispatcher;
+import maplespread.facade.DecisionService;
+import maplespread.facade.InFlightRequest;
 import maplespread.facade.Outcome;
-import maplespread.facade.Transaction;
 import maplespread.http.HttpConnection;
-import maplespread.http.HttpError;
+import maplespread.http.HttpException;
 import maplespread.http.HttpHead;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
+import maplespread.policy.Dispatch;
 import maplespread.worker.AttemptRunner;
 import org.tinylog.Logger;
 
@@ -27,7 +27,7 @@
  * One client connection. Its own thread reads, also while a branch runs, so that a client's leaving is seen;
  * the transaction's thread picks, runs branches and answers.
  */
-final class CallerLeg implements Runnable {
+final class ClientConnection implements Runnable {
     private static final long POLL_MS = 1000;
     private static final long PART_MS = 200; // the same while the process ends or drains
     private static final long SPARE_MS = 200; // for the one request of a leg turned away
@@ -36,22 +36,22 @@
     private static final int MOST_FAULTS = 4; // in a row, then the connection ends
     private static final long FAULT_PAUSE_MS = 25; // doubles with each
     private static final RateLimitedLogger UNSERVED = new RateLimitedLogger();
-    private static final Turns.Go NO_TURN = new Turns.Go() { // where jobs have no order
+    private static final RequestSequencer.Permit NO_TURN = new RequestSequencer.Permit() { // where jobs have no order
                 @Override
-                public boolean still() {
+                public boolean isValid() {
                     return true;
                 }
 
                 @Override
-                public void tried(Outcome how) {}
+                public void attemptCompleted(Outcome how) {}
 
                 @Override
-                public Turns.End over(boolean served) {
-                    return Turns.End.ENDED;
+                public RequestSequencer.Completion release(boolean served) {
+                    return RequestSequencer.Completion.ENDED;
                 }
 
                 @Override
-                public Turns.Said lost() {
+                public RequestSequencer.FinalResponse permitLostResponse() {
                     return null;
                 }
             };
@@ -68,14 +68,14 @@
     }
 
     private final HttpConnection connection;
-    private final Service service;
-    private final Dispatcher dispatcher;
+    private final ServingContext service;
+    private final DecisionService dispatcher;
     private final Config.Times times;
     private final boolean turnAway;
     private final long connectedAt = System.nanoTime();
     private volatile long quietSince = connectedAt; // when it last had anything to do
     private volatile boolean useful; // it has brought a request worth an answer
-    private volatile Answer current; // null where no whole request is held
+    private volatile ClientResponse current; // null where no whole request is held
     private volatile boolean parts; // ends by itself, between requests
     private Phase phase = Phase.RESTING; // guarded by this leg, with current
     private boolean answered;
@@ -83,7 +83,7 @@
     private int faults; // unacceptable requests in a row
 
     /** {@code turnAway}: beyond the number of legs, so its one request is refused. */
-    CallerLeg(HttpConnection connection, Service service, boolean turnAway) {
+    ClientConnection(HttpConnection connection, ServingContext service, boolean turnAway) {
         this.connection = connection;
         this.service = service;
         this.dispatcher = service.dispatcher();
@@ -111,7 +111,7 @@
     }
 
     /** False where it is to end. */
-    private synchronized boolean enter(Phase next, Answer held) {
+    private synchronized boolean enter(Phase next, ClientResponse held) {
         if (phase == Phase.ENDING) {
             return false;
         }
@@ -135,7 +135,7 @@
     }
 
     void cutIfStuck() {
-        connection.cutIfStuck(times.legReadMs());
+        connection.cutIfStuck(times.clientReadMs());
     }
 
     /**
@@ -163,7 +163,7 @@
 
     /** Fails the request that it holds: it may have run, and its end will not be seen here. */
     void fail() {
-        Answer now = current;
+        ClientResponse now = current;
         if (now != null && !now.given()) {
             now.failed(502, "the dispatcher ends");
         }
@@ -171,8 +171,8 @@
 
     /** Refuses whatever it brings, unread: for when no thread is left that could read it. */
     void refuse() {
-        service.figures().unread();
-        new Answer(connection, () -> true, service.figures()).busy(FULL_PAUSE_MS);
+        service.metrics().unread();
+        new ClientResponse(connection, () -> true, service.metrics()).busy(FULL_PAUSE_MS);
         connection.close();
     }
 
@@ -204,7 +204,8 @@
         }
         // The first request is to be whole soon after connecting, whatever the client does in between.
         long whole = (answered ? System.nanoTime() : connectedAt) + readMs() * 1_000_000;
-        Answer answer = new Answer(connection, () -> !parser.done() || ends(parser.head()), service.figures());
+        ClientResponse answer =
+                new ClientResponse(connection, () -> !parser.done() || ends(parser.head()), service.metrics());
         quietSince = System.nanoTime();
         boolean large = false;
         try {
@@ -213,10 +214,10 @@
                 return false;
             }
             connection.receiveBy(parser, whole, true);
-            if (parser.bodyLength() > Service.LARGE) {
-                large = service.largeRoom().tryAcquire();
+            if (parser.bodyLength() > ServingContext.LARGE) {
+                large = service.largeBodyPermits().tryAcquire();
             }
-            if (parser.bodyLength() > Service.LARGE && !large) {
+            if (parser.bodyLength() > ServingContext.LARGE && !large) {
                 String lane = parser.head().get("X-Lane");
                 if (service.config().names().place(lane) >= 0) {
                     answer.taken(lane);
@@ -239,9 +240,9 @@
             if (early()) {
                 broken(answer);
             } else if (!page(head, answer)) {
-                job(new JobRequest(service, head, body.toByteArray(), lastByteUs), answer);
+                job(new ClientRequest(service, head, body.toByteArray(), lastByteUs), answer);
             }
-        } catch (HttpError bad) {
+        } catch (HttpException bad) {
             // After malformed framing nothing on the connection can be trusted; a mere wrong value may go on.
             fault(answer, bad.status(), bad.getMessage());
         } catch (SocketTimeoutException slow) {
@@ -253,7 +254,7 @@
             answer.busy(FULL_PAUSE_MS);
         } finally {
             if (large) {
-                service.largeRoom().release();
+                service.largeBodyPermits().release();
             }
         }
         boolean stays = enter(Phase.RESTING, null);
@@ -267,23 +268,23 @@
     }
 
     /** Turns a request down that no worker may see. */
-    private void fault(Answer answer, int status, String why) {
+    private void fault(ClientResponse answer, int status, String why) {
         faults++;
-        service.figures().faulty();
+        service.metrics().faulty();
         answer.failed(status, why);
     }
 
     /** Ends the connection on bytes out of turn; false where the request had its answer before. */
-    private boolean broken(Answer answer) {
+    private boolean broken(ClientResponse answer) {
         boolean first = answer.broken("one request at a time");
         if (first) {
-            service.figures().faulty();
+            service.metrics().faulty();
         }
         return first;
     }
 
     private long readMs() {
-        return turnAway ? SPARE_MS : times.legReadMs();
+        return turnAway ? SPARE_MS : times.clientReadMs();
     }
 
     /** Whether the connection is to end after this request. */
@@ -293,7 +294,7 @@
                 || parts
                 || faults >= MOST_FAULTS
                 || !head.keepsAlive()
-                || service.parting().getAsBoolean();
+                || service.closingConnections().getAsBoolean();
     }
 
     /**
@@ -307,7 +308,7 @@
         if (connection.buffer().hasRemaining()) {
             return true; // what has been read is taken, ending or not
         }
-        long wait = turnAway ? SPARE_MS : useful ? times.legIdleMs() : times.legReadMs();
+        long wait = turnAway ? SPARE_MS : useful ? times.clientIdleMs() : times.clientReadMs();
         long end = System.nanoTime() + wait * 1_000_000;
         for (long left = wait; left > 0; left = (end - System.nanoTime()) / 1_000_000) {
             if ((ending() || parts) && !connection.pending()) {
@@ -345,7 +346,7 @@
         return false;
     }
 
-    private boolean page(HttpHead head, Answer answer) {
+    private boolean page(HttpHead head, ClientResponse answer) {
         if (!head.target().equals("/ready")) {
             return false;
         }
@@ -354,21 +355,21 @@
         } else if (!service.serving().getAsBoolean() || !dispatcher.canServe()) {
             answer.plain(503, "not ready");
         } else {
-            String why = service.unready().get();
+            String why = service.notReadyReason().get();
             answer.plain(why == null ? 200 : 503, why == null ? "ready" : "not ready: " + why);
         }
         return true;
     }
 
-    private void job(JobRequest job, Answer answer) throws IOException, InterruptedException {
-        if (turnAway || !service.room().tryAcquire()) {
-            answer.taken(job, service.ends());
+    private void job(ClientRequest job, ClientResponse answer) throws IOException, InterruptedException {
+        if (turnAway || !service.requestPermits().tryAcquire()) {
+            answer.taken(job, service.requestListener());
             answer.busy(FULL_PAUSE_MS);
             return;
         }
         String id = job.message.id();
-        if (!service.ids().take(id)) { // the same request may not run twice
-            service.room().release();
+        if (!service.recentIds().register(id)) { // the same request may not run twice
+            service.requestPermits().release();
             fault(answer, 409, "this X-Txn was used before");
             return;
         }
@@ -376,23 +377,23 @@
         faults = 0;
         if (old && connection.ended()) { // or watch would see it too late
             answer.drop();
-            service.ids().ended(id);
-            service.room().release();
+            service.recentIds().complete(id);
+            service.requestPermits().release();
             return;
         }
-        answer.taken(job, job.handedOn() ? null : service.ends()); // its wait began elsewhere
+        answer.taken(job, job.handedOn() ? null : service.requestListener()); // its wait began elsewhere
         try {
-            service.transactions().execute(() -> {
+            service.requestThreads().execute(() -> {
                 try {
                     transact(job, answer);
                 } finally {
-                    service.ids().ended(id);
-                    service.room().release();
+                    service.recentIds().complete(id);
+                    service.requestPermits().release();
                 }
             });
         } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is to be had
-            service.ids().ended(id);
-            service.room().release();
+            service.recentIds().complete(id);
+            service.requestPermits().release();
             answer.busy(FULL_PAUSE_MS);
             return;
         }
@@ -400,7 +401,7 @@
     }
 
     /** Reads on while the transaction is in work: an end here means that the client has left. */
-    private void watch(Transaction t, Answer answer) throws IOException, InterruptedException {
+    private void watch(InFlightRequest t, ClientResponse answer) throws IOException, InterruptedException {
         while (!answer.given()) {
             try {
                 if (!connection.fill(pollMs())) {
@@ -423,7 +424,7 @@
         }
     }
 
-    private void leave(Transaction t, Answer answer) {
+    private void leave(InFlightRequest t, ClientResponse answer) {
         if (!answer.given()) {
             answer.drop();
             left(t);
@@ -431,35 +432,35 @@
         connection.close();
     }
 
-    private void left(Transaction t) {
-        if (service.turns() != null) {
-            service.turns().left(t);
+    private void left(InFlightRequest t) {
+        if (service.sequencer() != null) {
+            service.sequencer().clientLeft(t);
         }
-        dispatcher.reportLeft(t);
+        dispatcher.reportClientLeft(t);
     }
 
-    private void transact(JobRequest job, Answer answer) {
-        Turns.Go go = NO_TURN;
+    private void transact(ClientRequest job, ClientResponse answer) {
+        RequestSequencer.Permit go = NO_TURN;
         boolean over = false;
         try {
-            if (service.turns() != null) {
-                Turns.Turn turn = service.turns().take(job.job(dispatcher.nowUs()));
-                if (turn instanceof Turns.Said said) {
+            if (service.sequencer() != null) {
+                RequestSequencer.SequencingResult turn = service.sequencer().acquire(job.job(dispatcher.nowUs()));
+                if (turn instanceof RequestSequencer.FinalResponse said) {
                     say(job, answer, said);
                 }
-                if (!(turn instanceof Turns.Go mine)) {
+                if (!(turn instanceof RequestSequencer.Permit mine)) {
                     return;
                 }
                 go = mine;
                 if (answer.given()) { // its client has left meanwhile
                     over = true;
-                    go.over(false);
+                    go.release(false);
                     return;
                 }
             }
             while (true) {
-                if (!go.still()) {
-                    dispatcher.reportLeft(job.transaction);
+                if (!go.isValid()) {
+                    dispatcher.reportClientLeft(job.transaction);
                     over = true;
                     lost(job, answer, go);
                     return;
@@ -473,14 +474,14 @@
                     continue;
                 }
                 over = true;
-                boolean sure = go.over(false) != Turns.End.DOUBT;
-                if (decision instanceof Decision.BusyAnswer busy) {
-                    unserved(job, busy.why());
-                    answer.busy(busy.pauseMs());
+                boolean sure = go.release(false) != RequestSequencer.Completion.IN_DOUBT;
+                if (decision instanceof Decision.Rejected busy) {
+                    unserved(job, busy.reason());
+                    answer.busy(busy.retryAfterMs());
                     return;
                 }
                 if (decision instanceof Decision.Failed failed) {
-                    unserved(job, failed.why());
+                    unserved(job, failed.reason());
                 }
                 if (decision instanceof Decision.Failed && sure) {
                     answer.failed(502, "no worker served it");
@@ -493,11 +494,11 @@
             Thread.currentThread().interrupt();
         } catch (RuntimeException | Error e) { // guards the process, as above
             Logger.error(e, "a transaction failed");
-            dispatcher.reportLeft(job.transaction);
+            dispatcher.reportClientLeft(job.transaction);
         } finally {
             if (!over) {
-                go.tried(Outcome.RESET); // nobody knows
-                go.over(false);
+                go.attemptCompleted(Outcome.RESET); // nobody knows
+                go.release(false);
             }
             if (!answer.given()) {
                 answer.failed(500, "internal error");
@@ -506,41 +507,41 @@
     }
 
     /** Refusals under load are counted alone; each other reason is worth a line. */
-    private void unserved(JobRequest job, Dispatch.Refusal why) {
-        service.figures().unserved(why);
-        if (why != Dispatch.Refusal.OVERLOADED) {
+    private void unserved(ClientRequest job, Dispatch.RejectionReason why) {
+        service.metrics().unserved(why);
+        if (why != Dispatch.RejectionReason.OVERLOADED) {
             UNSERVED.info(() -> Event.of(
                     "request.unserved", "transaction", job.message.id(), "why", why, "list", dispatcher.listState()));
         }
     }
 
-    private void say(JobRequest job, Answer answer, Turns.Said said) {
-        if (!said.taken()) {
-            service.ids().untaken(job.message.id());
+    private void say(ClientRequest job, ClientResponse answer, RequestSequencer.FinalResponse said) {
+        if (!said.idConsumed()) {
+            service.recentIds().unregister(job.message.id());
         }
         answer.said(said);
     }
 
     /** The turn was lost before the job could be sent, or between two attempts. */
-    private void lost(JobRequest job, Answer answer, Turns.Go go) {
-        if (go.over(false) == Turns.End.NEVER_RAN) {
-            say(job, answer, go.lost());
+    private void lost(ClientRequest job, ClientResponse answer, RequestSequencer.Permit go) {
+        if (go.release(false) == RequestSequencer.Completion.NEVER_RAN) {
+            say(job, answer, go.permitLostResponse());
         } else {
             answer.doubtful("it may have run, and its turn was lost");
         }
     }
 
     /** Runs a branch; whether it served the transaction. */
-    private boolean branch(JobRequest job, Attempt branch, Answer answer, Turns.Go go) {
-        AttemptRunner.Ended end = null;
+    private boolean branch(ClientRequest job, Attempt branch, ClientResponse answer, RequestSequencer.Permit go) {
+        AttemptRunner.AttemptResult end = null;
         Outcome outcome = Outcome.RESET; // should the run itself fail
         answer.tried(branch.worker());
         try {
-            end = service.branches().run(branch, job.message);
+            end = service.attemptRunner().run(branch, job.message);
             outcome = end.outcome;
-            go.tried(outcome);
+            go.attemptCompleted(outcome);
             if (outcome == Outcome.SERVED) {
-                go.over(true); // the next one need not wait for this client
+                go.release(true); // the next one need not wait for this client
                 answer.served(end.result);
             }
         } finally {
--- a/src/main/java/maplespread/caller/Listener.java
+++ b/src/main/java/maplespread/caller/ClientListener.java
@@ -12,22 +12,23 @@
 import org.tinylog.Logger;
 
 /** Accepts client connections and keeps the set of caller legs within its size. */
-public final class Listener implements Runnable {
+public final class ClientListener implements Runnable {
     private static final int POLL_MS = 100;
     private static final int LAST_MS = 50; // in which nobody comes, then it closes
     private static final long MOST_LAST_MS = 200; // but no longer than this
     private static final int MOMENTS = 5;
     private static final int UNTRIED = 10;
     private final ServerSocket server;
-    private final Service service;
+    private final ServingContext service;
     private final ExecutorService legThreads;
     private final ExecutorService spareThreads; // a few, for connections beyond the size
-    private final Set<CallerLeg> legs = ConcurrentHashMap.newKeySet();
+    private final Set<ClientConnection> legs = ConcurrentHashMap.newKeySet();
     private volatile long jobsAt = System.nanoTime() - Long.MAX_VALUE / 2; // the last leg's with any
     private volatile boolean closing;
     private volatile boolean closed;
 
-    public Listener(ServerSocket server, Service service, ExecutorService legThreads, ExecutorService spareThreads) {
+    public ClientListener(
+            ServerSocket server, ServingContext service, ExecutorService legThreads, ExecutorService spareThreads) {
         this.server = server;
         this.service = service;
         this.legThreads = legThreads;
@@ -77,7 +78,7 @@
         }
         freeClients();
         boolean room = room();
-        CallerLeg leg = new CallerLeg(connection, service, !room);
+        ClientConnection leg = new ClientConnection(connection, service, !room);
         legs.add(leg);
         Runnable work = () -> {
             try {
@@ -104,11 +105,11 @@
      * costs it a new one, closing a newcomer's costs its first request, whose bytes are on their way.
      */
     private boolean room() {
-        if (legs.size() < service.sizes().get().legs()) {
+        if (legs.size() < service.limits().get().clientConnections()) {
             return true;
         }
         boolean ended = end(1, UNTRIED);
-        for (int i = 0; i < MOMENTS && !ended && legs.stream().anyMatch(CallerLeg::untried); i++) {
+        for (int i = 0; i < MOMENTS && !ended && legs.stream().anyMatch(ClientConnection::untried); i++) {
             pause(1); // bytes have come, and will now be read
             ended = end(1, UNTRIED);
         }
@@ -121,29 +122,29 @@
      */
     private void freeClients() {
         if (legs.stream().filter(l -> l.useful() && !l.ending()).count()
-                > service.sizes().get().kept()) {
+                > service.limits().get().servedClientConnections()) {
             end(1, 0);
         }
     }
 
     /** Ends the longest silent; another where a request came to it in that moment. */
     private boolean end(int useful, int untried) {
-        CallerLeg silent = longestSilent(useful, untried);
+        ClientConnection silent = longestSilent(useful, untried);
         while (silent != null && !silent.end()) {
             silent = longestSilent(useful, untried);
         }
         if (silent != null) {
-            service.figures().shed();
+            service.metrics().shed();
         }
         return silent != null;
     }
 
     /** Silence counts so many times for useful legs and for those that never brought a job. */
-    private CallerLeg longestSilent(int useful, int untried) {
+    private ClientConnection longestSilent(int useful, int untried) {
         long now = System.nanoTime();
-        CallerLeg found = null;
+        ClientConnection found = null;
         long most = 0;
-        for (CallerLeg leg : legs) {
+        for (ClientConnection leg : legs) {
             long silence = (now - leg.quietSince()) * (leg.useful() ? useful : untried);
             if (silence > most && !leg.ending() && leg.silent()) {
                 found = leg;
@@ -160,8 +161,8 @@
 
     /** Ends the legs whose clients do not read their answers, and forgets ids of long ago. */
     public void sweep() {
-        legs.forEach(CallerLeg::cutIfStuck);
-        service.ids().sweep();
+        legs.forEach(ClientConnection::cutIfStuck);
+        service.recentIds().removeExpired();
     }
 
     /** Stops accepting once the queue is empty. */
@@ -185,7 +186,7 @@
      */
     public boolean over() {
         boolean last = closed;
-        for (CallerLeg leg : legs) {
+        for (ClientConnection leg : legs) {
             if (leg.quiet()) {
                 leg.part();
             }
@@ -196,7 +197,7 @@
     /** Has the legs end that have been quiet for so long. */
     public void endQuiet(long ms) {
         long before = System.nanoTime() - ms * 1_000_000;
-        for (CallerLeg leg : legs) {
+        for (ClientConnection leg : legs) {
             if (leg.quiet() && leg.quietSince() - before < 0) {
                 leg.part();
             }
@@ -205,7 +206,7 @@
 
     /** Answers what is still in work as failed. */
     public void failAll() {
-        legs.forEach(CallerLeg::fail);
+        legs.forEach(ClientConnection::fail);
     }
 
     private static void pause(long ms) {
--- a/src/main/java/maplespread/caller/Answer.java
+++ b/src/main/java/maplespread/caller/ClientResponse.java
@@ -6,28 +6,28 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
-import maplespread.facade.Ends;
-import maplespread.figures.Figures;
-import maplespread.figures.Figures.Code;
+import maplespread.facade.RequestListener;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpWriter;
+import maplespread.metrics.Metrics;
+import maplespread.metrics.Metrics.ResponseCode;
 
 /** The one final answer to a request: whoever comes first writes it, and nobody after that. */
-final class Answer {
+final class ClientResponse {
     private final HttpConnection connection;
     private final BooleanSupplier last;
-    private final Figures figures;
+    private final Metrics figures;
     private final AtomicBoolean claimed = new AtomicBoolean();
     private final CountDownLatch over = new CountDownLatch(1);
     private volatile boolean closed;
     private volatile String lane; // of the job taken; null: none was
     private volatile String tried; // the worker that it went to last
-    private volatile Ends ends; // null: nobody hears of it
+    private volatile RequestListener ends; // null: nobody hears of it
     private volatile long number; // of the job, to whom hears of it
     private long takenAt; // nanoseconds; written before the lane
 
     /** {@code last}: whether the connection ends with this answer, asked when it is given. */
-    Answer(HttpConnection connection, BooleanSupplier last, Figures figures) {
+    ClientResponse(HttpConnection connection, BooleanSupplier last, Metrics figures) {
         this.connection = connection;
         this.last = last;
         this.figures = figures;
@@ -41,10 +41,10 @@
     }
 
     /** The same, and whoever wants to hear of it does; null: nobody. */
-    void taken(JobRequest job, Ends who) {
+    void taken(ClientRequest job, RequestListener who) {
         taken(job.message.lane());
         ends = who;
-        number = who == null ? 0 : who.taken(job.transaction);
+        number = who == null ? 0 : who.requestAccepted(job.transaction);
     }
 
     /** The job goes to this worker now. */
@@ -52,16 +52,16 @@
         tried = worker;
     }
 
-    private void ended(Ends.How how) {
-        Ends who = ends;
+    private void ended(RequestListener.Result how) {
+        RequestListener who = ends;
         ends = null; // once, though ending the connection fails
         if (who != null) {
-            who.ended(number, how, tried);
+            who.requestCompleted(number, how, tried);
         }
     }
 
     void served(byte[] result) {
-        give(Code.SUCCESS, HttpWriter.response(200), result);
+        give(ResponseCode.SUCCESS, HttpWriter.response(200), result);
     }
 
     /** A refusal: it is harmless to try again, after the pause. */
@@ -70,7 +70,7 @@
         if (pauseMs > 0) {
             head.field("Retry-After", String.format(Locale.ROOT, "%.3f", pauseMs / 1000));
         }
-        give(Code.BUSY, head, text("busy"));
+        give(ResponseCode.BUSY, head, text("busy"));
     }
 
     void failed(int status, String why) {
@@ -78,35 +78,43 @@
         if (status == 405) {
             head.field("Allow", why.contains("POST") ? "POST" : "GET");
         }
-        give(Code.FAILURE, head, text(why));
+        give(ResponseCode.FAILURE, head, text(why));
     }
 
     /** It may have run, and may yet run. */
     void doubtful(String why) {
-        give(Code.FAILURE, HttpWriter.response(502).field(Turns.REASON, "in-doubt"), text(why));
+        give(
+                ResponseCode.FAILURE,
+                HttpWriter.response(502).field(RequestSequencer.ORDER_REASON_HEADER, "in-doubt"),
+                text(why));
     }
 
     /** What another one has said, unchanged. */
-    void said(Turns.Said said) {
+    void said(RequestSequencer.FinalResponse said) {
         HttpWriter head = HttpWriter.response(said.status());
         said.fields().forEach(f -> head.field(f[0], f[1]));
-        give(said.status() == 200 ? Code.SUCCESS : said.status() == 503 ? Code.BUSY : Code.FAILURE, head, said.body());
+        give(
+                said.status() == 200
+                        ? ResponseCode.SUCCESS
+                        : said.status() == 503 ? ResponseCode.BUSY : ResponseCode.FAILURE,
+                head,
+                said.body());
     }
 
     void plain(int status, String why) {
-        give(Code.FAILURE, HttpWriter.response(status), text(why));
+        give(ResponseCode.FAILURE, HttpWriter.response(status), text(why));
     }
 
     /** The client has broken the framing: fails, ends the connection. False where an answer came before. */
     boolean broken(String why) {
-        return give(Code.FAILURE, HttpWriter.response(400), text(why), true);
+        return give(ResponseCode.FAILURE, HttpWriter.response(400), text(why), true);
     }
 
     /** Ends the matter without an answer: the client has left. */
     void drop() {
         if (claimed.compareAndSet(false, true)) {
             figures.left();
-            ended(Ends.How.LEFT);
+            ended(RequestListener.Result.CLIENT_LEFT);
             over();
         }
     }
@@ -125,11 +133,11 @@
         over.await();
     }
 
-    private void give(Code code, HttpWriter head, byte[] body) {
+    private void give(ResponseCode code, HttpWriter head, byte[] body) {
         give(code, head, body, false);
     }
 
-    private boolean give(Code code, HttpWriter head, byte[] body, boolean end) {
+    private boolean give(ResponseCode code, HttpWriter head, byte[] body, boolean end) {
         if (!claimed.compareAndSet(false, true)) {
             return false;
         }
@@ -140,12 +148,17 @@
             if (lane != null) {
                 figures.answered(lane, code, System.nanoTime() - takenAt);
             }
-            ended(code == Code.SUCCESS ? Ends.How.SERVED : code == Code.BUSY ? Ends.How.BUSY : Ends.How.FAILED);
+            ended(
+                    code == ResponseCode.SUCCESS
+                            ? RequestListener.Result.SERVED
+                            : code == ResponseCode.BUSY
+                                    ? RequestListener.Result.REJECTED
+                                    : RequestListener.Result.FAILED);
             if (close) {
                 connection.endSending();
             }
         } catch (IOException e) {
-            ended(Ends.How.LEFT);
+            ended(RequestListener.Result.CLIENT_LEFT);
             connection.close(); // the client has gone
         } finally {
             over();
--- a/src/main/java/maplespread/caller/Service.java
+++ b/src/main/java/maplespread/caller/ServingContext.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import maplespread.config.Config;
-import maplespread.facade.Dispatcher;
-import maplespread.facade.Ends;
-import maplespread.figures.Figures;
+import maplespread.facade.DecisionService;
+import maplespread.facade.RequestListener;
+import maplespread.metrics.Metrics;
 import maplespread.worker.AttemptRunner;
 
 /**
@@ -17,50 +17,50 @@
  * parting}: whether connections are to end after their present requests; {@code lastUs}: no request may last
  * beyond it; {@code ends}: hears of each job, or null; {@code turns}: gives jobs their turn, or null.
  */
-public record Service(
+public record ServingContext(
         Supplier<Config> current,
-        Dispatcher dispatcher,
-        AttemptRunner branches,
-        ExecutorService transactions,
-        Supplier<Config.Sizes> sizes,
-        Room room,
-        Semaphore largeRoom,
-        Ids ids,
-        Figures figures,
+        DecisionService dispatcher,
+        AttemptRunner attemptRunner,
+        ExecutorService requestThreads,
+        Supplier<Config.Limits> limits,
+        ConcurrencyLimit requestPermits,
+        Semaphore largeBodyPermits,
+        RecentRequestIds recentIds,
+        Metrics metrics,
         BooleanSupplier serving,
-        Supplier<String> unready,
-        BooleanSupplier parting,
-        LongSupplier lastUs,
-        Ends ends,
-        Turns turns) {
+        Supplier<String> notReadyReason,
+        BooleanSupplier closingConnections,
+        LongSupplier shutdownDeadlineUs,
+        RequestListener requestListener,
+        RequestSequencer sequencer) {
     /** Bodies above this length are few, and so many at once fit the heap. */
     static final int LARGE = 8 * 1024;
 
     private static final int LARGE_AT_ONCE = 48;
 
     /** With all room free. */
-    public Service(
+    public ServingContext(
             Supplier<Config> current,
-            Dispatcher dispatcher,
+            DecisionService dispatcher,
             AttemptRunner branches,
             ExecutorService transactions,
-            Supplier<Config.Sizes> sizes,
-            Figures figures,
+            Supplier<Config.Limits> sizes,
+            Metrics figures,
             BooleanSupplier serving,
             Supplier<String> unready,
             BooleanSupplier parting,
             LongSupplier lastUs,
-            Ends ends,
-            Turns turns) {
+            RequestListener ends,
+            RequestSequencer turns) {
         this(
                 current,
                 dispatcher,
                 branches,
                 transactions,
                 sizes,
-                new Room(() -> sizes.get().transactions()),
+                new ConcurrencyLimit(() -> sizes.get().requestsInFlight()),
                 new Semaphore(LARGE_AT_ONCE),
-                new Ids(() -> current.get().times().longestMs()),
+                new RecentRequestIds(() -> current.get().times().longestDeadlineMs()),
                 figures,
                 serving,
                 unready,
--- a/src/main/java/maplespread/cli/Cli.java
+++ b/src/main/java/maplespread/cli/Cli.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.Callable;
 import maplespread.Start;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
 import maplespread.registry.RegistrySettings;
 import picocli.AutoComplete;
@@ -44,7 +44,7 @@
     static CommandLine line() {
         return new CommandLine(new Cli()).setExecutionExceptionHandler((e, line, parsed) -> {
             line.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
-            return e instanceof ConfigError ? 2 : 1;
+            return e instanceof ConfigException ? 2 : 1;
         });
     }
 
@@ -140,10 +140,12 @@
                         c.name(), c.listen(), c.discovery());
                 out.printf(
                         "classes              %s%nsizes                %s%ntimes                %s%n",
-                        c.names().classes(), c.sizes(), c.times());
-                out.printf("known workers        %d%n", c.known().routes().size());
+                        c.names().classes(), CheckOutput.limits(c.limits()), CheckOutput.times(c.times()));
+                out.printf(
+                        "known workers        %d%n",
+                        c.cachedEndpoints().endpoints().size());
             }
-            Operator o = OperatorReader.file(file);
+            OperatorConfig o = OperatorReader.file(file);
             if (env.get("BALANCER_CONFIG") != null) {
                 o.check(ConfigReader.fromEnvironment(env));
             }
@@ -152,8 +154,8 @@
                     "subset               %s%n",
                     o.subset() == null
                             ? "off: all workers are used"
-                            : (long) o.subset().sharers() + " dispatchers a worker, at least "
-                                    + (long) o.subset().least() + " workers");
+                            : (long) o.subset().dispatchersPerWorker() + " dispatchers a worker, at least "
+                                    + (long) o.subset().minWorkers() + " workers");
             out.printf("shares.beyond        %s%n", o.fair() ? "give_way" : "as_any");
             out.printf("group                %s%n", o.group() == null ? "off: dispatchers share nothing" : o.group());
             out.printf(
--- a/src/main/java/maplespread/cli/RegistryCommands.java
+++ b/src/main/java/maplespread/cli/RegistryCommands.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import maplespread.config.OperatorReader;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.EndpointListener;
+import maplespread.discovery.EndpointParser;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
+import maplespread.policy.Dispatch;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
 import maplespread.registry.client.RegistryAdmin;
-import maplespread.registry.client.RegistrySource;
-import maplespread.routes.RouteReader;
-import maplespread.routes.RouteSink;
+import maplespread.registry.client.RegistryEndpointSource;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -75,11 +75,11 @@
                 try {
                     d = Dialect.valueOf(
                             dialect.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-                    endpoints.forEach(RouteReader::address);
+                    endpoints.forEach(EndpointParser::parseAddress);
                 } catch (IllegalArgumentException e) {
                     throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
                 }
-                return RegistrySettings.of(d, endpoints, follow);
+                return RegistrySettings.withDefaults(d, endpoints, follow);
             }
             String file = operator != null ? operator : System.getenv("BALANCER_OPERATOR");
             RegistrySettings r = OperatorReader.file(file).registry();
@@ -96,26 +96,26 @@
         }
 
         /** Follows the registry; the sink hears the whole first. */
-        RegistrySource follow(java.util.function.Consumer<EndpointUpdate> heard) throws Exception {
-            return new RegistrySource(
-                    settings(), new RouteReader(List.of(), List.of()), 1, System.nanoTime(), new RouteSink() {
+        RegistryEndpointSource follow(java.util.function.Consumer<EndpointUpdate> heard) throws Exception {
+            return new RegistryEndpointSource(
+                    settings(), new EndpointParser(List.of(), List.of()), 1, System.nanoTime(), new EndpointListener() {
                         @Override
-                        public void news(EndpointUpdate news) {
+                        public void endpointsChanged(EndpointUpdate news) {
                             heard.accept(news);
                         }
 
                         @Override
-                        public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+                        public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
                         @Override
-                        public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+                        public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
                     });
         }
     }
 
     static final String ROW = "%-24s %-22s %-9s %7s %5s %15s%n";
 
-    static void row(PrintWriter out, Route r) {
+    static void row(PrintWriter out, Endpoint r) {
         out.printf(
                 ROW,
                 r.worker(),
@@ -145,11 +145,11 @@
 
         @Override
         public Integer call() throws Exception {
-            Map<String, Route> all = new TreeMap<>();
+            Map<String, Endpoint> all = new TreeMap<>();
             CountDownLatch whole = new CountDownLatch(1);
-            try (RegistrySource source = follow(news -> {
+            try (RegistryEndpointSource source = follow(news -> {
                 if (whole.getCount() > 0) {
-                    news.routes().forEach(r -> all.put(r.worker(), r));
+                    news.endpoints().forEach(r -> all.put(r.worker(), r));
                     whole.countDown();
                 }
             })) {
@@ -179,7 +179,7 @@
         @Override
         public Integer call() throws Exception {
             head(out());
-            try (RegistrySource source = follow(news -> news.routes().forEach(r -> row(out(), r)))) {
+            try (RegistryEndpointSource source = follow(news -> news.endpoints().forEach(r -> row(out(), r)))) {
                 source.start();
                 new CountDownLatch(1).await(seconds > 0 ? seconds : Long.MAX_VALUE / 4, TimeUnit.SECONDS);
             }
@@ -214,7 +214,7 @@
         private Long startedAtMs;
 
         JsonObject value() {
-            RouteReader.address(address);
+            EndpointParser.parseAddress(address);
             JsonObject o = new JsonObject();
             o.addProperty("instanceId", worker);
             o.addProperty("hostPort", address);
@@ -249,7 +249,7 @@
         private List<String> workers;
 
         /** False: it is not there. */
-        abstract boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone;
+        abstract boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.RegistryAdminException;
 
         abstract String word();
 
@@ -273,7 +273,7 @@
             description = "Has workers drain: they finish what they hold and get nothing new.")
     static final class Drain extends Each {
         @Override
-        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
+        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.RegistryAdminException {
             return admin.drain(worker);
         }
 
@@ -286,7 +286,7 @@
     @Command(name = "rm", mixinStandardHelpOptions = true, description = "Removes workers.")
     static final class Remove extends Each {
         @Override
-        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.NotDone {
+        boolean done(RegistryAdmin admin, String worker) throws RegistryAdmin.RegistryAdminException {
             return admin.remove(worker);
         }
 
@@ -331,7 +331,7 @@
             CountDownLatch over = new CountDownLatch(1);
             JsonObject value = value();
             try (RegistryAdmin admin = new RegistryAdmin(settings())) {
-                String lease = admin.lease(ttl);
+                String lease = admin.grantLease(ttl);
                 admin.put(worker, value, lease, ttl);
                 out().println(worker + " serves");
                 out().flush();
@@ -352,7 +352,7 @@
                     out().flush();
                     // Renewed meanwhile: the worker must not vanish before it has finished.
                     rest(admin, lease);
-                    admin.end(lease, worker);
+                    admin.revokeLease(lease, worker);
                     out().println(worker + " is removed");
                     out().flush();
                 } finally {
@@ -372,13 +372,13 @@
             while (!ended.await(Math.max(100, ttl * 1000 / 3), TimeUnit.MILLISECONDS)
                     && (seconds == 0 || System.nanoTime() < end)) {
                 try {
-                    if (!admin.keep(lease, worker)) { // it has ended: the registry has lost it
-                        lease = admin.lease(ttl);
+                    if (!admin.renewLease(lease, worker)) { // it has ended: the registry has lost it
+                        lease = admin.grantLease(ttl);
                         admin.put(worker, value, lease, ttl);
                         out().println(worker + " serves again");
                         out().flush();
                     }
-                } catch (RegistryAdmin.NotDone e) { // asked again after a third of the lease
+                } catch (RegistryAdmin.RegistryAdminException e) { // asked again after a third of the lease
                     out().println(e.getMessage());
                     out().flush();
                 }
@@ -389,7 +389,7 @@
         private void rest(RegistryAdmin admin, String lease) throws Exception {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(grace);
             while (System.nanoTime() < end) {
-                admin.keep(lease, worker);
+                admin.renewLease(lease, worker);
                 Thread.sleep(Math.min(ttl * 1000 / 3, Math.max(1, (end - System.nanoTime()) / 1_000_000)));
             }
         }
--- a/src/main/java/maplespread/group/Status.java
+++ b/src/main/java/maplespread/cluster/MemberStatus.java
@@ -1,4 +1,4 @@
-package maplespread.group;
+package maplespread.cluster;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,15 +9,15 @@
  * number}: grows with each word of a run; {@code zone}: its own, by name; shares and the mean time from taken
  * to answered of the last seconds, with the count of answers that they stand on.
  */
-public record Status(
-        long run,
-        long number,
+public record MemberStatus(
+        long incarnation,
+        long sequence,
         String version,
         String zone,
         Phase phase,
-        double refused,
-        double errors,
-        double waitMs,
+        double rejectedShare,
+        double errorShare,
+        double meanLatencyMs,
         long samples) {
     /** DRAINING: clients are sent away, by call or since it ends. */
     public enum Phase {
@@ -30,17 +30,17 @@
     private static final int MOST_TEXT = 64;
 
     /** At most 200 bytes: longer names are cut. */
-    public byte[] bytes() {
+    public byte[] encode() {
         byte[] v = text(version);
         byte[] z = text(zone);
         return ByteBuffer.allocate(1 + 2 * 8 + 1 + 4 * 8 + 2 + v.length + z.length)
                 .put(FORM)
-                .putLong(run)
-                .putLong(number)
+                .putLong(incarnation)
+                .putLong(sequence)
                 .put((byte) phase.ordinal())
-                .putDouble(refused)
-                .putDouble(errors)
-                .putDouble(waitMs)
+                .putDouble(rejectedShare)
+                .putDouble(errorShare)
+                .putDouble(meanLatencyMs)
                 .putLong(samples)
                 .put((byte) v.length)
                 .put(v)
@@ -55,7 +55,7 @@
     }
 
     /** Empty for what is no status: a member of another version may say more, or less. */
-    public static Optional<Status> read(byte[] bytes) {
+    public static Optional<MemberStatus> decode(byte[] bytes) {
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes);
             if (in.get() != FORM) {
@@ -79,7 +79,7 @@
                     && samples >= 0
                     && !in.hasRemaining();
             return sound
-                    ? Optional.of(new Status(run, number, version, zone, phase, refused, errors, wait, samples))
+                    ? Optional.of(new MemberStatus(run, number, version, zone, phase, refused, errors, wait, samples))
                     : Optional.empty();
         } catch (RuntimeException e) { // cut short, or no such phase
             return Optional.empty();
@@ -93,7 +93,9 @@
     }
 
     /** Whether this is later than another one of the same name, which may be null. */
-    boolean after(Status other) {
-        return other == null || run > other.run || run == other.run && number > other.number;
+    boolean isNewerThan(MemberStatus other) {
+        return other == null
+                || incarnation > other.incarnation
+                || incarnation == other.incarnation && sequence > other.sequence;
     }
 }
--- a/src/main/java/maplespread/group/Statuses.java
+++ b/src/main/java/maplespread/cluster/MemberStatusTable.java
@@ -1,4 +1,4 @@
-package maplespread.group;
+package maplespread.cluster;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -8,28 +8,28 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
-import maplespread.figures.Figures.Totals;
+import maplespread.metrics.Metrics.Totals;
 
 /** The newest status of each member, and this one's own, which is told about twice a second. */
-public final class Statuses {
+public final class MemberStatusTable {
     private static final int MOST_A_ROUND = 64; // are told at once; then the next ones
     private static final int WINDOW = 20; // rounds that a status looks back on
     private static final int MOST_HELD = 4096;
 
     /** As it was heard, at a time of this process's own clock. */
-    public record Heard(Status status, long atMs) {}
+    public record ReceivedStatus(MemberStatus status, long receivedAtMs) {}
 
     private final long run;
     private final String version;
     private final String zone;
     private final BiConsumer<String, byte[]> send;
-    private final Map<String, Heard> newest = new ConcurrentHashMap<>();
+    private final Map<String, ReceivedStatus> newest = new ConcurrentHashMap<>();
     private final Deque<Totals> window = new ArrayDeque<>();
     private long number;
     private int next; // of the others, whose turn it is
 
     /** {@code send}: to a member by name. */
-    public Statuses(long run, String version, String zone, BiConsumer<String, byte[]> send) {
+    public MemberStatusTable(long run, String version, String zone, BiConsumer<String, byte[]> send) {
         this.run = run;
         this.version = version;
         this.zone = zone;
@@ -37,7 +37,7 @@
     }
 
     /** Of these seconds: the totals now against those of the first look in the window. */
-    private Status own(Status.Phase phase, Totals now) {
+    private MemberStatus own(MemberStatus.Phase phase, Totals now) {
         window.addLast(now);
         if (window.size() > WINDOW) {
             window.removeFirst();
@@ -47,7 +47,7 @@
         long busy = now.busy() - then.busy();
         long failed = now.failed() - then.failed();
         long all = served + busy + failed;
-        return new Status(
+        return new MemberStatus(
                 run,
                 ++number,
                 version,
@@ -60,10 +60,10 @@
     }
 
     /** Tells the others; from one thread. {@code name}: this one's, under which its own word is kept too. */
-    public void tell(String name, Status.Phase phase, Totals now, List<String> others, long atMs) {
-        Status mine = own(phase, now);
-        newest.put(name, new Heard(mine, atMs));
-        byte[] bytes = mine.bytes();
+    public void broadcast(String name, MemberStatus.Phase phase, Totals now, List<String> others, long atMs) {
+        MemberStatus mine = own(phase, now);
+        newest.put(name, new ReceivedStatus(mine, atMs));
+        byte[] bytes = mine.encode();
         for (int i = 0; i < Math.min(MOST_A_ROUND, others.size()); i++) {
             send.accept(others.get(next++ % others.size()), bytes);
         }
@@ -71,20 +71,23 @@
     }
 
     /** Takes another's word; one that is older than what is known, or unreadable, is passed over. */
-    public void heard(String from, byte[] payload, long atMs) {
-        Status status = Status.read(payload).orElse(null);
+    public void receive(String from, byte[] payload, long atMs) {
+        MemberStatus status = MemberStatus.decode(payload).orElse(null);
         if (status == null || newest.size() >= MOST_HELD && !newest.containsKey(from)) {
             return;
         }
-        newest.merge(from, new Heard(status, atMs), (was, now) -> now.status().after(was.status()) ? now : was);
+        newest.merge(
+                from,
+                new ReceivedStatus(status, atMs),
+                (was, now) -> now.status().isNewerThan(was.status()) ? now : was);
     }
 
-    public Optional<Heard> of(String member) {
+    public Optional<ReceivedStatus> find(String member) {
         return Optional.ofNullable(newest.get(member));
     }
 
     /** Forgets all but these. */
-    public void keep(Collection<String> members) {
+    public void retainMembers(Collection<String> members) {
         newest.keySet().retainAll(members);
     }
 }
--- a/src/main/java/maplespread/group/package-info.java
+++ b/src/main/java/maplespread/cluster/package-info.java
@@ -3,4 +3,4 @@
  * the fleet agrees on. Owns the form of a status, the newest one of each member, and the value's sections.
  * May call {@code figures} and {@code faults}; sends and hears by functions that it is given.
  */
-package maplespread.group;
+package maplespread.cluster;
--- a/src/main/java/maplespread/config/Config.java
+++ b/src/main/java/maplespread/config/Config.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Set;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.WatchTimeouts;
 import maplespread.facade.EndpointUpdate;
-import maplespread.routes.ListClock;
+import maplespread.policy.Dispatch;
 
 /**
  * All that a dispatcher is told, read and checked by {@link ConfigReader}. {@code console}: where the
@@ -23,28 +23,28 @@
         Path tmp,
         InetSocketAddress discovery,
         long seed,
-        Dispatch.Settings settings,
+        Dispatch.PolicySettings settings,
         Names names,
-        Sizes sizes,
+        Limits limits,
         Times times,
-        EndpointUpdate known,
+        EndpointUpdate cachedEndpoints,
         Set<String> keys) {
     /** The operators' connections at once; their descriptors are not the clients'. */
-    public static final int CONSOLE_PLACES = 12;
+    public static final int MAX_ADMIN_CONNECTIONS = 12;
 
     /**
      * This one, read while {@code running} holds, as it can be taken up without a restart: classes keep their
      * places, and what needs a restart stays. A ConfigError where it lacks a key that the running one has.
      */
-    public Config after(Config running) throws ConfigError {
+    public Config after(Config running) throws ConfigException {
         for (String key : running.keys) {
             if (!keys.contains(key)) {
-                throw new ConfigError(key, "is missing; the running configuration has it");
+                throw new ConfigException(key, "is missing; the running configuration has it");
             }
         }
         List<String> places = new ArrayList<>(running.names.classes);
         names.classes.stream().filter(c -> !places.contains(c)).forEach(places::add);
-        List<Dispatch.ClassSpec> specs = new ArrayList<>();
+        List<Dispatch.RequestClass> specs = new ArrayList<>();
         Set<String> out = new LinkedHashSet<>();
         for (String cls : places) {
             int at = names.classes.indexOf(cls);
@@ -60,12 +60,12 @@
                 running.tmp,
                 discovery,
                 running.seed,
-                settings.with(specs),
+                settings.withClasses(specs),
                 new Names(
                         List.copyOf(places), names.tenants, running.names.zones, running.names.kinds, Set.copyOf(out)),
-                running.sizes,
+                running.limits,
                 times,
-                running.known,
+                running.cachedEndpoints,
                 keys);
     }
 
@@ -75,7 +75,7 @@
         differ(keys, "name", name, other.name);
         differ(keys, "listen", listen, other.listen);
         differ(keys, "console", console, other.console);
-        differ(keys, "limits", sizes, other.sizes);
+        differ(keys, "limits", limits, other.limits);
         differ(keys, "settings.areas", names.zones, other.names.zones);
         differ(keys, "settings.models", names.kinds, other.names.kinds);
         return keys;
@@ -109,13 +109,25 @@
      * of these, beyond how many the longest idle end, {@code links}: worker connections, in use or idle,
      * {@code idleLinks}: of these, how many may be idle whatever is in use.
      */
-    public record Sizes(int transactions, int legs, int kept, int links, int idleLinks, int probes) {
+    public record Limits(
+            int requestsInFlight,
+            int clientConnections,
+            int servedClientConnections,
+            int workerConnections,
+            int idleWorkerConnections,
+            int probes) {
         /**
          * For each of two processes that are one dispatcher: two fifths, as each has descriptors and memory
          * of its own beside these.
          */
-        public Sizes shared() {
-            return new Sizes(part(transactions), part(legs), part(kept), part(links), part(idleLinks), part(probes));
+        public Limits shared() {
+            return new Limits(
+                    part(requestsInFlight),
+                    part(clientConnections),
+                    part(servedClientConnections),
+                    part(workerConnections),
+                    part(idleWorkerConnections),
+                    part(probes));
         }
 
         private static int part(int n) {
@@ -134,13 +146,13 @@
             long dialMs,
             long firstByteMs,
             long probeMs,
-            long linkIdleMs,
-            long legIdleMs,
-            long legReadMs,
-            ListClock list,
-            long longestMs,
+            long workerIdleMs,
+            long clientIdleMs,
+            long clientReadMs,
+            WatchTimeouts watchTimeouts,
+            long longestDeadlineMs,
             long acceptMs,
-            long holdMs,
-            long endMs,
+            long drainMs,
+            long shutdownMs,
             long firstListMs) {}
 }
--- a/src/main/java/maplespread/config/ConfigError.java
+++ b/src/main/java/maplespread/config/ConfigException.java
@@ -1,10 +1,10 @@
 package maplespread.config;
 
 /** The configuration cannot be used; the message names the key. */
-public final class ConfigError extends Exception {
+public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    ConfigError(String key, String why) {
+    ConfigException(String key, String why) {
         super(key + ": " + why);
     }
 }
--- a/src/main/java/maplespread/config/ConfigReader.java
+++ b/src/main/java/maplespread/config/ConfigReader.java
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.EndpointParser;
+import maplespread.discovery.WatchTimeouts;
 import maplespread.facade.EndpointUpdate;
-import maplespread.routes.ListClock;
-import maplespread.routes.RouteReader;
+import maplespread.policy.Dispatch;
 
 /** The one place where the configuration is read, checked and given defaults. */
 public final class ConfigReader {
@@ -41,39 +41,39 @@
      * The file anew, for a program that runs: the address of discovery is now the file's word alone, whatever
      * the environment said at the start.
      */
-    public static Config again(Map<String, String> env) throws ConfigError {
+    public static Config again(Map<String, String> env) throws ConfigException {
         Map<String, String> rest = new HashMap<>(env);
         rest.remove("BALANCER_DISCOVERY");
         return fromEnvironment(rest);
     }
 
     /** From the environment: BALANCER_CONFIG names the file, the other variables win over it. */
-    public static Config fromEnvironment(Map<String, String> env) throws ConfigError {
+    public static Config fromEnvironment(Map<String, String> env) throws ConfigException {
         String file = env.get("BALANCER_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new ConfigError("BALANCER_CONFIG", "names no file");
+            throw new ConfigException("BALANCER_CONFIG", "names no file");
         }
         String text;
         try {
             text = Files.readString(Path.of(file));
         } catch (IOException e) {
-            throw new ConfigError("BALANCER_CONFIG", "cannot read " + file + ": " + e.getMessage());
+            throw new ConfigException("BALANCER_CONFIG", "cannot read " + file + ": " + e.getMessage());
         }
         return read(text, env);
     }
 
     /** From the text of the file and the variables that win over it. */
-    public static Config read(String text, Map<String, String> env) throws ConfigError {
+    public static Config read(String text, Map<String, String> env) throws ConfigException {
         JsonObject root;
         try {
             root = JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new ConfigError("BALANCER_CONFIG", "not a JSON object");
+            throw new ConfigException("BALANCER_CONFIG", "not a JSON object");
         }
         return new ConfigReader().read(root, env);
     }
 
-    private Config read(JsonObject root, Map<String, String> env) throws ConfigError {
+    private Config read(JsonObject root, Map<String, String> env) throws ConfigException {
         JsonObject set = object(root, "settings");
         flatten("", set);
         check(set);
@@ -83,15 +83,15 @@
                 strings(set, "areas"),
                 strings(set, "models"),
                 Set.of());
-        Dispatch.Settings settings = settings();
+        Dispatch.PolicySettings settings = settings();
         JsonObject limits = root.has("limits") ? object(root, "limits") : new JsonObject();
         int sockets = (int) number(limits, "limits.", "sockets", 1024);
         double memoryMb = number(limits, "limits.", "memory_mb", 192);
         if (sockets < LEAST_SOCKETS) {
-            throw new ConfigError("limits.sockets", "at least " + LEAST_SOCKETS + " are needed");
+            throw new ConfigException("limits.sockets", "at least " + LEAST_SOCKETS + " are needed");
         }
         InetSocketAddress console = optional(root, env, "console", "BALANCER_CONSOLE");
-        sockets -= console == null ? 0 : Config.CONSOLE_PLACES + 2; // never the clients'
+        sockets -= console == null ? 0 : Config.MAX_ADMIN_CONNECTIONS + 2; // never the clients'
         return new Config(
                 string(root, env, "name", "BALANCER_NAME"),
                 address(string(root, env, "listen", "BALANCER_LISTEN"), "listen"),
@@ -141,10 +141,10 @@
      * for those that have brought none yet, a third for branches; threads get the memory that {@code run}
      * leaves to them.
      */
-    private static Config.Sizes sizes(int sockets, double memoryMb) {
+    private static Config.Limits sizes(int sockets, double memoryMb) {
         int threads = (int) ((memoryMb - MEMORY_KEPT_MB) * 1024 / THREAD_KB);
         int transactions = Math.min(256, Math.min(sockets / 3, threads * 2 / 5));
-        return new Config.Sizes(
+        return new Config.Limits(
                 transactions,
                 transactions + Math.min(sockets / 8, threads / 5),
                 sockets / 4,
@@ -153,13 +153,14 @@
                 Math.min(32, sockets / 24));
     }
 
-    private static Config.Times times(Dispatch.Settings set) {
+    private static Config.Times times(Dispatch.PolicySettings set) {
         double longest = set.classes().stream()
-                .mapToDouble(Dispatch.ClassSpec::deadlineMs)
+                .mapToDouble(Dispatch.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
-        double idle = set.permissions().connIdleMs() > 0 ? set.permissions().connIdleMs() * 2 / 3 : 10_000;
-        long dial = Math.max(1, Math.round(set.permissions().dialTimeoutMs()));
+        double idle =
+                set.permissions().idleConnectionMs() > 0 ? set.permissions().idleConnectionMs() * 2 / 3 : 10_000;
+        long dial = Math.max(1, Math.round(set.permissions().connectTimeoutMs()));
         return new Config.Times(
                 dial,
                 Math.max(500, 2 * dial),
@@ -167,7 +168,7 @@
                 (long) idle,
                 60_000,
                 2_500,
-                ListClock.ofProtocol(),
+                WatchTimeouts.ofProtocol(),
                 (long) longest,
                 500,
                 (long) Math.min(2000, longest),
@@ -201,10 +202,10 @@
     }
 
     /** What the module's own checks would reject, or pass over in silence, named by its key here. */
-    private void check(JsonObject set) throws ConfigError {
+    private void check(JsonObject set) throws ConfigException {
         int classes = array(set, "classes").size();
         if (classes == 0) {
-            throw new ConfigError("settings.classes", "at least one class is needed");
+            throw new ConfigException("settings.classes", "at least one class is needed");
         }
         for (int i = 0; i < classes; i++) {
             String at = "classes." + i + ".";
@@ -217,7 +218,7 @@
             within(at + "repeatWindowMs", 0, 1e12, 0);
             String effect = flat.get(at + "effect");
             if (effect == null || !EFFECTS.contains(effect)) {
-                throw new ConfigError("settings." + at + "effect", "must be one of " + sorted(EFFECTS));
+                throw new ConfigException("settings." + at + "effect", "must be one of " + sorted(EFFECTS));
             }
         }
         int tenants = set.has("customers") ? array(set, "customers").size() : 0;
@@ -244,42 +245,42 @@
     }
 
     /** {@code otherwise}: what stands in where the key is absent; NaN where it must be there. */
-    private void within(String key, double low, double high, double otherwise) throws ConfigError {
+    private void within(String key, double low, double high, double otherwise) throws ConfigException {
         String text = flat.get(key);
         if (text == null && Double.isNaN(otherwise)) {
-            throw new ConfigError("settings." + key, "is missing");
+            throw new ConfigException("settings." + key, "is missing");
         }
         double v;
         try {
             v = text == null ? otherwise : Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new ConfigError("settings." + key, "not a number: " + text);
+            throw new ConfigException("settings." + key, "not a number: " + text);
         }
         if (!(v >= low && v <= high)) {
             String from = low == Math.nextUp(0.0) ? "above 0" : "from " + low;
-            throw new ConfigError(
+            throw new ConfigException(
                     "settings." + key, "out of range: " + text + "; " + from + " up to " + high + " may stand there");
         }
     }
 
-    private Dispatch.Settings settings() throws ConfigError {
+    private Dispatch.PolicySettings settings() throws ConfigException {
         // Real clients may always be told when to come back.
         flat.put("permissions.retryAfter", "true");
         try {
-            return Facts.read(flat);
+            return SettingsPathReader.read(flat);
         } catch (IllegalArgumentException e) {
-            throw new ConfigError("settings", e.getMessage());
+            throw new ConfigException("settings", e.getMessage());
         }
     }
 
-    private static List<String> named(JsonObject set, String key) throws ConfigError {
+    private static List<String> named(JsonObject set, String key) throws ConfigException {
         List<String> names = new ArrayList<>();
         if (set.has(key)) {
             int i = 0;
             for (JsonElement e : array(set, key)) {
                 String at = "settings." + key + "." + i++;
                 if (!e.isJsonObject() || !e.getAsJsonObject().has("name")) {
-                    throw new ConfigError(at + ".name", "is missing");
+                    throw new ConfigException(at + ".name", "is missing");
                 }
                 names.add(text(e.getAsJsonObject().get("name"), at + ".name"));
             }
@@ -287,7 +288,7 @@
         return List.copyOf(names);
     }
 
-    private static List<String> strings(JsonObject set, String key) throws ConfigError {
+    private static List<String> strings(JsonObject set, String key) throws ConfigException {
         List<String> names = new ArrayList<>();
         if (set.has(key)) {
             for (JsonElement e : array(set, key)) {
@@ -297,38 +298,38 @@
         return List.copyOf(names);
     }
 
-    private static String text(JsonElement e, String key) throws ConfigError {
+    private static String text(JsonElement e, String key) throws ConfigException {
         if (!e.isJsonPrimitive()) {
-            throw new ConfigError(key, "must be a plain value");
+            throw new ConfigException(key, "must be a plain value");
         }
         return e.getAsString();
     }
 
     // ------------------------------------------------------------ the rest
 
-    private static EndpointUpdate known(JsonObject root, Config.Names names) throws ConfigError {
+    private static EndpointUpdate known(JsonObject root, Config.Names names) throws ConfigException {
         if (!root.has("known") || root.get("known").isJsonNull()) {
-            return new EndpointUpdate(EndpointUpdate.Kind.HELD, 0, List.of());
+            return new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 0, List.of());
         }
         try {
-            EndpointUpdate news = new RouteReader(names.zones(), names.kinds()).read(object(root, "known"));
-            return new EndpointUpdate(EndpointUpdate.Kind.HELD, news.generation(), news.routes());
-        } catch (RouteReader.Malformed e) {
-            throw new ConfigError("known", e.getMessage());
+            EndpointUpdate news = new EndpointParser(names.zones(), names.kinds()).parse(object(root, "known"));
+            return new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, news.version(), news.endpoints());
+        } catch (EndpointParser.MalformedListException e) {
+            throw new ConfigException("known", e.getMessage());
         }
     }
 
-    private static long seed(JsonObject root) throws ConfigError {
+    private static long seed(JsonObject root) throws ConfigException {
         String text = root.has("seed") ? text(root.get("seed"), "seed") : "0";
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new ConfigError("seed", "not a hexadecimal number: " + text);
+            throw new ConfigException("seed", "not a hexadecimal number: " + text);
         }
     }
 
     private static String string(JsonObject root, Map<String, String> env, String key, String variable)
-            throws ConfigError {
+            throws ConfigException {
         String text = env.get(variable);
         if (text == null || text.isEmpty()) {
             text = root.has(key) && root.get(key).isJsonPrimitive()
@@ -336,7 +337,7 @@
                     : "";
         }
         if (text.isEmpty()) {
-            throw new ConfigError(key, "is missing");
+            throw new ConfigException(key, "is missing");
         }
         return text;
     }
@@ -347,21 +348,21 @@
 
     /** Null where neither names one. */
     private static InetSocketAddress optional(JsonObject root, Map<String, String> env, String key, String variable)
-            throws ConfigError {
+            throws ConfigException {
         boolean told = !env.getOrDefault(variable, "").isEmpty()
                 || root.has(key) && !root.get(key).isJsonNull();
         return told ? address(string(root, env, key, variable), key) : null;
     }
 
-    private static InetSocketAddress address(String text, String key) throws ConfigError {
+    private static InetSocketAddress address(String text, String key) throws ConfigException {
         try {
-            return RouteReader.address(text);
+            return EndpointParser.parseAddress(text);
         } catch (IllegalArgumentException e) {
-            throw new ConfigError(key, "not an address with a port: " + text);
+            throw new ConfigException(key, "not an address with a port: " + text);
         }
     }
 
-    private static double number(JsonObject in, String path, String key, double otherwise) throws ConfigError {
+    private static double number(JsonObject in, String path, String key, double otherwise) throws ConfigException {
         try {
             double v = in.has(key) ? in.get(key).getAsDouble() : otherwise;
             if (v > 0) {
@@ -370,19 +371,19 @@
         } catch (RuntimeException e) {
             // said below
         }
-        throw new ConfigError(path + key, "not a number above 0");
+        throw new ConfigException(path + key, "not a number above 0");
     }
 
-    private static JsonObject object(JsonObject in, String key) throws ConfigError {
+    private static JsonObject object(JsonObject in, String key) throws ConfigException {
         if (!in.has(key) || !in.get(key).isJsonObject()) {
-            throw new ConfigError(key, "must be an object");
+            throw new ConfigException(key, "must be an object");
         }
         return in.getAsJsonObject(key);
     }
 
-    private static JsonArray array(JsonObject set, String key) throws ConfigError {
+    private static JsonArray array(JsonObject set, String key) throws ConfigException {
         if (!set.has(key) || !set.get(key).isJsonArray()) {
-            throw new ConfigError("settings." + key, "must be a list");
+            throw new ConfigException("settings." + key, "must be a list");
         }
         return set.getAsJsonArray(key);
     }
--- a/src/main/java/maplespread/config/Operator.java
+++ b/src/main/java/maplespread/config/OperatorConfig.java
@@ -2,7 +2,7 @@
 
 import maplespread.registry.RegistrySettings;
 import maplespread.release.Limits;
-import maplespread.subset.Cut;
+import maplespread.subset.SubsetAssignment;
 
 /**
  * What the operators' own file says, read and checked by {@link OperatorReader}. {@code registry}: null where
@@ -11,30 +11,31 @@
  * dispatchers share nothing; {@code release}: who may be out at once, null where nothing is agreed on that;
  * {@code starvation}: null where it is not looked for; {@code partition}: null where jobs have no order.
  */
-public record Operator(
+public record OperatorConfig(
         boolean jsonLog,
         RegistrySettings registry,
-        Cut.Wish subset,
+        SubsetAssignment.SubsetSettings subset,
         boolean fair,
         GroupSettings group,
         Limits release,
         StarvationSettings starvation,
         PartitionSettings partition) {
     /** What counts where there is no file. */
-    public static final Operator NONE = new Operator(false, null);
+    public static final OperatorConfig NONE = new OperatorConfig(false, null);
 
     /** Without subsets and shares. */
-    public Operator(boolean jsonLog, RegistrySettings registry) {
+    public OperatorConfig(boolean jsonLog, RegistrySettings registry) {
         this(jsonLog, registry, null, false);
     }
 
     /** Without a group. */
-    public Operator(boolean jsonLog, RegistrySettings registry, Cut.Wish subset, boolean fair) {
+    public OperatorConfig(
+            boolean jsonLog, RegistrySettings registry, SubsetAssignment.SubsetSettings subset, boolean fair) {
         this(jsonLog, registry, subset, fair, null, null, null, null);
     }
 
     /** What the two files must agree in; to be called when both have been read. */
-    public void check(Config config) throws ConfigError {
+    public void check(Config config) throws ConfigException {
         if (partition != null) {
             partition.check(config);
         }
--- a/src/main/java/maplespread/config/OperatorReader.java
+++ b/src/main/java/maplespread/config/OperatorReader.java
@@ -9,12 +9,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import maplespread.discovery.EndpointParser;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
 import maplespread.release.Limits;
-import maplespread.routes.RouteReader;
-import maplespread.starvation.Relief;
-import maplespread.subset.Cut;
+import maplespread.starvation.PriorityBoost;
+import maplespread.subset.SubsetAssignment;
 
 /**
  * The one place where the operators' own file is read, checked and given defaults. docs/operators/ has every
@@ -26,24 +26,25 @@
 
     private OperatorReader() {}
 
-    /** From the file, or {@link Operator#NONE} where none is named. */
-    public static Operator file(String file) throws ConfigError {
-        return file == null || file.isEmpty() ? Operator.NONE : read(Checked.file(file, "operator"));
+    /** From the file, or {@link OperatorConfig#NONE} where none is named. */
+    public static OperatorConfig file(String file) throws ConfigException {
+        return file == null || file.isEmpty() ? OperatorConfig.NONE : read(StrictJsonObject.file(file, "operator"));
     }
 
     /** From the file's text. */
-    public static Operator text(String text) throws ConfigError {
-        return read(Checked.text(text, "operator"));
+    public static OperatorConfig text(String text) throws ConfigException {
+        return read(StrictJsonObject.text(text, "operator"));
     }
 
-    private static Operator read(Checked root) throws ConfigError {
-        Checked log = root.part("log");
+    private static OperatorConfig read(StrictJsonObject root) throws ConfigException {
+        StrictJsonObject log = root.part("log");
         boolean json = log.oneOf("form", "text", List.of("text", "json")).equals("json");
         RegistrySettings registry = root.has("registry") ? registry(root.part("registry")) : null;
-        Cut.Wish subset = null;
+        SubsetAssignment.SubsetSettings subset = null;
         if (root.has("subset")) {
-            Checked in = root.part("subset");
-            subset = new Cut.Wish(in.whole("sharers", 10, 1, 100_000), in.whole("least", 20, 1, 1_000_000));
+            StrictJsonObject in = root.part("subset");
+            subset = new SubsetAssignment.SubsetSettings(
+                    in.whole("sharers", 10, 1, 100_000), in.whole("least", 20, 1, 1_000_000));
         }
         boolean fair = root.part("shares")
                 .oneOf("beyond", "as_any", List.of("as_any", "give_way"))
@@ -62,10 +63,10 @@
             throw root.error("partition", "cannot go with subset, which may lack a partition's workers");
         }
         root.end();
-        return new Operator(json, registry, subset, fair, group, release, starvation, partition);
+        return new OperatorConfig(json, registry, subset, fair, group, release, starvation, partition);
     }
 
-    private static StarvationSettings starvation(Checked in) throws ConfigError {
+    private static StarvationSettings starvation(StrictJsonObject in) throws ConfigException {
         String verdicts = in.oneOf("verdicts", "log", List.of("log", "console", "both", "off"));
         StarvationSettings set = new StarvationSettings(
                 (int) in.whole("window_ms", 1000, 100, 60_000),
@@ -78,7 +79,7 @@
         return verdicts.equals("off") ? null : set;
     }
 
-    private static PartitionSettings partition(Checked in) throws ConfigError {
+    private static PartitionSettings partition(StrictJsonObject in) throws ConfigException {
         String address = in.string("address", "");
         if (!address.isEmpty()) {
             address(in, "address", address);
@@ -92,7 +93,7 @@
                         in.whole("slots", 64, 1, 256));
     }
 
-    private static Relief.Limits relief(Checked in) throws ConfigError {
+    private static PriorityBoost.Limits relief(StrictJsonObject in) throws ConfigException {
         double most = in.number("most", 2, 1.05, 4);
         double step = in.number("step", 0.1, 0.01, 1);
         double total = in.number("total", 4, 0.05, 100);
@@ -102,10 +103,10 @@
         if (total < most - 1) {
             throw in.error("total", "must be at least " + (most - 1) + ", what most allows one tenant");
         }
-        return new Relief.Limits(most, step, total, true);
+        return new PriorityBoost.Limits(most, step, total, true);
     }
 
-    private static GroupSettings group(Checked in) throws ConfigError {
+    private static GroupSettings group(StrictJsonObject in) throws ConfigException {
         String listen = address(in, "listen", in.string("listen", null));
         String address = address(in, "address", in.string("address", listen));
         if (address.startsWith("0.0.0.0:") || address.startsWith("[::]:")) {
@@ -131,9 +132,9 @@
         return new GroupSettings(listen, address, seeds, electors, keys(in), version, period, ack);
     }
 
-    private static String address(Checked in, String key, String text) throws ConfigError {
+    private static String address(StrictJsonObject in, String key, String text) throws ConfigException {
         try {
-            RouteReader.address(text);
+            EndpointParser.parseAddress(text);
         } catch (IllegalArgumentException e) {
             throw in.error(key, e.getMessage());
         }
@@ -141,7 +142,7 @@
     }
 
     /** Each file has one line: the key's number, and its secret in hexadecimal digits. */
-    private static GroupSettings.Keys keys(Checked in) throws ConfigError {
+    private static GroupSettings.Keys keys(StrictJsonObject in) throws ConfigException {
         Map<Integer, byte[]> keys = new LinkedHashMap<>();
         for (String file : in.strings("key_files")) {
             String[] words;
@@ -164,7 +165,7 @@
         return new GroupSettings.Keys(keys);
     }
 
-    private static Limits release(Checked in) throws ConfigError {
+    private static Limits release(StrictJsonObject in) throws ConfigException {
         Limits d = Limits.DEFAULT;
         return new Limits(
                 out(in, "dispatchers_out", d.dispatchersOut()),
@@ -180,7 +181,7 @@
     }
 
     /** A count, or a share below 1. */
-    private static double out(Checked in, String key, double otherwise) throws ConfigError {
+    private static double out(StrictJsonObject in, String key, double otherwise) throws ConfigException {
         double n = in.number(key, otherwise, 0, Limits.ANY);
         if (n > 1 && n != Math.rint(n)) {
             throw in.error(key, "must be a share below 1 or a whole number");
@@ -188,14 +189,14 @@
         return n;
     }
 
-    private static RegistrySettings registry(Checked in) throws ConfigError {
+    private static RegistrySettings registry(StrictJsonObject in) throws ConfigException {
         String word = in.oneOf("dialect", null, List.of("etcd", "consul-kv", "consul-health"));
         Dialect dialect =
                 Dialect.valueOf(word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
         List<String> endpoints = in.strings("endpoints");
         for (String endpoint : endpoints) {
             try {
-                RouteReader.address(endpoint);
+                EndpointParser.parseAddress(endpoint);
             } catch (IllegalArgumentException e) {
                 throw in.error("endpoints", e.getMessage());
             }
@@ -208,12 +209,12 @@
                 throw in.error("follow", inOrder.get(i) + " lies within " + inOrder.get(i - 1));
             }
         }
-        long dial = in.whole("dial_ms", RegistrySettings.DIAL_MS, 1, 60_000);
-        long silence = in.whole("silence_ms", RegistrySettings.SILENCE_MS, 10, 3_600_000);
-        long wait = in.whole("wait_ms", RegistrySettings.waitFor(endpoints.size()), 100, 600_000);
+        long dial = in.whole("dial_ms", RegistrySettings.DEFAULT_DIAL_MS, 1, 60_000);
+        long silence = in.whole("silence_ms", RegistrySettings.DEFAULT_SILENCE_MS, 10, 3_600_000);
+        long wait = in.whole("wait_ms", RegistrySettings.defaultWaitMs(endpoints.size()), 100, 600_000);
         long answer = in.whole(
                 "answer_ms",
-                RegistrySettings.answerFor(dialect, endpoints.size(), follow.size(), dial, silence, wait),
+                RegistrySettings.defaultAnswerMs(dialect, endpoints.size(), follow.size(), dial, silence, wait),
                 10,
                 600_000);
         RegistrySettings settings = new RegistrySettings(
@@ -231,23 +232,25 @@
                 in.whole("restore_after_ms", 3000, 0, 3_600_000),
                 in.whole("forget_after_ms", 15_000, 0, 3_600_000),
                 in.whole("not_ready_after_ms", 60_000, 0, 86_400_000));
-        String late = settings.tooLate();
+        String late = settings.keyBreakingStalenessLimit();
         if (late != null) {
             throw in.error(
                     late,
                     late.equals("requests_per_s")
                             ? "less than one request in answer_ms (" + answer + ")"
-                            : "after a silence the new word may take " + settings.worstMs() + " ms with dial_ms " + dial
+                            : "after a silence the new word may take " + settings.worstCaseMs() + " ms with dial_ms "
+                                    + dial
                                     + ", answer_ms " + answer
                                     + (dialect == Dialect.ETCD ? ", silence_ms " + silence : ", wait_ms " + wait) + ", "
                                     + endpoints.size()
-                                    + " endpoints and " + follow.size() + " to follow; at most " + settings.clockMs()
+                                    + " endpoints and " + follow.size() + " to follow; at most "
+                                    + settings.stalenessLimitMs()
                                     + " are allowed");
         }
-        if (settings.notReadyAfterMs() > 0 && settings.notReadyAfterMs() < settings.clockMs()) {
+        if (settings.notReadyAfterMs() > 0 && settings.notReadyAfterMs() < settings.stalenessLimitMs()) {
             throw in.error(
                     "not_ready_after_ms",
-                    "must be 0 or at least " + settings.clockMs()
+                    "must be 0 or at least " + settings.stalenessLimitMs()
                             + ", within which a sound registry may rightly be silent");
         }
         return settings;
--- a/src/main/java/maplespread/config/PartitionSettings.java
+++ b/src/main/java/maplespread/config/PartitionSettings.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import maplespread.partition.Partition.Worker;
-import maplespread.partition.Table;
-import maplespread.partition.TableError;
-import maplespread.partition.TableReader;
+import maplespread.partition.RoutingTable;
+import maplespread.partition.RoutingTableException;
+import maplespread.partition.RoutingTableParser;
 
 /**
  * Order over the whole fleet. {@code table}: as JSON, proposed while none is agreed on; {@code address}:
@@ -17,11 +17,11 @@
 public record PartitionSettings(
         String table, String address, long leaseMs, long askMs, long silentMs, long goneMs, double drift, int slots) {
     /** The file's table, where it goes with the names of the site. */
-    Table check(Config config) throws ConfigError {
+    RoutingTable check(Config config) throws ConfigException {
         try {
             return read(table, config, List.of());
-        } catch (TableError e) {
-            throw new ConfigError("partition.table", e.getMessage());
+        } catch (RoutingTableException e) {
+            throw new ConfigException("partition.table", e.getMessage());
         }
     }
 
@@ -40,8 +40,9 @@
     }
 
     /** A table's text by the site's names; {@code workers} empty: not checked against any. */
-    public static Table read(String text, Config config, List<Worker> workers) throws TableError {
+    public static RoutingTable read(String text, Config config, List<Worker> workers) throws RoutingTableException {
         Config.Names n = config.names();
-        return TableReader.read(text, new TableReader.Site(n.classes(), n.tenants(), n.zones(), n.kinds(), workers));
+        return RoutingTableParser.parse(
+                text, new RoutingTableParser.SiteNames(n.classes(), n.tenants(), n.zones(), n.kinds(), workers));
     }
 }
--- a/src/main/java/maplespread/config/Facts.java
+++ b/src/main/java/maplespread/config/SettingsPathReader.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import maplespread.decision.Dispatch;
+import maplespread.policy.Dispatch;
 
 /** Reads the settings' flat paths; what is absent gets a neutral value. */
-public final class Facts {
+public final class SettingsPathReader {
     private final Map<String, String> f;
 
-    private Facts(Map<String, String> f) {
+    private SettingsPathReader(Map<String, String> f) {
         this.f = f;
     }
 
-    public static Dispatch.Settings read(Map<String, String> facts) {
-        return new Facts(facts).settings();
+    public static Dispatch.PolicySettings read(Map<String, String> facts) {
+        return new SettingsPathReader(facts).settings();
     }
 
-    private Dispatch.Settings settings() {
-        List<Dispatch.ClassSpec> classes = new ArrayList<>();
+    private Dispatch.PolicySettings settings() {
+        List<Dispatch.RequestClass> classes = new ArrayList<>();
         int count = (int) num("classes.count", 0);
         for (int i = 0; i < count; i++) {
             classes.add(clazz(i));
@@ -28,7 +28,7 @@
             tenants.add(new Dispatch.Tenant(num("customers." + i + ".allowancePerS", 0)));
         }
         boolean pause = is("permissions.retryAfter");
-        var allow = new Dispatch.Permissions(
+        var allow = new Dispatch.SitePermissions(
                 is("permissions.cancel"),
                 is("permissions.probing"),
                 is("permissions.secondCopies"),
@@ -36,7 +36,7 @@
                 num("permissions.dialTimeoutMs", 250),
                 pause ? num("permissions.maxRetryAfterMs", 0) : 0,
                 num("permissions.connIdleMs", 0));
-        var rules = new Dispatch.Rules(
+        var rules = new Dispatch.PlatformRules(
                 num("rules.drainGraceMs", 0),
                 num("rules.askWithinMs", 10000),
                 num("rules.coldFrom", 0.1),
@@ -44,7 +44,7 @@
                 num("rules.fallMultiple", 1),
                 num("rules.fallMs", 1000),
                 num("rules.answerSlackMs", 0));
-        return new Dispatch.Settings(
+        return new Dispatch.PolicySettings(
                 (int) num("balancers", 1),
                 (int) num("index", 0),
                 (int) num("zone", 0),
@@ -62,22 +62,22 @@
                 rules);
     }
 
-    private Dispatch.ClassSpec clazz(int i) {
+    private Dispatch.RequestClass clazz(int i) {
         String p = "classes." + i + ".";
         double stretch = num(p + "aimStretch", element("domain.classStretch", i, 0));
-        Dispatch.Effect effect =
+        Dispatch.Idempotency effect =
                 switch (text(p + "effect", "non_idempotent")) {
-                    case "read_like" -> Dispatch.Effect.READ_LIKE;
-                    case "idempotency_key" -> Dispatch.Effect.KEYED;
-                    default -> Dispatch.Effect.UNSAFE;
+                    case "read_like" -> Dispatch.Idempotency.READ_LIKE;
+                    case "idempotency_key" -> Dispatch.Idempotency.IDEMPOTENCY_KEY;
+                    default -> Dispatch.Idempotency.NON_IDEMPOTENT;
                 };
-        Dispatch.Group group =
+        Dispatch.DeduplicationScope group =
                 switch (text(p + "dedupScope", "cell")) {
-                    case "all" -> Dispatch.Group.ALL;
-                    case "zone" -> Dispatch.Group.ZONE;
-                    default -> Dispatch.Group.CELL;
+                    case "all" -> Dispatch.DeduplicationScope.ALL;
+                    case "zone" -> Dispatch.DeduplicationScope.ZONE;
+                    default -> Dispatch.DeduplicationScope.CELL;
                 };
-        return new Dispatch.ClassSpec(
+        return new Dispatch.RequestClass(
                 num(p + "aimMs", 1000),
                 stretch,
                 num(p + "deadlineMs", 10000),
--- a/src/main/java/maplespread/config/StarvationSettings.java
+++ b/src/main/java/maplespread/config/StarvationSettings.java
@@ -1,6 +1,6 @@
 package maplespread.config;
 
-import maplespread.starvation.Relief;
+import maplespread.starvation.PriorityBoost;
 
 /**
  * Whether starvation is told. {@code windowMs}: of one window; {@code windows}: that are looked at together;
@@ -15,4 +15,4 @@
         boolean log,
         boolean console,
         long bytesPerS,
-        Relief.Limits relief) {}
+        PriorityBoost.Limits relief) {}
--- a/src/main/java/maplespread/config/Checked.java
+++ b/src/main/java/maplespread/config/StrictJsonObject.java
@@ -16,31 +16,31 @@
  * One object of a file that is read key by key: each has its range and its default, and whatever was not
  * asked for is an error at the end. Guards against a key that is mistyped and so passed over in silence.
  */
-final class Checked {
+final class StrictJsonObject {
     private final String path;
     private final JsonObject in;
     private final Set<String> asked = new TreeSet<>();
-    private final List<Checked> parts = new ArrayList<>();
+    private final List<StrictJsonObject> parts = new ArrayList<>();
 
-    private Checked(String path, JsonObject in) {
+    private StrictJsonObject(String path, JsonObject in) {
         this.path = path;
         this.in = in;
     }
 
     /** The object in a file; {@code what} names the file's place in messages. */
-    static Checked file(String file, String what) throws ConfigError {
+    static StrictJsonObject file(String file, String what) throws ConfigException {
         try {
             return text(Files.readString(Path.of(file)), what);
         } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new ConfigError(what, "cannot read " + file + ": " + e.getMessage());
+            throw new ConfigException(what, "cannot read " + file + ": " + e.getMessage());
         }
     }
 
-    static Checked text(String text, String what) throws ConfigError {
+    static StrictJsonObject text(String text, String what) throws ConfigException {
         try {
-            return new Checked("", JsonParser.parseString(text).getAsJsonObject());
+            return new StrictJsonObject("", JsonParser.parseString(text).getAsJsonObject());
         } catch (JsonParseException | IllegalStateException e) {
-            throw new ConfigError(what, "not a JSON object");
+            throw new ConfigException(what, "not a JSON object");
         }
     }
 
@@ -50,25 +50,25 @@
     }
 
     /** The object under a key; an empty one where the key is absent. */
-    Checked part(String key) throws ConfigError {
+    StrictJsonObject part(String key) throws ConfigException {
         JsonElement e = has(key) ? in.get(key) : new JsonObject();
         if (!e.isJsonObject()) {
             throw error(key, "must be an object");
         }
-        Checked part = new Checked(path + key + ".", e.getAsJsonObject());
+        StrictJsonObject part = new StrictJsonObject(path + key + ".", e.getAsJsonObject());
         parts.add(part);
         return part;
     }
 
     /** The text of an object that another reader checks. */
-    String object(String key) throws ConfigError {
+    String object(String key) throws ConfigException {
         if (!has(key) || !in.get(key).isJsonObject()) {
             throw error(key, has(key) ? "must be an object" : "is missing");
         }
         return in.get(key).toString();
     }
 
-    String string(String key, String otherwise) throws ConfigError {
+    String string(String key, String otherwise) throws ConfigException {
         if (!has(key)) {
             if (otherwise == null) {
                 throw error(key, "is missing");
@@ -82,7 +82,7 @@
         return e.getAsString();
     }
 
-    String oneOf(String key, String otherwise, List<String> words) throws ConfigError {
+    String oneOf(String key, String otherwise, List<String> words) throws ConfigException {
         String word = string(key, otherwise);
         if (!words.contains(word)) {
             throw error(key, "must be one of " + words + ", not " + word);
@@ -90,7 +90,7 @@
         return word;
     }
 
-    long whole(String key, long otherwise, long least, long most) throws ConfigError {
+    long whole(String key, long otherwise, long least, long most) throws ConfigException {
         if (!has(key)) {
             return otherwise;
         }
@@ -101,7 +101,7 @@
         return (long) v;
     }
 
-    double number(String key, double otherwise, double least, double most) throws ConfigError {
+    double number(String key, double otherwise, double least, double most) throws ConfigException {
         if (!has(key)) {
             return otherwise;
         }
@@ -112,7 +112,7 @@
         return v;
     }
 
-    private double number(String key) throws ConfigError {
+    private double number(String key) throws ConfigException {
         try {
             return in.getAsJsonPrimitive(key).getAsDouble();
         } catch (RuntimeException e) {
@@ -121,7 +121,7 @@
     }
 
     /** A list of strings that are not empty, in which none stands twice. */
-    List<String> strings(String key) throws ConfigError {
+    List<String> strings(String key) throws ConfigException {
         if (!has(key) || !in.get(key).isJsonArray() || in.getAsJsonArray(key).isEmpty()) {
             throw error(key, "must be a list with at least one entry");
         }
@@ -138,18 +138,18 @@
         return List.copyOf(all);
     }
 
-    ConfigError error(String key, String why) {
-        return new ConfigError(path + key, why);
+    ConfigException error(String key, String why) {
+        return new ConfigException(path + key, why);
     }
 
     /** To be called when all has been read: a key that nobody asked for is an error. */
-    void end() throws ConfigError {
+    void end() throws ConfigException {
         for (String key : in.keySet()) {
             if (!asked.contains(key)) {
                 throw error(key, "is not known; " + nearest(key));
             }
         }
-        for (Checked part : parts) {
+        for (StrictJsonObject part : parts) {
             part.end();
         }
     }
--- /dev/null
+++ b/src/main/java/maplespread/consensus/ChangeRejectedException.java
@@ -0,0 +1,12 @@
+package maplespread.consensus;
+
+import maplespread.errors.FleetException;
+
+/** A change does not fit the value as it is. */
+public class ChangeRejectedException extends FleetException {
+    private static final long serialVersionUID = 1;
+
+    public ChangeRejectedException(String wrong, String works, String remedy) {
+        super(wrong, works, remedy);
+    }
+}
