--- a/src/main/java/maplespread/agreement/Agreement.java
+++ b/src/main/java/maplespread/consensus/ConsensusNode.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -12,10 +12,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import maplespread.agreement.Kept.Done;
-import maplespread.agreement.Kept.Held;
-import maplespread.agreement.Word.Kind;
-import maplespread.faults.FleetError;
+import maplespread.consensus.ConsensusMessage.Kind;
+import maplespread.consensus.RegisterState.AcceptedState;
+import maplespread.consensus.RegisterState.AppliedChange;
+import maplespread.errors.FleetException;
 
 /**
  * One member's part: its vote where it is an elector, its own changes, one after another, and the last value
@@ -23,9 +23,9 @@
  * majority knows. Words tell which runs their sender knows of; a vote of a run that is known to be over
  * counts for nothing, as the run after it may have forgotten it.
  */
-public final class Agreement {
+public final class ConsensusNode {
     /** Most bytes of a value's text, as UTF-8. */
-    public static final int MOST_TEXT = 48 * 1024;
+    public static final int MAX_TEXT_BYTES = 48 * 1024;
 
     private static final int MOST_RUNS = 512;
     private static final int LOST_WAITS = 4; // before a majority is called lost
@@ -35,16 +35,22 @@
 
     /** What a caller asked for; one is in work at a time. */
     private static final class Job {
-        final Change change; // READ with the other two
+        final Mutation change; // READ with the other two
         final List<String> electors; // to move to or found with; null: neither
         final boolean founding;
         final long number, giveUpAt;
-        final Consumer<Result> done;
+        final Consumer<ChangeResult> done;
         boolean tried; // votes were asked for its change
         long triedEpoch, triedVersion; // over which value, at first
         Exception refusal; // by the value that is in work
 
-        Job(Change change, List<String> electors, boolean founding, long number, long giveUpAt, Consumer<Result> done) {
+        Job(
+                Mutation change,
+                List<String> electors,
+                boolean founding,
+                long number,
+                long giveUpAt,
+                Consumer<ChangeResult> done) {
             this.change = change;
             this.electors = electors == null ? null : List.copyOf(electors);
             this.founding = founding;
@@ -60,10 +66,10 @@
         final long since, endAt;
         final Set<String> asked = new TreeSet<>();
         final Set<String> refused = new HashSet<>();
-        final Map<String, Word> promises = new TreeMap<>();
+        final Map<String, ConsensusMessage> promises = new TreeMap<>();
         final Map<String, Long> accepted = new TreeMap<>(); // by which run
         final boolean life; // its epoch is above every one heard of
-        Kept next; // null: promises are still awaited
+        RegisterState next; // null: promises are still awaited
 
         Try(Ballot ballot, boolean life, long since, long endAt) {
             this.ballot = ballot;
@@ -73,21 +79,21 @@
         }
     }
 
-    private final AgreementSettings set;
+    private final ConsensusSettings set;
     private final long boot;
     private final long since;
     private final SplittableRandom random;
-    private final AgreementSink sink;
+    private final ConsensusTransport sink;
     private final Map<String, Long> runs = new TreeMap<>(); // the newest known of each member
     private final Set<String> members = new TreeSet<>();
     private final Set<String> told = new HashSet<>(); // warnings that were given
-    private final ArrayDeque<Word> toSelf = new ArrayDeque<>();
+    private final ArrayDeque<ConsensusMessage> toSelf = new ArrayDeque<>();
     // the vote
-    private boolean blind = true;
+    private boolean recovering = true;
     private Ballot promised = Ballot.NONE;
-    private Held accepted;
-    private Held known; // decided
-    private final Map<String, Word> answers = new TreeMap<>(); // while blind
+    private AcceptedState accepted;
+    private AcceptedState decidedValue; // decided
+    private final Map<String, ConsensusMessage> answers = new TreeMap<>(); // while blind
     private final Map<String, Long> empty = new TreeMap<>(); // runs that kept nothing when asked
     private long askAt, askWait;
     private long newsAt, staleSince;
@@ -99,7 +105,7 @@
     private long jobNumber, tries, tryAt;
 
     /** {@code boot}: Unix milliseconds, above that of every earlier run under this name. */
-    public Agreement(AgreementSettings set, long boot, long seed, long now, AgreementSink sink) {
+    public ConsensusNode(ConsensusSettings set, long boot, long seed, long now, ConsensusTransport sink) {
         this.set = set;
         this.boot = boot;
         this.sink = sink;
@@ -108,31 +114,31 @@
         runs.put(set.name(), boot);
         askAt = now;
         askWait = set.retryMs();
-        newsAt = now + set.mostRetryMs();
+        newsAt = now + set.maxRetryMs();
         staleSince = Long.MAX_VALUE;
     }
 
     /** The last value known to be decided; null: none. */
-    public Value known() {
-        return known == null ? null : known.kept().value();
+    public VersionedValue decidedValue() {
+        return decidedValue == null ? null : decidedValue.state().value();
     }
 
     /** Whether this run has not yet read what a majority knows. */
-    public boolean blind() {
-        return blind;
+    public boolean recovering() {
+        return recovering;
     }
 
     /**
      * What this run has voted for last, decided or not; null while it is blind or knows of nothing. Once a
      * value is decided, most electors have voted for it or for a later one.
      */
-    public Value voted() {
-        return blind || accepted == null ? null : accepted.kept().value();
+    public VersionedValue acceptedValue() {
+        return recovering || accepted == null ? null : accepted.state().value();
     }
 
     /** The electors as this member knows them; two lists while a change is under way: each decides. */
     public List<List<String>> electors() {
-        return lists(Held.later(accepted, known) ? accepted : known);
+        return lists(AcceptedState.isLater(accepted, decidedValue) ? accepted : decidedValue);
     }
 
     /** Who is there, electors or not: they are asked at the start, and told what is decided. */
@@ -145,13 +151,13 @@
     // ------------------------------------------------------------ what callers want
 
     /** A change; {@code done} hears of it once, within a call of this object. */
-    public void change(long at, Change c, long giveUpAt, Consumer<Result> done) {
+    public void change(long at, Mutation c, long giveUpAt, Consumer<ChangeResult> done) {
         add(at, new Job(c, null, false, ++jobNumber, giveUpAt, done));
     }
 
     /** Moves to these electors, one at a time, those that are new first. */
-    public void electors(long at, List<String> next, long giveUpAt, Consumer<Result> done) {
-        add(at, new Job(Change.READ, checked(next), false, ++jobNumber, giveUpAt, done));
+    public void electors(long at, List<String> next, long giveUpAt, Consumer<ChangeResult> done) {
+        add(at, new Job(Mutation.READ, checked(next), false, ++jobNumber, giveUpAt, done));
     }
 
     /**
@@ -159,8 +165,8 @@
      * electors, blind ones too. Only where no majority of the electors in force can be read any more: what
      * nobody who answers knows is lost. {@code wallMs}: Unix time, for the epoch.
      */
-    public void found(long at, long wallMs, List<String> electors, long giveUpAt, Consumer<Result> done) {
-        Job job = new Job(Change.READ, checked(electors), true, ++jobNumber, giveUpAt, done);
+    public void bootstrap(long at, long wallMs, List<String> electors, long giveUpAt, Consumer<ChangeResult> done) {
+        Job job = new Job(Mutation.READ, checked(electors), true, ++jobNumber, giveUpAt, done);
         job.triedEpoch = wallMs;
         add(at, job);
     }
@@ -181,12 +187,12 @@
 
     /** Does what is due; returns when to be called again at the latest. */
     public long tick(long at) {
-        if (blind && at >= askAt) {
+        if (recovering && at >= askAt) {
             ask();
-            askWait = Math.min(set.mostRetryMs(), 2 * askWait);
+            askWait = Math.min(set.maxRetryMs(), 2 * askWait);
             askAt = at + askWait;
         }
-        if (blind) {
+        if (recovering) {
             trySee(at);
         }
         for (Job j : List.copyOf(jobs)) {
@@ -198,10 +204,10 @@
                 if (!jobs.remove(j)) {
                     continue; // by what another one's end has called
                 }
-                j.done.accept(new Result(
-                        Result.Kind.NO_MAJORITY,
-                        known(),
-                        new NoMajority("no majority of " + lists(known) + " decided in time")));
+                j.done.accept(new ChangeResult(
+                        ChangeResult.Outcome.NO_MAJORITY,
+                        decidedValue(),
+                        new QuorumLostException("no majority of " + lists(decidedValue) + " decided in time")));
             }
         }
         if (open != null && open.next == null && jobs.peek().founding) {
@@ -215,12 +221,12 @@
             begin(at, false);
         }
         if (freshNews > 0) {
-            newsAt = Math.min(newsAt, at + set.mostRetryMs());
+            newsAt = Math.min(newsAt, at + set.maxRetryMs());
         }
         if (at >= newsAt) {
             newsAt = at + newsMs();
             news(new ArrayList<>(members));
-            List<String> electors = new ArrayList<>(names(lists(known)));
+            List<String> electors = new ArrayList<>(names(lists(decidedValue)));
             electors.remove(set.name());
             news(electors);
         }
@@ -230,7 +236,7 @@
 
     private long nextAt(long at) {
         long next = newsAt;
-        if (blind) {
+        if (recovering) {
             next = Math.min(next, askAt);
         }
         for (Job j : jobs) {
@@ -251,49 +257,50 @@
     private long newsMs() {
         if (freshNews > 0) {
             freshNews--;
-            return set.mostRetryMs();
+            return set.maxRetryMs();
         }
-        int electors = names(lists(known)).size();
+        int electors = names(lists(decidedValue)).size();
         long stretch = Math.max(LEAST_NEWS_STRETCH, Math.min(MOST_NEWS_STRETCH, members.size() / electors));
-        return stretch * set.mostRetryMs();
+        return stretch * set.maxRetryMs();
     }
 
     private void news(List<String> among) {
         if (!among.isEmpty()) {
             String to = among.get(random.nextInt(among.size()));
-            send(to, Kind.NEWS, known == null ? Ballot.NONE : known.at(), null);
+            send(to, Kind.DECIDED_BALLOT, decidedValue == null ? Ballot.NONE : decidedValue.ballot(), null);
         }
     }
 
     /** Whoever proposed what is kept here may be gone: after a while an elector finishes it. */
     private void nudge(long at) {
-        boolean stale = !blind
+        boolean stale = !recovering
                 && accepted != null
-                && names(accepted.kept().lists()).contains(set.name())
-                && (known == null
-                        || !known.kept().equals(accepted.kept())
-                        || !accepted.kept().before().isEmpty());
+                && names(accepted.state().electorLists()).contains(set.name())
+                && (decidedValue == null
+                        || !decidedValue.state().equals(accepted.state())
+                        || !accepted.state().previousElectors().isEmpty());
         if (!stale || !jobs.isEmpty()) {
             staleSince = Long.MAX_VALUE;
         } else if (staleSince == Long.MAX_VALUE) {
-            staleSince = at + random.nextLong(set.mostRetryMs());
-        } else if (at > staleSince + set.mostRetryMs()) {
+            staleSince = at + random.nextLong(set.maxRetryMs());
+        } else if (at > staleSince + set.maxRetryMs()) {
             staleSince = Long.MAX_VALUE;
-            jobs.add(new Job(Change.READ, null, false, ++jobNumber, at + 4 * set.mostRetryMs(), r -> {}));
+            jobs.add(new Job(Mutation.READ, null, false, ++jobNumber, at + 4 * set.maxRetryMs(), r -> {}));
         }
     }
 
     // ------------------------------------------------------------ words
 
-    private Word word(Kind kind, Ballot ballot, boolean founding, long asker, Map<String, Long> quorum, Held held) {
-        return new Word(
+    private ConsensusMessage word(
+            Kind kind, Ballot ballot, boolean founding, long asker, Map<String, Long> quorum, AcceptedState held) {
+        return new ConsensusMessage(
                 kind,
                 set.name(),
                 boot,
                 vector(),
                 ballot,
                 promised,
-                blind,
+                recovering,
                 founding,
                 asker,
                 set.electors(),
@@ -307,7 +314,7 @@
      */
     private Map<String, Long> vector() {
         Set<String> names = names(lists(accepted));
-        names.addAll(names(lists(known)));
+        names.addAll(names(lists(decidedValue)));
         names.addAll(set.electors());
         names.add(set.name());
         if (open != null) {
@@ -318,11 +325,11 @@
         return vector;
     }
 
-    private void send(String to, Kind kind, Ballot ballot, Held held) {
+    private void send(String to, Kind kind, Ballot ballot, AcceptedState held) {
         send(to, word(kind, ballot, false, 0, Map.of(), held));
     }
 
-    private void send(String to, Word w) {
+    private void send(String to, ConsensusMessage w) {
         if (to.equals(set.name())) {
             toSelf.add(w);
         } else {
@@ -338,9 +345,9 @@
     }
 
     /** A word came, of one who is known to have sent it. */
-    public void received(long at, Word w) {
-        if (w.from().equals(set.name())) {
-            warn("agreement.name_taken_twice", "boot", w.boot());
+    public void received(long at, ConsensusMessage w) {
+        if (w.sender().equals(set.name())) {
+            warn("agreement.name_taken_twice", "boot", w.incarnation());
             return;
         }
         take(at, w);
@@ -353,35 +360,36 @@
         }
     }
 
-    private void take(long at, Word w) {
-        learn(w.from(), w.boot());
-        w.runs().forEach(this::learn);
-        w.quorum().forEach(this::learn);
-        if (w.boot() < runs.get(w.from())) {
+    private void take(long at, ConsensusMessage w) {
+        learn(w.sender(), w.incarnation());
+        w.crashVector().forEach(this::learn);
+        w.promiseQuorum().forEach(this::learn);
+        if (w.incarnation() < runs.get(w.sender())) {
             return; // of a run that is over
         }
-        highest = Ballot.later(highest, w.promised());
+        highest = Ballot.max(highest, w.promisedBallot());
         switch (w.kind()) {
-            case ASK -> send(w.from(), word(Kind.STATE, Ballot.NONE, false, w.boot(), Map.of(), accepted));
-            case STATE -> {
-                if (blind && w.asker() == boot) {
-                    answers.put(w.from(), w);
-                    if (w.held() == null && sameSettings(w)) {
-                        empty.put(w.from(), w.boot());
+            case RECOVERY_REQUEST ->
+                send(w.sender(), word(Kind.RECOVERY_RESPONSE, Ballot.NONE, false, w.incarnation(), Map.of(), accepted));
+            case RECOVERY_RESPONSE -> {
+                if (recovering && w.requesterIncarnation() == boot) {
+                    answers.put(w.sender(), w);
+                    if (w.accepted() == null && sameSettings(w)) {
+                        empty.put(w.sender(), w.incarnation());
                     }
                 }
             }
             case PREPARE -> prepare(w);
             case PROMISE -> {
                 if (open != null && open.next == null && open.ballot.equals(w.ballot())) {
-                    open.promises.put(w.from(), w);
+                    open.promises.put(w.sender(), w);
                     tryPropose(at);
                 }
             }
             case ACCEPT -> accept(at, w);
             case ACCEPTED -> {
                 if (open != null && open.next != null && open.ballot.equals(w.ballot())) {
-                    open.accepted.put(w.from(), w.boot());
+                    open.accepted.put(w.sender(), w.incarnation());
                     tryDecide(at);
                 }
             }
@@ -390,13 +398,17 @@
                     refused(at, w);
                 }
             }
-            case DECIDED -> decided(w.held());
-            case NEWS -> {
-                int by = w.ballot().compareTo(known == null ? Ballot.NONE : known.at());
+            case DECIDED -> decided(w.accepted());
+            case DECIDED_BALLOT -> {
+                int by = w.ballot().compareTo(decidedValue == null ? Ballot.NONE : decidedValue.ballot());
                 if (by < 0) {
-                    send(w.from(), Kind.DECIDED, known.at(), known);
+                    send(w.sender(), Kind.DECIDED, decidedValue.ballot(), decidedValue);
                 } else if (by > 0) {
-                    send(w.from(), Kind.NEWS, known == null ? Ballot.NONE : known.at(), null);
+                    send(
+                            w.sender(),
+                            Kind.DECIDED_BALLOT,
+                            decidedValue == null ? Ballot.NONE : decidedValue.ballot(),
+                            null);
                 }
             }
         }
@@ -426,8 +438,8 @@
 
     // ------------------------------------------------------------ the lists
 
-    private List<List<String>> lists(Held held) {
-        return held == null ? List.of(set.electors()) : held.kept().lists();
+    private List<List<String>> lists(AcceptedState held) {
+        return held == null ? List.of(set.electors()) : held.state().electorLists();
     }
 
     private static Set<String> names(List<List<String>> lists) {
@@ -447,11 +459,11 @@
     // ------------------------------------------------------------ a run that begins
 
     private void ask() {
-        Set<String> to = names(lists(known));
+        Set<String> to = names(lists(decidedValue));
         to.addAll(set.electors());
         to.addAll(members);
         to.remove(set.name());
-        to.forEach(n -> send(n, Kind.ASK, Ballot.NONE, null));
+        to.forEach(n -> send(n, Kind.RECOVERY_REQUEST, Ballot.NONE, null));
     }
 
     /**
@@ -461,16 +473,16 @@
      */
     private void trySee(long at) {
         Set<String> sighted = new TreeSet<>();
-        Held newest = accepted;
+        AcceptedState newest = accepted;
         Ballot top = promised;
-        answers.values().removeIf(w -> !current(w.from(), w.boot()));
-        for (Word w : answers.values()) {
-            newest = Held.later(w.held(), newest) ? w.held() : newest;
-            top = Ballot.later(top, w.promised());
-        }
-        for (Word w : answers.values()) {
-            if (!w.blind() && (newest != null || sameSettings(w))) {
-                sighted.add(w.from());
+        answers.values().removeIf(w -> !current(w.sender(), w.incarnation()));
+        for (ConsensusMessage w : answers.values()) {
+            newest = AcceptedState.isLater(w.accepted(), newest) ? w.accepted() : newest;
+            top = Ballot.max(top, w.promisedBallot());
+        }
+        for (ConsensusMessage w : answers.values()) {
+            if (!w.recovering() && (newest != null || sameSettings(w))) {
+                sighted.add(w.sender());
             }
         }
         sighted.remove(set.name());
@@ -479,15 +491,15 @@
             see(newest, top, "read");
         } else if (newest == null
                 && set.electors().contains(set.name())
-                && at - since >= set.mostRetryMs()
+                && at - since >= set.maxRetryMs()
                 && set.electors().stream()
                         .allMatch(n -> n.equals(set.name()) || current(n, empty.getOrDefault(n, -1L)))) {
             // No elector had taken anything when it was asked; what it did since, it did knowing of this run.
             see(null, top, "new");
         } else if (newest != null
-                && at - since > LOST_WAITS * set.mostRetryMs()
+                && at - since > LOST_WAITS * set.maxRetryMs()
                 && answers.keySet().containsAll(others(lists))) {
-            warn("agreement.lost", "epoch", newest.kept().value().epoch(), "electors", lists);
+            warn("agreement.lost", "epoch", newest.state().value().epoch(), "electors", lists);
         }
     }
 
@@ -497,18 +509,25 @@
         return names;
     }
 
-    private boolean sameSettings(Word w) {
-        if (!same(w.electors(), set.electors())) {
-            warn("agreement.electors_differ", "member", w.from(), "theirs", w.electors(), "here", set.electors());
+    private boolean sameSettings(ConsensusMessage w) {
+        if (!same(w.configuredElectors(), set.electors())) {
+            warn(
+                    "agreement.electors_differ",
+                    "member",
+                    w.sender(),
+                    "theirs",
+                    w.configuredElectors(),
+                    "here",
+                    set.electors());
             return false;
         }
         return true;
     }
 
-    private void see(Held newest, Ballot top, String how) {
+    private void see(AcceptedState newest, Ballot top, String how) {
         accepted = newest;
         promised = top;
-        blind = false;
+        recovering = false;
         answers.clear();
         sink.event(
                 false,
@@ -516,17 +535,17 @@
                 "by",
                 how,
                 "version",
-                newest == null ? null : newest.kept().value().version());
+                newest == null ? null : newest.state().value().version());
     }
 
     // ------------------------------------------------------------ the vote
 
-    private void refuse(Word w) {
-        send(w.from(), Kind.REFUSE, w.ballot(), null);
+    private void refuse(ConsensusMessage w) {
+        send(w.sender(), Kind.REFUSE, w.ballot(), null);
     }
 
-    private void prepare(Word w) {
-        if (blind && !w.founding() || accepted == null && !w.founding() && !sameSettings(w)) {
+    private void prepare(ConsensusMessage w) {
+        if (recovering && !w.bootstrap() || accepted == null && !w.bootstrap() && !sameSettings(w)) {
             return;
         }
         if (w.ballot().compareTo(promised) < 0) {
@@ -534,14 +553,14 @@
             return;
         }
         promised = w.ballot();
-        send(w.from(), Kind.PROMISE, w.ballot(), accepted);
+        send(w.sender(), Kind.PROMISE, w.ballot(), accepted);
     }
 
-    private void accept(long at, Word w) {
+    private void accept(long at, ConsensusMessage w) {
         // Promises of a run that is over may be forgotten: a try that rests on one must begin anew.
-        boolean rests = w.quorum().entrySet().stream().allMatch(q -> current(q.getKey(), q.getValue()));
+        boolean rests = w.promiseQuorum().entrySet().stream().allMatch(q -> current(q.getKey(), q.getValue()));
         // A blind one may have forgotten what it promised, but not to a try that its promise was counted for.
-        if (blind && !(w.founding() && w.quorum().containsKey(set.name()))) {
+        if (recovering && !(w.bootstrap() && w.promiseQuorum().containsKey(set.name()))) {
             return;
         }
         if (!rests || w.ballot().compareTo(promised) < 0) {
@@ -549,24 +568,24 @@
             return;
         }
         promised = w.ballot();
-        accepted = new Held(w.ballot(), w.held().kept());
-        if (blind) {
+        accepted = new AcceptedState(w.ballot(), w.accepted().state());
+        if (recovering) {
             see(accepted, promised, "found");
         }
-        send(w.from(), Kind.ACCEPTED, w.ballot(), null);
+        send(w.sender(), Kind.ACCEPTED, w.ballot(), null);
     }
 
     /** What is decided is kept as if it had been voted for; and no earlier ballot is promised after it. */
-    private void decided(Held held) {
-        if (Held.later(held, accepted)) {
+    private void decided(AcceptedState held) {
+        if (AcceptedState.isLater(held, accepted)) {
             accepted = held;
-            promised = Ballot.later(promised, held.at());
+            promised = Ballot.max(promised, held.ballot());
         }
-        highest = Ballot.later(highest, held.at());
-        Value v = held.kept().value();
-        Value before = known();
-        if (v.after(before)) {
-            known = held;
+        highest = Ballot.max(highest, held.ballot());
+        VersionedValue v = held.state().value();
+        VersionedValue before = decidedValue();
+        if (v.isLaterThan(before)) {
+            decidedValue = held;
             freshNews = FRESH_ROUNDS;
             if (before != null && before.epoch() != v.epoch()) {
                 sink.event(
@@ -581,25 +600,25 @@
                         "known_version",
                         before.version());
             }
-            if (before != null && before.electorsNumber() != v.electorsNumber()) {
-                sink.event(false, "agreement.electors", "number", v.electorsNumber(), "electors", v.electors());
+            if (before != null && before.electorsVersion() != v.electorsVersion()) {
+                sink.event(false, "agreement.electors", "number", v.electorsVersion(), "electors", v.electors());
             }
             sink.learned(v);
-        } else if (v.equals(before) && Held.later(held, known)) {
-            known = held;
+        } else if (v.equals(before) && AcceptedState.isLater(held, decidedValue)) {
+            decidedValue = held;
         }
     }
 
     // ------------------------------------------------------------ a try
 
     private long waitMs() {
-        return Math.min(set.mostRetryMs(), set.retryMs() << Math.min(tries, 10));
+        return Math.min(set.maxRetryMs(), set.retryMs() << Math.min(tries, 10));
     }
 
     /** {@code life}: nobody is known to keep anything; what is decided is to be a life of its own. */
     private void begin(long at, boolean life) {
         Job job = jobs.peek();
-        Ballot after = Ballot.later(highest, promised);
+        Ballot after = Ballot.max(highest, promised);
         long epoch = after.epoch();
         if (job.founding) {
             epoch = Math.max(job.triedEpoch, epoch + 1);
@@ -608,7 +627,7 @@
         }
         Ballot ballot = new Ballot(epoch, epoch > after.epoch() ? 1 : after.round() + 1, set.name(), boot);
         highest = ballot;
-        open = new Try(ballot, life, at, at + (job.founding ? 2 * set.mostRetryMs() : waitMs()));
+        open = new Try(ballot, life, at, at + (job.founding ? 2 * set.maxRetryMs() : waitMs()));
         Set<String> to = names(electors());
         if (job.founding) {
             to.addAll(job.electors);
@@ -640,10 +659,10 @@
     }
 
     /** Where those that refuse leave no majority, waiting on is in vain. */
-    private void refused(long at, Word w) {
-        open.refused.add(w.from());
+    private void refused(long at, ConsensusMessage w) {
+        open.refused.add(w.sender());
         List<List<String>> lists = open.next != null
-                ? open.next.lists()
+                ? open.next.electorLists()
                 : jobs.peek().founding ? List.of(jobs.peek().electors) : lists(newest());
         Set<String> left = new HashSet<>(open.asked);
         left.addAll(names(lists));
@@ -654,50 +673,52 @@
     }
 
     /** The newest that a promise of the try tells; null: nothing. */
-    private Held newest() {
-        Held newest = null;
-        for (Word w : open.promises.values()) {
-            newest = Held.later(w.held(), newest) ? w.held() : newest;
+    private AcceptedState newest() {
+        AcceptedState newest = null;
+        for (ConsensusMessage w : open.promises.values()) {
+            newest = AcceptedState.isLater(w.accepted(), newest) ? w.accepted() : newest;
         }
         return newest;
     }
 
     private void tryPropose(long at) {
         Job job = jobs.peek();
-        open.promises.values().removeIf(w -> !current(w.from(), w.boot()));
-        Held newest = newest();
+        open.promises.values().removeIf(w -> !current(w.sender(), w.incarnation()));
+        AcceptedState newest = newest();
         List<List<String>> lists = job.founding ? List.of(job.electors) : lists(newest);
         prepareAt(names(lists));
         Set<String> yes = open.promises.keySet();
-        if (!majorities(lists, yes) || job.founding && at - open.since < set.mostRetryMs()) {
+        if (!majorities(lists, yes) || job.founding && at - open.since < set.maxRetryMs()) {
             return;
         }
         if (newest == null && !job.founding && !open.life) {
             begin(at, true); // nobody knows anything
             return;
         }
-        Kept base = newest != null
-                ? newest.kept()
-                : new Kept(new Value(open.ballot.epoch(), 0, "", 0, set.electors()), List.of(), List.of());
-        Kept next = job.founding ? founded(job, newest, base) : next(job, base);
+        RegisterState base = newest != null
+                ? newest.state()
+                : new RegisterState(
+                        new VersionedValue(open.ballot.epoch(), 0, "", 0, set.electors()), List.of(), List.of());
+        RegisterState next = job.founding ? founded(job, newest, base) : next(job, base);
         if (next == null) {
             return;
         }
-        Set<String> added = names(next.lists());
-        base.lists().forEach(added::removeAll);
-        if (!majorities(next.lists(), yes) || !job.founding && !yes.containsAll(added)) {
-            prepareAt(names(next.lists())); // one who does not answer must not be let in
+        Set<String> added = names(next.electorLists());
+        base.electorLists().forEach(added::removeAll);
+        if (!majorities(next.electorLists(), yes) || !job.founding && !yes.containsAll(added)) {
+            prepareAt(names(next.electorLists())); // one who does not answer must not be let in
             return;
         }
         Map<String, Long> quorum = new TreeMap<>();
-        open.promises.forEach((n, w) -> quorum.put(n, w.boot()));
+        open.promises.forEach((n, w) -> quorum.put(n, w.incarnation()));
         open.next = next;
-        Word w = word(Kind.ACCEPT, open.ballot, job.founding, 0, quorum, new Held(open.ballot, next));
-        names(next.lists()).forEach(n -> send(n, w));
+        ConsensusMessage w =
+                word(Kind.ACCEPT, open.ballot, job.founding, 0, quorum, new AcceptedState(open.ballot, next));
+        names(next.electorLists()).forEach(n -> send(n, w));
     }
 
     /** What a life begins with; null where there is nothing to begin, and the job is over. */
-    private Kept founded(Job job, Held newest, Kept base) {
+    private RegisterState founded(Job job, AcceptedState newest, RegisterState base) {
         if (newest != null
                 && job.tried
                 && base.value().epoch() >= job.triedEpoch
@@ -706,15 +727,15 @@
         }
         Set<String> sighted = new HashSet<>();
         open.promises.forEach((n, w) -> {
-            if (!w.blind()) {
+            if (!w.recovering()) {
                 sighted.add(n);
             }
         });
         if (majorities(lists(newest), sighted)) {
-            finish(new Result(
-                    Result.Kind.REFUSED,
-                    known(),
-                    new Refused(
+            finish(new ChangeResult(
+                    ChangeResult.Outcome.REJECTED,
+                    decidedValue(),
+                    new ChangeRejectedException(
                             "a majority of the electors is sighted",
                             "changes are decided as always",
                             "nothing need be founded; electors are changed by call")));
@@ -724,61 +745,65 @@
             job.tried = true;
             job.triedEpoch = open.ballot.epoch();
         }
-        Value v = base.value();
-        return new Kept(
-                new Value(open.ballot.epoch(), v.version() + 1, v.text(), v.electorsNumber() + 1, job.electors),
+        VersionedValue v = base.value();
+        return new RegisterState(
+                new VersionedValue(
+                        open.ballot.epoch(), v.version() + 1, v.text(), v.electorsVersion() + 1, job.electors),
                 List.of(),
-                base.done());
+                base.appliedChanges());
     }
 
     /** What is to follow; null where that cannot be told any more, and the job is over. */
-    private Kept next(Job job, Kept base) {
-        Value v = base.value();
+    private RegisterState next(Job job, RegisterState base) {
+        VersionedValue v = base.value();
         // Old electors end only where a majority of them is known to have taken the new: else who asks them
         // alone would never hear of those. The next step begins only after that.
-        boolean decided = known != null && known.kept().equals(base);
-        List<String> before = decided ? List.of() : base.before();
+        boolean decided = decidedValue != null && decidedValue.state().equals(base);
+        List<String> before = decided ? List.of() : base.previousElectors();
         List<String> electors = v.electors();
-        List<Done> done = base.done();
+        List<AppliedChange> done = base.appliedChanges();
         String text = v.text();
-        long number = v.electorsNumber();
+        long number = v.electorsVersion();
         job.refusal = null;
-        if (job.electors != null && base.before().isEmpty() && !same(electors, job.electors)) {
+        if (job.electors != null && base.previousElectors().isEmpty() && !same(electors, job.electors)) {
             before = electors;
             electors = step(electors, job.electors);
             number++;
         }
-        if (job.change != Change.READ && !base.has(set.name(), boot, job.number)) {
-            if (job.tried && (v.epoch() != job.triedEpoch || v.version() - job.triedVersion >= Kept.MOST_DONE)) {
-                finish(new Result(
-                        Result.Kind.NO_MAJORITY,
-                        known(),
-                        new NoMajority("a change met others for so long that none can tell whether it is in")));
+        if (job.change != Mutation.READ && !base.hasApplied(set.name(), boot, job.number)) {
+            if (job.tried
+                    && (v.epoch() != job.triedEpoch
+                            || v.version() - job.triedVersion >= RegisterState.MAX_APPLIED_CHANGES)) {
+                finish(new ChangeResult(
+                        ChangeResult.Outcome.NO_MAJORITY,
+                        decidedValue(),
+                        new QuorumLostException(
+                                "a change met others for so long that none can tell whether it is in")));
                 return null;
             }
             try {
                 text = job.change.apply(v);
                 int bytes = text.getBytes(StandardCharsets.UTF_8).length;
-                if (bytes > MOST_TEXT) {
-                    throw new TooLarge(bytes, MOST_TEXT);
+                if (bytes > MAX_TEXT_BYTES) {
+                    throw new ValueTooLargeException(bytes, MAX_TEXT_BYTES);
                 }
-            } catch (FleetError | RuntimeException e) {
+            } catch (FleetException | RuntimeException e) {
                 text = v.text();
                 job.refusal = e; // told once what it rests on is decided
             }
         }
-        if (text.equals(v.text()) && before.equals(base.before()) && electors.equals(v.electors())) {
+        if (text.equals(v.text()) && before.equals(base.previousElectors()) && electors.equals(v.electors())) {
             return base;
         }
         if (!text.equals(v.text())) {
-            done = base.doneWith(new Done(set.name(), boot, job.number, v.version() + 1));
+            done = base.withApplied(new AppliedChange(set.name(), boot, job.number, v.version() + 1));
             if (!job.tried) {
                 job.tried = true;
                 job.triedEpoch = v.epoch();
                 job.triedVersion = v.version();
             }
         }
-        return new Kept(new Value(v.epoch(), v.version() + 1, text, number, electors), before, done);
+        return new RegisterState(new VersionedValue(v.epoch(), v.version() + 1, text, number, electors), before, done);
     }
 
     /** One elector more, or where there is none to add, one less. */
@@ -796,31 +821,34 @@
 
     private void tryDecide(long at) {
         open.accepted.entrySet().removeIf(e -> !current(e.getKey(), e.getValue()));
-        if (!majorities(open.next.lists(), open.accepted.keySet())) {
+        if (!majorities(open.next.electorLists(), open.accepted.keySet())) {
             return;
         }
-        Held held = new Held(open.ballot, open.next);
+        AcceptedState held = new AcceptedState(open.ballot, open.next);
         Job job = jobs.peek();
         open = null;
         tries = 0;
         tryAt = at;
-        boolean unchanged = known != null && known.kept().equals(held.kept());
+        boolean unchanged = decidedValue != null && decidedValue.state().equals(held.state());
         decided(held);
-        Set<String> all = others(held.kept().lists());
+        Set<String> all = others(held.state().electorLists());
         if (!unchanged) { // a read is news to nobody
             all.addAll(members);
         }
-        all.forEach(n -> send(n, Kind.DECIDED, held.at(), held));
-        Kept kept = held.kept();
+        all.forEach(n -> send(n, Kind.DECIDED, held.ballot(), held));
+        RegisterState kept = held.state();
         if (job.electors != null
                 && !job.founding
-                && !(kept.before().isEmpty() && same(kept.value().electors(), job.electors))) {
+                && !(kept.previousElectors().isEmpty() && same(kept.value().electors(), job.electors))) {
             return; // another step is to follow
         }
-        finish(new Result(job.refusal != null ? Result.Kind.REFUSED : Result.Kind.DECIDED, kept.value(), job.refusal));
+        finish(new ChangeResult(
+                job.refusal != null ? ChangeResult.Outcome.REJECTED : ChangeResult.Outcome.DECIDED,
+                kept.value(),
+                job.refusal));
     }
 
-    private void finish(Result result) {
+    private void finish(ChangeResult result) {
         open = null;
         tries = 0;
         jobs.remove().done.accept(result);
@@ -833,8 +861,9 @@
                 ? "none"
                 : open.ballot + " promises " + open.promises.values() + " next " + open.next + " accepted "
                         + open.accepted + " refused " + open.refused;
-        return set.name() + ' ' + boot + (blind ? " blind " + answers + empty : "") + " promised " + promised
-                + " accepted " + accepted + " known " + known + " runs " + runs + " highest " + highest + " jobs "
+        return set.name() + ' ' + boot + (recovering ? " blind " + answers + empty : "") + " promised " + promised
+                + " accepted " + accepted + " known " + decidedValue + " runs " + runs + " highest " + highest
+                + " jobs "
                 + jobs.size() + " open " + out;
     }
 }
--- a/src/main/java/maplespread/agreement/Digest.java
+++ b/src/main/java/maplespread/consensus/Digest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
--- a/src/main/java/maplespread/agreement/WordCodec.java
+++ b/src/main/java/maplespread/consensus/MessageCodec.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.agreement.Kept.Held;
+import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
  * One member's words as bytes, with values by reference: a value goes whole only to a member that is not known
@@ -18,7 +18,7 @@
  * <p>Members of a version that does not know references are sent whole values, and send them. Not safe for use
  * by several threads at once.
  */
-public final class WordCodec {
+public final class MessageCodec {
     private static final byte REQUEST = 2; // in place of a word's version
     private static final int MOST_BODIES = 8;
     private static final int MOST_PEERS = 1024;
@@ -32,7 +32,7 @@
      * @param reply to be sent back to the sender, or null
      * @param readable whether the packet was of a known form
      */
-    public record Received(Word word, byte[] reply, boolean readable) {}
+    public record Received(ConsensusMessage message, byte[] reply, boolean readable) {}
 
     /**
      * How values went so far.
@@ -47,7 +47,7 @@
         final long boot;
         final Set<Digest> holds = new LinkedHashSet<>();
         boolean references; // it understands them
-        Word last; // sent to it by reference
+        ConsensusMessage last; // sent to it by reference
 
         Peer(long boot) {
             this.boot = boot;
@@ -62,7 +62,7 @@
         }
     }
 
-    private final Map<Digest, Kept> bodies = bounded(MOST_BODIES);
+    private final Map<Digest, RegisterState> bodies = bounded(MOST_BODIES);
     private final Map<String, Peer> peers = bounded(MOST_PEERS);
     private long whole;
     private long byReference;
@@ -80,10 +80,10 @@
     }
 
     /** The word as it is sent to this member. */
-    public byte[] encode(String to, Word word) {
+    public byte[] encode(String to, ConsensusMessage word) {
         Peer peer = peers.get(to);
         boolean references = peer != null && peer.references;
-        Digest digest = word.held() == null ? null : digest(word.held().kept());
+        Digest digest = word.accepted() == null ? null : digest(word.accepted().state());
         boolean resolvable = references && digest != null && peer.holds.contains(digest);
         if (resolvable) {
             peer.last = word;
@@ -91,7 +91,7 @@
         } else if (digest != null) {
             whole++;
         }
-        return Words.bytes(word, resolvable ? digest : null, references ? newest() : List.of());
+        return MessageFormat.encode(word, resolvable ? digest : null, references ? newest() : List.of());
     }
 
     /** How values went so far. */
@@ -105,15 +105,15 @@
         return all.subList(Math.max(0, all.size() - MOST_HOLDINGS), all.size());
     }
 
-    private Digest digest(Kept kept) {
-        for (Map.Entry<Digest, Kept> e : bodies.entrySet()) {
+    private Digest digest(RegisterState kept) {
+        for (Map.Entry<Digest, RegisterState> e : bodies.entrySet()) {
             if (e.getValue() == kept) {
                 Digest digest = e.getKey();
                 bodies.get(digest); // used now
                 return digest;
             }
         }
-        Digest digest = Digest.of(Words.bytes(kept));
+        Digest digest = Digest.of(MessageFormat.encode(kept));
         bodies.put(digest, kept);
         return digest;
     }
@@ -123,31 +123,31 @@
         if (bytes.length > 0 && bytes[0] == REQUEST) {
             return requested(from, bytes);
         }
-        Words.Parsed parsed = Words.parse(bytes);
+        MessageFormat.ParsedMessage parsed = MessageFormat.decode(bytes);
         if (parsed == null) {
             return new Received(null, null, false);
         }
-        Word word = parsed.word();
-        if (!word.from().equals(from)) {
+        ConsensusMessage word = parsed.message();
+        if (!word.sender().equals(from)) {
             return new Received(word, null, true); // the caller refuses it
         }
-        Peer peer = peer(from, word.boot());
+        Peer peer = peer(from, word.incarnation());
         if (peer != null) {
-            peer.references = parsed.references();
+            peer.references = parsed.understandsReferences();
             parsed.holdings().forEach(peer::holds);
         }
         Digest digest = parsed.reference();
         if (digest == null) {
-            if (word.held() != null && peer != null) {
-                peer.holds(digest(word.held().kept()));
+            if (word.accepted() != null && peer != null) {
+                peer.holds(digest(word.accepted().state()));
             }
             return new Received(word, null, true);
         }
-        Kept kept = bodies.get(digest);
+        RegisterState kept = bodies.get(digest);
         if (kept == null) {
             return new Received(null, request(digest), true);
         }
-        return new Received(word.with(new Held(parsed.at(), kept)), null, true);
+        return new Received(word.withAccepted(new AcceptedState(parsed.referenceBallot(), kept)), null, true);
     }
 
     /** What is known of a member's newest run; null for a run that is over. */
@@ -174,13 +174,13 @@
         Peer peer = peers.get(from);
         if (peer == null
                 || peer.last == null
-                || !digest(peer.last.held().kept()).equals(digest)) {
+                || !digest(peer.last.accepted().state()).equals(digest)) {
             return new Received(null, null, true); // it was repeated, or overtaken by a later word
         }
         peer.holds.remove(digest);
-        Word again = peer.last;
+        ConsensusMessage again = peer.last;
         peer.last = null;
         repeated++;
-        return new Received(null, Words.bytes(again, null, newest()), true);
+        return new Received(null, MessageFormat.encode(again, null, newest()), true);
     }
 }
--- a/src/main/java/maplespread/agreement/Words.java
+++ b/src/main/java/maplespread/consensus/MessageFormat.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import maplespread.agreement.Kept.Done;
-import maplespread.agreement.Kept.Held;
-import maplespread.agreement.Word.Kind;
+import maplespread.consensus.ConsensusMessage.Kind;
+import maplespread.consensus.RegisterState.AcceptedState;
+import maplespread.consensus.RegisterState.AppliedChange;
 
 /**
  * Words as bytes. The form is one that members which know no references can read, as long as a word has neither a
  * reference nor holdings: of the flags they look at the first three alone.
  */
-final class Words {
+final class MessageFormat {
     private static final byte VERSION = 1;
     private static final int FIXED = 256; // beside texts, more than enough
     private static final int BLIND = 1;
@@ -35,9 +35,14 @@
      * @param at the ballot under which that was taken, or null
      * @param holdings what its sender can resolve
      */
-    record Parsed(Word word, boolean references, Digest reference, Ballot at, List<Digest> holdings) {}
+    record ParsedMessage(
+            ConsensusMessage message,
+            boolean understandsReferences,
+            Digest reference,
+            Ballot referenceBallot,
+            List<Digest> holdings) {}
 
-    private Words() {}
+    private MessageFormat() {}
 
     /**
      * The word in bytes.
@@ -45,24 +50,24 @@
      * @param reference in place of what is held; null: that goes whole
      * @param holdings what this member can resolve; empty for members that do not understand references
      */
-    static byte[] bytes(Word w, Digest reference, Collection<Digest> holdings) {
+    static byte[] encode(ConsensusMessage w, Digest reference, Collection<Digest> holdings) {
         ByteBuffer out = ByteBuffer.allocate(size(w, reference != null) + holdings.size() * Digest.BYTES);
         out.put(VERSION).put((byte) w.kind().ordinal());
-        text(out, w.from());
-        out.putLong(w.boot());
-        runs(out, w.runs());
+        text(out, w.sender());
+        out.putLong(w.incarnation());
+        runs(out, w.crashVector());
         ballot(out, w.ballot());
-        ballot(out, w.promised());
+        ballot(out, w.promisedBallot());
         out.put((byte) flags(w, reference != null, !holdings.isEmpty()));
-        out.putLong(w.asker());
-        texts(out, w.electors());
-        runs(out, w.quorum());
+        out.putLong(w.requesterIncarnation());
+        texts(out, w.configuredElectors());
+        runs(out, w.promiseQuorum());
         if (reference != null) {
-            ballot(out, w.held().at());
+            ballot(out, w.accepted().ballot());
             reference.write(out);
-        } else if (w.held() != null) {
-            ballot(out, w.held().at());
-            kept(out, w.held().kept());
+        } else if (w.accepted() != null) {
+            ballot(out, w.accepted().ballot());
+            kept(out, w.accepted().state());
         }
         if (!holdings.isEmpty()) {
             out.put((byte) holdings.size());
@@ -71,36 +76,36 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static int flags(Word w, boolean reference, boolean holdings) {
+    private static int flags(ConsensusMessage w, boolean reference, boolean holdings) {
         int flags = REFERENCES;
-        flags |= w.blind() ? BLIND : 0;
-        flags |= w.founding() ? FOUNDING : 0;
-        flags |= w.held() == null ? 0 : reference ? REFERENCE : WHOLE;
+        flags |= w.recovering() ? BLIND : 0;
+        flags |= w.bootstrap() ? FOUNDING : 0;
+        flags |= w.accepted() == null ? 0 : reference ? REFERENCE : WHOLE;
         return flags | (holdings ? HOLDINGS : 0);
     }
 
     /** What is kept, as it stands in a word: its digest is taken of this. */
-    static byte[] bytes(Kept kept) {
+    static byte[] encode(RegisterState kept) {
         ByteBuffer out = ByteBuffer.allocate(FIXED + size(kept));
         kept(out, kept);
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static void kept(ByteBuffer out, Kept kept) {
-        Value v = kept.value();
-        out.putLong(v.epoch()).putLong(v.version()).putLong(v.electorsNumber());
+    private static void kept(ByteBuffer out, RegisterState kept) {
+        VersionedValue v = kept.value();
+        out.putLong(v.epoch()).putLong(v.version()).putLong(v.electorsVersion());
         text(out, v.text());
         texts(out, v.electors());
-        texts(out, kept.before());
-        out.putInt(kept.done().size());
-        for (Done d : kept.done()) {
-            text(out, d.name());
-            out.putLong(d.boot()).putLong(d.number()).putLong(d.version());
+        texts(out, kept.previousElectors());
+        out.putInt(kept.appliedChanges().size());
+        for (AppliedChange d : kept.appliedChanges()) {
+            text(out, d.proposer());
+            out.putLong(d.incarnation()).putLong(d.number()).putLong(d.version());
         }
     }
 
     /** Null where it is not a word. */
-    static Parsed parse(byte[] bytes) {
+    static ParsedMessage decode(byte[] bytes) {
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes);
             if (in.get() != VERSION) {
@@ -119,15 +124,15 @@
             boolean blind = (flags & BLIND) != 0;
             boolean founding = (flags & FOUNDING) != 0;
             Ballot at = (flags & (WHOLE | REFERENCE)) == 0 ? null : ballot(in);
-            Held held = (flags & WHOLE) == 0 ? null : new Held(at, kept(in));
+            AcceptedState held = (flags & WHOLE) == 0 ? null : new AcceptedState(at, kept(in));
             Digest reference = (flags & REFERENCE) == 0 ? null : Digest.read(in);
             List<Digest> holdings = (flags & HOLDINGS) == 0 ? List.of() : digests(in);
             boolean twice = held != null && reference != null;
-            Word word =
-                    new Word(kind, from, boot, runs, ballot, promised, blind, founding, asker, electors, quorum, held);
+            ConsensusMessage word = new ConsensusMessage(
+                    kind, from, boot, runs, ballot, promised, blind, founding, asker, electors, quorum, held);
             return in.hasRemaining() || twice
                     ? null
-                    : new Parsed(word, (flags & REFERENCES) != 0, reference, at, holdings);
+                    : new ParsedMessage(word, (flags & REFERENCES) != 0, reference, at, holdings);
         } catch (RuntimeException e) { // ends inside a member, or names none
             return null;
         }
@@ -141,41 +146,43 @@
         return all;
     }
 
-    private static Kept kept(ByteBuffer in) {
+    private static RegisterState kept(ByteBuffer in) {
         long epoch = in.getLong();
         long version = in.getLong();
         long number = in.getLong();
-        Value value = new Value(epoch, version, text(in), number, texts(in));
+        VersionedValue value = new VersionedValue(epoch, version, text(in), number, texts(in));
         List<String> before = texts(in);
-        List<Done> done = new ArrayList<>();
+        List<AppliedChange> done = new ArrayList<>();
         for (int n = in.getInt(); n > 0; n--) {
-            done.add(new Done(text(in), in.getLong(), in.getLong(), in.getLong()));
+            done.add(new AppliedChange(text(in), in.getLong(), in.getLong(), in.getLong()));
         }
-        return new Kept(value, before, done);
+        return new RegisterState(value, before, done);
     }
 
-    private static int size(Word w, boolean reference) {
+    private static int size(ConsensusMessage w, boolean reference) {
         int size = FIXED
                 + 3
-                        * (w.from().length()
-                                + w.ballot().name().length()
-                                + w.promised().name().length());
-        for (Map<String, Long> m : List.of(w.runs(), w.quorum())) {
+                        * (w.sender().length()
+                                + w.ballot().proposer().length()
+                                + w.promisedBallot().proposer().length());
+        for (Map<String, Long> m : List.of(w.crashVector(), w.promiseQuorum())) {
             size += m.keySet().stream().mapToInt(n -> 12 + 3 * n.length()).sum();
         }
-        size += size(w.electors());
-        if (w.held() != null) {
-            size += 3 * w.held().at().name().length() + Digest.BYTES;
-            size += reference ? 0 : size(w.held().kept());
+        size += size(w.configuredElectors());
+        if (w.accepted() != null) {
+            size += 3 * w.accepted().ballot().proposer().length() + Digest.BYTES;
+            size += reference ? 0 : size(w.accepted().state());
         }
         return size;
     }
 
-    private static int size(Kept k) {
+    private static int size(RegisterState k) {
         return 3 * k.value().text().length()
                 + size(k.value().electors())
-                + size(k.before())
-                + k.done().stream().mapToInt(d -> 28 + 3 * d.name().length()).sum();
+                + size(k.previousElectors())
+                + k.appliedChanges().stream()
+                        .mapToInt(d -> 28 + 3 * d.proposer().length())
+                        .sum();
     }
 
     private static int size(List<String> texts) {
@@ -183,8 +190,8 @@
     }
 
     private static void ballot(ByteBuffer out, Ballot b) {
-        out.putLong(b.epoch()).putLong(b.round()).putLong(b.boot());
-        text(out, b.name());
+        out.putLong(b.epoch()).putLong(b.round()).putLong(b.incarnation());
+        text(out, b.proposer());
     }
 
     private static Ballot ballot(ByteBuffer in) {
--- a/src/main/java/maplespread/agreement/NoMajority.java
+++ b/src/main/java/maplespread/consensus/QuorumLostException.java
@@ -1,12 +1,12 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** No majority of the electors answered in time. */
-public final class NoMajority extends FleetError {
+public final class QuorumLostException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    NoMajority(String wrong) {
+    QuorumLostException(String wrong) {
         super(
                 wrong,
                 "what was decided before holds and is known; this change may yet be decided, or not",
--- a/src/main/java/maplespread/agreement/TooLarge.java
+++ b/src/main/java/maplespread/consensus/ValueTooLargeException.java
@@ -1,12 +1,12 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** A value does not fit into one packet. */
-public final class TooLarge extends FleetError {
+public final class ValueTooLargeException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    TooLarge(int bytes, int most) {
+    ValueTooLargeException(int bytes, int most) {
         super(
                 "the value would have " + bytes + " bytes, of " + most + " at most",
                 "the value stays as it was",
--- a/src/main/java/maplespread/agreement/Value.java
+++ b/src/main/java/maplespread/consensus/VersionedValue.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import java.util.List;
 
@@ -7,13 +7,13 @@
  * begun or founded anew, and is compared before the {@code version}, which grows by one with each change.
  * {@code electors} decide, under a number that grows with each change of them.
  */
-public record Value(long epoch, long version, String text, long electorsNumber, List<String> electors) {
-    public Value {
+public record VersionedValue(long epoch, long version, String text, long electorsVersion, List<String> electors) {
+    public VersionedValue {
         electors = List.copyOf(electors);
     }
 
     /** Whether this is later than the other, which may be null. */
-    public boolean after(Value other) {
+    public boolean isLaterThan(VersionedValue other) {
         return other == null || epoch > other.epoch || epoch == other.epoch && version > other.version;
     }
 }
--- a/src/main/java/maplespread/agreement/client/Register.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -1,4 +1,4 @@
-package maplespread.agreement.client;
+package maplespread.consensus.client;
 
 import java.io.Closeable;
 import java.util.List;
@@ -10,22 +10,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import maplespread.agreement.Agreement;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.AgreementSink;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
-import maplespread.agreement.Word;
-import maplespread.agreement.WordCodec;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusMessage;
+import maplespread.consensus.ConsensusNode;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.ConsensusTransport;
+import maplespread.consensus.MessageCodec;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.VersionedValue;
 import maplespread.log.Event;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
 
 /**
  * The value that the fleet agrees on, for callers that wait. The group's receiving thread and one that ticks
  * enter the core under one lock; a third tells listeners.
  */
-public final class Register implements Closeable {
+public final class ReplicatedRegister implements Closeable {
     /** Of the group's channels. */
     public static final int CHANNEL = 1;
 
@@ -34,30 +34,30 @@
 
     /** One call into the core, with the time. */
     private interface Call {
-        void on(long now, Consumer<Result> done);
+        void on(long now, Consumer<ChangeResult> done);
     }
 
-    private final AgreementSettings set;
-    private final Group group;
-    private final Agreement core;
-    private final WordCodec codec = new WordCodec(); // under the lock, as the core
-    private final List<Consumer<Value>> listeners = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Value> news = new LinkedBlockingQueue<>();
+    private final ConsensusSettings set;
+    private final ClusterTransport group;
+    private final ConsensusNode core;
+    private final MessageCodec codec = new MessageCodec(); // under the lock, as the core
+    private final List<Consumer<VersionedValue>> listeners = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<VersionedValue> news = new LinkedBlockingQueue<>();
     private final Thread ticks, tells;
     private boolean over;
 
     /** Takes the group's channel 1. */
-    public Register(AgreementSettings set, Group group, long seed) {
+    public ReplicatedRegister(ConsensusSettings set, ClusterTransport group, long seed) {
         this.set = set;
         this.group = group;
-        core = new Agreement(set, group.boot(), seed, now(), new AgreementSink() {
+        core = new ConsensusNode(set, group.incarnation(), seed, now(), new ConsensusTransport() {
             @Override
-            public void send(String to, Word word) {
+            public void send(String to, ConsensusMessage word) {
                 group.send(CHANNEL, to, codec.encode(to, word)); // unsent is as good as lost
             }
 
             @Override
-            public void learned(Value value) {
+            public void learned(VersionedValue value) {
                 news.add(value);
             }
 
@@ -66,7 +66,7 @@
                 Event.write(warning, name, pairs);
             }
         });
-        group.channel(CHANNEL, this::heard);
+        group.registerChannel(CHANNEL, this::heard);
         ticks = daemon("agreement", this::tick);
         tells = daemon("agreement news", this::tell);
     }
@@ -85,10 +85,10 @@
     private void heard(String from, byte[] payload) {
         byte[] reply;
         synchronized (this) {
-            WordCodec.Received received = codec.decode(from, payload);
-            Word word = received.word();
+            MessageCodec.Received received = codec.decode(from, payload);
+            ConsensusMessage word = received.message();
             reply = received.reply();
-            if (!received.readable() || word != null && !word.from().equals(from)) {
+            if (!received.readable() || word != null && !word.sender().equals(from)) {
                 Event.of("agreement.not_a_word", "member", from, "bytes", payload.length)
                         .warn();
                 return;
@@ -107,7 +107,7 @@
         while (!over) {
             try {
                 core.members(group.members().stream()
-                        .filter(m -> !m.gone())
+                        .filter(m -> !m.departed())
                         .map(m -> m.name())
                         .toList());
                 long at = core.tick(now());
@@ -123,7 +123,7 @@
     private void tell() {
         while (true) {
             try {
-                Value v = news.take();
+                VersionedValue v = news.take();
                 listeners.forEach(l -> l.accept(v));
             } catch (InterruptedException e) {
                 return;
@@ -133,8 +133,8 @@
         }
     }
 
-    private Result call(long waitMs, Call call) {
-        CompletableFuture<Result> result = new CompletableFuture<>();
+    private ChangeResult call(long waitMs, Call call) {
+        CompletableFuture<ChangeResult> result = new CompletableFuture<>();
         synchronized (this) {
             if (over) {
                 throw new IllegalStateException("the register is closed");
@@ -146,51 +146,52 @@
             return result.get(waitMs + LATE_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new Result(Result.Kind.NO_MAJORITY, known(), e);
+            return new ChangeResult(ChangeResult.Outcome.NO_MAJORITY, decidedValue(), e);
         } catch (ExecutionException | TimeoutException e) { // closed meanwhile, or stood still
-            return new Result(Result.Kind.NO_MAJORITY, known(), e);
+            return new ChangeResult(ChangeResult.Outcome.NO_MAJORITY, decidedValue(), e);
         }
     }
 
     /** Blocks until it is decided or refused, or the time is over. The change runs under the lock. */
-    public Result change(Change c, long waitMs) {
+    public ChangeResult change(Mutation c, long waitMs) {
         return call(waitMs, (now, done) -> core.change(now, c, now + waitMs, done));
     }
 
     /** Moves to these electors, one at a time; blocks as a change does. */
-    public Result electors(List<String> next, long waitMs) {
+    public ChangeResult electors(List<String> next, long waitMs) {
         return call(waitMs, (now, done) -> core.electors(now, next, now + waitMs, done));
     }
 
-    /** An operator's call after a majority has restarted at once; see {@link Agreement#found}. */
-    public Result found(List<String> electors, long waitMs) {
-        return call(waitMs, (now, done) -> core.found(now, System.currentTimeMillis(), electors, now + waitMs, done));
+    /** An operator's call after a majority has restarted at once; see {@link ConsensusNode#bootstrap}. */
+    public ChangeResult bootstrap(List<String> electors, long waitMs) {
+        return call(
+                waitMs, (now, done) -> core.bootstrap(now, System.currentTimeMillis(), electors, now + waitMs, done));
     }
 
     /** With the electors in force as far as is known, else those of the settings. */
-    public Result found(long waitMs) {
-        Value v = known();
-        return found(v == null ? set.electors() : v.electors(), waitMs);
+    public ChangeResult bootstrap(long waitMs) {
+        VersionedValue v = decidedValue();
+        return bootstrap(v == null ? set.electors() : v.electors(), waitMs);
     }
 
     /** The last decided value that this instance has heard of; null: none yet. */
-    public synchronized Value known() {
-        return core.known();
+    public synchronized VersionedValue decidedValue() {
+        return core.decidedValue();
     }
 
     /** Whether this run has not yet read what a majority knows. */
-    public synchronized boolean blind() {
-        return core.blind();
+    public synchronized boolean recovering() {
+        return core.recovering();
     }
 
     /** How values went to other members so far. */
-    public synchronized WordCodec.Counts valuesSent() {
+    public synchronized MessageCodec.Counts valuesSent() {
         return codec.counts();
     }
 
-    /** See {@link Agreement#voted}. */
-    public synchronized Value voted() {
-        return core.voted();
+    /** See {@link ConsensusNode#acceptedValue}. */
+    public synchronized VersionedValue acceptedValue() {
+        return core.acceptedValue();
     }
 
     /** The electors as this member knows them; two lists while a change of them is under way. */
@@ -199,7 +200,7 @@
     }
 
     /** Hears of each value learned, in order, on a thread for that alone. */
-    public void listen(Consumer<Value> listener) {
+    public void addListener(Consumer<VersionedValue> listener) {
         listeners.add(listener);
     }
 
--- a/src/main/java/maplespread/agreement/package-info.java
+++ b/src/main/java/maplespread/consensus/package-info.java
@@ -5,4 +5,4 @@
  * No sockets, files, clock or threads: time is passed in, words come and go as records or bytes. Calls the
  * faults alone.
  */
-package maplespread.agreement;
+package maplespread.consensus;
--- a/src/main/java/maplespread/routes/DiscoveryClient.java
+++ b/src/main/java/maplespread/discovery/DiscoveryClient.java
@@ -1,53 +1,53 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
 import java.util.SplittableRandom;
-import maplespread.decision.Dispatch.ListDoubt;
-import maplespread.decision.Dispatch.ListLoss;
 import maplespread.facade.EndpointUpdate;
 import maplespread.http.HttpConnection;
-import maplespread.http.HttpError;
+import maplespread.http.HttpException;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
-import maplespread.http.Lines;
+import maplespread.http.LineSplitter;
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
+import maplespread.policy.Dispatch.EndpointListDoubt;
+import maplespread.policy.Dispatch.EndpointWatchFailure;
 import org.tinylog.Logger;
 
 /**
  * Follows discovery's list, each address of discovery on a thread of its own. Where the list is asked for,
  * when to subscribe is the module's word; each watch that ends is reported, and the module asks again after
- * its jittered back-off. One that falls silent is begun anew at once, by {@link ListClock}. Where the list is
+ * its jittered back-off. One that falls silent is begun anew at once, by {@link WatchTimeouts}. Where the list is
  * pushed, what the agent holds counts whether or not it was asked: it is asked from the start on, and again
  * and again while it is out. A new address is watched at once: until it has spoken, the last list holds and
  * the old watch is still obeyed.
  */
-public final class DiscoveryClient implements RouteSource {
+public final class DiscoveryClient implements EndpointSource {
     private static final int LONGEST_LINE = 1 << 20;
     private static final long STACK = 144 * 1024;
     private static final long DIAL_MS = 2500;
     private static final long AGENT_AGAIN_MS = 100; // pushed: between two calls while it is out
-    private final ListClock clock;
+    private final WatchTimeouts clock;
     private final boolean pushed;
     private final SplittableRandom random;
     private final RateLimitedLogger seldom = new RateLimitedLogger();
-    private final RouteSink to;
-    private final RouteReader reader;
+    private final EndpointListener to;
+    private final EndpointParser reader;
     private Source newest; // the address that is asked
     private Source spoken; // the last one that has said anything
 
     /** {@code generation}: of the list held; {@code pushed}: it comes from an agent that pushes it. */
     public DiscoveryClient(
             InetSocketAddress address,
-            RouteReader reader,
+            EndpointParser reader,
             long generation,
-            ListClock clock,
+            WatchTimeouts clock,
             boolean pushed,
             long seed,
-            RouteSink to) {
+            EndpointListener to) {
         this.reader = reader;
         this.clock = clock;
         this.pushed = pushed;
@@ -74,7 +74,7 @@
 
     /** Discovery is at another address from now on. False where that is the one in use. */
     @Override
-    public synchronized boolean move(InetSocketAddress address) {
+    public synchronized boolean moveTo(InetSocketAddress address) {
         if (newest.over || newest.address.equals(address)) {
             return false;
         }
@@ -82,7 +82,7 @@
             newest.close(); // it never spoke
         }
         newest = new Source(address, 0); // its generations may count otherwise
-        to.unconfirmed(ListDoubt.MOVED, 0);
+        to.listUnconfirmed(EndpointListDoubt.MOVED, 0);
         newest.watch();
         newest.begin();
         return true;
@@ -90,7 +90,7 @@
 
     /** The list last told holds, however old: the platform's rules ask for no more. */
     @Override
-    public String unready() {
+    public String notReadyReason() {
         return null;
     }
 
@@ -107,7 +107,7 @@
 
     private synchronized void fellSilent(Source source) {
         if (source == newest && source.spoke) {
-            to.unconfirmed(ListDoubt.SILENT, sinceMs(source.heardAt));
+            to.listUnconfirmed(EndpointListDoubt.SILENT, sinceMs(source.heardAt));
         }
     }
 
@@ -125,13 +125,13 @@
             spoken = newest;
             Logger.info("{} has spoken, and no other address is watched", from.address);
         }
-        from.generation = news.generation();
+        from.generation = news.version();
         boolean current = from == newest; // another address may know of changes that this one does not
-        to.news(current ? news : new EndpointUpdate(news.kind(), news.generation(), news.routes(), false));
+        to.endpointsChanged(current ? news : new EndpointUpdate(news.kind(), news.version(), news.endpoints(), false));
     }
 
     /** How a watch came to its end. */
-    private record End(String why, ListLoss loss) {}
+    private record End(String why, EndpointWatchFailure loss) {}
 
     /** One address of discovery. What is not final is guarded by the route set's lock. */
     private final class Source implements Runnable {
@@ -197,7 +197,7 @@
         private End watched() {
             boolean renewed = false;
             while (true) {
-                long silence = clock.silence(random);
+                long silence = clock.drawSilenceLimitMs(random);
                 long first = renewed || pushed ? clock.renewMs() : silence;
                 spoke = false;
                 calledAt = System.nanoTime();
@@ -205,10 +205,11 @@
                 connectedMs = -1;
                 try {
                     follow(first, silence);
-                    return new End("the watch ended", spoke ? ListLoss.ENDED : ListLoss.NO_ANSWER);
+                    return new End(
+                            "the watch ended", spoke ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER);
                 } catch (SocketTimeoutException e) {
                     if (!spoke && (renewed || pushed)) {
-                        return new End("no word within " + first + " ms", ListLoss.NO_ANSWER);
+                        return new End("no word within " + first + " ms", EndpointWatchFailure.NO_ANSWER);
                     }
                     fellSilent(this);
                     renewed = true;
@@ -218,17 +219,17 @@
                     return new End("the watch broke: " + e.getMessage(), loss(e));
                 } catch (RuntimeException | Error e) { // without this thread drains would go unseen
                     Logger.error(e, "the watch failed");
-                    return new End("the watch failed", ListLoss.NOT_ASKED);
+                    return new End("the watch failed", EndpointWatchFailure.NOT_ASKED);
                 }
             }
         }
 
-        private ListLoss loss(IOException e) {
+        private EndpointWatchFailure loss(IOException e) {
             if (connectedMs < 0) {
-                return e instanceof ConnectException ? ListLoss.REFUSED : ListLoss.NOT_ASKED;
+                return e instanceof ConnectException ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NOT_ASKED;
             }
             // What cannot be read is no end of discovery's: it goes on, and its changes count.
-            return spoke && !(e instanceof HttpError) ? ListLoss.ENDED : ListLoss.NO_ANSWER;
+            return spoke && !(e instanceof HttpException) ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER;
         }
 
         private void report(End end) {
@@ -289,9 +290,9 @@
                 String host = address.getHostString() + ':' + address.getPort();
                 link.send(HttpWriter.request("GET", "/v1/endpoints?follow=1&since=" + since, host)
                         .bytes());
-                ObjectLines objects = new ObjectLines();
-                HttpParser parser =
-                        HttpParser.response(Long.MAX_VALUE, new Lines(LONGEST_LINE, text -> line(objects, text)));
+                JsonObjectSplitter objects = new JsonObjectSplitter();
+                HttpParser parser = HttpParser.response(
+                        Long.MAX_VALUE, new LineSplitter(LONGEST_LINE, text -> line(objects, text)));
                 long firstBy = System.nanoTime() + firstMs * 1_000_000;
                 while (!parser.feed(link.buffer())) {
                     if (parser.headDone() && parser.head().status() != 200) {
@@ -305,7 +306,7 @@
             }
         }
 
-        private void line(ObjectLines objects, String text) throws HttpError {
+        private void line(JsonObjectSplitter objects, String text) throws HttpException {
             spoke = true;
             heardAt = System.nanoTime();
             EndpointUpdate news;
@@ -314,17 +315,17 @@
                 if (object == null) {
                     return;
                 }
-                news = reader.read(object);
-            } catch (RouteReader.Malformed e) {
-                throw new HttpError(502, "malformed line: " + e.getMessage());
+                news = reader.parse(object);
+            } catch (EndpointParser.MalformedListException e) {
+                throw new HttpException(502, "malformed line: " + e.getMessage());
             }
             if (!heard) {
                 Logger.info(
                         "the watch of {} is on, generation {}, {} with {} workers, {} ms after the call",
                         address,
-                        news.generation(),
+                        news.version(),
                         news.kind(),
-                        news.routes().size(),
+                        news.endpoints().size(),
                         sinceMs(calledAt));
             }
             heard = true;
--- a/src/main/java/maplespread/routes/RouteReader.java
+++ b/src/main/java/maplespread/discovery/EndpointParser.java
@@ -1,4 +1,4 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -8,16 +8,16 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 
 /** Reads discovery's objects. */
-public final class RouteReader {
+public final class EndpointParser {
     /** An object that is not one of discovery's. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Malformed(String message) {
+        MalformedListException(String message) {
             super(message);
         }
     }
@@ -26,41 +26,41 @@
     private final List<String> kinds;
 
     /** With the settings' names, whose places in the lists the routes carry. */
-    public RouteReader(List<String> zones, List<String> kinds) {
+    public EndpointParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    public EndpointUpdate read(String text) throws Malformed {
+    public EndpointUpdate parse(String text) throws MalformedListException {
         try {
-            return read(JsonParser.parseString(text).getAsJsonObject());
+            return parse(JsonParser.parseString(text).getAsJsonObject());
         } catch (RuntimeException e) { // Gson has several for what is malformed
-            throw new Malformed("not a JSON object");
+            throw new MalformedListException("not a JSON object");
         }
     }
 
-    public EndpointUpdate read(JsonObject o) throws Malformed {
+    public EndpointUpdate parse(JsonObject o) throws MalformedListException {
         try {
-            List<Route> routes = new ArrayList<>();
+            List<Endpoint> routes = new ArrayList<>();
             for (JsonElement e : o.getAsJsonArray("instances")) {
-                routes.add(route(e.getAsJsonObject()));
+                routes.add(parseEndpoint(e.getAsJsonObject()));
             }
             boolean whole = o.has("reset") && o.get("reset").getAsBoolean();
             return new EndpointUpdate(
-                    whole ? EndpointUpdate.Kind.WHOLE : EndpointUpdate.Kind.CHANGES,
+                    whole ? EndpointUpdate.Kind.FULL_SNAPSHOT : EndpointUpdate.Kind.DELTA,
                     o.get("generation").getAsLong(),
                     routes);
         } catch (RuntimeException e) {
-            throw new Malformed("not a route set: " + e.getMessage());
+            throw new MalformedListException("not a route set: " + e.getMessage());
         }
     }
 
     /** One worker; any runtime exception: it cannot be read. */
-    public Route route(JsonObject o) {
+    public Endpoint parseEndpoint(JsonObject o) {
         String address = o.get("hostPort").getAsString();
-        address(address);
-        Route.State state = Route.State.valueOf(o.get("lifecycle").getAsString());
-        return new Route(
+        parseAddress(address);
+        Endpoint.State state = lifecycle(o.get("lifecycle").getAsString());
+        return new Endpoint(
                 o.get("instanceId").getAsString(),
                 address,
                 state,
@@ -71,12 +71,21 @@
                 o.has("startedAtMs") ? o.get("startedAtMs").getAsDouble() : 0);
     }
 
+    /** Operators know an unknown lifecycle by this text, whatever the enum's name is here. */
+    private static Endpoint.State lifecycle(String text) {
+        try {
+            return Endpoint.State.valueOf(text);
+        } catch (IllegalArgumentException e) {
+            throw new IllegalArgumentException("No enum constant maplespread.facade.Route.State." + text);
+        }
+    }
+
     private static int place(List<String> names, JsonObject o, String key) {
         return o.has(key) ? names.indexOf(o.get(key).getAsString()) : -1;
     }
 
     /** A numeric address with its port; names are not looked up. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         if (!host.matches("[0-9.]+|\\[[0-9A-Fa-f:.]+]")) {
--- a/src/main/java/maplespread/routes/RouteSource.java
+++ b/src/main/java/maplespread/discovery/EndpointSource.java
@@ -1,10 +1,10 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import java.io.Closeable;
 import java.net.InetSocketAddress;
 
 /** Where the workers are learned from. It reports what it learns by itself, from {@link #start} on. */
-public interface RouteSource extends Closeable {
+public interface EndpointSource extends Closeable {
     /** Begins; returns at once. */
     void start();
 
@@ -12,10 +12,10 @@
     void watch();
 
     /** The platform's discovery is at another address; false where that changes nothing here. */
-    boolean move(InetSocketAddress address);
+    boolean moveTo(InetSocketAddress address);
 
     /** Why nothing it has said should be relied on any more; null where it may be. */
-    String unready();
+    String notReadyReason();
 
     /** Ends; nothing is reported after it. */
     @Override
--- a/src/main/java/maplespread/routes/DiscoverySwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -1,41 +1,41 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.function.Function;
-import maplespread.decision.Dispatch;
 import maplespread.facade.EndpointUpdate;
 import maplespread.log.Event;
+import maplespread.policy.Dispatch;
 
 /**
  * One source at a time has the word, and another takes over when it has read the whole list: until then the
  * old one is still obeyed, so that no drain is missed and no moment is without a list.
  */
-public final class DiscoverySwitch implements RouteSource {
+public final class EndpointSourceSwitch implements EndpointSource {
     /** Makes a source that reports to the sink; it is started here. */
-    public interface Maker extends Function<RouteSink, RouteSource> {}
+    public interface Factory extends Function<EndpointListener, EndpointSource> {}
 
-    private final RouteSink to;
-    private RouteSource newest;
-    private RouteSource spoken;
+    private final EndpointListener to;
+    private EndpointSource newest;
+    private EndpointSource spoken;
     private boolean over;
 
-    public DiscoverySwitch(Maker first, RouteSink to) {
+    public EndpointSourceSwitch(Factory first, EndpointListener to) {
         this.to = to;
         newest = make(first);
         spoken = newest;
     }
 
-    private RouteSource make(Maker maker) {
-        RouteSource[] made = new RouteSource[1];
-        made[0] = maker.apply(new RouteSink() {
+    private EndpointSource make(Factory maker) {
+        EndpointSource[] made = new EndpointSource[1];
+        made[0] = maker.apply(new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {
-                DiscoverySwitch.this.news(made[0], news);
+            public void endpointsChanged(EndpointUpdate news) {
+                EndpointSourceSwitch.this.news(made[0], news);
             }
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
-                synchronized (DiscoverySwitch.this) {
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+                synchronized (EndpointSourceSwitch.this) {
                     if (speaks(made[0])) {
                         to.watchLost(loss, heardAgoMs);
                     }
@@ -43,10 +43,10 @@
             }
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {
-                synchronized (DiscoverySwitch.this) {
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+                synchronized (EndpointSourceSwitch.this) {
                     if (speaks(made[0])) {
-                        to.unconfirmed(why, heardAgoMs);
+                        to.listUnconfirmed(why, heardAgoMs);
                     }
                 }
             }
@@ -54,14 +54,14 @@
         return made[0];
     }
 
-    private boolean speaks(RouteSource source) {
+    private boolean speaks(EndpointSource source) {
         return !over && (source == newest || source == spoken);
     }
 
     /** Has another source take over once it speaks. */
-    public void change(Maker next) {
-        RouteSource before;
-        RouteSource now;
+    public void switchTo(Factory next) {
+        EndpointSource before;
+        EndpointSource now;
         synchronized (this) {
             if (over) {
                 return;
@@ -77,24 +77,24 @@
         now.watch();
     }
 
-    private void news(RouteSource from, EndpointUpdate news) {
-        RouteSource old = null;
+    private void news(EndpointSource from, EndpointUpdate news) {
+        EndpointSource old = null;
         synchronized (this) {
             if (over || from != newest && from != spoken) {
                 return;
             }
             if (from == newest && spoken != newest) {
-                if (news.kind() == EndpointUpdate.Kind.CHANGES) {
+                if (news.kind() == EndpointUpdate.Kind.DELTA) {
                     return; // not yet all that there is
                 }
                 old = spoken;
                 spoken = newest;
-                Event.of("routes.handed_over", "revision", news.generation()).info();
+                Event.of("routes.handed_over", "revision", news.version()).info();
             }
-            to.news(news);
+            to.endpointsChanged(news);
         }
         if (old != null) {
-            RouteSource last = old;
+            EndpointSource last = old;
             // From a thread of its own: the old one may hold its lock while it waits here to report.
             Thread closer = new Thread(last::close, "routes handed over");
             closer.setDaemon(true);
@@ -114,27 +114,27 @@
     }
 
     @Override
-    public boolean move(InetSocketAddress address) {
-        return newest().move(address);
+    public boolean moveTo(InetSocketAddress address) {
+        return newest().moveTo(address);
     }
 
     @Override
-    public String unready() {
-        return spoken().unready(); // not under the lock: it takes its own
+    public String notReadyReason() {
+        return spoken().notReadyReason(); // not under the lock: it takes its own
     }
 
-    private synchronized RouteSource spoken() {
+    private synchronized EndpointSource spoken() {
         return spoken;
     }
 
-    private synchronized RouteSource newest() {
+    private synchronized EndpointSource newest() {
         return newest;
     }
 
     @Override
     public void close() {
-        RouteSource a;
-        RouteSource b;
+        EndpointSource a;
+        EndpointSource b;
         synchronized (this) {
             over = true;
             a = newest;
--- a/src/main/java/maplespread/routes/ObjectLines.java
+++ b/src/main/java/maplespread/discovery/JsonObjectSplitter.java
@@ -1,16 +1,16 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 /** Puts lines together to JSON objects: one may stand on a line of its own, or be indented over many. */
-final class ObjectLines {
+final class JsonObjectSplitter {
     private static final int LONGEST = 1 << 22;
     private final StringBuilder text = new StringBuilder();
     private int depth;
     private boolean quoted;
 
     /** The object that this line ends; null where it ends none, as an empty line between two does not. */
-    String add(String line) throws RouteReader.Malformed {
+    String add(String line) throws EndpointParser.MalformedListException {
         if (depth == 0 && !line.isEmpty() && line.charAt(0) != '{') {
-            throw new RouteReader.Malformed("not a JSON object");
+            throw new EndpointParser.MalformedListException("not a JSON object");
         }
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
@@ -25,7 +25,7 @@
             }
         }
         if (text.length() + line.length() > LONGEST) {
-            throw new RouteReader.Malformed("longer than " + LONGEST);
+            throw new EndpointParser.MalformedListException("longer than " + LONGEST);
         }
         text.append(line);
         if (depth > 0 || text.length() == 0) {
--- a/src/main/java/maplespread/routes/ListClock.java
+++ b/src/main/java/maplespread/discovery/WatchTimeouts.java
@@ -1,4 +1,4 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import java.util.SplittableRandom;
 
@@ -12,7 +12,7 @@
  *     another
  * @param renewMs for the first word of the watch that takes a silent one's place
  */
-public record ListClock(long silenceMs, long spreadMs, long renewMs) {
+public record WatchTimeouts(long silenceMs, long spreadMs, long renewMs) {
     /** Between two lines of a watch while nothing changes, by the protocol. */
     private static final long LINE_MS = 2000;
     /** From the beginning of a silence until what it hid counts as told, by the protocol. */
@@ -20,21 +20,21 @@
     /** What is left of that for the news to be taken in and obeyed. */
     private static final long SPARE_MS = 200;
 
-    public ListClock {
+    public WatchTimeouts {
         if (silenceMs < 1 || spreadMs < 0 || renewMs < 1) {
             throw new IllegalArgumentException("a time for silences and one for calls are needed");
         }
     }
 
     /** By the protocol's figures: lines may be late by a fifth of what a silence leaves. */
-    public static ListClock ofProtocol() {
+    public static WatchTimeouts ofProtocol() {
         long late = (TOLD_MS - LINE_MS) / 5;
         long silence = LINE_MS + late;
-        return new ListClock(silence, late / 2, TOLD_MS - SPARE_MS - silence - late / 2);
+        return new WatchTimeouts(silence, late / 2, TOLD_MS - SPARE_MS - silence - late / 2);
     }
 
     /** How long this watch may be silent. */
-    long silence(SplittableRandom random) {
+    long drawSilenceLimitMs(SplittableRandom random) {
         return silenceMs + random.nextLong(spreadMs + 1);
     }
 }
--- a/src/main/java/maplespread/faults/FleetError.java
+++ b/src/main/java/maplespread/errors/FleetException.java
@@ -1,30 +1,30 @@
-package maplespread.faults;
+package maplespread.errors;
 
 /**
  * What the parts of the fleet can refuse or fail with, told so that an operator can act on it; the message
  * has all three words. docs/operators/errors.md lists all of its kinds; a test holds it to the code.
  */
-public abstract class FleetError extends Exception {
+public abstract class FleetException extends Exception {
     private static final long serialVersionUID = 1;
-    private final String wrong;
-    private final String works;
+    private final String problem;
+    private final String unaffected;
     private final String remedy;
 
-    protected FleetError(String wrong, String works, String remedy) {
+    protected FleetException(String wrong, String works, String remedy) {
         super(wrong + "; still works: " + works + "; to do: " + remedy);
-        this.wrong = wrong;
-        this.works = works;
+        this.problem = wrong;
+        this.unaffected = works;
         this.remedy = remedy;
     }
 
     /** What is wrong, with the names it is about. */
-    public String wrong() {
-        return wrong;
+    public String problem() {
+        return problem;
     }
 
     /** What still works. */
-    public String works() {
-        return works;
+    public String unaffected() {
+        return unaffected;
     }
 
     /** What an operator can do. */
--- a/src/main/java/maplespread/facade/Action.java
+++ b/src/main/java/maplespread/facade/Action.java
@@ -1,6 +1,6 @@
 package maplespread.facade;
 
-/** What the module wants done that answers no transaction: the results of {@link Dispatcher#tick}. */
+/** What the module wants done that answers no transaction: the results of {@link DecisionService#tick}. */
 public sealed interface Action {
     /** Ask the worker for its load. */
     record Probe(String worker, String address) implements Action {}
@@ -9,5 +9,5 @@
     record Watch() implements Action {}
 
     /** Give the branch up. */
-    record Cancel(Attempt branch) implements Action {}
+    record Cancel(Attempt attempt) implements Action {}
 }
--- a/src/main/java/maplespread/facade/Decision.java
+++ b/src/main/java/maplespread/facade/Decision.java
@@ -1,15 +1,15 @@
 package maplespread.facade;
 
-import maplespread.decision.Dispatch;
+import maplespread.policy.Dispatch;
 
-/** What the module says of a transaction: the answers of {@link Dispatcher#decide}. */
-public sealed interface Decision permits Attempt, Decision.BusyAnswer, Decision.Failed, Decision.Left {
+/** What the module says of a transaction: the answers of {@link DecisionService#decide}. */
+public sealed interface Decision permits Attempt, Decision.Rejected, Decision.Failed, Decision.ClientLeft {
     /** Refuse it; trying again is harmless, after that pause where it is above 0. */
-    record BusyAnswer(double pauseMs, Dispatch.Refusal why) implements Decision {}
+    record Rejected(double retryAfterMs, Dispatch.RejectionReason reason) implements Decision {}
 
     /** It ends without a result, and nothing is promised. */
-    record Failed(Dispatch.Refusal why) implements Decision {}
+    record Failed(Dispatch.RejectionReason reason) implements Decision {}
 
     /** Nobody waits for it any more. */
-    record Left() implements Decision {}
+    record ClientLeft() implements Decision {}
 }
--- a/src/main/java/maplespread/facade/Outcome.java
+++ b/src/main/java/maplespread/facade/Outcome.java
@@ -7,11 +7,11 @@
 public enum Outcome {
     SERVED,
     ERROR,
-    TURNED_AWAY,
+    REJECTED,
     TIMED_OUT,
-    NOT_CONNECTED,
+    CONNECT_FAILED,
     RESET,
-    CUT,
+    STALE_CONNECTION_RESET,
     CANCELLED,
     NEVER_SENT
 }
--- a/src/main/java/maplespread/facade/SendCheck.java
+++ b/src/main/java/maplespread/facade/SendCheck.java
@@ -1,10 +1,10 @@
 package maplespread.facade;
 
-/** Whether an attempt may leave the process at this moment, or why not: {@link Dispatcher#check}. */
+/** Whether an attempt may leave the process at this moment, or why not: {@link DecisionService#checkSend}. */
 public enum SendCheck {
     ALLOWED,
     /** The turn in its ordered partition is no longer this request's. */
-    TURN_LOST,
+    ORDERING_PERMIT_LOST,
     /** It was answered, or its client has left. */
     REQUEST_ENDED,
     /** The server drains, is gone, or has another address. */
--- a/src/main/java/maplespread/facade/Load.java
+++ b/src/main/java/maplespread/facade/WorkerLoad.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** A worker's load report: its figures by the names that the settings give them. */
-public record Load(Map<String, Double> figures) {
+public record WorkerLoad(Map<String, Double> figures) {
     double figure(String name) {
         return figures.getOrDefault(name, Double.NaN);
     }
--- a/src/main/java/maplespread/parts/Host.java
+++ b/src/main/java/maplespread/feature/FeatureContext.java
@@ -1,24 +1,24 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import java.net.InetSocketAddress;
 import maplespread.config.Config;
-import maplespread.figures.Figures;
-import maplespread.worker.Relay;
+import maplespread.metrics.Metrics;
+import maplespread.worker.PeerForwarder;
 
 /** What a part may ask of the dispatcher that it belongs to. */
-public interface Host {
+public interface FeatureContext {
     Config config();
 
-    Figures figures();
+    Metrics metrics();
 
     /** Workers on the list, and those that get nothing new. */
-    Figures.Hosts hosts();
+    Metrics.HostCounts hostCounts();
 
     /** What a part says of the settings has changed: the module is given them anew. */
-    void settle();
+    void reapplySettings();
 
     /** What requests count for more, by tenant, from 1 up; tenants beyond its end: as they are. */
-    void relief(double[] weights);
+    void setPriorityBoosts(double[] weights);
 
     /** Sends clients away; false outside of service. */
     boolean quiesce();
@@ -27,14 +27,14 @@
     boolean resume();
 
     /** Whether clients are to be sent here. */
-    boolean serving();
+    boolean isServing();
 
     /** Whether clients that come are taken. */
-    boolean accepting();
+    boolean isAccepting();
 
     /** Where clients are listened to; null: not yet. */
-    InetSocketAddress listens();
+    InetSocketAddress listenAddress();
 
     /** What takes requests to other dispatchers, on the connections that are for workers too. */
-    Relay relay();
+    PeerForwarder peerForwarder();
 }
--- a/src/main/java/maplespread/parts/GroupPart.java
+++ b/src/main/java/maplespread/feature/GroupFeature.java
@@ -1,4 +1,4 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
@@ -7,22 +7,22 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
-import maplespread.agreement.client.Register;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.admin.AdminRoutes.Call;
+import maplespread.cluster.MemberStatus;
+import maplespread.cluster.MemberStatusTable;
 import maplespread.config.Config;
 import maplespread.config.GroupSettings;
-import maplespread.config.Operator;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Call;
-import maplespread.console.Calls.Reply;
-import maplespread.group.Status;
-import maplespread.group.Statuses;
+import maplespread.config.OperatorConfig;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.VersionedValue;
+import maplespread.consensus.client.ReplicatedRegister;
 import maplespread.log.Event;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.Update;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
 import org.tinylog.Logger;
 
 /**
@@ -30,7 +30,7 @@
  * dispatcher serves whether it gets into the group or not: where its address is taken, by the process that it
  * relieves say, it tries again.
  */
-final class GroupPart implements Part {
+final class GroupFeature implements Feature {
     private static final int STATUSES = 2; // the channel; the register has the first
     private static final long ROUND_MS = 500;
     private static final long CALL_MS = 1_900;
@@ -38,21 +38,21 @@
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
 
     /** What there is once this one is in the group. */
-    record Joined(Group group, Register register, Statuses statuses) {}
+    record JoinedGroup(ClusterTransport group, ReplicatedRegister register, MemberStatusTable statuses) {}
 
     private final String name;
     private final String zone;
     private final long seed;
-    private final Host host;
+    private final FeatureContext host;
     private final GroupSettings begun;
     private final Thread thread;
     private volatile GroupSettings now; // as the file has it
-    private volatile Joined joined; // null: not yet
+    private volatile JoinedGroup joined; // null: not yet
     private boolean served; // once: then it drains, and starts no more
     private volatile boolean over;
     private String why = ""; // it is not, as was logged last
 
-    GroupPart(GroupSettings set, Config config, Host host) {
+    GroupFeature(GroupSettings set, Config config, FeatureContext host) {
         this.host = host;
         begun = set;
         now = set;
@@ -69,7 +69,7 @@
     }
 
     /** Null before this one is in the group. */
-    Joined joined() {
+    JoinedGroup joined() {
         return joined;
     }
 
@@ -86,7 +86,7 @@
     private void join() {
         GroupSettings set = now;
         try {
-            Group group = new Group(
+            ClusterTransport group = new ClusterTransport(
                     new MembershipSettings(
                             name,
                             begun.address(),
@@ -104,11 +104,12 @@
                     begun.listen(),
                     set.keys().byId(),
                     seed ^ System.nanoTime());
-            Register register = new Register(AgreementSettings.of(name, set.electors()), group, seed);
-            Statuses statuses =
-                    new Statuses(group.boot(), version(), zone, (to, bytes) -> group.send(STATUSES, to, bytes));
-            group.channel(STATUSES, (from, bytes) -> statuses.heard(from, bytes, nowMs()));
-            joined = new Joined(group, register, statuses);
+            ReplicatedRegister register =
+                    new ReplicatedRegister(ConsensusSettings.of(name, set.electors()), group, seed);
+            MemberStatusTable statuses = new MemberStatusTable(
+                    group.incarnation(), version(), zone, (to, bytes) -> group.send(STATUSES, to, bytes));
+            group.registerChannel(STATUSES, (from, bytes) -> statuses.receive(from, bytes, nowMs()));
+            joined = new JoinedGroup(group, register, statuses);
             Event.of("group.joined", "member", name, "listen", begun.listen(), "electors", set.electors())
                     .info();
         } catch (IOException e) {
@@ -121,7 +122,7 @@
     }
 
     private String version() {
-        String jar = GroupPart.class.getPackage().getImplementationVersion();
+        String jar = GroupFeature.class.getPackage().getImplementationVersion();
         return !begun.version().isEmpty() ? begun.version() : jar == null ? "" : jar;
     }
 
@@ -146,22 +147,26 @@
     }
 
     private void tell() {
-        Joined j = joined;
+        JoinedGroup j = joined;
         if (j == null) {
             return;
         }
-        List<Update> members = j.group.members();
-        j.statuses.keep(members.stream().map(Update::name).toList());
+        List<MemberUpdate> members = j.group.members();
+        j.statuses.retainMembers(members.stream().map(MemberUpdate::name).toList());
         List<String> others = members.stream()
-                .filter(m -> !m.name().equals(name) && m.state() != Update.State.DEAD && m.state() != Update.State.LEFT)
-                .map(Update::name)
+                .filter(m -> !m.name().equals(name)
+                        && m.state() != MemberUpdate.State.DEAD
+                        && m.state() != MemberUpdate.State.LEFT)
+                .map(MemberUpdate::name)
                 .toList();
-        boolean serving = host.serving();
+        boolean serving = host.isServing();
         served |= serving;
-        j.statuses.tell(
+        j.statuses.broadcast(
                 name,
-                serving ? Status.Phase.SERVING : served ? Status.Phase.DRAINING : Status.Phase.STARTING,
-                host.figures().totals(),
+                serving
+                        ? MemberStatus.Phase.SERVING
+                        : served ? MemberStatus.Phase.DRAINING : MemberStatus.Phase.STARTING,
+                host.metrics().totals(),
                 others,
                 nowMs());
     }
@@ -172,12 +177,12 @@
     }
 
     @Override
-    public void stop() {
+    public void beginShutdown() {
         soon();
     }
 
     @Override
-    public void reload(Config config, Operator next) {
+    public void reload(Config config, OperatorConfig next) {
         GroupSettings set = next.group();
         if (set == null) {
             Logger.warn("operator: group is taken out only by a restart");
@@ -189,9 +194,9 @@
         }
         GroupSettings was = now;
         now = set;
-        Joined j = joined;
+        JoinedGroup j = joined;
         if (j != null) {
-            j.group.keys(set.keys().byId());
+            j.group.setKeys(set.keys().byId());
             if (!was.electors().equals(set.electors())) {
                 daemon("group electors", () -> electors(j.register, set)).start();
             }
@@ -199,11 +204,11 @@
     }
 
     /** Goes on until it is done, or the file says something else. */
-    private void electors(Register register, GroupSettings set) {
+    private void electors(ReplicatedRegister register, GroupSettings set) {
         while (!over && now == set) {
-            Result r = register.electors(set.electors(), CALL_MS);
-            if (r.kind() != Result.Kind.NO_MAJORITY) {
-                boolean done = r.kind() == Result.Kind.DECIDED;
+            ChangeResult r = register.electors(set.electors(), CALL_MS);
+            if (r.outcome() != ChangeResult.Outcome.NO_MAJORITY) {
+                boolean done = r.outcome() == ChangeResult.Outcome.DECIDED;
                 Event.write(
                         !done,
                         "group.electors",
@@ -212,61 +217,64 @@
                         "now",
                         r.value() == null ? null : r.value().electors(),
                         "why",
-                        done ? null : r.why());
+                        done ? null : r.error());
                 return;
             }
         }
     }
 
     @Override
-    public Map<String, Call> calls() {
-        return Map.of("GET /admin/group", ask -> new Reply(200, shown()), "POST /admin/group/found", this::found);
+    public Map<String, Call> adminRoutes() {
+        return Map.of(
+                "GET /admin/group", ask -> new AdminResponse(200, shown()), "POST /admin/group/found", this::found);
     }
 
     /** After a majority of electors has restarted at once: the file's electors begin anew. */
-    private Reply found(Ask ask) {
-        Joined j = joined;
+    private AdminResponse found(AdminRequest ask) {
+        JoinedGroup j = joined;
         if (ask.query("why").isBlank()) {
-            return new Reply(400, "the call lacks ?why=; what is agreed so far may be lost by it");
+            return new AdminResponse(400, "the call lacks ?why=; what is agreed so far may be lost by it");
         }
         if (j == null) {
-            return new Reply(503, name + " is not in the group yet: look for group.not_joined in the log");
+            return new AdminResponse(503, name + " is not in the group yet: look for group.not_joined in the log");
         }
         Event.of("group.found_anew", "by", name, "why", ask.query("why"), "electors", now.electors())
                 .warn();
-        Result r = j.register.found(now.electors(), CALL_MS);
-        return r.kind() == Result.Kind.DECIDED
-                ? new Reply(200, "begun anew as " + r.value().epoch())
-                : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
+        ChangeResult r = j.register.bootstrap(now.electors(), CALL_MS);
+        return r.outcome() == ChangeResult.Outcome.DECIDED
+                ? new AdminResponse(200, "begun anew as " + r.value().epoch())
+                : new AdminResponse(
+                        r.outcome() == ChangeResult.Outcome.REJECTED ? 409 : 503,
+                        r.error().getMessage());
     }
 
     private String shown() {
-        Joined j = joined;
+        JoinedGroup j = joined;
         JsonObject all = new JsonObject();
         all.addProperty("name", name);
         all.addProperty("joined", j != null);
         if (j == null) {
             return GSON.toJson(all);
         }
-        Value value = j.register.known();
-        all.addProperty("run", j.group.boot());
-        all.addProperty("blind", j.register.blind());
+        VersionedValue value = j.register.decidedValue();
+        all.addProperty("run", j.group.incarnation());
+        all.addProperty("blind", j.register.recovering());
         all.addProperty("epoch", value == null ? 0 : value.epoch());
         all.addProperty("version", value == null ? 0 : value.version());
         JsonArray electors = new JsonArray();
         (value == null ? now.electors() : value.electors()).forEach(electors::add);
         all.add("electors", electors);
         JsonArray members = new JsonArray();
-        for (Update u : j.group.members()) {
+        for (MemberUpdate u : j.group.members()) {
             JsonObject m = new JsonObject();
             m.addProperty("name", u.name());
             m.addProperty("state", u.state().name());
             m.addProperty("address", u.address());
-            m.addProperty("run", u.boot());
-            j.statuses.of(u.name()).ifPresent(h -> {
+            m.addProperty("run", u.processIncarnation());
+            j.statuses.find(u.name()).ifPresent(h -> {
                 m.addProperty("phase", h.status().phase().name());
                 m.addProperty("version", h.status().version());
-                m.addProperty("heard_ms_ago", nowMs() - h.atMs());
+                m.addProperty("heard_ms_ago", nowMs() - h.receivedAtMs());
             });
             members.add(m);
         }
@@ -281,7 +289,7 @@
     public void close() {
         over = true;
         thread.interrupt();
-        Joined j = joined;
+        JoinedGroup j = joined;
         if (j != null) {
             j.register.close();
             j.group.close();
--- a/src/main/java/maplespread/parts/PartitionPart.java
+++ b/src/main/java/maplespread/feature/PartitionFeature.java
@@ -1,29 +1,30 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.Map;
-import maplespread.caller.Turns;
+import maplespread.admin.AdminRoutes.Call;
+import maplespread.caller.RequestSequencer;
 import maplespread.config.Config;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.PartitionSettings;
-import maplespread.console.Calls.Call;
-import maplespread.partition.TableError;
-import maplespread.partition.client.Fleet;
-import maplespread.partition.client.Keeper;
-import maplespread.routes.RouteSink;
+import maplespread.discovery.EndpointListener;
+import maplespread.partition.RoutingTableException;
+import maplespread.partition.client.PartitionEndpoints;
+import maplespread.partition.client.PartitionService;
 import org.tinylog.Logger;
 
 /** Jobs go to partitions of the workers, and those of one key in order over the whole fleet. */
-final class PartitionPart implements Part {
+final class PartitionFeature implements Feature {
     private final Config begun;
-    private final Host host;
-    private final GroupPart group;
+    private final FeatureContext host;
+    private final GroupFeature group;
     private final String groupHost;
     private PartitionSettings set;
-    private Keeper keeper;
+    private PartitionService keeper;
 
-    PartitionPart(PartitionSettings set, Config config, String groupAddress, Host host, GroupPart group) {
+    PartitionFeature(
+            PartitionSettings set, Config config, String groupAddress, FeatureContext host, GroupFeature group) {
         this.set = set;
         this.host = host;
         this.group = group;
@@ -33,26 +34,27 @@
 
     /** Comes before all else is asked of this part. */
     @Override
-    public RouteSink routes(RouteSink next) {
-        Fleet fleet = new Fleet(next, begun.names());
+    public EndpointListener wrapListener(EndpointListener next) {
+        PartitionEndpoints fleet = new PartitionEndpoints(next, begun.names());
         try {
-            keeper = new Keeper(
+            keeper = new PartitionService(
                     set,
-                    new Keeper.Ground(host::config, this::ties, host::serving, this::address, host.relay(), fleet));
-        } catch (TableError e) { // checked when the files were read
+                    new PartitionService.Dependencies(
+                            host::config, this::ties, host::isServing, this::address, host.peerForwarder(), fleet));
+        } catch (RoutingTableException e) { // checked when the files were read
             throw new IllegalArgumentException(e);
         }
         return fleet;
     }
 
-    private Keeper.Ties ties() {
-        GroupPart.Joined j = group.joined();
-        return j == null ? null : new Keeper.Ties(j.group(), j.register());
+    private PartitionService.ClusterHandle ties() {
+        GroupFeature.JoinedGroup j = group.joined();
+        return j == null ? null : new PartitionService.ClusterHandle(j.group(), j.register());
     }
 
     /** Null before the listener is bound. */
     private String address() {
-        InetSocketAddress bound = host.listens();
+        InetSocketAddress bound = host.listenAddress();
         if (bound == null || !set.address().isEmpty()) {
             return bound == null ? null : set.address();
         }
@@ -64,22 +66,22 @@
     }
 
     @Override
-    public void serving() {
+    public void onServing() {
         keeper.start();
     }
 
     @Override
-    public Turns turns() {
-        return keeper.turns();
+    public RequestSequencer requestSequencer() {
+        return keeper.sequencer();
     }
 
     @Override
-    public Collection<String> peers() {
+    public Collection<String> peerAddresses() {
         return keeper.peers();
     }
 
     @Override
-    public void reload(Config config, Operator next) {
+    public void reload(Config config, OperatorConfig next) {
         if (next.partition() == null) {
             Logger.warn("operator: partition is taken out only by a restart");
             return;
@@ -87,17 +89,17 @@
         if (!set.needingRestart(next.partition()).isEmpty()) {
             Logger.warn("operator: changed, but taken up only by a restart: {}", set.needingRestart(next.partition()));
         }
-        keeper.file(next.partition());
+        keeper.reloadTable(next.partition());
     }
 
     @Override
-    public Map<String, Call> calls() {
-        return keeper.calls();
+    public Map<String, Call> adminRoutes() {
+        return keeper.adminCalls();
     }
 
     @Override
-    public void stop() {
-        keeper.leave();
+    public void beginShutdown() {
+        keeper.releaseSlots();
     }
 
     @Override
--- a/src/main/java/maplespread/parts/StarvationPart.java
+++ b/src/main/java/maplespread/feature/StarvationFeature.java
@@ -1,24 +1,24 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 import java.util.List;
 import java.util.Map;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.admin.AdminRoutes.Call;
 import maplespread.config.Config;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.StarvationSettings;
-import maplespread.console.Calls.Call;
-import maplespread.console.Calls.Reply;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.EndpointListener;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Ends;
+import maplespread.facade.RequestListener;
 import maplespread.log.Event;
-import maplespread.membership.Update;
-import maplespread.routes.RouteSink;
-import maplespread.starvation.client.Watch;
+import maplespread.membership.MemberUpdate;
+import maplespread.policy.Dispatch;
+import maplespread.starvation.client.StarvationMonitor;
 
 /** Tells which tenant is starved: a round each window, with the others' windows where there is a group. */
-final class StarvationPart implements Part {
+final class StarvationFeature implements Feature {
     private static final int CHANNEL = 3;
     private static final long STACK = 256 * 1024;
     private static final Gson GSON = new GsonBuilder()
@@ -26,17 +26,17 @@
             .serializeSpecialFloatingPointValues()
             .create();
     private final StarvationSettings set;
-    private final GroupPart group; // null: alone
+    private final GroupFeature group; // null: alone
     private final String name;
-    private final Watch watch;
+    private final StarvationMonitor watch;
     private final Thread thread;
     private boolean listens;
 
-    StarvationPart(StarvationSettings set, Config config, GroupPart group, Host host) {
+    StarvationFeature(StarvationSettings set, Config config, GroupFeature group, FeatureContext host) {
         this.set = set;
         this.group = group;
         name = config.name();
-        watch = new Watch(set, config, group != null, System.currentTimeMillis(), host::relief);
+        watch = new StarvationMonitor(set, config, group != null, System.currentTimeMillis(), host::setPriorityBoosts);
         thread = new Thread(null, this::run, "starvation", STACK);
         thread.setDaemon(true);
     }
@@ -47,34 +47,34 @@
     }
 
     @Override
-    public Ends ends() {
+    public RequestListener requestListener() {
         return watch;
     }
 
     @Override
-    public RouteSink routes(RouteSink next) {
-        return new RouteSink() {
+    public EndpointListener wrapListener(EndpointListener next) {
+        return new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {
-                watch.news(news);
-                next.news(news);
+            public void endpointsChanged(EndpointUpdate news) {
+                watch.endpointsChanged(news);
+                next.endpointsChanged(news);
             }
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
                 next.watchLost(loss, heardAgoMs);
             }
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {
-                next.unconfirmed(why, heardAgoMs);
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+                next.listUnconfirmed(why, heardAgoMs);
             }
         };
     }
 
     @Override
-    public void reload(Config config, Operator next) {
-        watch.config(config);
+    public void reload(Config config, OperatorConfig next) {
+        watch.configure(config);
     }
 
     private void run() {
@@ -93,27 +93,28 @@
     }
 
     private void round() {
-        GroupPart.Joined joined = group == null ? null : group.joined();
+        GroupFeature.JoinedGroup joined = group == null ? null : group.joined();
         if (joined == null) {
-            watch.round(0, bytes -> {});
+            watch.evaluate(0, bytes -> {});
             return;
         }
         if (!listens) {
             listens = true;
-            joined.group().channel(CHANNEL, watch::heard);
+            joined.group().registerChannel(CHANNEL, watch::windowReceived);
         }
         List<String> others = joined.group().members().stream()
-                .filter(m -> !m.name().equals(name) && m.state() == Update.State.ALIVE)
-                .map(Update::name)
+                .filter(m -> !m.name().equals(name) && m.state() == MemberUpdate.State.ALIVE)
+                .map(MemberUpdate::name)
                 .toList();
-        watch.round(others.size(), bytes -> others.forEach(m -> joined.group().send(CHANNEL, m, bytes)));
+        watch.evaluate(
+                others.size(), bytes -> others.forEach(m -> joined.group().send(CHANNEL, m, bytes)));
     }
 
     @Override
-    public Map<String, Call> calls() {
+    public Map<String, Call> adminRoutes() {
         return !set.console()
                 ? Map.of()
-                : Map.of("GET /admin/starvation", ask -> new Reply(200, GSON.toJson(watch.standing())));
+                : Map.of("GET /admin/starvation", ask -> new AdminResponse(200, GSON.toJson(watch.report())));
     }
 
     @Override
--- a/src/main/java/maplespread/parts/UpgradePart.java
+++ b/src/main/java/maplespread/feature/UpgradeFeature.java
@@ -1,43 +1,43 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import maplespread.config.Config;
-import maplespread.decision.Dispatch;
-import maplespread.upgrade.Note;
-import maplespread.upgrade.Presence;
+import maplespread.policy.Dispatch;
+import maplespread.upgrade.InstanceLock;
+import maplespread.upgrade.InstanceRecord;
 import org.tinylog.Logger;
 
 /**
  * Another process may take this one's place: while both live, each takes part of the limits, and of what the
  * nodes share out.
  */
-final class UpgradePart implements Part {
+final class UpgradeFeature implements Feature {
     private final Config config;
-    private final Host host;
-    private Presence presence; // null: the directory will not do
+    private final FeatureContext host;
+    private InstanceLock presence; // null: the directory will not do
     private volatile boolean shared;
 
-    UpgradePart(Config config, Host host) {
+    UpgradeFeature(Config config, FeatureContext host) {
         this.config = config;
         this.host = host;
     }
 
     @Override
     public void start() {
-        presence = Presence.join(
+        presence = InstanceLock.acquire(
                         config.tmp(),
                         config.listen().getAddress().getHostAddress()
                                 + ':'
                                 + config.listen().getPort())
                 .orElse(null);
-        sweep();
+        maintain();
     }
 
     @Override
-    public void sweep() {
-        boolean now = presence != null && presence.shared();
+    public void maintain() {
+        boolean now = presence != null && presence.hasPeer();
         if (now != shared) {
             shared = now;
-            host.settle();
+            host.reapplySettings();
             Logger.info(
                     now
                             ? "another process of this dispatcher lives: shares the limits"
@@ -50,27 +50,27 @@
     }
 
     boolean relieved() {
-        return presence != null && presence.relieved();
+        return presence != null && presence.hasServingPeer();
     }
 
     @Override
-    public Dispatch.Settings settings(Dispatch.Settings told) {
-        return shared ? told.shared() : told;
+    public Dispatch.PolicySettings adjustSettings(Dispatch.PolicySettings told) {
+        return shared ? told.sharedByTwoProcesses() : told;
     }
 
     @Override
-    public void serving() {
-        say(Note.State.SERVING);
+    public void onServing() {
+        say(InstanceRecord.Phase.SERVING);
     }
 
     @Override
-    public void stop() {
-        say(Note.State.ENDING);
+    public void beginShutdown() {
+        say(InstanceRecord.Phase.ENDING);
     }
 
-    private void say(Note.State state) {
+    private void say(InstanceRecord.Phase state) {
         if (presence != null) {
-            presence.say(state);
+            presence.publish(state);
         }
     }
 
--- a/src/main/java/maplespread/http/HttpError.java
+++ b/src/main/java/maplespread/http/HttpException.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /** A message that cannot be accepted, with the status that a server answers to it. */
-public final class HttpError extends IOException {
+public final class HttpException extends IOException {
     private static final long serialVersionUID = 1;
     private final int status;
 
-    public HttpError(int status, String message) {
+    public HttpException(int status, String message) {
         super(message);
         this.status = status;
     }
--- a/src/main/java/maplespread/http/HttpParser.java
+++ b/src/main/java/maplespread/http/HttpParser.java
@@ -11,7 +11,7 @@
 public final class HttpParser {
     /** Where the body goes, piece by piece. */
     public interface Body {
-        void accept(byte[] from, int at, int length) throws HttpError;
+        void accept(byte[] from, int at, int length) throws HttpException;
     }
 
     public static final int MAX_HEAD = 16 * 1024;
@@ -95,7 +95,7 @@
     }
 
     /** Takes in what the buffer holds, up to the message's end; true once the message is whole. */
-    public boolean feed(ByteBuffer in) throws HttpError {
+    public boolean feed(ByteBuffer in) throws HttpException {
         while (state != State.DONE && in.hasRemaining()) {
             switch (state) {
                 case SIZED, CHUNK, TO_CLOSE -> data(in);
@@ -111,7 +111,7 @@
         return state == State.DONE;
     }
 
-    private void data(ByteBuffer in) throws HttpError {
+    private void data(ByteBuffer in) throws HttpException {
         int n = state == State.TO_CLOSE ? in.remaining() : (int) Math.min(left, in.remaining());
         grow(n);
         if (request || errorsToo || head.status == 200) {
@@ -124,29 +124,29 @@
         }
     }
 
-    private void grow(long n) throws HttpError {
+    private void grow(long n) throws HttpException {
         taken += n;
         if (taken > maxBody) {
-            throw new HttpError(413, "body too large");
+            throw new HttpException(413, "body too large");
         }
     }
 
     /** Collects bytes up to CRLF. A bare CR or LF is refused: not all parties end a line there. */
-    private boolean readLine(ByteBuffer in) throws HttpError {
+    private boolean readLine(ByteBuffer in) throws HttpException {
         boolean inHead = state == State.START || state == State.FIELDS || state == State.TRAILERS;
         while (in.hasRemaining()) {
             int b = in.get() & 255;
             if (inHead && ++headBytes > MAX_HEAD) {
-                throw new HttpError(431, "head too large");
+                throw new HttpException(431, "head too large");
             }
             if (!inHead && line.size() > MAX_CHUNK_LINE) {
-                throw new HttpError(400, "chunk size line too long");
+                throw new HttpException(400, "chunk size line too long");
             }
             int size = line.size();
             boolean afterCr = size > 0 && endsWithCr;
             if (b == '\n') {
                 if (!afterCr) {
-                    throw new HttpError(400, "line without CR");
+                    throw new HttpException(400, "line without CR");
                 }
                 byte[] all = line.toByteArray();
                 line.reset();
@@ -155,11 +155,11 @@
                 return true;
             }
             if (afterCr) {
-                throw new HttpError(400, "bare CR in a line");
+                throw new HttpException(400, "bare CR in a line");
             }
             endsWithCr = b == '\r';
             if (b < 32 && b != '\r' && b != '\t' || b == 127) {
-                throw new HttpError(400, "control character in a line");
+                throw new HttpException(400, "control character in a line");
             }
             line.write(b);
         }
@@ -168,7 +168,7 @@
 
     private boolean endsWithCr;
 
-    private void take(String text) throws HttpError {
+    private void take(String text) throws HttpException {
         switch (state) {
             case START -> {
                 if (request && text.isEmpty()) {
@@ -191,7 +191,7 @@
             case CHUNK_SIZE -> chunkSize(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new HttpError(400, "chunk longer than its size");
+                    throw new HttpException(400, "chunk longer than its size");
                 }
                 state = State.CHUNK_SIZE;
             }
@@ -203,64 +203,64 @@
         }
     }
 
-    private void requestLine(String text) throws HttpError {
+    private void requestLine(String text) throws HttpException {
         String[] parts = text.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || !parts[1].matches("[!-~]+")) {
-            throw new HttpError(400, "malformed request line");
+            throw new HttpException(400, "malformed request line");
         }
         version(parts[2]);
         head.method = parts[0];
         head.target = parts[1];
     }
 
-    private void statusLine(String text) throws HttpError {
+    private void statusLine(String text) throws HttpException {
         String[] parts = text.split(" ", 3);
         if (parts.length < 2 || !parts[1].matches("[1-5][0-9][0-9]")) {
-            throw new HttpError(400, "malformed status line");
+            throw new HttpException(400, "malformed status line");
         }
         version(parts[0]);
         head.status = Integer.parseInt(parts[1]);
     }
 
-    private void version(String text) throws HttpError {
+    private void version(String text) throws HttpException {
         if (!text.equals("HTTP/1.1") && !text.equals("HTTP/1.0")) {
-            throw new HttpError(400, "unknown protocol version");
+            throw new HttpException(400, "unknown protocol version");
         }
         head.oldVersion = text.equals("HTTP/1.0");
     }
 
-    private void field(String text) throws HttpError {
+    private void field(String text) throws HttpException {
         int colon = text.indexOf(':');
         if (colon < 1 || !isToken(text.substring(0, colon))) {
-            throw new HttpError(400, "malformed header field"); // or a folded line
+            throw new HttpException(400, "malformed header field"); // or a folded line
         }
         head.fields().add(new String[] {
             text.substring(0, colon), text.substring(colon + 1).strip()
         });
     }
 
-    private void framing() throws HttpError {
+    private void framing() throws HttpException {
         int lengths = head.count("Content-Length");
         int codings = head.count("Transfer-Encoding");
         if (lengths > 1 || codings > 1 || lengths + codings > 1) {
-            throw new HttpError(400, "ambiguous framing");
+            throw new HttpException(400, "ambiguous framing");
         }
         if (request && !head.oldVersion && head.count("Host") != 1) {
-            throw new HttpError(400, "exactly one Host is needed");
+            throw new HttpException(400, "exactly one Host is needed");
         }
         if (codings == 1) {
             if (head.oldVersion || !head.get("Transfer-Encoding").equalsIgnoreCase("chunked")) {
-                throw new HttpError(400, "unknown transfer coding");
+                throw new HttpException(400, "unknown transfer coding");
             }
             state = State.CHUNK_SIZE;
         } else if (lengths == 1) {
             String text = head.get("Content-Length");
             if (!text.matches("[0-9]{1,18}")) {
-                throw new HttpError(400, "malformed Content-Length");
+                throw new HttpException(400, "malformed Content-Length");
             }
             left = Long.parseLong(text);
             if (left > maxBody) {
-                throw new HttpError(413, "body too large");
+                throw new HttpException(413, "body too large");
             }
             state = left == 0 ? State.DONE : State.SIZED;
         } else if (request || head.status < 200 || head.status == 204 || head.status == 304) {
@@ -270,15 +270,15 @@
         }
     }
 
-    private void chunkSize(String text) throws HttpError {
+    private void chunkSize(String text) throws HttpException {
         int semicolon = text.indexOf(';');
         String digits = (semicolon < 0 ? text : text.substring(0, semicolon)).strip();
         if (!digits.matches("[0-9A-Fa-f]{1,8}")) {
-            throw new HttpError(400, "malformed chunk size");
+            throw new HttpException(400, "malformed chunk size");
         }
         left = Long.parseLong(digits, 16);
         if (left > maxBody - taken) {
-            throw new HttpError(413, "body too large");
+            throw new HttpException(413, "body too large");
         }
         state = left == 0 ? State.TRAILERS : State.CHUNK;
     }
--- a/src/main/java/maplespread/http/Lines.java
+++ b/src/main/java/maplespread/http/LineSplitter.java
@@ -4,23 +4,23 @@
 import java.nio.charset.StandardCharsets;
 
 /** Cuts a streamed body into lines of text; empty ones are handed on too, as signs of life. */
-public final class Lines implements HttpParser.Body {
+public final class LineSplitter implements HttpParser.Body {
     /** Takes one line. */
-    public interface Taker {
-        void take(String line) throws HttpError;
+    public interface LineConsumer {
+        void take(String line) throws HttpException;
     }
 
     private final int longest;
-    private final Taker taker;
+    private final LineConsumer taker;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
 
-    public Lines(int longest, Taker taker) {
+    public LineSplitter(int longest, LineConsumer taker) {
         this.longest = longest;
         this.taker = taker;
     }
 
     @Override
-    public void accept(byte[] from, int at, int length) throws HttpError {
+    public void accept(byte[] from, int at, int length) throws HttpException {
         int start = at;
         for (int i = at; i < at + length; i++) {
             if (from[i] == '\n') {
@@ -33,7 +33,7 @@
         }
         line.write(from, start, at + length - start);
         if (line.size() > longest) {
-            throw new HttpError(413, "line too long");
+            throw new HttpException(413, "line too long");
         }
     }
 }
--- a/src/main/java/maplespread/lab/AddressMeasure.java
+++ b/src/main/java/maplespread/lab/AddressMeasure.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import maplespread.address.Ballot;
-import maplespread.address.Election;
+import maplespread.address.ElectionMessage;
 import maplespread.address.ElectionSettings;
-import maplespread.address.ElectionSink;
+import maplespread.address.ElectionTransport;
+import maplespread.address.LeaderElection;
 import maplespread.lab.address.VirtualElection;
 import maplespread.lab.membership.VirtualGroup;
 import maplespread.membership.MembershipSettings;
@@ -126,12 +126,12 @@
 
     private void fence() {
         ElectionSettings set = ElectionSettings.of("a", List.of("a"), List.of("a"));
-        Election one = new Election(set, 1, 1, 0, new ElectionSink() {
+        LeaderElection one = new LeaderElection(set, 1, 1, 0, new ElectionTransport() {
             @Override
-            public void send(String to, Ballot ballot) {}
+            public void send(String to, ElectionMessage ballot) {}
 
             @Override
-            public void owns(long term) {}
+            public void acquired(long term) {}
 
             @Override
             public void lost(long term, String successor) {}
--- a/src/main/java/maplespread/lab/PartitionMeasure.java
+++ b/src/main/java/maplespread/lab/PartitionMeasure.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import maplespread.lab.rig.KeyJudge;
+import maplespread.lab.rig.OrderingChecker;
 import maplespread.lab.rig.PartitionPlay;
 import maplespread.lab.rig.PartitionPlay.Pace;
 import maplespread.lab.rig.PartitionPlay.Strike;
@@ -32,7 +32,7 @@
             report.aim(what + "rules broken without faults", play.end().wrongs(), 0);
         }
         PartitionPlay play = new PartitionPlay(plan(quick, true), RUNS_MS);
-        KeyJudge.Verdict seen;
+        OrderingChecker.Verdict seen;
         try (play) {
             play.awaitReady();
             play.begin("k");
--- a/src/main/java/maplespread/lab/RegistryMeasure.java
+++ b/src/main/java/maplespread/lab/RegistryMeasure.java
@@ -17,28 +17,28 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
-import maplespread.decision.Dispatch;
-import maplespread.facade.Dispatcher;
+import maplespread.config.OperatorConfig;
+import maplespread.discovery.EndpointListener;
+import maplespread.discovery.EndpointParser;
+import maplespread.facade.DecisionService;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
 import maplespread.lab.registry.StandInRegistry;
 import maplespread.lab.registry.Store;
 import maplespread.lab.registry.VirtualRegistry;
-import maplespread.registry.RegistryCore;
+import maplespread.policy.Dispatch;
+import maplespread.registry.EndpointView;
+import maplespread.registry.RegistryListener;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
-import maplespread.registry.RegistrySink;
-import maplespread.registry.View;
-import maplespread.registry.client.RegistrySource;
-import maplespread.routes.RouteReader;
-import maplespread.routes.RouteSink;
+import maplespread.registry.RegistryWatcher;
+import maplespread.registry.client.RegistryEndpointSource;
 import org.HdrHistogram.Histogram;
 
 /** How soon and at what cost a dispatcher learns what a registry holds. */
@@ -81,7 +81,7 @@
         return o.toString();
     }
 
-    static Config config() throws ConfigError {
+    static Config config() throws ConfigException {
         return ConfigReader.read(
                 ("{'name':'n','listen':'127.0.0.1:0','discovery':'127.0.0.1:1','seed':'1f',"
                                 + "'limits':{'sockets':1024,'memory_mb':192},'settings':{'balancers':1,'index':0,'zone':0,"
@@ -108,14 +108,14 @@
     }
 
     /** Which writes the dispatcher has learned, and how long that took. */
-    private static final class Learning implements RouteSink {
-        final Dispatcher dispatcher;
+    private static final class Learning implements EndpointListener {
+        final DecisionService dispatcher;
         final Map<String, ArrayDeque<long[]>> out = new ConcurrentHashMap<>(); // a write's number and time
         Histogram histogram = new Histogram(60_000_000, 3);
         volatile boolean whole;
         volatile int newest;
 
-        Learning(Dispatcher dispatcher) {
+        Learning(DecisionService dispatcher) {
             this.dispatcher = dispatcher;
         }
 
@@ -127,11 +127,11 @@
         }
 
         @Override
-        public void news(EndpointUpdate news) {
+        public void endpointsChanged(EndpointUpdate news) {
             dispatcher.report(news);
             long now = System.nanoTime();
-            whole |= news.kind() == EndpointUpdate.Kind.WHOLE;
-            for (Route r : news.routes()) {
+            whole |= news.kind() == EndpointUpdate.Kind.FULL_SNAPSHOT;
+            for (Endpoint r : news.endpoints()) {
                 newest = Math.max(newest, r.cell());
                 ArrayDeque<long[]> queue = out.get(r.worker());
                 if (queue != null) {
@@ -147,10 +147,10 @@
         }
 
         @Override
-        public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+        public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
         @Override
-        public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+        public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
 
         synchronized Histogram take() {
             Histogram taken = histogram;
@@ -164,7 +164,7 @@
         for (StandInRegistry m : members) {
             endpoints.add(m.address());
         }
-        return RegistrySettings.of(dialect, endpoints, List.of(PREFIX));
+        return RegistrySettings.withDefaults(dialect, endpoints, List.of(PREFIX));
     }
 
     private void follow(Dialect dialect, int workers) throws Exception {
@@ -175,11 +175,11 @@
         String name = dialect + " " + workers + " workers";
         Config config = config();
         try (StandInRegistry member = new StandInRegistry(store, 7)) {
-            Learning learning = new Learning(new Dispatcher(config.settings(), 1));
+            Learning learning = new Learning(new DecisionService(config.settings(), 1));
             long begun = System.nanoTime();
-            try (RegistrySource source = new RegistrySource(
+            try (RegistryEndpointSource source = new RegistryEndpointSource(
                     settings(dialect, member),
-                    new RouteReader(config.names().zones(), config.names().kinds()),
+                    new EndpointParser(config.names().zones(), config.names().kinds()),
                     1,
                     3,
                     learning)) {
@@ -280,26 +280,27 @@
     }
 
     /** What a change of one worker costs the facade and the module, without any registry. */
-    private void changes(int[] sizes) throws ConfigError {
+    private void changes(int[] sizes) throws ConfigException {
         Map<Integer, Double> micros = new TreeMap<>();
         for (int workers : sizes) {
-            Dispatcher d = new Dispatcher(config().settings(), 1);
-            List<Route> all = new ArrayList<>();
+            DecisionService d = new DecisionService(config().settings(), 1);
+            List<Endpoint> all = new ArrayList<>();
             for (int i = 0; i < workers; i++) {
-                all.add(new Route("w" + i, "10.0.0.1:80", Route.State.SERVING, 1, 0, 0, 0, 0));
+                all.add(new Endpoint("w" + i, "10.0.0.1:80", Endpoint.State.SERVING, 1, 0, 0, 0, 0));
             }
-            d.report(new EndpointUpdate(EndpointUpdate.Kind.HELD, 1, all));
+            d.report(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 1, all));
             int rounds = quick ? 20_000 : 200_000;
             long start = 0;
             for (int i = 0; i < 2 * rounds; i++) {
                 start = i == rounds ? System.nanoTime() : start;
                 int w = (int) (i * 7919L % workers);
-                Route.State state =
-                        i % 3 == 0 ? Route.State.DELETED : i % 3 == 1 ? Route.State.SERVING : Route.State.DRAINING;
+                Endpoint.State state = i % 3 == 0
+                        ? Endpoint.State.DELETED
+                        : i % 3 == 1 ? Endpoint.State.SERVING : Endpoint.State.DRAINING;
                 d.report(new EndpointUpdate(
-                        EndpointUpdate.Kind.CHANGES,
+                        EndpointUpdate.Kind.DELTA,
                         i + 2L,
-                        List.of(new Route("w" + w, "10.0.0.1:80", state, 1, 0, 0, 0, 0))));
+                        List.of(new Endpoint("w" + w, "10.0.0.1:80", state, 1, 0, 0, 0, 0))));
             }
             micros.put(workers, (System.nanoTime() - start) / 1e3 / rounds);
             report.row("one change, " + workers + " workers known", "us in facade and module", micros.get(workers));
@@ -334,10 +335,10 @@
                 workers.add(w);
                 store.put(PREFIX + w.id(), value(w.id(), w.address(), "SERVING", 0));
             }
-            Server server =
-                    new Server(config(), new Operator(false, settings(dialect, member)), RegistryMeasure::config);
-            server.onRoutes(news -> news.routes().forEach(r -> {
-                if (r.state() == Route.State.SERVING) {
+            DispatcherServer server = new DispatcherServer(
+                    config(), new OperatorConfig(false, settings(dialect, member)), RegistryMeasure::config);
+            server.onRoutes(news -> news.endpoints().forEach(r -> {
+                if (r.state() == Endpoint.State.SERVING) {
                     learned.remove(r.worker());
                 } else {
                     learned.putIfAbsent(r.worker(), System.nanoTime());
@@ -413,7 +414,7 @@
     private void herd(boolean paced) {
         int peers = 200;
         int workers = 10_000;
-        RegistrySettings plain = RegistrySettings.of(Dialect.ETCD, List.of("r:1"), List.of(PREFIX));
+        RegistrySettings plain = RegistrySettings.withDefaults(Dialect.ETCD, List.of("r:1"), List.of(PREFIX));
         int rated = plain.requestsPerS();
         RegistrySettings settings = paced
                 ? plain
@@ -438,25 +439,25 @@
         }
         VirtualRegistry.Member member = new VirtualRegistry.Member(store);
         VirtualRegistry registry = new VirtualRegistry(settings, List.of(member));
-        RegistrySink sink = new RegistrySink() {
+        RegistryListener sink = new RegistryListener() {
             @Override
-            public void news(EndpointUpdate news) {}
+            public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void event(boolean warning, String name, Object... pairs) {}
+            public void eventOccurred(boolean warning, String name, Object... pairs) {}
         };
         // One route stands for all values: what a core asks does not hang on what they say.
-        Map<String, Route> routes = new HashMap<>();
+        Map<String, Endpoint> routes = new HashMap<>();
         List<VirtualRegistry.Conversation> all = new ArrayList<>();
-        List<RegistryCore> cores = new ArrayList<>();
+        List<RegistryWatcher> cores = new ArrayList<>();
         for (int i = 0; i < peers; i++) {
-            View view = new View(
+            EndpointView view = new EndpointView(
                     1,
                     (key, text) -> routes.computeIfAbsent(
-                            text, w -> new Route(w, "10.0.0.1:80", Route.State.SERVING, 1, 0, 0, 0, 0)),
+                            text, w -> new Endpoint(w, "10.0.0.1:80", Endpoint.State.SERVING, 1, 0, 0, 0, 0)),
                     15_000,
                     sink);
-            RegistryCore core = new RegistryCore(settings, 0, 1, peers, view, i, 1, sink);
+            RegistryWatcher core = new RegistryWatcher(settings, 0, 1, peers, view, i, 1, sink);
             cores.add(core);
             all.add(registry.new Conversation(core, i));
         }
--- a/src/main/java/maplespread/lab/ScaleMeasure.java
+++ b/src/main/java/maplespread/lab/ScaleMeasure.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import maplespread.lab.scale.FleetPlan;
-import maplespread.lab.scale.HollowFleet;
-import maplespread.lab.scale.HollowFleet.Features;
-import maplespread.lab.scale.HollowFleet.Sample;
+import maplespread.lab.scale.SimulatedFleet;
+import maplespread.lab.scale.SimulatedFleet.Features;
+import maplespread.lab.scale.SimulatedFleet.Sample;
 import maplespread.lab.scale.Slope;
-import maplespread.membership.client.Traffic;
+import maplespread.membership.client.ChannelTrafficMeter;
 
 /**
  * What the control of one dispatcher costs against the number of dispatchers: bytes and packets at its socket
@@ -37,19 +37,19 @@
     private record Stage(String name, Features features, Sizes sizes) {}
 
     /** One fleet's figures of one role: bytes and packets a second by channel, in and out. */
-    private record Rates(Map<Integer, Traffic.Line> perHour) {
+    private record Rates(Map<Integer, ChannelTrafficMeter.ChannelTraffic> perHour) {
         double bytesPerS(int channel) {
-            Traffic.Line line = perHour.get(channel);
+            ChannelTrafficMeter.ChannelTraffic line = perHour.get(channel);
             return line == null ? 0 : line.both().bytes() / 3600.0;
         }
 
         double packetsPerS(int channel) {
-            Traffic.Line line = perHour.get(channel);
+            ChannelTrafficMeter.ChannelTraffic line = perHour.get(channel);
             return line == null ? 0 : line.both().packets() / 3600.0;
         }
 
         double outShare(int channel) {
-            Traffic.Line line = perHour.get(channel);
+            ChannelTrafficMeter.ChannelTraffic line = perHour.get(channel);
             return line == null || line.both().bytes() == 0
                     ? 0
                     : (double) line.out().bytes() / line.both().bytes();
@@ -112,18 +112,18 @@
         if (size > LARGEST) {
             throw new IllegalArgumentException("at most " + LARGEST + " members, not " + size);
         }
-        long heapBefore = HollowFleet.liveHeap();
-        try (HollowFleet fleet = new HollowFleet(size, FleetPlan.TWO_YEARS, stage.features, seed)) {
+        long heapBefore = SimulatedFleet.liveHeap();
+        try (SimulatedFleet fleet = new SimulatedFleet(size, FleetPlan.TWO_YEARS, stage.features, seed)) {
             fleet.awaitJoined();
             Thread.sleep(settleMs);
-            Map<String, Long> processorBefore = HollowFleet.processorNanos();
+            Map<String, Long> processorBefore = SimulatedFleet.processorNanos();
             List<Sample> before = fleet.sample();
             long from = System.nanoTime();
             Thread.sleep(windowMs);
             List<Sample> after = fleet.sample();
             double seconds = (System.nanoTime() - from) / 1e9;
-            Map<String, Double> core = corePercent(processorBefore, HollowFleet.processorNanos(), seconds * size);
-            double heapKb = (HollowFleet.liveHeap() - heapBefore) / 1024.0 / size;
+            Map<String, Double> core = corePercent(processorBefore, SimulatedFleet.processorNanos(), seconds * size);
+            double heapKb = (SimulatedFleet.liveHeap() - heapBefore) / 1024.0 / size;
             long drainMs = fleet.drainKnownMs(size - 1);
             long decisionMs = stage.features.release() ? fleet.decisionKnownMs() : -1;
             Reading reading = new Reading(size, byRole(before, after, seconds), core, heapKb);
@@ -151,7 +151,7 @@
     private static Map<String, Rates> byRole(List<Sample> before, List<Sample> after, double seconds) {
         Map<String, Rates> all = new TreeMap<>();
         for (String role : ROLES) {
-            Map<Integer, Traffic.Line> sum = new TreeMap<>();
+            Map<Integer, ChannelTrafficMeter.ChannelTraffic> sum = new TreeMap<>();
             int count = 0;
             for (int i = 0; i < after.size(); i++) {
                 if (after.get(i).elector() == role.equals("elector")) {
@@ -160,8 +160,8 @@
                 }
             }
             double perHour = 3600 / seconds / Math.max(1, count);
-            sum.replaceAll(
-                    (channel, line) -> new Traffic.Line(scaled(line.in(), perHour), scaled(line.out(), perHour)));
+            sum.replaceAll((channel, line) ->
+                    new ChannelTrafficMeter.ChannelTraffic(scaled(line.in(), perHour), scaled(line.out(), perHour)));
             if (count > 0) {
                 all.put(role, new Rates(sum));
             }
@@ -170,21 +170,25 @@
     }
 
     private static void add(
-            Map<Integer, Traffic.Line> sum, Map<Integer, Traffic.Line> before, Map<Integer, Traffic.Line> after) {
-        Traffic.Count none = new Traffic.Count(0, 0);
+            Map<Integer, ChannelTrafficMeter.ChannelTraffic> sum,
+            Map<Integer, ChannelTrafficMeter.ChannelTraffic> before,
+            Map<Integer, ChannelTrafficMeter.ChannelTraffic> after) {
+        ChannelTrafficMeter.TrafficCount none = new ChannelTrafficMeter.TrafficCount(0, 0);
         after.forEach((channel, line) -> {
-            Traffic.Line was = before.getOrDefault(channel, new Traffic.Line(none, none));
-            Traffic.Line since =
-                    new Traffic.Line(line.in().since(was.in()), line.out().since(was.out()));
+            ChannelTrafficMeter.ChannelTraffic was =
+                    before.getOrDefault(channel, new ChannelTrafficMeter.ChannelTraffic(none, none));
+            ChannelTrafficMeter.ChannelTraffic since = new ChannelTrafficMeter.ChannelTraffic(
+                    line.in().since(was.in()), line.out().since(was.out()));
             sum.merge(
                     channel,
                     since,
-                    (a, b) -> new Traffic.Line(a.in().plus(b.in()), a.out().plus(b.out())));
+                    (a, b) -> new ChannelTrafficMeter.ChannelTraffic(
+                            a.in().plus(b.in()), a.out().plus(b.out())));
         });
     }
 
-    private static Traffic.Count scaled(Traffic.Count count, double by) {
-        return new Traffic.Count(Math.round(count.packets() * by), Math.round(count.bytes() * by));
+    private static ChannelTrafficMeter.TrafficCount scaled(ChannelTrafficMeter.TrafficCount count, double by) {
+        return new ChannelTrafficMeter.TrafficCount(Math.round(count.packets() * by), Math.round(count.bytes() * by));
     }
 
     private void show(Stage stage, Reading reading, long seed, long drainMs, long decisionMs) {
--- a/src/main/java/maplespread/lab/StarvationMeasure.java
+++ b/src/main/java/maplespread/lab/StarvationMeasure.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import maplespread.lab.rig.StarvationPlay;
+import maplespread.lab.starvation.DetectorComparison;
 import maplespread.lab.starvation.VirtualStarvation;
 import maplespread.lab.starvation.VirtualStarvation.Case;
 import maplespread.lab.starvation.VirtualStarvation.Plan;
 import maplespread.lab.starvation.VirtualStarvation.Relieved;
 import maplespread.lab.starvation.VirtualStarvation.Result;
-import maplespread.lab.starvation.Ways;
-import maplespread.starvation.Relief;
+import maplespread.starvation.PriorityBoost;
 import maplespread.starvation.Verdict.Kind;
 
 /**
@@ -28,7 +28,7 @@
     private StarvationMeasure() {}
 
     public static void run(boolean quick, Report report) {
-        Ways.run(quick ? 1000 : 10_000, report);
+        DetectorComparison.run(quick ? 1000 : 10_000, report);
         cases(quick ? 5 : 100, report);
         fair(quick ? 120 : 2700, report);
         relief(quick ? 4 : 50, report);
@@ -66,7 +66,7 @@
                             p.zones = p.kinds = p.alone = 1;
                             p.dispatchers = 3;
                             p.jobsPerS = 600;
-                            p.relief = new Relief.Limits(2, 0.1, 4, guarded);
+                            p.relief = new PriorityBoost.Limits(2, 0.1, 4, guarded);
                         })
                         .stream()
                         .map(Result::relieved)
--- a/src/main/java/maplespread/lab/address/VirtualElection.java
+++ b/src/main/java/maplespread/lab/address/VirtualElection.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import maplespread.address.Ballot;
-import maplespread.address.Election;
+import maplespread.address.ElectionMessage;
 import maplespread.address.ElectionSettings;
-import maplespread.address.ElectionSink;
+import maplespread.address.ElectionTransport;
+import maplespread.address.LeaderElection;
 
 /**
  * Instances that elect an owner, each on a clock of its own that drifts up to the bound, over a network
@@ -16,7 +16,7 @@
  * seed.
  */
 public final class VirtualElection {
-    private record Packet(long at, long order, int from, int to, Ballot ballot) implements Comparable<Packet> {
+    private record Packet(long at, long order, int from, int to, ElectionMessage ballot) implements Comparable<Packet> {
         @Override
         public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -24,14 +24,14 @@
     }
 
     /** One instance's present run. */
-    private final class Node implements ElectionSink {
+    private final class Node implements ElectionTransport {
         final int place;
         double rate; // local milliseconds a true one
         double local;
         long due;
         long pausedUntil;
         boolean dead;
-        Election election;
+        LeaderElection election;
 
         Node(int place) {
             this.place = place;
@@ -40,7 +40,7 @@
         void begin() {
             rate = 1 + (random.nextDouble() * 2 - 1) * drift;
             local = random.nextInt(1_000_000);
-            election = new Election(settings.get(place), 1000 + now, random.nextLong(), clock(), this);
+            election = new LeaderElection(settings.get(place), 1000 + now, random.nextLong(), clock(), this);
             due = clock();
             dead = false;
         }
@@ -50,12 +50,12 @@
         }
 
         @Override
-        public void send(String to, Ballot ballot) {
+        public void send(String to, ElectionMessage ballot) {
             post(place, Integer.parseInt(to.substring(1)), ballot);
         }
 
         @Override
-        public void owns(long term) {
+        public void acquired(long term) {
             if (term <= lastTerm) {
                 fault = "term " + term + " after " + lastTerm + " at " + now;
             }
@@ -172,7 +172,7 @@
         }
     }
 
-    private void post(int from, int to, Ballot ballot) {
+    private void post(int from, int to, ElectionMessage ballot) {
         int copies = random.nextDouble() < twice ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (!cut[from][to] && random.nextDouble() >= loss) {
--- a/src/main/java/maplespread/lab/agreement/EveryOrder.java
+++ b/src/main/java/maplespread/lab/agreement/ExhaustiveInterleavings.java
@@ -11,26 +11,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import maplespread.agreement.Agreement;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.AgreementSink;
-import maplespread.agreement.Ballot;
-import maplespread.agreement.Kept;
-import maplespread.agreement.Value;
-import maplespread.agreement.Word;
+import maplespread.consensus.Ballot;
+import maplespread.consensus.ConsensusMessage;
+import maplespread.consensus.ConsensusNode;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.ConsensusTransport;
+import maplespread.consensus.RegisterState;
+import maplespread.consensus.VersionedValue;
 
 /**
  * Three electors, two of which have begun a change each: every order in which their words arrive, or never,
  * with restarts and tries given up at any place. A state is copied for each thing that may come next; one
  * that was met before, by its text, is not followed again. Words that only tell or refuse are left out.
  */
-public final class EveryOrder {
+public final class ExhaustiveInterleavings {
     private static final List<String> NAMES = List.of("a", "b", "c");
     private static final long FAR = 1_000_000_000_000L; // nothing but tries and questions is due
 
-    private record Packet(String to, Word word, long hash) {}
+    private record Packet(String to, ConsensusMessage word, long hash) {}
 
-    private record Node(Agreement core, long time, long hash) {}
+    private record Node(ConsensusNode core, long time, long hash) {}
 
     /** What led to a state. */
     private record Step(Step before, String what) {
@@ -41,7 +41,12 @@
     }
 
     private record State(
-            Map<String, Node> nodes, List<Packet> packets, Map<Long, Value> decided, int restarts, int tries, Step by) {
+            Map<String, Node> nodes,
+            List<Packet> packets,
+            Map<Long, VersionedValue> decided,
+            int restarts,
+            int tries,
+            Step by) {
         long hash() {
             long hash = restarts * 31L + tries;
             for (Node n : nodes.values()) {
@@ -54,17 +59,21 @@
     private final Map<Class<?>, List<Field>> fields = new java.util.HashMap<>();
     private final Set<Long> met = new HashSet<>();
     private final List<Packet> sent = new ArrayList<>();
-    private final List<Value> learned = new ArrayList<>();
-    private final AgreementSink sink = new AgreementSink() {
+    private final List<VersionedValue> learned = new ArrayList<>();
+    private final ConsensusTransport sink = new ConsensusTransport() {
         @Override
-        public void send(String to, Word word) {
-            if (!Set.of(Word.Kind.NEWS, Word.Kind.DECIDED, Word.Kind.REFUSE).contains(word.kind())) {
+        public void send(String to, ConsensusMessage word) {
+            if (!Set.of(
+                            ConsensusMessage.Kind.DECIDED_BALLOT,
+                            ConsensusMessage.Kind.DECIDED,
+                            ConsensusMessage.Kind.REFUSE)
+                    .contains(word.kind())) {
                 sent.add(new Packet(to, word, hash(to + word)));
             }
         }
 
         @Override
-        public void learned(Value value) {
+        public void learned(VersionedValue value) {
             learned.add(value);
         }
 
@@ -107,7 +116,7 @@
         Map<String, Node> nodes = new TreeMap<>();
         List<Packet> packets = new ArrayList<>();
         for (String name : NAMES) {
-            Agreement core = start(name, 1001 + NAMES.indexOf(name), 0);
+            ConsensusNode core = start(name, 1001 + NAMES.indexOf(name), 0);
             know(core, name);
             sent.clear();
             if (!name.equals("c")) {
@@ -120,23 +129,24 @@
         return new State(nodes, packets, Map.of(), restarts, tries, null);
     }
 
-    private Agreement start(String name, long run, long at) {
-        AgreementSettings set = new AgreementSettings(name, NAMES, 100, FAR);
-        Agreement core = new Agreement(set, run, 1, at, sink);
+    private ConsensusNode start(String name, long run, long at) {
+        ConsensusSettings set = new ConsensusSettings(name, NAMES, 100, FAR);
+        ConsensusNode core = new ConsensusNode(set, run, 1, at, sink);
         core.members(NAMES);
         return core;
     }
 
     /** As if it had read a value that is decided. */
-    private static void know(Agreement core, String name) {
+    private static void know(ConsensusNode core, String name) {
         Ballot at = new Ballot(1, 1, "a", 1);
-        Kept kept = new Kept(new Value(1, 1, "0", 0, NAMES), List.of(), List.of());
+        RegisterState kept = new RegisterState(new VersionedValue(1, 1, "0", 0, NAMES), List.of(), List.of());
         for (String from : NAMES) {
-            for (Word.Kind kind : List.of(Word.Kind.STATE, Word.Kind.DECIDED)) {
+            for (ConsensusMessage.Kind kind :
+                    List.of(ConsensusMessage.Kind.RECOVERY_RESPONSE, ConsensusMessage.Kind.DECIDED)) {
                 if (!from.equals(name)) {
                     core.received(
                             0,
-                            new Word(
+                            new ConsensusMessage(
                                     kind,
                                     from,
                                     1001 + NAMES.indexOf(from),
@@ -148,7 +158,7 @@
                                     1001 + NAMES.indexOf(name),
                                     NAMES,
                                     Map.of(),
-                                    new Kept.Held(at, kept)));
+                                    new RegisterState.AcceptedState(at, kept)));
                 }
             }
         }
@@ -160,24 +170,24 @@
         for (Packet p : s.packets) {
             if (done.add(p.hash)) { // one of those that are the same
                 Node n = s.nodes.get(p.to);
-                Agreement core = copy(n.core);
+                ConsensusNode core = copy(n.core);
                 core.received(n.time, p.word);
                 List<Packet> left = new ArrayList<>(s.packets);
                 left.remove(p);
-                String what = p.word.kind() + " " + p.word.from() + '>' + p.to;
+                String what = p.word.kind() + " " + p.word.sender() + '>' + p.to;
                 add(s, p.to, core, n.time, left, 0, 0, what, next);
             }
         }
         for (String name : NAMES) {
             Node n = s.nodes.get(name);
             if (s.tries > 0 && !name.equals("c")) {
-                Agreement core = copy(n.core);
+                ConsensusNode core = copy(n.core);
                 core.tick(n.time + 1000); // its end, and the rest after it
                 core.tick(n.time + 2000);
                 add(s, name, core, n.time + 2000, new ArrayList<>(s.packets), 0, 1, "again " + name, next);
             }
             if (s.restarts > 0) {
-                Agreement core = start(name, 2000 + s.restarts, n.time);
+                ConsensusNode core = start(name, 2000 + s.restarts, n.time);
                 core.tick(n.time);
                 add(s, name, core, n.time, new ArrayList<>(s.packets), 1, 0, "restart " + name, next);
             }
@@ -187,7 +197,7 @@
     private void add(
             State s,
             String name,
-            Agreement core,
+            ConsensusNode core,
             long time,
             List<Packet> packets,
             int restart,
@@ -195,10 +205,10 @@
             String what,
             List<State> next) {
         packets.addAll(sent);
-        Map<Long, Value> decided = learned.isEmpty() ? s.decided : new TreeMap<>(s.decided);
+        Map<Long, VersionedValue> decided = learned.isEmpty() ? s.decided : new TreeMap<>(s.decided);
         Step by = new Step(s.by, what);
-        for (Value v : learned) {
-            Value other = decided.putIfAbsent(v.version(), v);
+        for (VersionedValue v : learned) {
+            VersionedValue other = decided.putIfAbsent(v.version(), v);
             if (other != null && !other.equals(v)) {
                 fault = "two values: " + other + ", " + v + " by " + by;
             }
@@ -215,9 +225,9 @@
 
     // ------------------------------------------------------------ copies
 
-    private Agreement copy(Agreement core) {
+    private ConsensusNode copy(ConsensusNode core) {
         try {
-            Agreement to = start("a", 1, 0);
+            ConsensusNode to = start("a", 1, 0);
             fill(core, to);
             sent.clear();
             return to;
@@ -227,7 +237,7 @@
     }
 
     private void fill(Object from, Object to) throws ReflectiveOperationException {
-        for (Field f : fields.computeIfAbsent(from.getClass(), EveryOrder::fields)) {
+        for (Field f : fields.computeIfAbsent(from.getClass(), ExhaustiveInterleavings::fields)) {
             f.set(to, copied(f.get(from)));
         }
     }
@@ -258,7 +268,7 @@
             }
             return to;
         } else if (o == null
-                || o.getClass().getEnclosingClass() != Agreement.class
+                || o.getClass().getEnclosingClass() != ConsensusNode.class
                 || o.getClass().isSynthetic()) {
             return o;
         }
--- a/src/main/java/maplespread/lab/agreement/AnyOrder.java
+++ b/src/main/java/maplespread/lab/agreement/RandomInterleavings.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import maplespread.agreement.Agreement;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.AgreementSink;
-import maplespread.agreement.Value;
-import maplespread.agreement.Word;
+import maplespread.consensus.ConsensusMessage;
+import maplespread.consensus.ConsensusNode;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.ConsensusTransport;
+import maplespread.consensus.VersionedValue;
 
 /**
  * Five members, three of them electors at first, with words that arrive in any order or never, and changes,
  * restarts and tries given up at any place: one order by chance.
  */
-public final class AnyOrder {
+public final class RandomInterleavings {
     private static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     private static final long FAR = 1_000_000_000_000L; // nothing but tries and questions is due
     private final int members, restarts, tries, changes;
@@ -26,7 +26,7 @@
      * {@code members}: 3 to 5; {@code restarts}, {@code tries} given up and {@code changes}: of all together;
      * {@code moves}: whether some changes are of the electors.
      */
-    public AnyOrder(int members, int restarts, int tries, int changes, boolean moves) {
+    public RandomInterleavings(int members, int restarts, int tries, int changes, boolean moves) {
         this.members = members;
         this.restarts = restarts;
         this.tries = tries;
@@ -57,13 +57,13 @@
 
     /** One order, from a common start. */
     private final class Play {
-        private record Packet(String to, Word word) {}
+        private record Packet(String to, ConsensusMessage word) {}
 
         private final List<String> names = NAMES.subList(0, members);
-        private final Map<String, Agreement> nodes = new TreeMap<>();
+        private final Map<String, ConsensusNode> nodes = new TreeMap<>();
         private final Map<String, Long> times = new TreeMap<>();
         private final List<Packet> packets = new ArrayList<>();
-        private final Map<Long, Value> decided = new TreeMap<>();
+        private final Map<Long, VersionedValue> decided = new TreeMap<>();
         private final StringBuilder log = new StringBuilder();
         private int restarted, again, changed;
         private long boots = 1000;
@@ -77,31 +77,31 @@
                     nodes.get(n).tick(at);
                     times.put(n, at);
                 }
-                if (nodes.values().stream().noneMatch(Agreement::blind) && decided.isEmpty()) {
+                if (nodes.values().stream().noneMatch(ConsensusNode::recovering) && decided.isEmpty()) {
                     nodes.get("a").change(at, v -> "0 ", FAR, r -> {});
                 }
                 while (!packets.isEmpty()) {
                     Packet p = packets.remove(0);
                     nodes.get(p.to()).received(at, p.word());
                 }
-                begun = nodes.values().stream().allMatch(n -> n.known() != null);
+                begun = nodes.values().stream().allMatch(n -> n.decidedValue() != null);
             }
         }
 
         private void start(String name) {
-            AgreementSettings set = new AgreementSettings(name, NAMES.subList(0, 3), 100, begun ? FAR : 100);
+            ConsensusSettings set = new ConsensusSettings(name, NAMES.subList(0, 3), 100, begun ? FAR : 100);
             long run = ++boots;
-            nodes.put(name, new Agreement(set, run, 1, times.getOrDefault(name, 0L), new AgreementSink() {
+            nodes.put(name, new ConsensusNode(set, run, 1, times.getOrDefault(name, 0L), new ConsensusTransport() {
                 @Override
-                public void send(String to, Word word) {
-                    if (word.kind() != Word.Kind.NEWS) {
+                public void send(String to, ConsensusMessage word) {
+                    if (word.kind() != ConsensusMessage.Kind.DECIDED_BALLOT) {
                         packets.add(new Packet(to, word));
                     }
                 }
 
                 @Override
-                public void learned(Value value) {
-                    Value other = decided.putIfAbsent(value.version(), value);
+                public void learned(VersionedValue value) {
+                    VersionedValue other = decided.putIfAbsent(value.version(), value);
                     if (other != null && !other.equals(value)) {
                         fault = "two values: " + other + ", " + value + " by" + log;
                     }
@@ -120,12 +120,12 @@
             for (Packet p : packets) {
                 choices.add(() -> {
                     packets.remove(p);
-                    log.append(' ').append(p.word().kind() + p.word().from() + ">" + p.to());
+                    log.append(' ').append(p.word().kind() + p.word().sender() + ">" + p.to());
                     nodes.get(p.to()).received(times.get(p.to()), p.word());
                 });
             }
             for (String name : names) {
-                Agreement node = nodes.get(name);
+                ConsensusNode node = nodes.get(name);
                 long at = times.get(name);
                 if (changed < changes) {
                     choices.add(() -> {
--- a/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
+++ b/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
@@ -11,14 +11,14 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import maplespread.agreement.Agreement;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.AgreementSink;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
-import maplespread.agreement.Word;
-import maplespread.agreement.WordCodec;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusMessage;
+import maplespread.consensus.ConsensusNode;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.ConsensusTransport;
+import maplespread.consensus.MessageCodec;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.VersionedValue;
 
 /** Members and a network between them; some words go as bytes. Deterministic by seed. */
 public final class VirtualAgreement {
@@ -30,29 +30,33 @@
     }
 
     /** What a caller was told: its change began and ended then. */
-    public record Told(String token, long from, long to, Result result) {}
+    public record Told(String token, long from, long to, ChangeResult result) {}
 
     /** One run of one member. */
     public final class Node {
         public final String name;
-        public final Agreement core;
-        private final WordCodec codec = new WordCodec();
+        public final ConsensusNode core;
+        private final MessageCodec codec = new MessageCodec();
         private long due, stalledUntil;
         private boolean dead;
-        private Value last;
+        private VersionedValue last;
 
         private Node(String name, long boot) {
             this.name = name;
-            core = new Agreement(
-                    new AgreementSettings(name, electors, 50, 500), boot, random.nextLong(), now, new AgreementSink() {
+            core = new ConsensusNode(
+                    new ConsensusSettings(name, electors, 50, 500),
+                    boot,
+                    random.nextLong(),
+                    now,
+                    new ConsensusTransport() {
                         @Override
-                        public void send(String to, Word word) {
-                            post(Node.this.name, to, codec.encode(to, word), word.held() != null);
+                        public void send(String to, ConsensusMessage word) {
+                            post(Node.this.name, to, codec.encode(to, word), word.accepted() != null);
                         }
 
                         @Override
-                        public void learned(Value value) {
-                            if (!value.after(last)) {
+                        public void learned(VersionedValue value) {
+                            if (!value.isLaterThan(last)) {
                                 faults.add(name + " learned " + value + " after " + last);
                             }
                             last = value;
@@ -72,7 +76,7 @@
         }
 
         /** A change by any rule; the token is checked for where it is decided, unless it is empty. */
-        public void change(String token, Change c, long waitMs, Consumer<Result> done) {
+        public void change(String token, Mutation c, long waitMs, Consumer<ChangeResult> done) {
             long from = now;
             core.change(now, c, now + waitMs, r -> {
                 told.add(new Told(token, from, now, r));
@@ -82,15 +86,15 @@
         }
 
         /** Moves the electors. */
-        public void electors(List<String> next, long waitMs, Consumer<Result> done) {
+        public void electors(List<String> next, long waitMs, Consumer<ChangeResult> done) {
             core.electors(now, next, now + waitMs, done);
             movingTo.addAll(next);
             movingUntil = Math.max(movingUntil, now + waitMs + 3000);
             due = now;
         }
 
-        public void found(List<String> with, long waitMs, Consumer<Result> done) {
-            core.found(now, BOOT + now, with, now + waitMs, done);
+        public void found(List<String> with, long waitMs, Consumer<ChangeResult> done) {
+            core.bootstrap(now, BOOT + now, with, now + waitMs, done);
             due = now;
         }
     }
@@ -102,7 +106,7 @@
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
     private final Set<String> cut = new HashSet<>(); // "from to"
     private final Map<String, Integer> events = new HashMap<>();
-    private final TreeMap<Long, TreeMap<Long, Value>> seen = new TreeMap<>(); // by epoch, then version
+    private final TreeMap<Long, TreeMap<Long, VersionedValue>> seen = new TreeMap<>(); // by epoch, then version
     private final List<Told> told = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
     private final Set<String> movingTo = new HashSet<>();
@@ -171,7 +175,7 @@
      */
     public boolean spared(String name) {
         Set<String> sighted = new HashSet<>();
-        alive().stream().filter(n -> !n.core.blind()).forEach(n -> sighted.add(n.name));
+        alive().stream().filter(n -> !n.core.recovering()).forEach(n -> sighted.add(n.name));
         sighted.remove(name);
         List<List<String>> lists = new ArrayList<>(List.of(electors));
         alive().forEach(n -> lists.addAll(n.core.electors()));
@@ -256,30 +260,31 @@
     }
 
     private void arrived(Node to, Packet p) {
-        WordCodec.Received received = to.codec.decode(p.from(), p.bytes());
+        MessageCodec.Received received = to.codec.decode(p.from(), p.bytes());
         if (!received.readable()) {
             faults.add(to.name + " cannot read what " + p.from() + " sent");
         }
         if (received.reply() != null) {
             post(to.name, p.from(), received.reply(), false);
         }
-        if (received.word() != null) {
-            to.core.received(now, received.word());
+        if (received.message() != null) {
+            to.core.received(now, received.message());
             to.due = now;
         }
     }
 
     // ------------------------------------------------------------ the check
 
-    private void saw(Value v) {
-        Value other = seen.computeIfAbsent(v.epoch(), e -> new TreeMap<>()).putIfAbsent(v.version(), v);
+    private void saw(VersionedValue v) {
+        VersionedValue other =
+                seen.computeIfAbsent(v.epoch(), e -> new TreeMap<>()).putIfAbsent(v.version(), v);
         if (other != null && !other.equals(v)) {
             faults.add("two values: " + other + " and " + v);
         }
     }
 
     /** The last value that anybody learned; null: none. */
-    public Value last() {
+    public VersionedValue last() {
         return seen.isEmpty() ? null : seen.lastEntry().getValue().lastEntry().getValue();
     }
 
@@ -292,13 +297,13 @@
     public List<String> faults() {
         told.stream()
                 .map(Told::result)
-                .filter(r -> r.kind() == Result.Kind.DECIDED)
+                .filter(r -> r.outcome() == ChangeResult.Outcome.DECIDED)
                 .forEach(r -> saw(r.value()));
-        for (TreeMap<Long, Value> life : seen.values()) {
-            Value before = null;
-            for (Value v : life.values()) {
+        for (TreeMap<Long, VersionedValue> life : seen.values()) {
+            VersionedValue before = null;
+            for (VersionedValue v : life.values()) {
                 if (before != null
-                        && (!v.text().startsWith(before.text()) || v.electorsNumber() < before.electorsNumber())) {
+                        && (!v.text().startsWith(before.text()) || v.electorsVersion() < before.electorsVersion())) {
                     faults.add(v + " does not follow " + before);
                 }
                 before = v;
@@ -312,29 +317,29 @@
         boolean one = seen.size() <= 1;
         List<String> end = one && last() != null ? List.of(last().text().split(" ")) : List.of();
         for (Told t : told) {
-            boolean decided = t.result().kind() == Result.Kind.DECIDED;
+            boolean decided = t.result().outcome() == ChangeResult.Outcome.DECIDED;
             boolean there =
                     decided && List.of(t.result().value().text().split(" ")).contains(t.token());
             if (!t.token().isEmpty() && decided && (!there || one && !end.contains(t.token()))) {
                 faults.add("lost: " + t);
             }
-            if (one && t.result().kind() == Result.Kind.REFUSED && end.contains(t.token())) {
+            if (one && t.result().outcome() == ChangeResult.Outcome.REJECTED && end.contains(t.token())) {
                 faults.add("refused, and there: " + t);
             }
         }
-        Value newest = null;
+        VersionedValue newest = null;
         List<Told> ends = told.stream()
-                .filter(t -> t.result().kind() != Result.Kind.NO_MAJORITY)
+                .filter(t -> t.result().outcome() != ChangeResult.Outcome.NO_MAJORITY)
                 .toList();
         List<Told> begins = new ArrayList<>(ends);
         begins.sort(java.util.Comparator.comparingLong(Told::from));
         int i = 0;
         for (Told t : begins) { // told is in the order of the ends
             for (; i < ends.size() && ends.get(i).to() < t.from(); i++) {
-                Value v = ends.get(i).result().value();
-                newest = v.after(newest) ? v : newest;
+                VersionedValue v = ends.get(i).result().value();
+                newest = v.isLaterThan(newest) ? v : newest;
             }
-            if (one && newest != null && newest.after(t.result().value())) {
+            if (one && newest != null && newest.isLaterThan(t.result().value())) {
                 faults.add("rests on an earlier value than " + newest + ": " + t);
             }
         }
--- a/src/main/java/maplespread/lab/fleet/VirtualFleet.java
+++ b/src/main/java/maplespread/lab/fleet/VirtualFleet.java
@@ -9,15 +9,15 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplespread.decision.Dispatch;
-import maplespread.decision.Dispatch.Verdict;
-import maplespread.decision.Logic;
-import maplespread.fair.Shares;
-import maplespread.subset.Cut;
+import maplespread.policy.Dispatch;
+import maplespread.policy.Dispatch.AttemptOutcome;
+import maplespread.policy.DispatchPolicy;
+import maplespread.quota.TenantQuota;
+import maplespread.subset.SubsetAssignment;
 
 /**
  * A fleet in virtual time: many nodes, each with the real decision module and the real core that cuts its
- * list ({@link Cut}), on one set of stand-in workers whose load figures are late. Deterministic by seed. What
+ * list ({@link SubsetAssignment}), on one set of stand-in workers whose load figures are late. Deterministic by seed. What
  * is measured is what no single node sees: how the choices of all add up.
  */
 public final class VirtualFleet {
@@ -138,7 +138,7 @@
 
         void came(Job job) {
             if (over) {
-                job.ended(Verdict.RESET);
+                job.ended(AttemptOutcome.RESET);
                 return;
             }
             tick++;
@@ -154,7 +154,7 @@
                 Job job = s.job();
                 int attempt = job.attempt;
                 if (s.done()) {
-                    job.node.hear(this, () -> job.outcome(attempt, Verdict.OK));
+                    job.node.hear(this, () -> job.outcome(attempt, AttemptOutcome.SERVED));
                 } else {
                     job.node.hear(this, () -> job.started(attempt));
                 }
@@ -204,34 +204,34 @@
 
         void started(int n) {
             if (!over && n == attempt && !plan.naive) {
-                node.module.progress(us(), id, n, worker.id, true, 0);
+                node.module.attemptProgressed(us(), id, n, worker.id, true, 0);
             }
         }
 
-        void ended(Verdict v) {
+        void ended(AttemptOutcome v) {
             int n = attempt;
             node.hear(worker, () -> outcome(n, v));
         }
 
-        void outcome(int n, Verdict v) {
+        void outcome(int n, AttemptOutcome v) {
             if (n != attempt || over || settled) {
                 return;
             }
             settled = true;
-            boolean ok = v == Verdict.OK;
+            boolean ok = v == AttemptOutcome.SERVED;
             if (ok) {
                 over = true;
                 if (now - at <= AIM + STRETCH * work) {
                     served += work;
                 }
                 got[tenant] += work;
-                node.shares.ended(id, false);
+                node.shares.requestCompleted(id, false);
                 node.open.remove(id);
             }
             if (plan.naive) {
                 return;
             }
-            node.module.outcome(us(), id, n, worker.id, v, now - sentAt, ok, null);
+            node.module.attemptEnded(us(), id, n, worker.id, v, now - sentAt, ok, null);
         }
 
         boolean settled = true; // no attempt is out
@@ -242,13 +242,13 @@
         return Math.round(now * 1000);
     }
 
-    private final class Node implements Dispatch.Actions {
+    private final class Node implements Dispatch.PolicyActions {
         final int index;
         final int zone;
         final double weight;
-        final Cut cut;
-        final Logic module;
-        final Shares shares;
+        final SubsetAssignment cut;
+        final DispatchPolicy module;
+        final TenantQuota shares;
         final Map<Long, Job> open = new HashMap<>();
         final Set<Worker> lost = new HashSet<>();
         double pausedUntil;
@@ -261,13 +261,13 @@
             zone = index % 4;
             weight = 0.5 + random.nextDouble() * 1.5;
             int told = plan.told > 0 ? plan.told : plan.dispatchers;
-            cut = new Cut(index, told, new Cut.Wish(plan.sharers, 20), 7);
-            shares = new Shares(settings(1).tenants());
-            module = new Logic(settings(Math.max(1, told)), plan.seed * 31 + index, this);
-            list(Dispatch.ListKind.HELD);
+            cut = new SubsetAssignment(index, told, new SubsetAssignment.SubsetSettings(plan.sharers, 20), 7);
+            shares = new TenantQuota(settings(1).tenants());
+            module = new DispatchPolicy(settings(Math.max(1, told)), plan.seed * 31 + index, this);
+            list(Dispatch.EndpointListKind.CACHED_SNAPSHOT);
         }
 
-        Dispatch.Settings settings(int sharers) {
+        Dispatch.PolicySettings settings(int sharers) {
             List<Dispatch.Tenant> tenants = new ArrayList<>();
             double capacity = workers.stream()
                             .filter(w -> !w.over)
@@ -278,7 +278,7 @@
             for (double share : SHARES) {
                 tenants.add(new Dispatch.Tenant(plan.fair ? share * 0.85 * capacity : 0));
             }
-            return new Dispatch.Settings(
+            return new Dispatch.PolicySettings(
                     sharers,
                     index,
                     zone,
@@ -290,29 +290,30 @@
                     2,
                     0.1,
                     0.015,
-                    List.of(spec(Dispatch.Effect.READ_LIKE, 2), spec(Dispatch.Effect.UNSAFE, 2)),
+                    List.of(spec(Dispatch.Idempotency.READ_LIKE, 2), spec(Dispatch.Idempotency.NON_IDEMPOTENT, 2)),
                     tenants,
-                    new Dispatch.Permissions(true, true, true, 5, 250, 2000, 30_000),
-                    new Dispatch.Rules(250, 10_000, 0.12, 24_000, FALL, 1000, 8));
+                    new Dispatch.SitePermissions(true, true, true, 5, 250, 2000, 30_000),
+                    new Dispatch.PlatformRules(250, 10_000, 0.12, 24_000, FALL, 1000, 8));
         }
 
         /** Tells the module what of the list is its own to use. */
-        void list(Dispatch.ListKind kind) {
+        void list(Dispatch.EndpointListKind kind) {
             dirty = false;
             cut.clear();
             workers.stream().filter(w -> !w.over).forEach(w -> cut.put(w.id, w.zone));
             Set<String> mine = cut.workers();
-            module.settings(us(), settings(cut.sharers()));
-            List<Dispatch.Entry> all = new ArrayList<>();
+            module.settingsChanged(us(), settings(cut.maxDispatchersPerWorker()));
+            List<Dispatch.EndpointEntry> all = new ArrayList<>();
             for (Worker w : workers) {
                 if (!w.over && mine.contains(w.id)) {
                     double since = w.model.startedMs() < 0 ? 0 : w.model.startedMs();
-                    all.add(new Dispatch.Entry(w.id, Dispatch.Health.ACTIVE, 1, 0, 0, w.zone, since));
+                    all.add(new Dispatch.EndpointEntry(
+                            w.id, Dispatch.EndpointLifecycle.ACTIVE, 1, 0, 0, w.zone, since));
                 }
             }
-            module.list(us(), kind, ++order, all);
-            if (kind != Dispatch.ListKind.HELD) {
-                module.listConfirmed(us());
+            module.endpointListReceived(us(), kind, ++order, all);
+            if (kind != Dispatch.EndpointListKind.CACHED_SNAPSHOT) {
+                module.endpointListConfirmed(us());
             }
         }
 
@@ -337,7 +338,7 @@
         void take(int tenant, double work, boolean unsafe) {
             Job job = new Job(this, ++ids, tenant, work, unsafe);
             open.put(job.id, job);
-            after(DEADLINE, () -> awake(() -> job.outcome(job.attempt, Verdict.TIMEOUT)));
+            after(DEADLINE, () -> awake(() -> job.outcome(job.attempt, AttemptOutcome.TIMED_OUT)));
             if (plan.naive) {
                 Worker best = null;
                 for (Worker w : workers) {
@@ -351,9 +352,9 @@
                 after(1, () -> job.worker.came(job));
                 return;
             }
-            module.request(
+            module.requestAccepted(
                     us(),
-                    new Dispatch.Request(
+                    new Dispatch.PolicyRequest(
                             job.id,
                             unsafe ? 1 : 0,
                             tenant,
@@ -363,11 +364,11 @@
                             0,
                             null,
                             null,
-                            plan.fair ? shares.of(now, job.id, tenant, true, plan.dispatchers) : 1));
+                            plan.fair ? shares.weight(now, job.id, tenant, true, plan.dispatchers) : 1));
         }
 
         @Override
-        public void send(long id, String to) {
+        public void sendAttempt(long id, String to) {
             Job job = open.get(id);
             Worker w = byId.get(to);
             job.attempt++;
@@ -377,7 +378,7 @@
             int n = job.attempt;
             double way = plan.oracle ? 0.1 : w.zone == zone ? 0.2 : 15;
             if (lost.contains(w)) {
-                after(250, () -> awake(() -> job.outcome(n, Verdict.NO_CONNECTION)));
+                after(250, () -> awake(() -> job.outcome(n, AttemptOutcome.CONNECT_FAILED)));
                 return;
             }
             after(way, () -> {
@@ -388,29 +389,29 @@
         }
 
         @Override
-        public void refuse(long id, double pauseMs, Dispatch.Refusal why) {
+        public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
             end(id);
         }
 
         @Override
-        public void fail(long id, Dispatch.Refusal why) {
+        public void fail(long id, Dispatch.RejectionReason why) {
             end(id);
         }
 
         private void end(long id) {
             Job job = open.remove(id);
-            shares.ended(id, true);
+            shares.requestCompleted(id, true);
             if (job != null) {
                 job.over = true;
             }
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             Job job = open.get(id);
             if (job != null && attempt == job.attempt) {
                 job.worker.model.drop(job);
-                job.ended(Verdict.CANCELLED);
+                job.ended(AttemptOutcome.CANCELLED);
             }
         }
 
@@ -419,7 +420,7 @@
             probes++;
             Worker w = byId.get(to);
             if (lost.contains(w) || w.over) {
-                after(250, () -> awake(() -> module.probed(us(), to, Verdict.NO_CONNECTION, 250, null)));
+                after(250, () -> awake(() -> module.probeEnded(us(), to, AttemptOutcome.CONNECT_FAILED, 250, null)));
                 return;
             }
             double way = plan.oracle ? 0.1 : 2;
@@ -428,34 +429,35 @@
                 double free = plan.oracle ? w.model.freeSlots() : w.free;
                 after(
                         way + (plan.oracle ? 0 : 150),
-                        () -> awake(() -> module.probed(
+                        () -> awake(() -> module.probeEnded(
                                 us(),
                                 to,
-                                Verdict.OK,
+                                AttemptOutcome.SERVED,
                                 2 * way,
-                                new Dispatch.Report(Double.NaN, Double.NaN, util, Double.NaN, free, -1))));
+                                new Dispatch.LoadReport(Double.NaN, Double.NaN, util, Double.NaN, free, -1))));
             });
         }
 
         @Override
-        public void watch() {
-            after(50, () -> awake(() -> list(Dispatch.ListKind.FULL)));
+        public void watchEndpointList() {
+            after(50, () -> awake(() -> list(Dispatch.EndpointListKind.FULL_SNAPSHOT)));
         }
 
         @Override
-        public void timer(double delayMs, long label) {
-            after(Math.max(0.01, delayMs), () -> awake(() -> module.timer(us(), label)));
+        public void scheduleTimer(double delayMs, long label) {
+            after(Math.max(0.01, delayMs), () -> awake(() -> module.timerExpired(us(), label)));
         }
 
         @Override
-        public void listState(Dispatch.ListState from, Dispatch.ListState to, double ageMs) {}
+        public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {}
 
         @Override
         public void log(String line) {}
     }
 
-    private static Dispatch.ClassSpec spec(Dispatch.Effect effect, double worth) {
-        return new Dispatch.ClassSpec(AIM, STRETCH, DEADLINE, worth, 0, effect, Dispatch.Group.ALL, 5000, false, -1);
+    private static Dispatch.RequestClass spec(Dispatch.Idempotency effect, double worth) {
+        return new Dispatch.RequestClass(
+                AIM, STRETCH, DEADLINE, worth, 0, effect, Dispatch.DeduplicationScope.ALL, 5000, false, -1);
     }
 
     // ------------------------------------------------------------ the play
@@ -647,12 +649,14 @@
         }
         w.over = true;
         tally(w);
-        w.model.restart(now).forEach(job -> job.ended(Verdict.RESET));
+        w.model.restart(now).forEach(job -> job.ended(AttemptOutcome.RESET));
         add(now);
         nodes.forEach(n -> {
             if (!n.dead && !n.dirty) {
                 n.dirty = true;
-                after(500 + random.nextDouble() * 500, () -> n.awake(() -> n.list(Dispatch.ListKind.FULL)));
+                after(
+                        500 + random.nextDouble() * 500,
+                        () -> n.awake(() -> n.list(Dispatch.EndpointListKind.FULL_SNAPSHOT)));
             }
         });
     }
