--- a/src/main/java/maplespread/lab/membership/VirtualGroup.java
+++ b/src/main/java/maplespread/lab/membership/VirtualGroup.java
@@ -8,15 +8,16 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplespread.membership.Membership;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.MembershipSink;
-import maplespread.membership.Message;
-import maplespread.membership.Update;
+import maplespread.membership.MembershipTransport;
+import maplespread.membership.SwimMembership;
+import maplespread.membership.SwimMessage;
 
 /** Members and a network between them. Deterministic by seed; one millisecond is the smallest step. */
 public final class VirtualGroup {
-    private record Packet(long at, long order, String from, String to, Message message) implements Comparable<Packet> {
+    private record Packet(long at, long order, String from, String to, SwimMessage message)
+            implements Comparable<Packet> {
         @Override
         public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -26,7 +27,7 @@
     /** One run of one member. */
     public final class Node {
         public final String name;
-        private final Membership core;
+        private final SwimMembership core;
         private final Map<String, Integer> verdicts = new LinkedHashMap<>();
         private long due;
         private long pausedUntil;
@@ -35,16 +36,16 @@
         private Node(String name, long boot) {
             this.name = name;
             MembershipSettings set = settings.apply(name);
-            core = new Membership(set, boot, random.nextLong(), now, new MembershipSink() {
+            core = new SwimMembership(set, boot, random.nextLong(), now, new MembershipTransport() {
                 @Override
-                public void send(String to, Message message) {
+                public void send(String to, SwimMessage message) {
                     post(name, to, message);
                 }
 
                 @Override
-                public void changed(Update before, Update after) {
+                public void changed(MemberUpdate before, MemberUpdate after) {
                     verdicts.merge(after.name() + ' ' + after.state(), 1, Integer::sum);
-                    if (after.state() == Update.State.DEAD) {
+                    if (after.state() == MemberUpdate.State.DEAD) {
                         deaths.add(new Death(now, name, after.name()));
                     }
                 }
@@ -56,7 +57,7 @@
             });
         }
 
-        public Membership core() {
+        public SwimMembership core() {
             return core;
         }
 
@@ -134,7 +135,7 @@
         cut.clear();
     }
 
-    private void post(String from, String to, Message message) {
+    private void post(String from, String to, SwimMessage message) {
         sent++;
         int copies = random.nextDouble() < twice ? 2 : 1;
         for (int i = 0; i < copies; i++) {
--- a/src/main/java/maplespread/lab/partition/VirtualWays.java
+++ b/src/main/java/maplespread/lab/partition/OrderingStrategies.java
@@ -16,7 +16,7 @@
  * What the ways to keep order over a fleet cost without faults, in virtual microseconds: 20 dispatchers, 5
  * electors, 10,000 keys of which one has a third of the traffic. Deterministic by seed.
  */
-public final class VirtualWays {
+public final class OrderingStrategies {
     /** One owner a slot, jobs handed on; a lock per key by majority; the owner's name told to clients. */
     public enum Way {
         OWNER,
@@ -74,7 +74,7 @@
     private double now;
     private long order, messages, refused, inversions;
 
-    private VirtualWays(Way way, long seed) {
+    private OrderingStrategies(Way way, long seed) {
         this.way = way;
         random = new SplittableRandom(seed);
         for (int i = 0; i < ELECTORS; i++) {
@@ -84,7 +84,7 @@
 
     /** {@code jobsAS}: over the whole fleet. */
     public static Figures play(Way way, double jobsAS, long seed) {
-        VirtualWays w = new VirtualWays(way, seed);
+        OrderingStrategies w = new OrderingStrategies(way, seed);
         double at = 0;
         for (int i = 0; i < JOBS; i++) {
             at -= Math.log(1 - w.random.nextDouble()) * 1e6 / jobsAS;
--- a/src/main/java/maplespread/lab/partition/VirtualPartition.java
+++ b/src/main/java/maplespread/lab/partition/VirtualPartition.java
@@ -10,17 +10,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
-import maplespread.partition.Attributes;
-import maplespread.partition.Fence;
-import maplespread.partition.FenceSettings;
-import maplespread.partition.KeyQueue;
-import maplespread.partition.KeyQueue.Answer;
-import maplespread.partition.KeyQueue.Outcome;
-import maplespread.partition.Owners;
-import maplespread.partition.Table;
-import maplespread.partition.TableError;
-import maplespread.partition.TableReader;
-import maplespread.partition.Tables;
+import maplespread.partition.FencingCheck;
+import maplespread.partition.LeaseSettings;
+import maplespread.partition.PerKeyQueue;
+import maplespread.partition.PerKeyQueue.ExecutionResult;
+import maplespread.partition.PerKeyQueue.Rejection;
+import maplespread.partition.RequestAttributes;
+import maplespread.partition.RoutingTable;
+import maplespread.partition.RoutingTableException;
+import maplespread.partition.RoutingTableParser;
+import maplespread.partition.RoutingTableTransition;
+import maplespread.partition.SlotAssignment;
 
 /**
  * A fleet that keeps order, in virtual milliseconds, each dispatcher on a clock that drifts, and clients that
@@ -29,7 +29,7 @@
  * played as what it promises: a change counts when a majority of electors holds it. Deterministic by seed.
  */
 public final class VirtualPartition {
-    private static final FenceSettings FENCE = new FenceSettings(3, 300, 0.01);
+    private static final LeaseSettings FENCE = new LeaseSettings(3, 300, 0.01);
     private static final int RENEW_MS = 75;
     private static final int SILENT_MS = 160; // not heard for so long: no lease any more
     private static final int GONE_MS = 350; // and for so long: its slots move
@@ -39,7 +39,7 @@
     /** A client's job, and what became of it. */
     private static final class Play {
         final long id;
-        final Attributes attributes;
+        final RequestAttributes attributes;
         final int client; // -1: does not wait for answers
         final int by; // the dispatcher it came to, and its run
         final long run;
@@ -47,7 +47,7 @@
         String answer = "";
         boolean ran;
 
-        Play(long id, Attributes attributes, int client, Node by, long deadline) {
+        Play(long id, RequestAttributes attributes, int client, Node by, long deadline) {
             this.id = id;
             this.attributes = attributes;
             this.client = client;
@@ -68,16 +68,16 @@
     }
 
     /** One dispatcher's present run. */
-    private final class Node implements KeyQueue.Sink {
+    private final class Node implements PerKeyQueue.Callbacks {
         final int place;
         long run;
         boolean dead;
         boolean cutFromElectors, cutFromPeers;
         long frozenUntil;
         double rate, local;
-        Fence fence;
-        Tables tables;
-        KeyQueue queue;
+        FencingCheck fence;
+        RoutingTableTransition tables;
+        PerKeyQueue queue;
         final Map<Long, Taken> taken = new HashMap<>();
         final Map<String, Play> failures = new HashMap<>(); // not answered until the stop is stored
 
@@ -90,14 +90,14 @@
             dead = false;
             rate = 1 + (random.nextDouble() * 2 - 1) * FENCE.drift();
             local = random.nextInt(1_000_000);
-            fence = new Fence(FENCE, id(), Owners.first(SLOTS, "v0"));
-            tables = new Tables();
-            queue = new KeyQueue(FENCE, this);
+            fence = new FencingCheck(FENCE, id(), SlotAssignment.initial(SLOTS, "v0"));
+            tables = new RoutingTableTransition();
+            queue = new PerKeyQueue(FENCE, this);
             taken.clear();
             failures.clear();
-            Table first = TABLES.get("v0");
-            queue.partitions(first.partitions().values());
-            tables.learned(clock(), 1, first, first, 0);
+            RoutingTable first = TABLES.get("v0");
+            queue.updatePartitions(first.partitions().values());
+            tables.learn(clock(), 1, first, first, 0);
             renew(run);
         }
 
@@ -129,8 +129,8 @@
         }
 
         void renew(long mine) {
-            long asked = fence.ask(clock());
-            long epoch = fence.askedEpoch();
+            long asked = fence.startRenewal(clock());
+            long epoch = fence.renewalEpoch();
             for (int e = 0; e < electors.length; e++) {
                 int elector = e;
                 if (lost(this)) {
@@ -139,12 +139,12 @@
                 at(delay(), () -> {
                     lastHeard[place] = now;
                     heardRun[place] = Math.max(heardRun[place], mine);
-                    Owners known = electors[elector];
-                    boolean grants = known.grants("n" + place + "#" + mine, epoch);
+                    SlotAssignment known = electors[elector];
+                    boolean grants = known.grantsLease("n" + place + "#" + mine, epoch);
                     if (!lost(this)) {
                         act(delay(), () -> {
                             if (grants) {
-                                fence.granted(clock(), "e" + elector, asked);
+                                fence.recordGrant(clock(), "e" + elector, asked);
                             }
                             learn(known);
                         });
@@ -152,35 +152,37 @@
                 });
             }
             storeStops();
-            Set<Integer> busy = queue.busy(clock(), fence.owners()::slotOf);
-            Set<Integer> done = fence.confirms(slot -> !busy.contains(slot));
+            Set<Integer> busy = queue.busySlots(clock(), fence.assignment()::slotOf);
+            Set<Integer> done = fence.drainedSlots(slot -> !busy.contains(slot));
             if (!done.isEmpty()) {
-                propose(this, o -> o.confirm("n" + place + "#" + mine, done), () -> {});
+                propose(this, o -> o.confirmDrained("n" + place + "#" + mine, done), () -> {});
             }
             act(RENEW_MS, () -> renew(mine));
         }
 
-        void learn(Owners next) {
-            Table table = TABLES.get(next.table());
-            Table before = TABLES.get(next.before());
-            long runsMs = Tables.longestRunMs(table, before);
-            if (fence.learned(clock(), next, runsMs)) {
-                tables.learned(clock(), next.tableSince(), table, before, FENCE.holdMs(runsMs));
-                queue.partitions(table.partitions().values());
-                queue.stopped(next.stopped());
-                queue.changed(clock());
+        void learn(SlotAssignment next) {
+            RoutingTable table = TABLES.get(next.table());
+            RoutingTable before = TABLES.get(next.previousTable());
+            long runsMs = RoutingTableTransition.maxRunMs(table, before);
+            if (fence.learn(clock(), next, runsMs)) {
+                tables.learn(clock(), next.tableEpoch(), table, before, FENCE.holdMs(runsMs));
+                queue.updatePartitions(table.partitions().values());
+                queue.updateStoppedKeys(next.stoppedKeys());
+                queue.reevaluateAll(clock());
             }
         }
 
         /** A client's job has come here. */
         void accept(Play play, int tries) {
-            Tables.Place p = tables.decide(clock(), play.attributes);
+            RoutingTableTransition.RoutingDecision p = tables.decide(clock(), play.attributes);
             if (p.key() == null) {
-                toWorker(this, play, null, p.rule().runsMs());
+                toWorker(this, play, null, p.rule().maxRunMs());
                 return;
             }
-            String owner =
-                    fence.owners().slots().get(fence.owners().slotOf(p.key())).owner();
+            String owner = fence.assignment()
+                    .slots()
+                    .get(fence.assignment().slotOf(p.key()))
+                    .owner();
             if (owner.equals(id())) {
                 own(play, () -> again(play, tries));
                 return;
@@ -203,10 +205,13 @@
 
         /** Takes the job if its slot is this one's, or hands it back untaken. */
         void own(Play play, Runnable notMine) {
-            Tables.Place p = tables.decide(clock(), play.attributes);
-            int slot = p.key() == null ? -1 : fence.owners().slotOf(p.key());
-            Owners.Slot held = slot < 0 ? null : fence.owners().slots().get(slot);
-            if (held == null || !held.owner().equals(id()) || fence.from(clock(), slot, held.since()) == Fence.NEVER) {
+            RoutingTableTransition.RoutingDecision p = tables.decide(clock(), play.attributes);
+            int slot = p.key() == null ? -1 : fence.assignment().slotOf(p.key());
+            SlotAssignment.Slot held =
+                    slot < 0 ? null : fence.assignment().slots().get(slot);
+            if (held == null
+                    || !held.owner().equals(id())
+                    || fence.sendAllowedFrom(clock(), slot, held.ownedSinceEpoch()) == FencingCheck.NEVER) {
                 notMine.run();
                 return;
             }
@@ -215,46 +220,49 @@
                     new Taken(
                             play,
                             p.key(),
-                            held.since(),
+                            held.ownedSinceEpoch(),
                             ++places,
-                            p.from(),
-                            fence.owners().tableSince()));
-            queue.take(
-                    clock(), new KeyQueue.Job(play.id, p.key(), p.rule(), 20, clock() + play.deadline - now, clock()));
+                            p.sendAllowedFrom(),
+                            fence.assignment().tableEpoch()));
+            queue.enqueue(
+                    clock(),
+                    new PerKeyQueue.QueuedRequest(
+                            play.id, p.key(), p.rule(), 20, clock() + play.deadline - now, clock()));
         }
 
         @Override
-        public long from(KeyQueue.Job job) {
+        public long sendAllowedFrom(PerKeyQueue.QueuedRequest job) {
             Taken t = taken.get(job.id());
-            long open = fence.from(clock(), fence.owners().slotOf(job.key()), t.since);
+            long open = fence.sendAllowedFrom(clock(), fence.assignment().slotOf(job.key()), t.since);
             boolean same =
                     job.key().equals(tables.decide(clock(), t.play.attributes).key());
-            return same ? Math.max(open, t.from) : Fence.NEVER;
+            return same ? Math.max(open, t.from) : FencingCheck.NEVER;
         }
 
         @Override
-        public void send(KeyQueue.Job job) {
+        public void send(PerKeyQueue.QueuedRequest job) {
             toWorker(
                     this,
                     taken.get(job.id()).play,
                     taken.get(job.id()),
-                    job.rule().runsMs());
+                    job.rule().maxRunMs());
         }
 
         @Override
-        public void answer(KeyQueue.Job job, Answer why) {
-            back(taken.remove(job.id()).play, why == Answer.STOPPED ? "stopped" : "refused");
+        public void reject(PerKeyQueue.QueuedRequest job, Rejection why) {
+            back(taken.remove(job.id()).play, why == Rejection.STOPPED ? "stopped" : "refused");
         }
 
-        void ended(Play play, Outcome how) {
+        void ended(Play play, ExecutionResult how) {
             Taken t = taken.remove(play.id);
-            String word = how == Outcome.UNKNOWN ? "in doubt" : how == Outcome.FAILED ? "failed" : "done";
+            String word =
+                    how == ExecutionResult.UNKNOWN ? "in doubt" : how == ExecutionResult.FAILED ? "failed" : "done";
             if (t == null) {
                 back(play, word);
                 return;
             }
-            queue.ended(clock(), play.id, how);
-            if (how == Outcome.FAILED && queue.stopping().contains(t.key)) {
+            queue.complete(clock(), play.id, how);
+            if (how == ExecutionResult.FAILED && queue.unstoredStops().contains(t.key)) {
                 failures.put(t.key, play);
             } else {
                 back(play, word);
@@ -263,13 +271,13 @@
         }
 
         private void storeStops() {
-            for (String key : queue.stopping()) {
-                propose(this, o -> o.stop(id(), key), () -> {
+            for (String key : queue.unstoredStops()) {
+                propose(this, o -> o.stopKey(id(), key), () -> {
                     learn(agreed);
                     Play failed = failures.remove(key);
-                    boolean stored = agreed.stopped().contains(key);
+                    boolean stored = agreed.stoppedKeys().contains(key);
                     if (!stored) {
-                        queue.notStored(clock(), key);
+                        queue.stopNotStored(clock(), key);
                     } else if (failed != null) {
                         stoppedForSure.add(key);
                     }
@@ -291,13 +299,13 @@
         }
     }
 
-    private static final Map<String, Table> TABLES = tables();
+    private static final Map<String, RoutingTable> TABLES = tables();
 
     /** Under v1 class b is ordered by tenant, under the others by entity; d has no order. */
-    private static Map<String, Table> tables() {
-        Map<String, Table> all = new HashMap<>();
-        TableReader.Site site =
-                new TableReader.Site(List.of("a", "b", "c", "d"), List.of(), List.of(), List.of(), List.of());
+    private static Map<String, RoutingTable> tables() {
+        Map<String, RoutingTable> all = new HashMap<>();
+        RoutingTableParser.SiteNames site = new RoutingTableParser.SiteNames(
+                List.of("a", "b", "c", "d"), List.of(), List.of(), List.of(), List.of());
         try {
             for (String name : List.of("v0", "v1", "v2")) {
                 String text = """
@@ -309,12 +317,12 @@
                         {}]}""";
                 all.put(
                         name,
-                        TableReader.read(
+                        RoutingTableParser.parse(
                                 text.replace("RUNS", name.equals("v2") ? "400" : "300")
                                         .replace("KEY", name.equals("v1") ? "tenant" : "entity"),
                                 site));
             }
-        } catch (TableError e) {
+        } catch (RoutingTableException e) {
             throw new IllegalStateException(e);
         }
         return all;
@@ -322,7 +330,7 @@
 
     private final SplittableRandom random;
     private final List<Node> nodes = new ArrayList<>();
-    private final Owners[] electors = new Owners[FENCE.electors()];
+    private final SlotAssignment[] electors = new SlotAssignment[FENCE.electors()];
     private final long[] lastHeard, heardRun;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Taken> running = new ArrayList<>();
@@ -333,7 +341,7 @@
     private final Set<String> stoppedForSure = new HashSet<>();
     private final Map<String, Integer> answers = new HashMap<>();
     private final List<Play> open = new ArrayList<>();
-    private Owners agreed = Owners.first(SLOTS, "v0");
+    private SlotAssignment agreed = SlotAssignment.initial(SLOTS, "v0");
     private long now, order, ids, places;
     private String fault = "";
     /** The share of messages to and from electors that is lost. */
@@ -394,16 +402,16 @@
     public void table(String name) {
         Node n = nodes.get(random.nextInt(nodes.size()));
         if (n.runs() && n.tables.mayChange(n.clock())) {
-            long seen = n.fence.owners().tableSince();
+            long seen = n.fence.assignment().tableEpoch();
             propose(n, o -> o.table(name, seen), () -> {});
         }
     }
 
     /** All stopped keys are started again. */
     public void startKeys() {
-        for (String key : agreed.stopped()) {
+        for (String key : agreed.stoppedKeys()) {
             stoppedForSure.remove(key);
-            commit(agreed.start(key));
+            commit(agreed.startKey(key));
         }
     }
 
@@ -432,10 +440,10 @@
                     .allMatch(s -> nodes.stream()
                             .anyMatch(n -> n.place != place
                                     && n.runs()
-                                    && n.fence.from(
+                                    && n.fence.sendAllowedFrom(
                                                     n.clock(),
                                                     s,
-                                                    agreed.slots().get(s).since())
+                                                    agreed.slots().get(s).ownedSinceEpoch())
                                             <= n.clock()))) {
                 return now - from;
             }
@@ -459,7 +467,7 @@
     }
 
     /** A change by whoever can reach a majority; {@code then}: it has heard that it counts. */
-    private void propose(Node by, UnaryOperator<Owners> command, Runnable then) {
+    private void propose(Node by, UnaryOperator<SlotAssignment> command, Runnable then) {
         at(delay() + delay(), () -> {
             if (!lost(by)) {
                 commit(command.apply(agreed));
@@ -469,15 +477,15 @@
     }
 
     /** A majority has it from here on, the other elector a while later. */
-    private void commit(Owners next) {
+    private void commit(SlotAssignment next) {
         if (next == agreed) {
             return;
         }
-        agreed = Owners.read(next.text());
+        agreed = SlotAssignment.fromJson(next.toJson());
         int late = random.nextInt(electors.length);
         for (int i = 0; i < electors.length; i++) {
             int elector = i;
-            Owners told = agreed;
+            SlotAssignment told = agreed;
             if (i != late) {
                 electors[i] = told;
             } else {
@@ -515,7 +523,7 @@
         long work = random.nextInt(12) == 0 ? runsMs - way : 5 + random.nextInt(40);
         int luck = random.nextInt(40);
         if (luck == 0) {
-            from.act(way + 1, () -> from.ended(play, Outcome.NEVER_RAN));
+            from.act(way + 1, () -> from.ended(play, ExecutionResult.NEVER_RAN));
             return;
         }
         at(way, () -> started(play, taken));
@@ -524,7 +532,9 @@
         boolean lost = luck == 1 || way + work >= patience;
         from.act(
                 lost ? patience : way + work + 1,
-                () -> from.ended(play, lost ? Outcome.UNKNOWN : luck <= 3 ? Outcome.FAILED : Outcome.DONE));
+                () -> from.ended(
+                        play,
+                        lost ? ExecutionResult.UNKNOWN : luck <= 3 ? ExecutionResult.FAILED : ExecutionResult.DONE));
     }
 
     /** A worker begins: the only place from which order can be judged. */
@@ -603,7 +613,7 @@
         String cls = random.nextInt(20) == 0 ? "d" : random.nextInt(8) == 0 ? "c" : random.nextBoolean() ? "a" : "b";
         Play play = new Play(
                 ++ids,
-                new Attributes(cls, "t" + entity % 3, "e" + entity, "/" + cls, Map.of()),
+                new RequestAttributes(cls, "t" + entity % 3, "e" + entity, "/" + cls, Map.of()),
                 client,
                 n,
                 now + DEADLINE_MS);
@@ -617,14 +627,14 @@
     public void run(long ms) {
         for (long end = now + ms; now < end && fault.isEmpty(); ) {
             now++;
-            tableNames.put(agreed.tableSince(), agreed.table());
+            tableNames.put(agreed.tableEpoch(), agreed.table());
             nodes.forEach(n -> n.local += n.rate);
             while (!events.isEmpty() && events.peek().at <= now) {
                 events.remove().what.run();
             }
             for (Node n : nodes) {
                 if (n.runs()) {
-                    n.queue.tick(n.clock());
+                    n.queue.runDue(n.clock());
                 }
             }
             if (load) {
--- a/src/main/java/maplespread/lab/registry/VirtualRegistry.java
+++ b/src/main/java/maplespread/lab/registry/VirtualRegistry.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import maplespread.registry.Ask;
-import maplespread.registry.End;
-import maplespread.registry.History;
-import maplespread.registry.Item;
-import maplespread.registry.RegistryCore;
+import maplespread.registry.CallOutcome;
+import maplespread.registry.RegistryCall;
+import maplespread.registry.RegistryEntry;
 import maplespread.registry.RegistrySettings;
+import maplespread.registry.RegistryWatcher;
+import maplespread.registry.Revision;
 
 /**
  * The stand-in without sockets, on a virtual clock: carries out what cores ask for against a store. For the
@@ -44,8 +44,8 @@
             return Math.max(1, store.revision() - lag);
         }
 
-        private History history() {
-            return new History(store.cluster(), now(), store.term());
+        private Revision history() {
+            return new Revision(store.cluster(), now(), store.term());
         }
     }
 
@@ -65,19 +65,19 @@
 
     /** One core and the call that it has out. */
     public final class Conversation {
-        private final RegistryCore core;
+        private final RegistryWatcher core;
         private final SplittableRandom random;
         private Member member;
-        private Ask.Watch watch;
-        private Ask.Question question;
+        private RegistryCall.Watch watch;
+        private RegistryCall.BlockingQuery question;
         private long[] next;
         private long asked;
-        private Ask single; // a call whose answer is on its way
+        private RegistryCall single; // a call whose answer is on its way
         private long answerAt;
         private Member linked; // to whom a connection is kept
         private boolean stale; // it has ended and nobody has noticed
 
-        public Conversation(RegistryCore core, long seed) {
+        public Conversation(RegistryWatcher core, long seed) {
             this.core = core;
             random = new SplittableRandom(seed);
         }
@@ -90,7 +90,7 @@
         /** Whether nothing is left to be heard on the watch or question that is out. */
         public boolean upToDate() {
             if (question != null) {
-                return question.index() == member.store.index(prefix(question.part()));
+                return question.index() == member.store.index(prefix(question.target()));
             }
             if (watch == null) {
                 return false;
@@ -110,7 +110,7 @@
             }
             stale = true;
             if (open() || single != null) {
-                over(now, End.BROKEN);
+                over(now, CallOutcome.BROKEN);
             }
         }
 
@@ -118,13 +118,13 @@
         public long step(long now) {
             if (open() || single != null) {
                 if (member.down) {
-                    over(now, End.BROKEN);
+                    over(now, CallOutcome.BROKEN);
                     return now;
                 }
-                if (watch != null && now >= watch.cutAtMs()) {
-                    over(now, End.STOPPED);
-                } else if (now >= core.quietAt()) {
-                    over(now, End.SILENT);
+                if (watch != null && now >= watch.endAtMs()) {
+                    over(now, CallOutcome.STOPPED);
+                } else if (now >= core.callTimeoutAtMs()) {
+                    over(now, CallOutcome.SILENT);
                 } else if (single != null) {
                     if (!member.silent && now >= answerAt) {
                         answer(now);
@@ -133,41 +133,43 @@
                     deliver(now, false);
                 } else if (question != null
                         && !member.silent
-                        && (member.muted >> question.part() & 1) == 0
+                        && (member.muted >> question.target() & 1) == 0
                         && (now >= asked + question.waitMs()
-                                || question.index() != member.store.index(prefix(question.part())))) {
+                                || question.index() != member.store.index(prefix(question.target())))) {
                     over(now, ask(now));
                 }
                 if (single != null && !member.silent) {
-                    return Math.min(answerAt, core.quietAt());
+                    return Math.min(answerAt, core.callTimeoutAtMs());
                 }
                 return question != null && !member.silent && member.muted == 0
                         ? asked + question.waitMs()
                         : watch != null
-                                ? Math.min(core.quietAt(), watch.cutAtMs())
-                                : open() || single != null ? core.quietAt() : now;
+                                ? Math.min(core.callTimeoutAtMs(), watch.endAtMs())
+                                : open() || single != null ? core.callTimeoutAtMs() : now;
             }
-            Ask ask = core.next(now);
-            if (ask instanceof Ask.Pause pause) {
+            RegistryCall ask = core.nextCall(now);
+            if (ask instanceof RegistryCall.Pause pause) {
                 return pause.untilMs();
             }
-            int endpoint = ask instanceof Ask.Range r
-                    ? r.endpoint()
-                    : ask instanceof Ask.Check c
-                            ? c.endpoint()
-                            : ask instanceof Ask.Missed m
-                                    ? m.endpoint()
-                                    : ask instanceof Ask.Watch w ? w.endpoint() : ((Ask.Question) ask).endpoint();
+            int endpoint = ask instanceof RegistryCall.RangePage r
+                    ? r.server()
+                    : ask instanceof RegistryCall.VerifyHistory c
+                            ? c.server()
+                            : ask instanceof RegistryCall.ReadMissedChanges m
+                                    ? m.server()
+                                    : ask instanceof RegistryCall.Watch w
+                                            ? w.server()
+                                            : ((RegistryCall.BlockingQuery) ask).server();
             member = members.get(endpoint);
             if (member.down) {
-                core.ended(now, End.REFUSED);
+                core.onCallEnded(now, CallOutcome.REFUSED);
                 return now;
             }
             boolean ended = stale && linked == member;
             stale = false;
             linked = member;
             if (ended) {
-                core.ended(now, End.BROKEN);
+                core.onCallEnded(now, CallOutcome.BROKEN);
                 return now;
             }
             requests++;
@@ -181,21 +183,21 @@
         }
 
         private void answer(long now) {
-            Ask ask = single;
+            RegistryCall ask = single;
             single = null;
             if (member.errors || member.denies) {
-                core.ended(now, member.errors ? End.ERROR : End.DENIED);
+                core.onCallEnded(now, member.errors ? CallOutcome.ERROR : CallOutcome.DENIED);
                 return;
             }
-            if (ask instanceof Ask.Watch w) {
+            if (ask instanceof RegistryCall.Watch w) {
                 begin(now, w);
-            } else if (ask instanceof Ask.Question q) {
+            } else if (ask instanceof RegistryCall.BlockingQuery q) {
                 question = q;
                 if (q.index() == 0) {
                     over(now, ask(now));
                 }
             } else {
-                core.ended(now, single(now, ask));
+                core.onCallEnded(now, single(now, ask));
             }
         }
 
@@ -203,41 +205,41 @@
             return settings.follow().get(part);
         }
 
-        private void over(long now, End how) {
-            stale |= how == End.BROKEN && member.down;
-            linked = how == End.BROKEN ? null : linked;
+        private void over(long now, CallOutcome how) {
+            stale |= how == CallOutcome.BROKEN && member.down;
+            linked = how == CallOutcome.BROKEN ? null : linked;
             watch = null;
             question = null;
             single = null;
-            core.ended(now, how);
+            core.onCallEnded(now, how);
         }
 
-        private End single(long now, Ask ask) {
+        private CallOutcome single(long now, RegistryCall ask) {
             Store store = member.store;
             try {
-                if (ask instanceof Ask.Check c) {
+                if (ask instanceof RegistryCall.VerifyHistory c) {
                     List<Long> counts = new ArrayList<>();
-                    List<Item> found = new ArrayList<>();
+                    List<RegistryEntry> found = new ArrayList<>();
                     for (int i = 0; i < c.proofs().size(); i++) {
-                        Ask.Proof proof = c.proofs().get(i);
+                        RegistryCall.HistoryProof proof = c.proofs().get(i);
                         counts.add((long) range(prefix(i), prefix(i) + '\uffff', proof.revision())
                                 .size());
                         found.add(proof.key() == null ? null : one(proof.key(), proof.revision()));
                     }
-                    return core.checked(
+                    return core.onHistoryVerified(
                                     now,
                                     member.history(),
                                     counts,
                                     found,
-                                    c.gone() != null && one(c.gone(), c.goneAt()) != null)
-                            ? End.DONE
-                            : End.STOPPED;
+                                    c.deletedKey() != null && one(c.deletedKey(), c.deletedAtRevision()) != null)
+                            ? CallOutcome.DONE
+                            : CallOutcome.STOPPED;
                 }
-                if (ask instanceof Ask.Missed m) {
+                if (ask instanceof RegistryCall.ReadMissedChanges m) {
                     List<Long> counts = new ArrayList<>();
-                    List<List<Item>> changed = new ArrayList<>();
-                    for (int i = 0; i < m.held().size(); i++) {
-                        long since = m.held().get(i);
+                    List<List<RegistryEntry>> changed = new ArrayList<>();
+                    for (int i = 0; i < m.sinceRevisions().size(); i++) {
+                        long since = m.sinceRevisions().get(i);
                         List<Store.Version> all = range(prefix(i), prefix(i) + '\uffff', member.now());
                         counts.add((long) all.size());
                         changed.add(all.stream()
@@ -245,20 +247,22 @@
                                 .map(VirtualRegistry::item)
                                 .toList());
                     }
-                    return core.missed(now, member.history(), counts, changed) ? End.DONE : End.STOPPED;
+                    return core.onMissedChanges(now, member.history(), counts, changed)
+                            ? CallOutcome.DONE
+                            : CallOutcome.STOPPED;
                 }
-                Ask.Range r = (Ask.Range) ask;
+                RegistryCall.RangePage r = (RegistryCall.RangePage) ask;
                 if (r.revision() > member.now()) {
                     throw new Store.Gone(false);
                 }
-                String from = r.after().isEmpty() ? prefix(r.part()) : r.after() + '\0';
+                String from = r.afterKey().isEmpty() ? prefix(r.target()) : r.afterKey() + '\0';
                 List<Store.Version> found = store.range(
                         from,
-                        prefix(r.part()) + '\uffff',
+                        prefix(r.target()) + '\uffff',
                         r.revision() == 0 && member.lag > 0 ? member.now() : r.revision(),
                         r.limit() + 1L);
                 boolean more = found.size() > r.limit();
-                return core.page(
+                return core.onPage(
                                 now,
                                 member.history(),
                                 found.stream()
@@ -266,14 +270,16 @@
                                         .map(VirtualRegistry::item)
                                         .toList(),
                                 more)
-                        ? End.DONE
-                        : End.STOPPED;
+                        ? CallOutcome.DONE
+                        : CallOutcome.STOPPED;
             } catch (Store.Gone e) {
-                return (e.compacted ? core.compacted(now) : core.ahead(now, member.history())) ? End.DONE : End.STOPPED;
+                return (e.compacted ? core.onCompacted(now) : core.onFutureRevision(now, member.history()))
+                        ? CallOutcome.DONE
+                        : CallOutcome.STOPPED;
             }
         }
 
-        private Item one(String key, long at) throws Store.Gone {
+        private RegistryEntry one(String key, long at) throws Store.Gone {
             List<Store.Version> found = range(key, key + '\0', at);
             return found.isEmpty() ? null : item(found.get(0));
         }
@@ -285,12 +291,12 @@
             return member.store.range(from, to, at, Long.MAX_VALUE);
         }
 
-        private void begin(long now, Ask.Watch ask) {
+        private void begin(long now, RegistryCall.Watch ask) {
             watch = ask;
-            next = ask.from().stream().mapToLong(Long::longValue).toArray();
+            next = ask.fromRevisions().stream().mapToLong(Long::longValue).toArray();
             for (int i = 0; i < next.length; i++) {
-                if (!core.created(now, member.history(), i)) {
-                    over(now, End.STOPPED);
+                if (!core.onWatchCreated(now, member.history(), i)) {
+                    over(now, CallOutcome.STOPPED);
                     return;
                 }
             }
@@ -302,7 +308,7 @@
                 if ((member.muted >> part & 1) != 0) {
                     continue;
                 }
-                List<Item> events = new ArrayList<>();
+                List<RegistryEntry> events = new ArrayList<>();
                 try {
                     long upTo = next[part] + random.nextInt(6);
                     while (next[part] <= Math.min(upTo, member.now())) {
@@ -314,8 +320,8 @@
                         next[part]++;
                     }
                 } catch (Store.Gone e) {
-                    core.canceled(now, member.store.compacted(), "compacted");
-                    over(now, End.STOPPED);
+                    core.onWatchCanceled(now, member.store.compacted(), "compacted");
+                    over(now, CallOutcome.STOPPED);
                     return;
                 }
                 if (events.isEmpty()) {
@@ -324,43 +330,47 @@
                 int cut = events.size() > 1 ? random.nextInt(events.size()) : 0;
                 boolean on = true;
                 if (cut > 0 || half) {
-                    on = core.changes(now, member.history(), part, events.subList(0, cut), true);
+                    on = core.onChanges(now, member.history(), part, events.subList(0, cut), true);
                 }
                 if (half) {
                     return;
                 }
-                if (!on || !core.changes(now, member.history(), part, events.subList(cut, events.size()), false)) {
-                    over(now, End.STOPPED);
+                if (!on || !core.onChanges(now, member.history(), part, events.subList(cut, events.size()), false)) {
+                    over(now, CallOutcome.STOPPED);
                     return;
                 }
             }
             for (int part = 0; part < next.length && member.notices && random.nextInt(8) == 0; part++) {
                 if ((member.muted >> part & 1) == 0
                         && next[part] > member.now()
-                        && !core.progress(now, member.history(), part)) {
-                    over(now, End.STOPPED);
+                        && !core.onProgress(now, member.history(), part)) {
+                    over(now, CallOutcome.STOPPED);
                     return;
                 }
             }
         }
 
-        private End ask(long now) {
+        private CallOutcome ask(long now) {
             try {
-                String prefix = prefix(question.part());
+                String prefix = prefix(question.target());
                 boolean leader = question.consistent();
                 long at = member.lag > 0 && !leader ? Math.max(member.now(), member.store.compacted()) : 0;
                 long index = member.store.index(prefix);
-                List<Item> items = member.store.range(prefix, prefix + '\uffff', at, Long.MAX_VALUE).stream()
+                List<RegistryEntry> items = member.store.range(prefix, prefix + '\uffff', at, Long.MAX_VALUE).stream()
                         .map(VirtualRegistry::item)
                         .toList();
-                return core.answer(now, at > 0 ? Math.min(at, index) : index, true, 0, items) ? End.DONE : End.STOPPED;
+                return core.onQueryResult(now, at > 0 ? Math.min(at, index) : index, true, 0, items)
+                        ? CallOutcome.DONE
+                        : CallOutcome.STOPPED;
             } catch (Store.Gone e) {
-                return End.ERROR;
+                return CallOutcome.ERROR;
             }
         }
     }
 
-    private static Item item(Store.Version v) {
-        return v.value() == null ? Item.deleted(v.key(), v.mod()) : Item.of(v.key(), v.value(), v.mod());
+    private static RegistryEntry item(Store.Version v) {
+        return v.value() == null
+                ? RegistryEntry.deleted(v.key(), v.mod())
+                : RegistryEntry.of(v.key(), v.value(), v.mod());
     }
 }
--- a/src/main/java/maplespread/lab/release/EveryOrder.java
+++ b/src/main/java/maplespread/lab/release/ExhaustiveInterleavings.java
@@ -6,31 +6,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.release.Command;
-import maplespread.release.Commands;
+import maplespread.release.FleetView;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.FleetView.Status;
 import maplespread.release.Limits;
-import maplespread.release.Plan;
-import maplespread.release.ReleaseRefused;
-import maplespread.release.State;
-import maplespread.release.State.Leave;
-import maplespread.release.State.Phase;
-import maplespread.release.View;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
-import maplespread.release.View.Status;
+import maplespread.release.OperatorCommands;
+import maplespread.release.ReleaseCommand;
+import maplespread.release.ReleasePlan;
+import maplespread.release.ReleaseRejectedException;
+import maplespread.release.RolloutState;
+import maplespread.release.RolloutState.Phase;
+import maplespread.release.RolloutState.PlannedOutage;
 
 /**
  * A release of two dispatchers and two workers, one of each out at the most, in every order of commands,
  * drains, recalls, crashes, starts and operators' calls up to a depth, breadth first. One coordinator may
  * freeze at any moment, and from then on act on what it saw then, in any way and as often as it likes.
  */
-public final class EveryOrder {
+public final class ExhaustiveInterleavings {
     /** A member as it truly is; {@code leave}: by which it is out, or 0. */
     private record Machine(long run, String version, Status is, long leave, long recalled) {}
 
     /** Of states and truths that are met once each, so that they are told by identity. */
-    private record World(State state, List<Machine> truth, State oldState, List<Machine> oldTruth) {
+    private record World(RolloutState state, List<Machine> truth, RolloutState oldState, List<Machine> oldTruth) {
         @Override
         public boolean equals(Object o) {
             return o instanceof World w
@@ -53,15 +53,15 @@
     private static final int MOST_RUNS = 3;
     private static final int MOST_ACTS = 4;
 
-    private final Map<State, State> states = new HashMap<>();
+    private final Map<RolloutState, RolloutState> states = new HashMap<>();
     private final Map<List<Machine>, List<Machine>> truths = new HashMap<>();
     private final Set<World> met = new HashSet<>();
     private List<World> next = new ArrayList<>();
     private String fault = "";
 
     /** Returns what went wrong, or an empty string. */
-    public String search(int depth) throws ReleaseRefused {
-        Plan plan = new Plan(
+    public String search(int depth) throws ReleaseRejectedException {
+        ReleasePlan plan = new ReleasePlan(
                 "r",
                 "1",
                 "2",
@@ -77,7 +77,7 @@
                 new Limits(1, 1, Limits.ANY, Limits.ANY, 0, 0, 1, 1, 1, 1));
         List<Machine> truth = new ArrayList<>();
         IDS.forEach(id -> truth.add(new Machine(1, "1", Status.SERVING, 0, 0)));
-        State begun = Commands.begin("op", plan, view(truth)).apply(State.EMPTY);
+        RolloutState begun = OperatorCommands.begin("op", plan, view(truth)).apply(RolloutState.EMPTY);
         keep(begun, List.copyOf(truth), null, null);
         for (int d = 0; d < depth && fault.isEmpty(); d++) {
             List<World> now = next;
@@ -94,30 +94,30 @@
         return met.size();
     }
 
-    private void keep(State s, List<Machine> truth, State oldState, List<Machine> oldTruth) {
-        State bare = s.log().isEmpty()
+    private void keep(RolloutState s, List<Machine> truth, RolloutState oldState, List<Machine> oldTruth) {
+        RolloutState bare = s.log().isEmpty()
                 ? s
-                : new State(
+                : new RolloutState(
                         s.limits(),
                         s.release(),
                         s.members(),
-                        s.leaves(),
-                        s.accidents(),
+                        s.plannedOutages(),
+                        s.unplannedOutages(),
                         s.halt(),
-                        s.calm(),
-                        s.grants(),
-                        s.acts(),
-                        s.beats(),
-                        s.ended(),
+                        s.stabilityVersion(),
+                        s.lastOutageNumber(),
+                        s.controlVersion(),
+                        s.heartbeats(),
+                        s.pastReleases(),
                         List.of());
-        State one = states.computeIfAbsent(bare, k -> k);
+        RolloutState one = states.computeIfAbsent(bare, k -> k);
         World kept = new World(one, truths.computeIfAbsent(truth, k -> k), oldState, oldTruth);
         if (met.add(kept)) {
             next.add(kept);
         }
     }
 
-    private static View view(List<Machine> truth) {
+    private static FleetView view(List<Machine> truth) {
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < IDS.size(); i++) {
             Machine m = truth.get(i);
@@ -134,7 +134,7 @@
                     i < 2 ? 0 : 1,
                     true));
         }
-        return new View(all, Service.NONE);
+        return new FleetView(all, ServiceLevel.NONE);
     }
 
     private void after(World w) {
@@ -147,7 +147,7 @@
         for (int i = 0; i < IDS.size(); i++) {
             Machine m = w.truth.get(i);
             if (m.is == Status.DOWN) {
-                Phase p = w.state.release().moves();
+                Phase p = w.state.release().activePhase();
                 if (m.run < MOST_RUNS) {
                     machine(
                             w,
@@ -157,17 +157,17 @@
                 continue;
             }
             machine(w, i, new Machine(m.run, m.version, Status.DOWN, m.leave, m.recalled));
-            orders(w, i, w.state.leaves().get(IDS.get(i)));
+            orders(w, i, w.state.plannedOutages().get(IDS.get(i)));
             if (w.oldState != null) {
-                orders(w, i, w.oldState.leaves().get(IDS.get(i)));
+                orders(w, i, w.oldState.plannedOutages().get(IDS.get(i)));
             }
         }
     }
 
     /** What this leave lets be carried out here, however old the order is. */
-    private void orders(World w, int i, Leave l) {
+    private void orders(World w, int i, PlannedOutage l) {
         Machine m = w.truth.get(i);
-        if (l == null || l.run() != m.run) {
+        if (l == null || l.incarnation() != m.run) {
             return;
         }
         if (m.is == Status.SERVING && l.number() > m.recalled) {
@@ -186,20 +186,20 @@
     }
 
     /** All that one may propose who knows that state and sees that truth, decided in {@code w}. */
-    private void decide(World w, State known, List<Machine> truth) {
-        View view = view(truth);
-        long calm = known.calm();
-        long acts = known.acts();
+    private void decide(World w, RolloutState known, List<Machine> truth) {
+        FleetView view = view(truth);
+        long calm = known.stabilityVersion();
+        long acts = known.controlVersion();
         List<String> out = new ArrayList<>();
         List<Member> serving = new ArrayList<>();
         for (Member m : view.members()) {
-            Leave held = known.leaves().get(m.id());
-            apply(w, false, Commands.leave("x", m.id(), calm, view));
-            if (held != null && m.run() > held.run()) {
-                apply(w, false, Commands.back("x", held.number(), m));
+            PlannedOutage held = known.plannedOutages().get(m.id());
+            apply(w, false, OperatorCommands.grantOutage("x", m.id(), calm, view));
+            if (held != null && m.incarnation() > held.incarnation()) {
+                apply(w, false, OperatorCommands.confirmReturn("x", held.number(), m));
             }
             if (held != null && truth.get(IDS.indexOf(m.id())).recalled >= held.number()) {
-                apply(w, false, Commands.returned("x", held.number()));
+                apply(w, false, OperatorCommands.relinquishOutage("x", held.number()));
             }
             if (m.serving()) {
                 serving.add(m);
@@ -207,37 +207,41 @@
                 out.add(m.id());
             }
         }
-        apply(w, false, Commands.observe("x", calm, out, serving));
-        apply(w, false, Commands.finish("x", view));
-        apply(w, false, Commands.haltByItself("x", "itself", acts));
-        if (w.state.acts() < MOST_ACTS) {
-            apply(w, false, Commands.halt("op", ""));
-            apply(w, acts == w.state.acts(), Commands.goOn("op", "", acts));
-            apply(w, acts == w.state.acts(), Commands.rollBack("op", "", acts));
-            apply(w, acts == w.state.acts(), Commands.abandon("op", "", acts));
+        apply(w, false, OperatorCommands.recordObservations("x", calm, out, serving));
+        apply(w, false, OperatorCommands.finish("x", view));
+        apply(w, false, OperatorCommands.haltAutomatically("x", "itself", acts));
+        if (w.state.controlVersion() < MOST_ACTS) {
+            apply(w, false, OperatorCommands.halt("op", ""));
+            apply(w, acts == w.state.controlVersion(), OperatorCommands.resume("op", "", acts));
+            apply(w, acts == w.state.controlVersion(), OperatorCommands.rollBack("op", "", acts));
+            apply(w, acts == w.state.controlVersion(), OperatorCommands.abandon("op", "", acts));
         }
     }
 
-    private void apply(World w, boolean mayLift, Command c) {
-        State is;
+    private void apply(World w, boolean mayLift, ReleaseCommand c) {
+        RolloutState is;
         try {
             is = c.apply(w.state);
-        } catch (ReleaseRefused e) {
+        } catch (ReleaseRejectedException e) {
             return;
         }
         if (is == w.state) {
             return;
         }
-        check(is.grants() == w.state.grants() || w.state.halt() == null, "leave granted after a halt", w);
+        check(
+                is.lastOutageNumber() == w.state.lastOutageNumber() || w.state.halt() == null,
+                "leave granted after a halt",
+                w);
         check(mayLift || w.state.halt() == null || is.halt() != null, "a halt lifted by one that did not know it", w);
         for (int role = 0; role < 4; role += 2) {
-            boolean both = is.out().contains(IDS.get(role)) && is.out().contains(IDS.get(role + 1));
-            check(is.grants() == w.state.grants() || !both, "leave granted beyond the sum", w);
+            boolean both = is.unavailableMembers().contains(IDS.get(role))
+                    && is.unavailableMembers().contains(IDS.get(role + 1));
+            check(is.lastOutageNumber() == w.state.lastOutageNumber() || !both, "leave granted beyond the sum", w);
         }
-        w.state.leaves().forEach((id, l) -> {
+        w.state.plannedOutages().forEach((id, l) -> {
             Machine m = w.truth.get(IDS.indexOf(id));
             check(
-                    is.leaves().containsKey(id) || m.run > l.run() || m.recalled >= l.number(),
+                    is.plannedOutages().containsKey(id) || m.run > l.incarnation() || m.recalled >= l.number(),
                     "leave of " + id + " freed though it may be out",
                     w);
         });
--- a/src/main/java/maplespread/lab/release/VirtualRelease.java
+++ b/src/main/java/maplespread/lab/release/VirtualRelease.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import maplespread.release.Command;
-import maplespread.release.Commands;
-import maplespread.release.Driver;
+import maplespread.release.FleetView;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.FleetView.Status;
 import maplespread.release.Limits;
-import maplespread.release.Order;
-import maplespread.release.Plan;
-import maplespread.release.ReleaseRefused;
-import maplespread.release.State;
-import maplespread.release.State.Leave;
-import maplespread.release.State.Phase;
-import maplespread.release.View;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
-import maplespread.release.View.Status;
+import maplespread.release.OperatorCommands;
+import maplespread.release.ReleaseCommand;
+import maplespread.release.ReleasePlan;
+import maplespread.release.ReleaseRejectedException;
+import maplespread.release.RolloutAction;
+import maplespread.release.RolloutController;
+import maplespread.release.RolloutState;
+import maplespread.release.RolloutState.Phase;
+import maplespread.release.RolloutState.PlannedOutage;
 
 /**
  * One release over dispatchers and workers that crash, stand still, are cut off, lost and replaced, with a
@@ -52,9 +52,9 @@
         long recalled;
         boolean lost;
         int side;
-        Driver driver;
-        State known = State.EMPTY;
-        View before;
+        RolloutController driver;
+        RolloutState known = RolloutState.EMPTY;
+        FleetView before;
 
         Machine(String id, String address, Role role, String zone, String version) {
             this.id = id;
@@ -79,8 +79,8 @@
                 }
             });
             if (role == Role.DISPATCHER) {
-                driver = new Driver(SETTINGS, id, now);
-                known = State.EMPTY;
+                driver = new RolloutController(SETTINGS, id, now);
+                known = RolloutState.EMPTY;
                 before = null;
                 at(random.nextInt(100), () -> look(this, mine));
             }
@@ -97,7 +97,7 @@
         }
     }
 
-    private static final Driver.Settings SETTINGS = new Driver.Settings(40, 200, 300, 1_500);
+    private static final RolloutController.Settings SETTINGS = new RolloutController.Settings(40, 200, 300, 1_500);
     private static final long FAULTS_END = 10_000;
     private static final long END = 200_000;
 
@@ -105,9 +105,9 @@
     private final Map<String, Machine> machines = new TreeMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Set<String> told = new HashSet<>();
-    private final Plan plan;
+    private final ReleasePlan plan;
     private final Limits limits;
-    private State register = State.EMPTY;
+    private RolloutState register = RolloutState.EMPTY;
     private long now;
     private long order;
     private long runs;
@@ -130,7 +130,7 @@
                 0.05,
                 0.02,
                 0.5);
-        plan = new Plan(
+        plan = new ReleasePlan(
                 "r",
                 byVersion ? "1" : "",
                 byVersion ? "2" : "",
@@ -157,7 +157,7 @@
 
     /** What went wrong, or how it ended: DONE, ROLLED_BACK or ABANDONED. */
     public String play() {
-        at(300, () -> propose("limits", 0, Commands.limits("op", limits)));
+        at(300, () -> propose("limits", 0, OperatorCommands.setLimits("op", limits)));
         at(600, this::begin);
         at(700, this::trouble);
         at(FAULTS_END, this::peace);
@@ -165,7 +165,7 @@
                 && now < END
                 && !(now > FAULTS_END + 2_000
                         && register.release() != null
-                        && !register.on()
+                        && !register.inProgress()
                         && machines.values().stream().allMatch(m -> m.lost || m.is == Status.SERVING))) {
             Event e = events.poll();
             now = e.at;
@@ -173,8 +173,8 @@
         }
         return !fault.isEmpty()
                 ? fault + " at " + now
-                : register.release() == null || register.on()
-                        ? "not ended: " + register.phase() + register.leaves() + register.accidents()
+                : register.release() == null || register.inProgress()
+                        ? "not ended: " + register.phase() + register.plannedOutages() + register.unplannedOutages()
                         : ended();
     }
 
@@ -203,7 +203,7 @@
     }
 
     public long grants() {
-        return register.grants();
+        return register.lastOutageNumber();
     }
 
     private void at(long in, Runnable what) {
@@ -223,13 +223,13 @@
 
     // ------------------------------------------------------------ drivers, register, orders
 
-    private View view(Machine who) {
-        return new View(
+    private FleetView view(Machine who) {
+        return new FleetView(
                 machines.values().stream()
                         .filter(m -> !m.lost || !told.contains(m.id))
                         .map(m -> m.seenBy(who))
                         .toList(),
-                Service.NONE);
+                ServiceLevel.NONE);
     }
 
     private boolean majority(Machine who) {
@@ -256,10 +256,10 @@
         }
         boolean reached = majority(m) && (calm() || random.nextInt(10) > 0);
         m.known = reached ? register : m.known;
-        View old = m.before == null ? view(m) : m.before; // one look late
+        FleetView old = m.before == null ? view(m) : m.before; // one look late
         m.before = view(m);
-        Driver.Next next = m.driver.look(now, m.known, old, reached);
-        for (Command c : next.propose()) {
+        RolloutController.Decision next = m.driver.evaluate(now, m.known, old, reached);
+        for (ReleaseCommand c : next.proposals()) {
             int luck = calm() ? 9 : random.nextInt(10);
             if (luck > 0) {
                 at(luck > 2 ? 1 + random.nextInt(20) : random.nextInt(4_000), () -> propose("driver", 0, c));
@@ -268,41 +268,41 @@
                 at(random.nextInt(4_000), () -> propose("driver", 0, c));
             }
         }
-        for (Order o : next.orders()) {
+        for (RolloutAction o : next.actions()) {
             int luck = calm() ? 9 : random.nextInt(10);
             for (int k = luck == 0 ? 0 : luck == 1 ? 2 : 1; k > 0; k--) {
                 at(luck > 2 ? 1 + random.nextInt(20) : random.nextInt(4_000), () -> carryOut(m, run, o));
             }
         }
-        at(Math.max(20, next.again() - now), () -> look(m, run));
+        at(Math.max(20, next.nextCheckAtMs() - now), () -> look(m, run));
     }
 
-    private void carryOut(Machine by, long run, Order o) {
+    private void carryOut(Machine by, long run, RolloutAction o) {
         Machine m = machines.get(o.member());
-        if (m.lost || m.run != o.run() || m == by && m.run != run) {
+        if (m.lost || m.run != o.incarnation() || m == by && m.run != run) {
             return;
         }
         if (m.frozen()) {
             at(m.frozenUntil - now, () -> carryOut(by, run, o));
             return;
         }
-        if (o instanceof Order.Recall) {
+        if (o instanceof RolloutAction.CancelDrain) {
             if (m.is == Status.DOWN) {
                 return;
             }
-            m.recalled = Math.max(m.recalled, o.leave());
+            m.recalled = Math.max(m.recalled, o.outageNumber());
             m.is = Status.SERVING;
             m.leave = 0;
             if (by.run == run) {
-                by.driver.recalled(o.leave());
+                by.driver.drainCancelled(o.outageNumber());
             }
-        } else if (o.leave() <= m.recalled) {
+        } else if (o.outageNumber() <= m.recalled) {
             if (by.run == run) {
-                by.driver.recalled(o.leave());
+                by.driver.drainCancelled(o.outageNumber());
             }
         } else if (m.is == Status.SERVING) {
             m.is = Status.DRAINING;
-            m.leave = o.leave();
+            m.leave = o.outageNumber();
             long mine = m.run;
             at(50 + random.nextInt(300), () -> {
                 if (m.run == mine && m.is == Status.DRAINING) {
@@ -318,7 +318,7 @@
     private void hand(Machine m, long run) {
         if (m.run == run && !m.lost && m.is == Status.DOWN) {
             boolean wrong = !calm() && random.nextInt(10) == 0 || plan.to().isEmpty();
-            Phase p = register.release().moves();
+            Phase p = register.release().activePhase();
             m.start(
                     wrong
                             ? m.version
@@ -351,19 +351,19 @@
     }
 
     /** The register decides, on the newest state; {@code act}: the state that an operator's call knew. */
-    private void propose(String who, long act, Command c) {
-        State was = register;
+    private void propose(String who, long act, ReleaseCommand c) {
+        RolloutState was = register;
         try {
-            State next = c.apply(was);
-            register = random.nextInt(8) == 0 ? State.read(next.text()) : next;
-        } catch (ReleaseRefused e) {
+            RolloutState next = c.apply(was);
+            register = random.nextInt(8) == 0 ? RolloutState.parse(next.toText()) : next;
+        } catch (ReleaseRejectedException e) {
             return;
         }
-        State is = register;
+        RolloutState is = register;
         halts += is.halt() != null && was.halt() == null ? 1 : 0;
-        if (is.grants() > was.grants()) {
+        if (is.lastOutageNumber() > was.lastOutageNumber()) {
             check(was.halt() == null && is.halt() == null, "leave granted after a halt");
-            long workers = is.out().stream()
+            long workers = is.unavailableMembers().stream()
                     .filter(m -> is.members().get(m).role() == Role.WORKER)
                     .count();
             long all = is.members().values().stream()
@@ -371,20 +371,21 @@
                     .count();
             double w = limits.workersOut();
             check(
-                    workers <= (w < 1 ? (int) (w * all) : w) && is.out().size() - workers <= limits.dispatchersOut(),
-                    "leave granted beyond the sum: " + is.out());
+                    workers <= (w < 1 ? (int) (w * all) : w)
+                            && is.unavailableMembers().size() - workers <= limits.dispatchersOut(),
+                    "leave granted beyond the sum: " + is.unavailableMembers());
         }
         if (was.halt() != null && is.halt() == null) {
-            check(who.equals("operator") && act == was.acts(), "a halt lifted by " + who + ", late");
+            check(who.equals("operator") && act == was.controlVersion(), "a halt lifted by " + who + ", late");
         }
-        for (Map.Entry<String, Leave> l : was.leaves().entrySet()) {
+        for (Map.Entry<String, PlannedOutage> l : was.plannedOutages().entrySet()) {
             Machine m = machines.get(l.getKey());
-            boolean held = is.leaves().values().stream()
+            boolean held = is.plannedOutages().values().stream()
                     .anyMatch(x -> x.number() == l.getValue().number());
             check(
                     held
                             || who.equals("gone")
-                            || m.run > l.getValue().run()
+                            || m.run > l.getValue().incarnation()
                             || m.recalled >= l.getValue().number(),
                     "leave of " + m.id + " freed though it may be out");
         }
@@ -397,22 +398,22 @@
             Machine m = any(Role.DISPATCHER);
             if (register.members().size()
                     == machines.values().stream().filter(x -> !x.lost).count()) {
-                propose("begin", 0, Commands.begin("op", plan, view(m)));
+                propose("begin", 0, OperatorCommands.begin("op", plan, view(m)));
             }
             at(200, this::begin);
         }
     }
 
     private void call(int which, long late) {
-        State seen = calm() ? register : any(Role.DISPATCHER).known;
-        Command c =
+        RolloutState seen = calm() ? register : any(Role.DISPATCHER).known;
+        ReleaseCommand c =
                 switch (which) {
-                    case 0 -> Commands.halt("op", "by hand");
-                    case 1, 2 -> Commands.goOn("op", "", seen.acts());
-                    case 3 -> Commands.rollBack("op", "", seen.acts());
-                    default -> Commands.abandon("op", "", seen.acts());
+                    case 0 -> OperatorCommands.halt("op", "by hand");
+                    case 1, 2 -> OperatorCommands.resume("op", "", seen.controlVersion());
+                    case 3 -> OperatorCommands.rollBack("op", "", seen.controlVersion());
+                    default -> OperatorCommands.abandon("op", "", seen.controlVersion());
                 };
-        at(late, () -> propose("operator", seen.acts(), c));
+        at(late, () -> propose("operator", seen.controlVersion(), c));
     }
 
     private void trouble() {
@@ -431,8 +432,8 @@
             case 10, 11 -> call(1, random.nextBoolean() ? 0 : random.nextInt(4_000));
             case 12 -> call(random.nextInt(12) < 2 ? 4 : 3, random.nextInt(4_000));
             case 13 -> { // upgraded in place: another run, never out
-                if (register.on()
-                        && register.release().moves() == Phase.RUNNING
+                if (register.inProgress()
+                        && register.release().activePhase() == Phase.RUNNING
                         && m.is == Status.SERVING
                         && !plan.to().isEmpty()) {
                     m.start(plan.to());
@@ -440,7 +441,7 @@
                 }
             }
             case 14 -> { // one more, or one less
-                if (register.on() && random.nextBoolean()) {
+                if (register.inProgress() && random.nextBoolean()) {
                     add(Role.WORKER, "a" + names, random.nextBoolean() ? "1" : plan.to());
                 } else if (m.role == Role.WORKER && many() && register.members().containsKey(m.id)) {
                     m.lost = true;
@@ -486,7 +487,7 @@
         if (register.members().containsKey(m.id)) {
             told.add(m.id);
             m.leave = 0;
-            propose("gone", 0, Commands.gone("op", m.id));
+            propose("gone", 0, OperatorCommands.removeMember("op", m.id));
         }
     }
 
--- a/src/main/java/maplespread/lab/rig/Deployer.java
+++ b/src/main/java/maplespread/lab/rig/Deployer.java
@@ -41,9 +41,9 @@
         said = new Said[rig.dispatchers.size()];
         for (int d = 0; d < said.length; d++) {
             int whose = d;
-            Doors.daemon("deployer asks n" + d, () -> ask(whose));
+            LoopbackListeners.daemon("deployer asks n" + d, () -> ask(whose));
         }
-        Doors.daemon("deployer", () -> {
+        LoopbackListeners.daemon("deployer", () -> {
             while (!over) {
                 act();
                 Thread.sleep(ACT_MS);
--- a/src/main/java/maplespread/lab/rig/Ledger.java
+++ b/src/main/java/maplespread/lab/rig/EventRecord.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What the stand-ins saw for themselves: each order where it came to a worker, each answer at its client. */
-final class Ledger {
+final class EventRecord {
     /** A job with a key at a worker. */
     static final class Run {
         private final String id;
@@ -29,7 +29,7 @@
     private final Map<String, AtomicInteger> orders = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<String> wrongs = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Run> runs = new ConcurrentLinkedQueue<>();
-    final ConcurrentLinkedQueue<KeyJudge.Asked> asks = new ConcurrentLinkedQueue<>(); // jobs with a key
+    final ConcurrentLinkedQueue<OrderingChecker.Asked> asks = new ConcurrentLinkedQueue<>(); // jobs with a key
     final LongAdder asked = new LongAdder();
     final LongAdder served = new LongAdder();
     final LongAdder inAim = new LongAdder();
@@ -57,9 +57,9 @@
         return run;
     }
 
-    List<KeyJudge.Ran> ran() {
+    List<OrderingChecker.Ran> ran() {
         return runs.stream()
-                .map(r -> new KeyJudge.Ran(r.id, r.key, r.start, r.end))
+                .map(r -> new OrderingChecker.Ran(r.id, r.key, r.start, r.end))
                 .toList();
     }
 
--- a/src/main/java/maplespread/lab/rig/Way.java
+++ b/src/main/java/maplespread/lab/rig/FaultLink.java
@@ -5,7 +5,7 @@
 import maplespread.http.HttpConnection;
 
 /** What lies between one dispatcher and one peer. Its state may change under connections that are open. */
-final class Way {
+final class FaultLink {
     /**
      * CUT: nothing comes in or goes out, and nobody is told; DEAF: what the peer answers is lost; RESET: a
      * connection ends when a request has come; LATE: answers take a while; SLOW: they come in pieces.
--- a/src/main/java/maplespread/lab/rig/Relays.java
+++ b/src/main/java/maplespread/lab/rig/FaultProxies.java
@@ -17,14 +17,14 @@
  * passes bytes both ways as the links of that pair let it: late, or, while a way is cut, not until it is open
  * again, as TCP would. Whose a connection is its first request tells.
  */
-final class Relays {
+final class FaultProxies {
     private static final Pattern BY = Pattern.compile("(?i)x-handed-by: *n([0-9]+)");
     private static final long HOLD_MS = 60_000;
     private final Rig rig;
     private final String[] addresses;
     private final Set<HttpConnection> open = ConcurrentHashMap.newKeySet();
 
-    Relays(Rig rig, Doors doors) throws IOException {
+    FaultProxies(Rig rig, LoopbackListeners doors) throws IOException {
         this.rig = rig;
         addresses = new String[rig.plan.dispatchers()];
         for (int d = 0; d < addresses.length; d++) {
@@ -52,7 +52,7 @@
         int from = by.find() ? Integer.parseInt(by.group(1)) : to;
         try (HttpConnection callee = HttpConnection.dial(rig.dispatchers.get(to).address(), HOLD_MS)) {
             open.add(caller);
-            Doors.daemon("relay", () -> pass(callee, caller, to, from));
+            LoopbackListeners.daemon("relay", () -> pass(callee, caller, to, from));
             pass(caller, callee, from, to);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/maplespread/lab/rig/Storm.java
+++ b/src/main/java/maplespread/lab/rig/FaultSchedule.java
@@ -13,7 +13,7 @@
  * Faults drawn from a seed and thrown at a rig for a while, each undone after its time. What is drawn is the
  * same each time; when it falls depends on the machine, so verdicts rest on rules and not on times.
  */
-public final class Storm {
+public final class FaultSchedule {
     /** A fault that is to be undone. */
     private interface Undo {
         void run() throws IOException, InterruptedException;
@@ -21,8 +21,8 @@
 
     private record Later(long atNanos, Undo undo) {}
 
-    private static final Way.Fault[] FAULTS = {
-        Way.Fault.CUT, Way.Fault.DEAF, Way.Fault.RESET, Way.Fault.LATE, Way.Fault.SLOW
+    private static final FaultLink.Fault[] FAULTS = {
+        FaultLink.Fault.CUT, FaultLink.Fault.DEAF, FaultLink.Fault.RESET, FaultLink.Fault.LATE, FaultLink.Fault.SLOW
     };
     private final Rig rig;
     private final SplittableRandom random;
@@ -46,11 +46,11 @@
         }
     }
 
-    public Storm(Rig rig, long seed) {
+    public FaultSchedule(Rig rig, long seed) {
         this(rig, seed, Kinds.ALONE);
     }
 
-    Storm(Rig rig, long seed, Kinds kinds) {
+    FaultSchedule(Rig rig, long seed, Kinds kinds) {
         this.rig = rig;
         random = new SplittableRandom(seed);
         struck = new boolean[rig.dispatchers.size()];
@@ -115,8 +115,8 @@
         long ms = 300 + random.nextLong(1200);
         switch (kind) {
             case 0, 1 -> { // between one dispatcher and some workers
-                Way.Fault fault = FAULTS[random.nextInt(FAULTS.length)];
-                List<Way> ways = new ArrayList<>();
+                FaultLink.Fault fault = FAULTS[random.nextInt(FAULTS.length)];
+                List<FaultLink> ways = new ArrayList<>();
                 for (int i = 0; i < Math.max(1, rig.workers.size() / 4); i++) {
                     ways.add(rig.workers.get((w + i) % rig.workers.size()).ways[d]);
                 }
@@ -124,8 +124,8 @@
                 thrown.add(fault + " n" + d + " to " + ways.size() + " workers from w-" + w);
                 // What is held on the way runs when it is over, within what the rules say of a job's longest.
                 undoAfter(
-                        fault == Way.Fault.CUT ? Math.min(ms, kinds.cutMs) : ms,
-                        () -> ways.forEach(x -> x.fault = Way.Fault.NONE));
+                        fault == FaultLink.Fault.CUT ? Math.min(ms, kinds.cutMs) : ms,
+                        () -> ways.forEach(x -> x.fault = FaultLink.Fault.NONE));
             }
             case 2 -> {
                 if (strike(d)) {
--- a/src/main/java/maplespread/lab/rig/GroupLinks.java
+++ b/src/main/java/maplespread/lab/rig/GroupLinks.java
@@ -77,7 +77,7 @@
             }
         }
         places.forEach(DatagramSocket::close);
-        Doors.daemon("links", this::run);
+        LoopbackListeners.daemon("links", this::run);
     }
 
     /** Where this one listens. */
--- a/src/main/java/maplespread/lab/rig/Doors.java
+++ b/src/main/java/maplespread/lab/rig/LoopbackListeners.java
@@ -17,7 +17,7 @@
  * otherwise cost a thousand threads that only wait. Each connection that comes is served by a thread of its
  * own.
  */
-final class Doors implements Closeable {
+final class LoopbackListeners implements Closeable {
     /** Serves one connection to its end. */
     interface Service {
         void serve(HttpConnection link) throws IOException;
@@ -28,7 +28,7 @@
     private final Set<HttpConnection> links = ConcurrentHashMap.newKeySet();
     private volatile boolean over;
 
-    Doors() throws IOException {
+    LoopbackListeners() throws IOException {
         daemon("doors", this::accept);
     }
 
--- a/src/main/java/maplespread/lab/rig/KeyJudge.java
+++ b/src/main/java/maplespread/lab/rig/OrderingChecker.java
@@ -17,7 +17,7 @@
  * its key was sent came first, whoever sent them. So a client that waits for each answer has its own order,
  * and two clients theirs where they cannot have overlapped.
  */
-public final class KeyJudge {
+public final class OrderingChecker {
     /** A job as a worker had it, from when it had come whole until it had ended there. */
     record Ran(String id, String key, long start, long end) {}
 
@@ -56,10 +56,10 @@
     private final List<String> words = new ArrayList<>();
     private int overlaps, inversions, twice, unanswered, unrun, doubts, again;
 
-    private KeyJudge() {}
+    private OrderingChecker() {}
 
     static Verdict judge(Collection<Ran> ran, Collection<Asked> asked) {
-        return new KeyJudge().over(ran, asked);
+        return new OrderingChecker().over(ran, asked);
     }
 
     private Verdict over(Collection<Ran> ran, Collection<Asked> asked) {
--- a/src/main/java/maplespread/lab/rig/PartitionPlay.java
+++ b/src/main/java/maplespread/lab/rig/PartitionPlay.java
@@ -20,9 +20,9 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import maplespread.lab.rig.GroupLinks.Trouble;
-import maplespread.lab.rig.KeyJudge.Asked;
-import maplespread.lab.rig.KeyJudge.Got;
-import maplespread.partition.Owners;
+import maplespread.lab.rig.OrderingChecker.Asked;
+import maplespread.lab.rig.OrderingChecker.Got;
+import maplespread.partition.SlotAssignment;
 
 /**
  * Ordered partitions over processes: clients that wait for each answer, at dispatchers drawn anew for each
@@ -96,7 +96,7 @@
         rig.workers.forEach(w -> Arrays.stream(w.ways).forEach(way -> way.mostMs = runsMs / 2));
         for (int c = 0; c < plan.clients; c++) {
             int mine = c;
-            clients.add(Doors.daemon("ordered client", () -> client(mine)));
+            clients.add(LoopbackListeners.daemon("ordered client", () -> client(mine)));
         }
     }
 
@@ -209,7 +209,7 @@
     int longJob(double ms) throws IOException, InterruptedException {
         String name = id();
         int owner = hotOwner();
-        Doors.daemon("long job", () -> {
+        LoopbackListeners.daemon("long job", () -> {
             for (int n = 0; !over && !began(name); n++) {
                 ask(name + '-' + n, keys + HOT, (owner + 1) % plan.dispatchers, true, ms);
             }
@@ -345,7 +345,7 @@
         int[] slots = IntStream.range(0, SLOTS)
                 .filter(s -> owners.get(s).getAsString().equals("n" + d))
                 .toArray();
-        Owners hash = Owners.first(SLOTS, "");
+        SlotAssignment hash = SlotAssignment.initial(SLOTS, "");
         IntFunction<String> key = slot -> IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "p" + i)
                 .filter(k -> hash.slotOf("entity=" + k) == slot)
@@ -358,12 +358,12 @@
         for (int i = 0; i < slots.length; i++) {
             int mine = i;
             String probed = key.apply(slots[i]);
-            all.add(Doors.daemon(
+            all.add(LoopbackListeners.daemon(
                     "prober",
                     () -> { // does not wait for answers: some are late
                         for (int n = 0; unserved(unserved, mine) == 0 && !over; n++) {
                             int first = (d + 1 + (mine + n) % (plan.dispatchers - 1)) % plan.dispatchers;
-                            Doors.daemon("probe", () -> {
+                            LoopbackListeners.daemon("probe", () -> {
                                 Asked a = ask(id(), probed, first, false, plan.workMs);
                                 synchronized (unserved) {
                                     if (a.got() == Got.DONE && at[0] != 0 && a.sent() > at[0]) {
@@ -416,13 +416,13 @@
      */
     public void storm(int faults, long gapMs, long longestMs) throws IOException, InterruptedException {
         CountDownLatch peaceful = new CountDownLatch(1);
-        Thread operator = Doors.daemon("tables", () -> {
+        Thread operator = LoopbackListeners.daemon("tables", () -> {
             for (int i = 1; peaceful.getCount() > 0; i++) {
                 change(i, longestMs);
                 peaceful.await(CHANGE_MS, TimeUnit.MILLISECONDS);
             }
         });
-        thrown.addAll(new Storm(rig, plan.seed, Storm.Kinds.ORDER).blow(faults, gapMs));
+        thrown.addAll(new FaultSchedule(rig, plan.seed, FaultSchedule.Kinds.ORDER).blow(faults, gapMs));
         peaceful.countDown();
         operator.join();
         peace();
@@ -451,13 +451,13 @@
     }
 
     /** No more is asked for; what came of it all, but for what was asked for without order. */
-    public KeyJudge.Verdict end() throws InterruptedException {
+    public OrderingChecker.Verdict end() throws InterruptedException {
         over = true;
         keys = "";
         for (Thread t : clients) {
             t.join(10_000);
         }
-        KeyJudge.Verdict v = KeyJudge.judge(
+        OrderingChecker.Verdict v = OrderingChecker.judge(
                 rig.ledger.ran().stream()
                         .filter(r -> !r.key().startsWith("none"))
                         .toList(),
--- a/src/main/java/maplespread/lab/rig/ProcessMeasure.java
+++ b/src/main/java/maplespread/lab/rig/ProcessMeasure.java
@@ -31,11 +31,11 @@
                 rig.workers.get(w).slow(4);
                 rig.restartWorker(w + 1);
             }
-            new Storm(rig, plan.seed()).blow(FAULTS, GAP_MS);
+            new FaultSchedule(rig, plan.seed()).blow(FAULTS, GAP_MS);
         }
         String what =
                 plan.dispatchers() + " processes, " + WORKERS + " workers, " + (parts ? "parts on" : "each alone");
-        Ledger seen = rig.ledger;
+        EventRecord seen = rig.ledger;
         List<String> wrongs = rig.wrongs();
         report.row(
                 what,
--- a/src/main/java/maplespread/lab/rig/ReleasePlay.java
+++ b/src/main/java/maplespread/lab/rig/ReleasePlay.java
@@ -34,7 +34,7 @@
     private static final int PARTS = 3; // of a fleet without agreement
     private final Plan plan;
     final Rig rig;
-    final OutCount count;
+    final UnavailabilityChecker count;
     final Deployer deployer; // null without agreement
     private final List<Thread> alone = new ArrayList<>();
     private final List<String> thrown = new ArrayList<>();
@@ -53,7 +53,8 @@
                 plan.agree ? this::operator : Rig.Operator.same(null),
                 plan.load,
                 plan.warmMs));
-        count = new OutCount(rig, new OutCount.Limits(plan.out, plan.workersOut, plan.zoneOut), plan.agree);
+        count = new UnavailabilityChecker(
+                rig, new UnavailabilityChecker.Limits(plan.out, plan.workersOut, plan.zoneOut), plan.agree);
         deployer = plan.agree ? new Deployer(rig) : null;
     }
 
@@ -287,7 +288,7 @@
      * first of those that serve, is killed at every step. Returns at once.
      */
     public void storm(long mostMs, long gapMs) {
-        storm = Doors.daemon("storm", () -> {
+        storm = LoopbackListeners.daemon("storm", () -> {
             try {
                 thrown.addAll(blow(mostMs, gapMs));
             } catch (IOException | RuntimeException e) {
@@ -303,7 +304,8 @@
 
     private List<String> blow(long mostMs, long gapMs) throws IOException, InterruptedException {
         long end = System.nanoTime() + mostMs * 1_000_000;
-        Storm storm = new Storm(rig, plan.seed, plan.agree ? Storm.Kinds.LINKS : Storm.Kinds.ALONE);
+        FaultSchedule storm =
+                new FaultSchedule(rig, plan.seed, plan.agree ? FaultSchedule.Kinds.LINKS : FaultSchedule.Kinds.ALONE);
         int[] step = {-1};
         return storm.blow(
                 i -> {
@@ -328,7 +330,7 @@
     public void beginAlone() {
         for (int p = 0; p < PARTS; p++) {
             int part = p;
-            alone.add(Doors.daemon("alone dispatchers", () -> {
+            alone.add(LoopbackListeners.daemon("alone dispatchers", () -> {
                 for (int d = part; d < plan.dispatchers; d += PARTS * plan.out) {
                     for (int i = d; i < Math.min(plan.dispatchers, d + PARTS * plan.out); i += PARTS) {
                         drain(i);
@@ -338,7 +340,7 @@
                     }
                 }
             }));
-            alone.add(Doors.daemon("alone workers", () -> {
+            alone.add(LoopbackListeners.daemon("alone workers", () -> {
                 for (int w = part; w < plan.workers; w += PARTS * plan.workersOut) {
                     List<RigWorker> mine = new ArrayList<>();
                     for (int i = w; i < Math.min(plan.workers, w + PARTS * plan.workersOut); i += PARTS) {
--- a/src/main/java/maplespread/lab/rig/Rig.java
+++ b/src/main/java/maplespread/lab/rig/Rig.java
@@ -61,15 +61,15 @@
     private static final double COLD_FROM = 0.12;
     private static final long WARM_MS = 20_000;
     final Plan plan;
-    final Ledger ledger = new Ledger();
+    final EventRecord ledger = new EventRecord();
     final List<ServeProcess> dispatchers = new ArrayList<>();
     final List<RigWorker> workers = new ArrayList<>();
     final RigDiscovery discovery;
     final GroupLinks links;
-    final Relays relays;
+    final FaultProxies relays;
     final RigClients clients;
     private final String[] versions; // of the dispatchers
-    private final Doors doors = new Doors();
+    private final LoopbackListeners doors = new LoopbackListeners();
     private final Path folder = Files.createTempDirectory("maplespread-rig");
     private final SplittableRandom random;
 
@@ -78,7 +78,7 @@
         this.plan = plan;
         random = new SplittableRandom(plan.seed());
         links = new GroupLinks(plan.dispatchers(), plan.seed());
-        relays = new Relays(this, doors);
+        relays = new FaultProxies(this, doors);
         versions = new String[plan.dispatchers()];
         Arrays.fill(versions, "1");
         double capacity = 0;
--- a/src/main/java/maplespread/lab/rig/RigClients.java
+++ b/src/main/java/maplespread/lab/rig/RigClients.java
@@ -56,7 +56,7 @@
             t.setDaemon(true);
             return t;
         });
-        pace = rig.plan.paced() ? Doors.daemon("clients", this::pace) : new Thread();
+        pace = rig.plan.paced() ? LoopbackListeners.daemon("clients", this::pace) : new Thread();
     }
 
     double rate() {
@@ -128,15 +128,15 @@
     }
 
     /** Asks for a job and waits for its answer; {@code key}: its entity, null: it has none. */
-    KeyJudge.Asked ask(String id, int first, int org, boolean order, double work, String key) {
+    OrderingChecker.Asked ask(String id, int first, int org, boolean order, double work, String key) {
         long start = System.nanoTime();
-        KeyJudge.Got got = KeyJudge.Got.EXCUSED;
+        OrderingChecker.Got got = OrderingChecker.Got.EXCUSED;
         int d = front(first);
         rig.ledger.asked.increment();
         if (d < 0) {
             rig.ledger.excused.increment(); // none is there
             ends.add(new End(System.nanoTime(), org, work, false));
-            return new KeyJudge.Asked(id, key, order, start, System.nanoTime(), got);
+            return new OrderingChecker.Asked(id, key, order, start, System.nanoTime(), got);
         }
         ServeProcess to = rig.dispatchers.get(d);
         String lane = order ? "order" : "page";
@@ -163,8 +163,10 @@
             }
             int status = parser.head().status();
             got = status == 200
-                    ? KeyJudge.Got.DONE
-                    : "in-doubt".equals(parser.head().get("X-Order")) ? KeyJudge.Got.DOUBT : KeyJudge.Got.REFUSED;
+                    ? OrderingChecker.Got.DONE
+                    : "in-doubt".equals(parser.head().get("X-Order"))
+                            ? OrderingChecker.Got.DOUBT
+                            : OrderingChecker.Got.REFUSED;
             inAim = answered(id, status, body.toString(), start, work);
             if (link.pending()) {
                 rig.ledger.wrong(id + " got more than one answer");
@@ -177,7 +179,7 @@
             if (to.struckSince(start) || over) {
                 rig.ledger.excused.increment();
             } else {
-                got = KeyJudge.Got.NOTHING;
+                got = OrderingChecker.Got.NOTHING;
                 rig.ledger.wrong(id + " got no answer from n" + d + " in " + (System.nanoTime() - start) / 1_000_000
                         + " ms: " + e);
             }
@@ -188,7 +190,7 @@
             ends.add(new End(System.nanoTime(), org, work, inAim));
             inHand.decrementAndGet(d);
         }
-        return new KeyJudge.Asked(id, key, order, start, System.nanoTime(), got);
+        return new OrderingChecker.Asked(id, key, order, start, System.nanoTime(), got);
     }
 
     /** False: the connection ended before a byte of an answer, as one that was closed in between does. */
--- a/src/main/java/maplespread/lab/rig/RigDiscovery.java
+++ b/src/main/java/maplespread/lab/rig/RigDiscovery.java
@@ -19,11 +19,11 @@
     final String[] doors; // by dispatcher
     private final Map<RigWorker, String> states = new LinkedHashMap<>();
     private final List<Map<RigWorker, String>> news = new ArrayList<>(); // by generation
-    private final Ledger ledger;
+    private final EventRecord ledger;
     private volatile boolean down;
     private volatile long lateMs;
 
-    RigDiscovery(int dispatchers, Doors doors, Ledger ledger) throws IOException {
+    RigDiscovery(int dispatchers, LoopbackListeners doors, EventRecord ledger) throws IOException {
         this.ledger = ledger;
         this.doors = new String[dispatchers];
         for (int d = 0; d < dispatchers; d++) {
--- a/src/main/java/maplespread/lab/rig/RigWorker.java
+++ b/src/main/java/maplespread/lab/rig/RigWorker.java
@@ -19,7 +19,7 @@
     /** A job as it stands in the model: what the model says of it goes to its connection's thread. */
     private static final class Job {
         final LinkedBlockingQueue<String> news = new LinkedBlockingQueue<>();
-        Ledger.Run run; // null: it has no key
+        EventRecord.Run run; // null: it has no key
 
         void over(String state) {
             if (run != null) {
@@ -31,9 +31,9 @@
 
     final String name;
     final String zone;
-    final Way[] ways; // by dispatcher
+    final FaultLink[] ways; // by dispatcher
     final String[] doors;
-    private final Ledger ledger;
+    private final EventRecord ledger;
     private final WorkerModel<Job> model;
     private final long start = System.nanoTime();
     private final double base;
@@ -50,18 +50,18 @@
             WorkerModel.Kind kind,
             int dispatchers,
             double sinceMs,
-            Doors doors,
-            Ledger ledger)
+            LoopbackListeners doors,
+            EventRecord ledger)
             throws IOException {
         this.name = name;
         this.zone = zone;
         this.ledger = ledger;
         base = sinceMs;
         model = new WorkerModel<>(kind, 0);
-        ways = new Way[dispatchers];
+        ways = new FaultLink[dispatchers];
         this.doors = new String[dispatchers];
         for (int d = 0; d < dispatchers; d++) {
-            Way way = new Way();
+            FaultLink way = new FaultLink();
             ways[d] = way;
             this.doors[d] = doors.open(link -> {
                 try {
@@ -71,7 +71,7 @@
                 }
             });
         }
-        Doors.daemon("worker " + name, this::run);
+        LoopbackListeners.daemon("worker " + name, this::run);
     }
 
     private double nowMs() {
@@ -153,7 +153,7 @@
         return Math.max(worst, model.worst());
     }
 
-    private void serve(HttpConnection link, Way way) throws IOException, InterruptedException {
+    private void serve(HttpConnection link, FaultLink way) throws IOException, InterruptedException {
         ledger.dials.increment();
         int mine = generation;
         while (way.open(HOLD_MS) && link.fill(HOLD_MS) && way.open(HOLD_MS) && mine == generation) {
@@ -175,7 +175,7 @@
     }
 
     /** False: the connection has ended with it. */
-    private boolean job(HttpConnection link, Way way, HttpHead head, int mine)
+    private boolean job(HttpConnection link, FaultLink way, HttpHead head, int mine)
             throws IOException, InterruptedException {
         String id = head.get("X-Txn");
         ledger.jobs.increment();
@@ -196,7 +196,7 @@
             model.submit(nowMs(), job, Long.parseLong(target.substring(target.indexOf('=') + 1)) / 1000.0);
         }
         step();
-        if (way.fault == Way.Fault.RESET) {
+        if (way.fault == FaultLink.Fault.RESET) {
             if ("order".equals(head.get("X-Lane"))) {
                 ledger.cutOff.increment();
             }
--- a/src/main/java/maplespread/lab/rig/ServeProcess.java
+++ b/src/main/java/maplespread/lab/rig/ServeProcess.java
@@ -82,7 +82,7 @@
         process = call.start();
         Process mine = process;
         Runtime.getRuntime().addShutdownHook(new Thread(mine::destroyForcibly));
-        Doors.daemon("log " + name, () -> {
+        LoopbackListeners.daemon("log " + name, () -> {
             try (BufferedReader log = new BufferedReader(new InputStreamReader(mine.getInputStream()));
                     var kept = Files.newBufferedWriter(
                             folder.resolve(name + ".log"),
--- a/src/main/java/maplespread/lab/rig/StarvationPlay.java
+++ b/src/main/java/maplespread/lab/rig/StarvationPlay.java
@@ -42,7 +42,7 @@
                                 + ",'windows':8," + "'verdicts':'both','relief':{}}}")
                         .replace('\'', '"'),
                 plan.load));
-        watcher = Doors.daemon("watcher", () -> {
+        watcher = LoopbackListeners.daemon("watcher", () -> {
             while (true) {
                 for (int d = 0; d < plan.dispatchers; d++) {
                     look(d);
--- a/src/main/java/maplespread/lab/rig/OutCount.java
+++ b/src/main/java/maplespread/lab/rig/UnavailabilityChecker.java
@@ -13,7 +13,7 @@
  * leaves may never pass the limit; and where accidents have used it up, and the fleet could know, none may
  * begin.
  */
-final class OutCount implements Closeable {
+final class UnavailabilityChecker implements Closeable {
     /** How many may be out. */
     record Limits(int dispatchers, int workers, int zone) {}
 
@@ -32,12 +32,12 @@
     private long begunAt = System.nanoTime();
 
     /** {@code judge}: whether what is over the limits is a wrong; it is counted in any case. */
-    OutCount(Rig rig, Limits limits, boolean judge) {
+    UnavailabilityChecker(Rig rig, Limits limits, boolean judge) {
         this.rig = rig;
         this.limits = limits;
         this.judge = judge;
         known = new boolean[rig.dispatchers.size()];
-        Doors.daemon("out", () -> {
+        LoopbackListeners.daemon("out", () -> {
             while (!over) {
                 look();
                 Thread.sleep(LOOK_MS);
--- a/src/main/java/maplespread/lab/scale/HollowFleet.java
+++ b/src/main/java/maplespread/lab/scale/SimulatedFleet.java
@@ -18,16 +18,16 @@
 import java.util.StringJoiner;
 import java.util.TreeMap;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
-import maplespread.membership.client.Traffic;
+import maplespread.membership.client.ChannelTrafficMeter;
 
 /** Hollow members of one group on loopback, all in this process. */
-public final class HollowFleet implements Closeable {
+public final class SimulatedFleet implements Closeable {
     /** Which parts are on beside the group itself. */
     public record Features(boolean release, boolean partition, boolean starvation) {
         /** What the operators' file has after the group. */
@@ -47,11 +47,11 @@
     private static final long PUMP_MS = 100;
 
     /** What one member has sent and received since its start, by channel, and the part it plays. */
-    public record Sample(String member, boolean elector, Map<Integer, Traffic.Line> channels) {}
+    public record Sample(String member, boolean elector, Map<Integer, ChannelTrafficMeter.ChannelTraffic> channels) {}
 
     private final FleetPlan plan;
     private final Features features;
-    private final List<HollowMember> members = new ArrayList<>();
+    private final List<SimulatedMember> members = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final Path key;
@@ -59,7 +59,7 @@
     private volatile boolean over;
 
     /** Starts so many members at once. */
-    public HollowFleet(int size, FleetPlan plan, Features features, long seed) throws IOException {
+    public SimulatedFleet(int size, FleetPlan plan, Features features, long seed) throws IOException {
         this.plan = plan;
         this.features = features;
         key = Files.createTempFile("scale", ".key");
@@ -69,9 +69,9 @@
         try {
             for (int i = 0; i < size; i++) {
                 names.add("n" + i);
-                members.add(new HollowMember(config(i, size, seed), operator(i, size), workers));
+                members.add(new SimulatedMember(config(i, size, seed), operator(i, size), workers));
             }
-        } catch (ConfigError e) {
+        } catch (ConfigException e) {
             throw new IOException(e.getMessage(), e);
         }
         pump = new Thread(this::pump, "scale jobs");
@@ -90,22 +90,22 @@
     }
 
     private static EndpointUpdate workers(FleetPlan plan, SplittableRandom random) {
-        List<Route> routes = new ArrayList<>();
+        List<Endpoint> routes = new ArrayList<>();
         for (int i = 0; i < plan.workers(); i++) {
-            routes.add(new Route(
+            routes.add(new Endpoint(
                     "w" + i,
                     "127.0.0.1:" + (20_000 + i),
-                    Route.State.SERVING,
+                    Endpoint.State.SERVING,
                     1,
                     0,
                     random.nextInt(20),
                     i % plan.zones(),
                     0));
         }
-        return new EndpointUpdate(EndpointUpdate.Kind.WHOLE, 1, routes);
+        return new EndpointUpdate(EndpointUpdate.Kind.FULL_SNAPSHOT, 1, routes);
     }
 
-    private Config config(int index, int size, long seed) throws ConfigError {
+    private Config config(int index, int size, long seed) throws ConfigException {
         StringJoiner zones = new StringJoiner("','", "['", "']");
         for (int z = 0; z < plan.zones(); z++) {
             zones.add("z" + z);
@@ -127,7 +127,7 @@
         return ConfigReader.read(text.replace('\'', '"'), Map.of());
     }
 
-    private Operator operator(int index, int size) throws ConfigError {
+    private OperatorConfig operator(int index, int size) throws ConfigException {
         StringJoiner seeds = new StringJoiner("\",\"", "[\"", "\"]");
         for (int i = 0; i < Math.min(SEEDS, size); i++) {
             seeds.add("127.0.0.1:" + ports.get(i));
@@ -175,11 +175,11 @@
         return (System.nanoTime() - from) / 1_000_000;
     }
 
-    private static long version(HollowMember member) {
+    private static long version(SimulatedMember member) {
         return member.group().get("version").getAsLong();
     }
 
-    private static String phase(HollowMember member, String of) {
+    private static String phase(SimulatedMember member, String of) {
         for (JsonElement e : member.group().getAsJsonArray("members")) {
             JsonObject m = e.getAsJsonObject();
             if (m.get("name").getAsString().equals(of) && m.has("phase")) {
@@ -190,9 +190,9 @@
     }
 
     /** Looks at each member until it holds there once. */
-    private void await(long mostMs, java.util.function.Predicate<HollowMember> holds) throws InterruptedException {
+    private void await(long mostMs, java.util.function.Predicate<SimulatedMember> holds) throws InterruptedException {
         long end = System.nanoTime() + mostMs * 1_000_000;
-        List<HollowMember> open = new ArrayList<>(members);
+        List<SimulatedMember> open = new ArrayList<>(members);
         while (true) {
             open.removeIf(holds);
             if (open.isEmpty()) {
@@ -216,7 +216,7 @@
                 return;
             }
             long now = System.nanoTime();
-            for (HollowMember member : members) {
+            for (SimulatedMember member : members) {
                 member.jobs(plan.startsPerS() / members.size(), (now - last) / 1e9, runsNanos, now, plan.tenants());
             }
             last = now;
@@ -227,20 +227,22 @@
     public List<Sample> sample() {
         List<Sample> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
-            Map<Integer, Traffic.Line> channels = new TreeMap<>();
+            Map<Integer, ChannelTrafficMeter.ChannelTraffic> channels = new TreeMap<>();
             JsonObject traffic = members.get(i).group().getAsJsonObject("traffic");
             for (Map.Entry<String, JsonElement> e : traffic.entrySet()) {
                 JsonObject line = e.getValue().getAsJsonObject();
-                channels.put(Integer.valueOf(e.getKey()), new Traffic.Line(count(line, "in"), count(line, "out")));
+                channels.put(
+                        Integer.valueOf(e.getKey()),
+                        new ChannelTrafficMeter.ChannelTraffic(count(line, "in"), count(line, "out")));
             }
             all.add(new Sample(names.get(i), i < MOST_ELECTORS, channels));
         }
         return all;
     }
 
-    private static Traffic.Count count(JsonObject line, String direction) {
+    private static ChannelTrafficMeter.TrafficCount count(JsonObject line, String direction) {
         JsonObject count = line.getAsJsonObject(direction);
-        return new Traffic.Count(
+        return new ChannelTrafficMeter.TrafficCount(
                 count.get("packets").getAsLong(), count.get("bytes").getAsLong());
     }
 
@@ -268,7 +270,7 @@
     public void close() throws IOException {
         over = true;
         pump.interrupt();
-        members.parallelStream().forEach(HollowMember::close);
+        members.parallelStream().forEach(SimulatedMember::close);
         Files.deleteIfExists(key);
     }
 }
--- a/src/main/java/maplespread/lab/scale/HollowMember.java
+++ b/src/main/java/maplespread/lab/scale/SimulatedMember.java
@@ -8,29 +8,29 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Map;
+import maplespread.admin.AdminRoutes;
 import maplespread.config.Config;
-import maplespread.config.Operator;
-import maplespread.console.Calls;
-import maplespread.decision.Dispatch;
+import maplespread.config.OperatorConfig;
+import maplespread.discovery.EndpointListener;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Ends;
-import maplespread.facade.Transaction;
-import maplespread.figures.Figures;
-import maplespread.parts.Host;
-import maplespread.parts.Parts;
-import maplespread.routes.RouteSink;
-import maplespread.worker.Relay;
+import maplespread.facade.InFlightRequest;
+import maplespread.facade.RequestListener;
+import maplespread.feature.FeatureContext;
+import maplespread.feature.Features;
+import maplespread.metrics.Metrics;
+import maplespread.policy.Dispatch;
+import maplespread.worker.PeerForwarder;
 
 /** The optional parts of one dispatcher, as {@code serve} puts them together, with no client and no worker. */
-public final class HollowMember implements Closeable {
+public final class SimulatedMember implements Closeable {
     private static final InetSocketAddress LISTENS = new InetSocketAddress("127.0.0.1", 1);
 
     private record Job(long number, long endsAtNanos) {}
 
     /** Stands in for the server: it serves from the start on, and is drained and resumed by call. */
-    private static final class HollowHost implements Host {
+    private static final class HollowHost implements FeatureContext {
         private final Config config;
-        private final Figures figures = new Figures();
+        private final Metrics figures = new Metrics();
         private volatile boolean serving;
 
         HollowHost(Config config) {
@@ -43,20 +43,20 @@
         }
 
         @Override
-        public Figures figures() {
+        public Metrics metrics() {
             return figures;
         }
 
         @Override
-        public Figures.Hosts hosts() {
-            return new Figures.Hosts(0, 0);
+        public Metrics.HostCounts hostCounts() {
+            return new Metrics.HostCounts(0, 0);
         }
 
         @Override
-        public void settle() {}
+        public void reapplySettings() {}
 
         @Override
-        public void relief(double[] weights) {}
+        public void setPriorityBoosts(double[] weights) {}
 
         @Override
         public boolean quiesce() {
@@ -71,55 +71,55 @@
         }
 
         @Override
-        public boolean serving() {
+        public boolean isServing() {
             return serving;
         }
 
         @Override
-        public boolean accepting() {
+        public boolean isAccepting() {
             return serving;
         }
 
         @Override
-        public InetSocketAddress listens() {
+        public InetSocketAddress listenAddress() {
             return LISTENS;
         }
 
         @Override
-        public Relay relay() {
+        public PeerForwarder peerForwarder() {
             return null; // nobody sends jobs
         }
     }
 
     private final HollowHost host;
-    private final Parts parts;
-    private final Calls calls;
+    private final Features parts;
+    private final AdminRoutes calls;
     private final Deque<Job> running = new ArrayDeque<>();
     private double jobsDue;
 
     /** Starts at once; {@code workers}: the whole list. */
-    HollowMember(Config config, Operator operator, EndpointUpdate workers) throws IOException {
+    SimulatedMember(Config config, OperatorConfig operator, EndpointUpdate workers) throws IOException {
         host = new HollowHost(config);
-        parts = new Parts(config, operator, host);
-        RouteSink sink = parts.routes(new RouteSink() {
+        parts = new Features(config, operator, host);
+        EndpointListener sink = parts.wrapListener(new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {}
+            public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
         });
-        calls = parts.calls(Map.of());
+        calls = parts.adminRoutes(Map.of());
         parts.start();
-        sink.news(workers);
+        sink.endpointsChanged(workers);
         host.resume();
-        parts.serving();
+        parts.onServing();
     }
 
-    /** Answers a call of the console; see {@link Calls#answer}. */
-    Calls.Reply call(String method, String target) {
+    /** Answers a call of the console; see {@link AdminRoutes#answer}. */
+    AdminRoutes.AdminResponse call(String method, String target) {
         return calls.answer(method, target, "");
     }
 
@@ -130,17 +130,17 @@
 
     /** Starts jobs at this rate since the last call, {@code elapsedS} ago, and ends those that are due. */
     void jobs(double perS, double elapsedS, long runsNanos, long nowNanos, int tenants) {
-        Ends ends = parts.ends();
+        RequestListener ends = parts.requestListener();
         if (ends == null) {
             return;
         }
         for (jobsDue += perS * elapsedS; jobsDue >= 1; jobsDue--) {
             int tenant = Math.floorMod(nowNanos / 1000, tenants);
-            Transaction job = new Transaction(0, tenant, nowNanos / 1000 + runsNanos, Double.NaN, 1, 1, null);
-            running.add(new Job(ends.taken(job), nowNanos + runsNanos));
+            InFlightRequest job = new InFlightRequest(0, tenant, nowNanos / 1000 + runsNanos, Double.NaN, 1, 1, null);
+            running.add(new Job(ends.requestAccepted(job), nowNanos + runsNanos));
         }
         while (!running.isEmpty() && running.peek().endsAtNanos - nowNanos <= 0) {
-            ends.ended(running.remove().number, Ends.How.SERVED, null);
+            ends.requestCompleted(running.remove().number, RequestListener.Result.SERVED, null);
         }
     }
 
--- a/src/main/java/maplespread/lab/starvation/Ways.java
+++ b/src/main/java/maplespread/lab/starvation/DetectorComparison.java
@@ -10,7 +10,7 @@
  * same rate of false alarms between groups that are alike: what share of the harms each one finds, and how
  * often it is wrong of a tenant whose clients leave early.
  */
-public final class Ways {
+public final class DetectorComparison {
     private static final double DEADLINE = 2000;
     private static final int OWN = 20, OTHERS = 400;
     private static final double FALSE = 0.001;
@@ -35,7 +35,7 @@
     /** A job: its wait, whether it is known whole, whether it is the tenant's. */
     private record Job(double ms, boolean served, boolean own) {}
 
-    private Ways() {}
+    private DetectorComparison() {}
 
     public static void run(int rounds, Report report) {
         double[][] alike = found(Harm.NONE, 10 * rounds, 1);
--- a/src/main/java/maplespread/lab/starvation/VirtualStarvation.java
+++ b/src/main/java/maplespread/lab/starvation/VirtualStarvation.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import maplespread.starvation.Judge;
-import maplespread.starvation.Relief;
-import maplespread.starvation.Site;
+import maplespread.starvation.FleetLayout;
+import maplespread.starvation.FleetWindow;
+import maplespread.starvation.PriorityBoost;
+import maplespread.starvation.StarvationDetector;
 import maplespread.starvation.Verdict;
 import maplespread.starvation.Verdict.Kind;
-import maplespread.starvation.View;
-import maplespread.starvation.Waits;
-import maplespread.starvation.Waits.End;
-import maplespread.starvation.Window;
+import maplespread.starvation.WaitRecorder;
+import maplespread.starvation.WaitRecorder.Completion;
+import maplespread.starvation.WaitWindow;
 
 /**
  * A fleet and what its tenants meet. Load wanders by place, tenants send bursts whose jobs share one queue,
@@ -63,7 +63,7 @@
         public int of; // dispatchers; more than are played: all is
         // well with the others
         public boolean talks = true; // false: who judges by itself hears of nobody
-        public Relief.Limits relief; // null: nobody is relieved
+        public PriorityBoost.Limits relief; // null: nobody is relieved
     }
 
     /**
@@ -105,10 +105,10 @@
     private final int places;
     private final double[] weights, cumulated, queue, slow;
     private final int tenant, second, place, dispatcher; // whom it concerns
-    private Relief relief; // null: nobody is relieved
+    private PriorityBoost relief; // null: nobody is relieved
     private int nowS;
     private long id;
-    private Site site;
+    private FleetLayout site;
 
     public VirtualStarvation(Plan plan) {
         this.plan = plan;
@@ -150,22 +150,22 @@
         double all = plan.jobsPerS * fleet / plan.dispatchers;
         double[] allowances =
                 Arrays.stream(weights).map(w -> w * all * HEADROOM).toArray();
-        site = new Site(new double[] {DEADLINE_MS}, allowances, fleet, plan.kinds);
-        Waits[] waits = new Waits[plan.dispatchers];
-        Arrays.setAll(waits, d -> new Waits("d" + d, 1, WINDOW_MS, new double[] {DEADLINE_MS}));
-        View view = new View(KEEP_MS, true);
-        Judge judge = part ? allWell() : new Judge(site, plan.matters);
-        View[] aloneViews = new View[plan.alone];
-        Judge[] alone = new Judge[plan.alone];
-        Arrays.setAll(aloneViews, d -> new View(KEEP_MS, false));
-        Arrays.setAll(alone, d -> Judge.alone(site, plan.matters, plan.talks ? judge : null));
+        site = new FleetLayout(new double[] {DEADLINE_MS}, allowances, fleet, plan.kinds);
+        WaitRecorder[] waits = new WaitRecorder[plan.dispatchers];
+        Arrays.setAll(waits, d -> new WaitRecorder("d" + d, 1, WINDOW_MS, new double[] {DEADLINE_MS}));
+        FleetWindow view = new FleetWindow(KEEP_MS, true);
+        StarvationDetector judge = part ? allWell() : new StarvationDetector(site, plan.matters);
+        FleetWindow[] aloneViews = new FleetWindow[plan.alone];
+        StarvationDetector[] alone = new StarvationDetector[plan.alone];
+        Arrays.setAll(aloneViews, d -> new FleetWindow(KEEP_MS, false));
+        Arrays.setAll(alone, d -> StarvationDetector.singleDispatcher(site, plan.matters, plan.talks ? judge : null));
         double named = Double.POSITIVE_INFINITY;
         double falsely = 0;
         long bytes = 0;
         long windows = 0;
         long recordNs = 0;
         long judgeNs = 0;
-        relief = plan.relief == null ? null : new Relief(plan.relief, KEEP_MS / WINDOW_MS);
+        relief = plan.relief == null ? null : new PriorityBoost(plan.relief, KEEP_MS / WINDOW_MS);
         double after = Double.POSITIVE_INFINITY;
         int late = 0;
         int turns = 0;
@@ -180,29 +180,29 @@
             second(s * 1000L, wrong, waits);
             long now = (s + 1) * 1000L;
             recordNs += cpuNs() - t0;
-            view.age(now);
+            view.evictExpired(now);
             for (int d = 0; d < plan.dispatchers; d++) {
-                Window w = waits[d].close(now);
+                WaitWindow w = waits[d].closeWindow(now);
                 if (d < plan.alone) {
-                    aloneViews[d].age(now);
+                    aloneViews[d].evictExpired(now);
                     aloneViews[d].add(now, w);
                 }
                 if (!part && (plan.wrong != Case.SILENT || s < CALM || d < plan.dispatchers * 3 / 10)) {
-                    byte[] packet = maplespread.starvation.Exchange.encode(w, Integer.MAX_VALUE);
+                    byte[] packet = maplespread.starvation.WindowCodec.encode(w, Integer.MAX_VALUE);
                     bytes += packet.length;
                     windows++;
                     view.add(now, w);
                 }
             }
             long t1 = cpuNs();
-            falsely += part ? 0 : wrong(judge.round(now, view), wrong, -1);
+            falsely += part ? 0 : wrong(judge.evaluate(now, view), wrong, -1);
             judgeNs += cpuNs() - t1;
             for (int d = 0; d < plan.alone; d++) {
-                falsely += wrong(alone[d].round(now, aloneViews[d]), wrong, d) * (double) fleet / plan.alone;
+                falsely += wrong(alone[d].evaluate(now, aloneViews[d]), wrong, d) * (double) fleet / plan.alone;
             }
             if (relief != null) {
-                List<Verdict> stand = judge.standing();
-                relief.round(stand, judge.heardEnough());
+                List<Verdict> stand = judge.activeVerdicts();
+                relief.update(stand, judge.enoughReported());
                 boolean starved = stand.stream().anyMatch(v -> v.kind() == Kind.STARVED);
                 late += starved && s >= plan.seconds / 2 ? 1 : 0;
                 if (named < Double.POSITIVE_INFINITY && !starved && after == Double.POSITIVE_INFINITY) {
@@ -232,10 +232,10 @@
                 id,
                 bytes,
                 windows,
-                view.bytes(),
+                view.estimatedBytes(),
                 (double) recordNs / id,
                 judgeNs / 1e6 / plan.seconds,
-                judge.spread(),
+                judge.varianceInflation(),
                 new Relieved(after, late, turns, extra, others, List.of(weight(tenant), weight(second))));
     }
 
@@ -256,29 +256,30 @@
     }
 
     /** A fleet that is heard and in which nobody asks too much. */
-    private Judge allWell() {
-        Judge judge = new Judge(new Site(site.deadlinesMs(), new double[0], 1, plan.kinds), plan.matters);
-        Waits waits = new Waits("all", 1, WINDOW_MS, site.deadlinesMs());
-        View view = new View(KEEP_MS, true);
-        view.add(0, waits.close(0));
-        judge.round(0, view);
+    private StarvationDetector allWell() {
+        StarvationDetector judge =
+                new StarvationDetector(new FleetLayout(site.deadlinesMs(), new double[0], 1, plan.kinds), plan.matters);
+        WaitRecorder waits = new WaitRecorder("all", 1, WINDOW_MS, site.deadlinesMs());
+        FleetWindow view = new FleetWindow(KEEP_MS, true);
+        view.add(0, waits.closeWindow(0));
+        judge.evaluate(0, view);
         return judge;
     }
 
     /** What stands of whom it concerns. */
-    private Map<Kind, Integer> count(Judge judge, Judge alone) {
+    private Map<Kind, Integer> count(StarvationDetector judge, StarvationDetector alone) {
         Map<Kind, Integer> told = new EnumMap<>(Kind.class);
         for (int p = 0; p < places; p++) {
             if (concerns(tenant, p)) {
-                Kind kind = plan.wrong == Case.UNFAIR ? unfair(alone) : judge.of(tenant, 0, p);
+                Kind kind = plan.wrong == Case.UNFAIR ? unfair(alone) : judge.verdictOf(tenant, 0, p);
                 told.merge(kind, 1, Integer::sum);
             }
         }
         return told;
     }
 
-    private Kind unfair(Judge alone) {
-        return alone.standing().stream()
+    private Kind unfair(StarvationDetector alone) {
+        return alone.activeVerdicts().stream()
                 .filter(v -> v.tenant() == tenant)
                 .map(Verdict::kind)
                 .findFirst()
@@ -302,8 +303,8 @@
         int has = 0;
         int all = 0;
         for (int p = 0; p < places; p++) {
-            all += site.has(part, p) ? 1 : 0;
-            has += site.has(part, p) && concerns(tenant, p) ? 1 : 0;
+            all += site.contains(part, p) ? 1 : 0;
+            has += site.contains(part, p) && concerns(tenant, p) ? 1 : 0;
         }
         return 2 * has >= all;
     }
@@ -330,7 +331,7 @@
 
     // ------------------------------------------------------------ what the tenants meet
 
-    private void second(long fromMs, boolean wrong, Waits[] waits) {
+    private void second(long fromMs, boolean wrong, WaitRecorder[] waits) {
         double wave = 1 + 0.2 * Math.sin(fromMs / 1000.0 * 2 * Math.PI / 3600);
         for (int p = 0; p < places; p++) { // wanders within some seconds
             queue[p] = 0.85 * queue[p] + Math.sqrt(1 - 0.85 * 0.85) * gauss();
@@ -352,7 +353,7 @@
         }
     }
 
-    private void job(long fromMs, boolean wrong, Waits waits, int t, int d, int p, double shared) {
+    private void job(long fromMs, boolean wrong, WaitRecorder waits, int t, int d, int p, double shared) {
         double mine = -Math.log(1 - random.nextDouble());
         double work = Math.min(1500, 60 * Math.exp(0.8 * gauss()));
         Case now = wrong && concerns(t, p) ? plan.wrong : Case.FAIR;
@@ -381,16 +382,16 @@
             refused = 0.9;
         }
         long at = fromMs + random.nextInt(1000);
-        waits.taken(at, ++id, t, 0, p, work);
+        waits.requestAccepted(at, ++id, t, 0, p, work);
         double r = random.nextDouble();
         if (r < refused) {
-            waits.ended(at + 2, id, p, End.REFUSED);
+            waits.requestCompleted(at + 2, id, p, Completion.REJECTED);
         } else if (r < refused + 0.003) {
-            waits.ended(at + random.nextInt(300), id, p, End.LEFT);
+            waits.requestCompleted(at + random.nextInt(300), id, p, Completion.CLIENT_LEFT);
         } else if (work + wait >= DEADLINE_MS) {
-            waits.ended(at + (long) DEADLINE_MS, id, p, End.FAILED);
+            waits.requestCompleted(at + (long) DEADLINE_MS, id, p, Completion.FAILED);
         } else {
-            waits.ended(at + (long) (work + wait), id, p, End.SERVED);
+            waits.requestCompleted(at + (long) (work + wait), id, p, Completion.SERVED);
         }
     }
 }
--- a/src/main/java/maplespread/membership/Gossip.java
+++ b/src/main/java/maplespread/membership/GossipQueue.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /** News that rides on other messages: the least told first, each as often as the group's size asks for. */
-final class Gossip {
+final class GossipQueue {
     private static final int UPDATE_BYTES = 40; // beside the names and addresses
 
     private static final class News {
-        final Update update;
+        final MemberUpdate update;
         final long order;
         int told;
 
-        News(Update update, long order) {
+        News(MemberUpdate update, long order) {
             this.update = update;
             this.order = order;
         }
@@ -25,12 +25,16 @@
     private long order;
 
     /** Newer news of a member takes the place of older. */
-    void add(Update update) {
+    void add(MemberUpdate update) {
         byName.put(update.name(), new News(update, ++order));
     }
 
-    static int bytes(Update u) {
-        return UPDATE_BYTES + 2 * (u.name().length() + u.address().length() + u.by().length());
+    static int bytes(MemberUpdate u) {
+        return UPDATE_BYTES
+                + 2
+                        * (u.name().length()
+                                + u.address().length()
+                                + u.suspectedBy().length());
     }
 
     /**
@@ -38,9 +42,9 @@
      * what is thought of the one it is sent to (Lifeguard's buddy system: the sooner that knows it is
      * suspected, the sooner it can refute it).
      */
-    List<Update> take(List<Update> first, int bytes, int most) {
-        List<Update> taken = new ArrayList<>(first);
-        int left = bytes - first.stream().mapToInt(Gossip::bytes).sum();
+    List<MemberUpdate> take(List<MemberUpdate> first, int bytes, int most) {
+        List<MemberUpdate> taken = new ArrayList<>(first);
+        int left = bytes - first.stream().mapToInt(GossipQueue::bytes).sum();
         List<News> all = new ArrayList<>(byName.values());
         all.sort(Comparator.comparingInt((News n) -> n.told).thenComparing(n -> -n.order));
         for (News n : all) {
--- a/src/main/java/maplespread/membership/Update.java
+++ b/src/main/java/maplespread/membership/MemberUpdate.java
@@ -5,7 +5,8 @@
  * which tells two runs of one name apart; {@code incarnation}: raised by the member itself alone; {@code
  * by}: who suspects it.
  */
-public record Update(String name, String address, State state, long boot, long incarnation, String by) {
+public record MemberUpdate(
+        String name, String address, State state, long processIncarnation, long incarnation, String suspectedBy) {
     /** SUSPECT: it has not answered, and may yet refute that. LEFT: it has said so itself. */
     public enum State {
         ALIVE,
@@ -14,18 +15,18 @@
         LEFT
     }
 
-    public boolean gone() {
+    public boolean departed() {
         return state == State.DEAD || state == State.LEFT;
     }
 
-    Update as(State next, String suspecter) {
-        return new Update(name, address, next, boot, incarnation, suspecter);
+    MemberUpdate withState(State next, String suspecter) {
+        return new MemberUpdate(name, address, next, processIncarnation, incarnation, suspecter);
     }
 
     /** Whether this is news to one who holds the other: SWIM's order of precedence. */
-    boolean overrides(Update held) {
-        if (boot != held.boot) {
-            return boot > held.boot;
+    boolean overrides(MemberUpdate held) {
+        if (processIncarnation != held.processIncarnation) {
+            return processIncarnation > held.processIncarnation;
         }
         if (held.state == State.LEFT) {
             return false; // that run of it never comes back
--- a/src/main/java/maplespread/membership/MembershipSettings.java
+++ b/src/main/java/maplespread/membership/MembershipSettings.java
@@ -15,16 +15,16 @@
         String name,
         String address,
         List<String> seeds,
-        long periodMs,
-        long ackMs,
-        int helpers,
-        double suspicion,
-        int stretch,
-        int repeats,
-        int awareness,
-        long rejoinMs,
-        long forgetMs,
-        int packet) {
+        long probePeriodMs,
+        long ackTimeoutMs,
+        int indirectProbes,
+        double suspicionMultiplier,
+        int maxSuspicionStretch,
+        int retransmitMultiplier,
+        int maxLocalHealth,
+        long rejoinIntervalMs,
+        long departedRetentionMs,
+        int maxPacketBytes) {
     public MembershipSettings {
         seeds = List.copyOf(seeds);
     }
--- a/src/main/java/maplespread/membership/Sealed.java
+++ b/src/main/java/maplespread/membership/PacketAuthenticator.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import maplespread.membership.Message.Kind;
-import maplespread.membership.Update.State;
+import maplespread.membership.MemberUpdate.State;
+import maplespread.membership.SwimMessage.Kind;
 
 /**
  * Messages as bytes, sealed by HMAC-SHA-256 (RFC 2104). A packet names its form's version, its key, its
@@ -21,9 +21,9 @@
  * fresh, or has come before is refused. Whatever is malformed is counted and dropped: reading never fails
  * in another way.
  */
-public final class Sealed {
+public final class PacketAuthenticator {
     /** Why packets were dropped. */
-    public enum Drop {
+    public enum DropReason {
         SHORT,
         VERSION,
         KEY,
@@ -34,7 +34,7 @@
     }
 
     /** What a packet holds: the membership's message on channel 0, else a channel's payload. */
-    public record Opened(String from, String address, int channel, Message message, byte[] payload) {}
+    public record OpenedPacket(String sender, String address, int channel, SwimMessage message, byte[] payload) {}
 
     private static final byte VERSION = 2;
     private static final int MAC = 32, HEAD = 1 + 4 + 8 + 8 + 8;
@@ -53,10 +53,10 @@
 
     private final String name, address;
     private final long boot, freshMs;
-    private final Map<Integer, Mac> keys = new TreeMap<>();
+    private final Map<Integer, Mac> setKeys = new TreeMap<>();
     private int sealing;
     private long count;
-    private final Map<Drop, Long> dropped = new HashMap<>();
+    private final Map<DropReason, Long> dropped = new HashMap<>();
     private final Map<String, Seen> seen = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
@@ -67,7 +67,7 @@
     };
 
     /** {@code freshMs}: by how much clocks may differ, with the way's delay. */
-    public Sealed(String name, String address, long boot, long freshMs) {
+    public PacketAuthenticator(String name, String address, long boot, long freshMs) {
         this.name = name;
         this.address = address;
         this.boot = boot;
@@ -78,16 +78,16 @@
      * The keys that are good from now on, by id; the first seals. To change keys without a gap: add the new
      * one everywhere, then put it first everywhere, then take the old one away.
      */
-    public void keys(LinkedHashMap<Integer, byte[]> next) {
+    public void setKeys(LinkedHashMap<Integer, byte[]> next) {
         if (next.isEmpty()) {
             throw new IllegalArgumentException("at least one key is needed");
         }
-        keys.clear();
+        setKeys.clear();
         next.forEach((id, secret) -> {
             try {
                 Mac mac = Mac.getInstance("HmacSHA256");
                 mac.init(new SecretKeySpec(secret, "HmacSHA256"));
-                keys.put(id, mac);
+                setKeys.put(id, mac);
             } catch (GeneralSecurityException e) {
                 throw new IllegalArgumentException("key " + id + " cannot be used: " + e.getMessage());
             }
@@ -96,22 +96,22 @@
     }
 
     /** How many packets were dropped for what. */
-    public Map<Drop, Long> dropped() {
+    public Map<DropReason, Long> dropped() {
         return Map.copyOf(dropped);
     }
 
     /** A message of the membership, on channel 0; {@code wallMs}: Unix time. */
-    public byte[] seal(Message m, long wallMs) {
+    public byte[] seal(SwimMessage m, long wallMs) {
         ByteBuffer out = ByteBuffer.allocate(size(m));
-        out.put((byte) m.kind().ordinal()).putLong(m.seq());
+        out.put((byte) m.kind().ordinal()).putLong(m.sequence());
         text(out, m.target());
-        text(out, m.address());
+        text(out, m.targetAddress());
         out.putShort((short) m.updates().size());
-        for (Update u : m.updates()) {
+        for (MemberUpdate u : m.updates()) {
             text(out, u.name());
             text(out, u.address());
-            out.put((byte) u.state().ordinal()).putLong(u.boot()).putLong(u.incarnation());
-            text(out, u.by());
+            out.put((byte) u.state().ordinal()).putLong(u.processIncarnation()).putLong(u.incarnation());
+            text(out, u.suspectedBy());
         }
         return seal(0, java.util.Arrays.copyOf(out.array(), out.position()), wallMs);
     }
@@ -123,14 +123,19 @@
         text(out, name);
         text(out, address);
         out.put((byte) channel).put(payload);
-        byte[] mac = mac(keys.get(sealing), out.array(), out.position());
+        byte[] mac = mac(setKeys.get(sealing), out.array(), out.position());
         return java.util.Arrays.copyOf(out.put(mac).array(), out.position());
     }
 
-    private static int size(Message m) {
+    private static int size(SwimMessage m) {
         int size = 1 + 8 + 2 + 4 * (2 + 1024);
-        for (Update u : m.updates()) {
-            size += 3 * 2 + 17 + 4 * (u.name().length() + u.address().length() + u.by().length());
+        for (MemberUpdate u : m.updates()) {
+            size += 3 * 2
+                    + 17
+                    + 4
+                            * (u.name().length()
+                                    + u.address().length()
+                                    + u.suspectedBy().length());
         }
         return size;
     }
@@ -141,61 +146,62 @@
     }
 
     /** What the packet says; null where it is dropped. */
-    public Opened open(byte[] packet, int length, long wallMs) {
+    public OpenedPacket open(byte[] packet, int length, long wallMs) {
         if (length < HEAD + MAC) {
-            return drop(Drop.SHORT);
+            return drop(DropReason.SHORT);
         }
         ByteBuffer in = ByteBuffer.wrap(packet, 0, length - MAC);
         if (in.get() != VERSION) {
-            return drop(Drop.VERSION);
+            return drop(DropReason.VERSION);
         }
-        Mac key = keys.get(in.getInt());
+        Mac key = setKeys.get(in.getInt());
         if (key == null) {
-            return drop(Drop.KEY);
+            return drop(DropReason.KEY);
         }
         byte[] should = mac(key, packet, length - MAC);
         if (!MessageDigest.isEqual(should, java.util.Arrays.copyOfRange(packet, length - MAC, length))) {
-            return drop(Drop.SEAL);
+            return drop(DropReason.SEAL);
         }
         long run = in.getLong();
         long number = in.getLong();
         if (Math.abs(in.getLong() - wallMs) > freshMs) {
-            return drop(Drop.STALE);
+            return drop(DropReason.STALE);
         }
         try {
             String from = text(in);
             String fromAddress = text(in);
             if (!fresh(from + '\0' + fromAddress, run, number)) {
-                return drop(Drop.REPLAY);
+                return drop(DropReason.REPLAY);
             }
             int channel = in.get();
             if (channel != 0) {
                 byte[] payload = new byte[in.remaining()];
                 in.get(payload);
-                return new Opened(from, fromAddress, channel, null, payload);
+                return new OpenedPacket(from, fromAddress, channel, null, payload);
             }
             Kind kind = Kind.values()[in.get()];
             long seq = in.getLong();
             String target = text(in);
             String targetAddress = text(in);
             int count = in.getShort();
-            List<Update> updates = new ArrayList<>();
+            List<MemberUpdate> updates = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 String of = text(in);
                 String at = text(in);
                 State state = State.values()[in.get()];
-                updates.add(new Update(of, at, state, in.getLong(), in.getLong(), text(in)));
+                updates.add(new MemberUpdate(of, at, state, in.getLong(), in.getLong(), text(in)));
             }
             if (in.hasRemaining() || count < 0) {
-                return drop(Drop.FORM);
+                return drop(DropReason.FORM);
             }
-            return new Opened(from, fromAddress, 0, new Message(kind, seq, target, targetAddress, updates), null);
+            return new OpenedPacket(
+                    from, fromAddress, 0, new SwimMessage(kind, seq, target, targetAddress, updates), null);
         } catch (RuntimeException e) { // ends inside a member, or names none
-            return drop(Drop.FORM);
+            return drop(DropReason.FORM);
         }
     }
 
-    private Opened drop(Drop why) {
+    private OpenedPacket drop(DropReason why) {
         dropped.merge(why, 1L, Long::sum);
         return null;
     }
--- a/src/main/java/maplespread/membership/Membership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import maplespread.membership.Message.Kind;
-import maplespread.membership.Update.State;
+import maplespread.membership.MemberUpdate.State;
+import maplespread.membership.SwimMessage.Kind;
 
 /**
  * One member's part in the group. Probes one other each period, in an order that is drawn anew each round;
@@ -19,7 +19,7 @@
  * nobody has heard better for long enough. A member that may itself be slow, or has stood still, judges
  * others more slowly.
  */
-public final class Membership {
+public final class SwimMembership {
     private static final int CONFIRMATIONS = 3; // that shorten a suspicion to its least
     private static final double STANDSTILL_PERIODS = 4;
 
@@ -48,55 +48,55 @@
     private record Errand(String askerAddress, long askerSeq, long nackAt) {}
 
     private final MembershipSettings set;
-    private final MembershipSink sink;
+    private final MembershipTransport sink;
     private final SplittableRandom random;
-    private final Map<String, Update> members = new TreeMap<>(); // all but this one, the dead too
+    private final Map<String, MemberUpdate> members = new TreeMap<>(); // all but this one, the dead too
     private final Map<String, Suspicion> suspicions = new HashMap<>();
     private final Map<String, Long> goneAt = new HashMap<>();
     private final Map<Long, Errand> errands = new TreeMap<>();
-    private final Gossip gossip = new Gossip();
+    private final GossipQueue gossip = new GossipQueue();
     private final List<String> round = new ArrayList<>();
-    private Update self;
+    private MemberUpdate self;
     private Probe probe;
     private long seq;
     private long nextProbeAt, nextRejoinAt, dueAt;
-    private int doubt; // Lifeguard's local health, 0: sound
+    private int localHealth; // Lifeguard's local health, 0: sound
     private boolean left;
 
     /** {@code boot}: Unix milliseconds, above that of every earlier run under this name. */
-    public Membership(MembershipSettings set, long boot, long seed, long now, MembershipSink sink) {
+    public SwimMembership(MembershipSettings set, long boot, long seed, long now, MembershipTransport sink) {
         this.set = set;
         this.sink = sink;
         random = new SplittableRandom(seed);
-        self = new Update(set.name(), set.address(), State.ALIVE, boot, 0, "");
+        self = new MemberUpdate(set.name(), set.address(), State.ALIVE, boot, 0, "");
         dueAt = now;
-        nextProbeAt = now + random.nextLong(set.periodMs()) + 1; // members must not probe in step
+        nextProbeAt = now + random.nextLong(set.probePeriodMs()) + 1; // members must not probe in step
         nextRejoinAt = now;
         gossip.add(self);
     }
 
-    public Update self() {
+    public MemberUpdate self() {
         return self;
     }
 
     /** All others that are known, the dead too, by name. */
-    public Collection<Update> members() {
+    public Collection<MemberUpdate> members() {
         return Collections.unmodifiableCollection(members.values());
     }
 
     /** The one of this name, the dead too; null: not known, or this one. */
-    public Update member(String name) {
+    public MemberUpdate member(String name) {
         return members.get(name);
     }
 
     /** Members that are not gone, this one among them. */
     public int size() {
-        return 1 + (int) members.values().stream().filter(m -> !m.gone()).count();
+        return 1 + (int) members.values().stream().filter(m -> !m.departed()).count();
     }
 
     /** How much this member doubts itself; 0: not at all. */
-    public int doubt() {
-        return doubt;
+    public int localHealth() {
+        return localHealth;
     }
 
     // ------------------------------------------------------------ time
@@ -106,14 +106,14 @@
         if (left) {
             return Long.MAX_VALUE;
         }
-        if (now - dueAt > STANDSTILL_PERIODS * set.periodMs()) {
+        if (now - dueAt > STANDSTILL_PERIODS * set.probePeriodMs()) {
             stoodStill(now, now - dueAt);
         }
         if (probe != null) {
             run(now);
         }
         if (probe == null && now >= nextProbeAt) {
-            nextProbeAt = now + scaled(set.periodMs());
+            nextProbeAt = now + scaled(set.probePeriodMs());
             begin(now);
         }
         errands.entrySet().removeIf(e -> {
@@ -125,15 +125,15 @@
         });
         for (String name : List.copyOf(suspicions.keySet())) {
             if (now >= endsAt(suspicions.get(name))) {
-                Update m = members.get(name);
-                take(now, m.as(State.DEAD, set.name()));
+                MemberUpdate m = members.get(name);
+                take(now, m.withState(State.DEAD, set.name()));
             }
         }
         if (now >= nextRejoinAt) {
             rejoin(now);
         }
         goneAt.entrySet().removeIf(e -> {
-            boolean forgotten = now - e.getValue() > set.forgetMs();
+            boolean forgotten = now - e.getValue() > set.departedRetentionMs();
             if (forgotten) {
                 members.remove(e.getKey());
             }
@@ -162,13 +162,13 @@
         sink.event(true, "membership.stood_still", "ms", ms);
         probe = null;
         errands.clear();
-        doubt = set.awareness();
+        localHealth = set.maxLocalHealth();
         suspicions.values().forEach(s -> s.since = now);
-        nextProbeAt = now + scaled(set.periodMs());
+        nextProbeAt = now + scaled(set.probePeriodMs());
     }
 
     private long scaled(long ms) {
-        return ms * (1 + doubt);
+        return ms * (1 + localHealth);
     }
 
     private double log() {
@@ -177,8 +177,8 @@
 
     /** Shorter with each member that suspects the same on its own: LHA-Suspicion. */
     private long endsAt(Suspicion s) {
-        double least = set.suspicion() * log() * set.periodMs();
-        double most = least * set.stretch();
+        double least = set.suspicionMultiplier() * log() * set.probePeriodMs();
+        double most = least * set.maxSuspicionStretch();
         double share = Math.log(s.by.size()) / Math.log(CONFIRMATIONS + 1);
         return s.since + (long) Math.max(least, most - (most - least) * share);
     }
@@ -190,7 +190,7 @@
         if (target == null) {
             return;
         }
-        probe = new Probe(target, ++seq, now + scaled(set.ackMs()), now + scaled(set.periodMs()));
+        probe = new Probe(target, ++seq, now + scaled(set.ackTimeoutMs()), now + scaled(set.probePeriodMs()));
         ping(target, probe.seq);
     }
 
@@ -198,15 +198,15 @@
     private String next() {
         while (true) {
             if (round.isEmpty()) {
-                members.values().stream().filter(m -> !m.gone()).forEach(m -> round.add(m.name()));
+                members.values().stream().filter(m -> !m.departed()).forEach(m -> round.add(m.name()));
                 if (round.isEmpty()) {
                     return null;
                 }
                 shuffle(round);
             }
             String name = round.remove(round.size() - 1);
-            Update m = members.get(name);
-            if (m != null && !m.gone()) {
+            MemberUpdate m = members.get(name);
+            if (m != null && !m.departed()) {
                 return name;
             }
         }
@@ -219,23 +219,23 @@
     }
 
     private void ping(String name, long number) {
-        Update m = members.get(name);
+        MemberUpdate m = members.get(name);
         send(m.address(), Kind.PING, number, name, "", name);
     }
 
     private void run(long now) {
         if (probe.acked) {
-            doubt = Math.max(0, doubt - 1);
+            localHealth = Math.max(0, localHealth - 1);
             probe = null;
         } else if (!probe.helped && now >= probe.helpAt) {
             probe.helped = true;
-            Update target = members.get(probe.target);
+            MemberUpdate target = members.get(probe.target);
             List<String> helpers = new ArrayList<>();
             members.values().stream()
                     .filter(m -> m.state() == State.ALIVE && !m.name().equals(probe.target))
                     .forEach(m -> helpers.add(m.name()));
             shuffle(helpers);
-            for (String helper : helpers.subList(0, Math.min(set.helpers(), helpers.size()))) {
+            for (String helper : helpers.subList(0, Math.min(set.indirectProbes(), helpers.size()))) {
                 probe.asked++;
                 send(
                         members.get(helper).address(),
@@ -248,11 +248,11 @@
         } else if (probe.helped && now >= probe.endAt) {
             // Helpers that say nothing at all are a sign that this member is the one that is cut off or slow.
             int silent = probe.asked - probe.nacks;
-            doubt = Math.min(set.awareness(), doubt + (probe.asked > 0 ? silent : 1));
-            Update m = members.get(probe.target);
+            localHealth = Math.min(set.maxLocalHealth(), localHealth + (probe.asked > 0 ? silent : 1));
+            MemberUpdate m = members.get(probe.target);
             probe = null;
-            if (m != null && !m.gone()) {
-                take(now, m.as(State.SUSPECT, set.name()));
+            if (m != null && !m.departed()) {
+                take(now, m.withState(State.SUSPECT, set.name()));
             }
         }
     }
@@ -260,7 +260,7 @@
     // ------------------------------------------------------------ what came
 
     /** A message of {@code from}, which is known to have sent it. */
-    public void received(long now, String from, String fromAddress, Message message) {
+    public void received(long now, String from, String fromAddress, SwimMessage message) {
         if (left || from.equals(set.name()) && fromAddress.equals(set.address())) {
             return;
         }
@@ -268,24 +268,24 @@
         switch (message.kind()) {
             case PING -> {
                 if (message.target().equals(set.name())) { // else it is for another
-                    send(fromAddress, Kind.ACK, message.seq(), "", "", from);
+                    send(fromAddress, Kind.ACK, message.sequence(), "", "", from);
                 }
             }
             case PING_REQ -> {
                 long number = ++seq;
-                errands.put(number, new Errand(fromAddress, message.seq(), now + set.ackMs() * 4 / 5));
-                send(message.address(), Kind.PING, number, message.target(), "", message.target());
+                errands.put(number, new Errand(fromAddress, message.sequence(), now + set.ackTimeoutMs() * 4 / 5));
+                send(message.targetAddress(), Kind.PING, number, message.target(), "", message.target());
             }
             case ACK -> {
-                Errand errand = errands.remove(message.seq());
+                Errand errand = errands.remove(message.sequence());
                 if (errand != null) {
                     send(errand.askerAddress(), Kind.ACK, errand.askerSeq(), "", "", "");
-                } else if (probe != null && probe.seq == message.seq()) {
+                } else if (probe != null && probe.seq == message.sequence()) {
                     probe.acked = true;
                 }
             }
             case NACK -> {
-                if (probe != null && probe.seq == message.seq()) {
+                if (probe != null && probe.seq == message.sequence()) {
                     probe.nacks++;
                 }
             }
@@ -295,18 +295,18 @@
     }
 
     /** Takes one member's state in, if it is news; passes it on. */
-    private void take(long now, Update u) {
+    private void take(long now, MemberUpdate u) {
         if (u.name().equals(set.name())) {
             aboutSelf(u);
             return;
         }
-        Update held = members.get(u.name());
+        MemberUpdate held = members.get(u.name());
         if (u.state() == State.SUSPECT
                 && suspicions.containsKey(u.name())
-                && held.boot() == u.boot()
+                && held.processIncarnation() == u.processIncarnation()
                 && held.incarnation() == u.incarnation()
                 && suspicions.get(u.name()).by.size() <= CONFIRMATIONS
-                && suspicions.get(u.name()).by.add(u.by())) {
+                && suspicions.get(u.name()).by.add(u.suspectedBy())) {
             gossip.add(u); // an independent confirmation is news, too
             return;
         }
@@ -316,12 +316,12 @@
             }
             return;
         }
-        if (held == null && u.gone()) {
+        if (held == null && u.departed()) {
             return;
         }
         if (held != null
-                && held.boot() != u.boot()
-                && !held.gone()
+                && held.processIncarnation() != u.processIncarnation()
+                && !held.departed()
                 && !held.address().equals(u.address())) {
             sink.event(
                     true,
@@ -339,9 +339,9 @@
         if (u.state() == State.SUSPECT) {
             Suspicion s = new Suspicion();
             s.since = now;
-            s.by.add(u.by());
+            s.by.add(u.suspectedBy());
             suspicions.put(u.name(), s);
-        } else if (u.gone()) {
+        } else if (u.departed()) {
             goneAt.put(u.name(), now);
         }
         gossip.add(u);
@@ -352,8 +352,8 @@
     }
 
     /** Others say that this member is suspect or dead, or that another run of it is there. */
-    private void aboutSelf(Update u) {
-        if (u.boot() > self.boot()) {
+    private void aboutSelf(MemberUpdate u) {
+        if (u.processIncarnation() > self.processIncarnation()) {
             sink.event(
                     true,
                     "membership.name_taken_twice",
@@ -365,11 +365,14 @@
                     u.address());
             return;
         }
-        if (u.boot() == self.boot() && u.state() != State.ALIVE && u.incarnation() >= self.incarnation()) {
-            self = new Update(self.name(), self.address(), State.ALIVE, self.boot(), u.incarnation() + 1, "");
-            doubt = Math.min(set.awareness(), doubt + 1);
+        if (u.processIncarnation() == self.processIncarnation()
+                && u.state() != State.ALIVE
+                && u.incarnation() >= self.incarnation()) {
+            self = new MemberUpdate(
+                    self.name(), self.address(), State.ALIVE, self.processIncarnation(), u.incarnation() + 1, "");
+            localHealth = Math.min(set.maxLocalHealth(), localHealth + 1);
             gossip.add(self);
-            sink.event(false, "membership.refuted", "incarnation", self.incarnation(), "by", u.by());
+            sink.event(false, "membership.refuted", "incarnation", self.incarnation(), "by", u.suspectedBy());
         }
     }
 
@@ -377,7 +380,7 @@
 
     /** Asks seeds, and one of the dead: groups that were split find each other again. */
     private void rejoin(long now) {
-        nextRejoinAt = now + set.rejoinMs() + random.nextLong(Math.max(1, set.rejoinMs() / 2));
+        nextRejoinAt = now + set.rejoinIntervalMs() + random.nextLong(Math.max(1, set.rejoinIntervalMs() / 2));
         List<String> dead = new ArrayList<>();
         members.values().stream().filter(m -> m.state() == State.DEAD).forEach(m -> dead.add(m.address()));
         if (!dead.isEmpty()) {
@@ -385,7 +388,7 @@
         }
         List<String> unknown = new ArrayList<>(set.seeds());
         unknown.remove(set.address());
-        members.values().stream().filter(m -> !m.gone()).forEach(m -> unknown.remove(m.address()));
+        members.values().stream().filter(m -> !m.departed()).forEach(m -> unknown.remove(m.address()));
         if (!unknown.isEmpty()) {
             send(unknown.get(random.nextInt(unknown.size())), Kind.JOIN, ++seq, "", "", "");
         } else if (size() > 1) {
@@ -399,20 +402,20 @@
 
     /** The whole group, in as many messages as it takes. */
     private void sync(String address) {
-        List<Update> part = new ArrayList<>();
+        List<MemberUpdate> part = new ArrayList<>();
         int bytes = 0;
-        List<Update> all = new ArrayList<>(members.values());
+        List<MemberUpdate> all = new ArrayList<>(members.values());
         all.add(self);
-        for (Update u : all) {
-            if (bytes + Gossip.bytes(u) > set.packet() && !part.isEmpty()) {
-                sink.send(address, new Message(Kind.SYNC, 0, "", "", part));
+        for (MemberUpdate u : all) {
+            if (bytes + GossipQueue.bytes(u) > set.maxPacketBytes() && !part.isEmpty()) {
+                sink.send(address, new SwimMessage(Kind.SYNC, 0, "", "", part));
                 part.clear();
                 bytes = 0;
             }
             part.add(u);
-            bytes += Gossip.bytes(u);
+            bytes += GossipQueue.bytes(u);
         }
-        sink.send(address, new Message(Kind.SYNC, 0, "", "", part));
+        sink.send(address, new SwimMessage(Kind.SYNC, 0, "", "", part));
     }
 
     /** Says good-bye to a few, who pass it on; nothing is done after it. */
@@ -420,25 +423,26 @@
         if (left) {
             return;
         }
-        self = self.as(State.LEFT, set.name());
+        self = self.withState(State.LEFT, set.name());
         List<String> names = new ArrayList<>();
-        members.values().stream().filter(m -> !m.gone()).forEach(m -> names.add(m.name()));
+        members.values().stream().filter(m -> !m.departed()).forEach(m -> names.add(m.name()));
         shuffle(names);
-        for (String name : names.subList(0, Math.min(set.helpers() + 1, names.size()))) {
-            sink.send(members.get(name).address(), new Message(Kind.SYNC, 0, "", "", List.of(self)));
+        for (String name : names.subList(0, Math.min(set.indirectProbes() + 1, names.size()))) {
+            sink.send(members.get(name).address(), new SwimMessage(Kind.SYNC, 0, "", "", List.of(self)));
         }
         left = true;
     }
 
     private void send(String address, Kind kind, long number, String target, String targetAddress, String to) {
-        Update m = members.get(to);
-        List<Update> first = new ArrayList<>(List.of(self)); // so that whoever hears of it knows it
+        MemberUpdate m = members.get(to);
+        List<MemberUpdate> first = new ArrayList<>(List.of(self)); // so that whoever hears of it knows it
         if (m != null && m.state() != State.ALIVE) {
             first.add(m); // who is thought ill of hears of it first
         }
-        int most = (int) Math.ceil(set.repeats() * Math.max(1, Math.log10(size() + 1.0)));
+        int most = (int) Math.ceil(set.retransmitMultiplier() * Math.max(1, Math.log10(size() + 1.0)));
         sink.send(
                 address,
-                new Message(kind, number, target, targetAddress, gossip.take(first, set.packet() - 200, most)));
+                new SwimMessage(
+                        kind, number, target, targetAddress, gossip.take(first, set.maxPacketBytes() - 200, most)));
     }
 }
--- a/src/main/java/maplespread/membership/Message.java
+++ b/src/main/java/maplespread/membership/SwimMessage.java
@@ -7,7 +7,7 @@
  * it is meant for, PING_REQ: whom to probe, at {@code address}; {@code updates}: news that rides along, or
  * the group.
  */
-public record Message(Kind kind, long seq, String target, String address, List<Update> updates) {
+public record SwimMessage(Kind kind, long sequence, String target, String targetAddress, List<MemberUpdate> updates) {
     /** NACK: the one that was to probe for another has had no answer yet. JOIN asks for SYNC. */
     public enum Kind {
         PING,
@@ -18,7 +18,7 @@
         SYNC
     }
 
-    public Message {
+    public SwimMessage {
         updates = List.copyOf(updates);
     }
 }
--- a/src/main/java/maplespread/membership/client/Traffic.java
+++ b/src/main/java/maplespread/membership/client/ChannelTrafficMeter.java
@@ -8,7 +8,7 @@
  * Packets and bytes at one member's UDP socket, by channel and direction, from its start. Bytes are those on
  * the wire: each packet counts with its IPv4 and UDP headers. May be added to and read by any thread.
  */
-public final class Traffic {
+public final class ChannelTrafficMeter {
     /** IPv4 (20) and UDP (8) headers of each packet, in bytes. */
     public static final int HEADER_BYTES = 28;
 
@@ -17,22 +17,22 @@
     private static final int DROPPED = CHANNELS;
 
     /** What passed in one direction. */
-    public record Count(long packets, long bytes) {
+    public record TrafficCount(long packets, long bytes) {
         /** Both together. */
-        public Count plus(Count other) {
-            return new Count(packets + other.packets, bytes + other.bytes);
+        public TrafficCount plus(TrafficCount other) {
+            return new TrafficCount(packets + other.packets, bytes + other.bytes);
         }
 
         /** What has been added since {@code earlier}. */
-        public Count since(Count earlier) {
-            return new Count(packets - earlier.packets, bytes - earlier.bytes);
+        public TrafficCount since(TrafficCount earlier) {
+            return new TrafficCount(packets - earlier.packets, bytes - earlier.bytes);
         }
     }
 
     /** One channel's two directions. */
-    public record Line(Count in, Count out) {
+    public record ChannelTraffic(TrafficCount in, TrafficCount out) {
         /** Both directions together. */
-        public Count both() {
+        public TrafficCount both() {
             return in.plus(out);
         }
     }
@@ -46,8 +46,8 @@
             bytes.addAndGet(channel, length + HEADER_BYTES);
         }
 
-        Count of(int channel) {
-            return new Count(packets.get(channel), bytes.get(channel));
+        TrafficCount of(int channel) {
+            return new TrafficCount(packets.get(channel), bytes.get(channel));
         }
     }
 
@@ -67,10 +67,10 @@
     }
 
     /** Every channel that was ever used, by number; 0 is the membership's own, 128 what was dropped. */
-    public Map<Integer, Line> byChannel() {
-        Map<Integer, Line> all = new TreeMap<>();
+    public Map<Integer, ChannelTraffic> byChannel() {
+        Map<Integer, ChannelTraffic> all = new TreeMap<>();
         for (int channel = 0; channel <= DROPPED; channel++) {
-            Line line = new Line(in.of(channel), out.of(channel));
+            ChannelTraffic line = new ChannelTraffic(in.of(channel), out.of(channel));
             if (line.both().packets() > 0) {
                 all.put(channel, line);
             }
--- a/src/main/java/maplespread/membership/client/Group.java
+++ b/src/main/java/maplespread/membership/client/ClusterTransport.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BiConsumer;
 import maplespread.log.Event;
-import maplespread.membership.Membership;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.MembershipSink;
-import maplespread.membership.Message;
-import maplespread.membership.Sealed;
-import maplespread.membership.Update;
+import maplespread.membership.MembershipTransport;
+import maplespread.membership.PacketAuthenticator;
+import maplespread.membership.SwimMembership;
+import maplespread.membership.SwimMessage;
 
 /** One member on a UDP socket. A thread receives, another ticks; both enter the core under one lock. */
-public final class Group implements Closeable {
+public final class ClusterTransport implements Closeable {
     /** Most bytes of one payload on a channel. */
-    public static final int MOST_PAYLOAD = 60 * 1024;
+    public static final int MAX_PAYLOAD_BYTES = 60 * 1024;
 
     /** The channel of the membership's own messages. */
     private static final int MEMBERSHIP = 0;
@@ -34,17 +34,17 @@
     private static final long FRESH_MS = 30_000;
     private static final long CLOSE_MS = 1000;
     private final DatagramSocket socket;
-    private final Membership core;
-    private final Sealed sealed;
-    private final List<BiConsumer<Update, Update>> listeners = new CopyOnWriteArrayList<>();
+    private final SwimMembership core;
+    private final PacketAuthenticator sealed;
+    private final List<BiConsumer<MemberUpdate, MemberUpdate>> listeners = new CopyOnWriteArrayList<>();
     private final Map<Integer, BiConsumer<String, byte[]>> channels = new ConcurrentHashMap<>();
-    private final long boot;
-    private final Traffic traffic = new Traffic();
+    private final long incarnation;
+    private final ChannelTrafficMeter traffic = new ChannelTrafficMeter();
     private final Thread receives;
     private boolean over;
 
     /** Listens at its own address. */
-    public Group(MembershipSettings set, LinkedHashMap<Integer, byte[]> keys, long seed) throws IOException {
+    public ClusterTransport(MembershipSettings set, LinkedHashMap<Integer, byte[]> keys, long seed) throws IOException {
         this(set, set.address(), keys, seed);
     }
 
@@ -52,22 +52,22 @@
      * Listens at once, and joins; {@code keys} by id, the first seals. {@code listen}: where the socket is,
      * while others are told the settings' address, behind which something may stand between.
      */
-    public Group(MembershipSettings set, String listen, LinkedHashMap<Integer, byte[]> keys, long seed)
+    public ClusterTransport(MembershipSettings set, String listen, LinkedHashMap<Integer, byte[]> keys, long seed)
             throws IOException {
-        boot = System.currentTimeMillis();
-        sealed = new Sealed(set.name(), set.address(), boot, FRESH_MS);
-        sealed.keys(keys);
+        incarnation = System.currentTimeMillis();
+        sealed = new PacketAuthenticator(set.name(), set.address(), incarnation, FRESH_MS);
+        sealed.setKeys(keys);
         socket = new DatagramSocket(null);
         socket.setReceiveBufferSize(BUFFER);
         socket.bind(address(listen));
-        core = new Membership(set, boot, seed, now(), new MembershipSink() {
+        core = new SwimMembership(set, incarnation, seed, now(), new MembershipTransport() {
             @Override
-            public void send(String to, Message message) {
-                Group.this.send(to, message);
+            public void send(String to, SwimMessage message) {
+                ClusterTransport.this.send(to, message);
             }
 
             @Override
-            public void changed(Update before, Update after) {
+            public void changed(MemberUpdate before, MemberUpdate after) {
                 Event.of(
                                 "membership.changed",
                                 "member",
@@ -79,7 +79,7 @@
                                 "incarnation",
                                 after.incarnation(),
                                 "by",
-                                after.by())
+                                after.suspectedBy())
                         .info();
                 listeners.forEach(l -> l.accept(before, after));
             }
@@ -115,39 +115,39 @@
     }
 
     /** Hears of each change, under the group's lock: must be quick, and must not call back. */
-    public void listen(BiConsumer<Update, Update> listener) {
+    public void addListener(BiConsumer<MemberUpdate, MemberUpdate> listener) {
         listeners.add(listener);
     }
 
-    /** Other keys from now on; see {@link Sealed#keys}. */
-    public synchronized void keys(LinkedHashMap<Integer, byte[]> keys) {
-        sealed.keys(keys);
+    /** Other keys from now on; see {@link PacketAuthenticator#setKeys}. */
+    public synchronized void setKeys(LinkedHashMap<Integer, byte[]> keys) {
+        sealed.setKeys(keys);
     }
 
     /** All that are known, this one first. */
-    public synchronized List<Update> members() {
-        List<Update> all = new ArrayList<>(List.of(core.self()));
+    public synchronized List<MemberUpdate> members() {
+        List<MemberUpdate> all = new ArrayList<>(List.of(core.self()));
         all.addAll(core.members());
         return all;
     }
 
     /** How many packets were dropped for what. */
-    public synchronized Map<Sealed.Drop, Long> dropped() {
+    public synchronized Map<PacketAuthenticator.DropReason, Long> dropped() {
         return sealed.dropped();
     }
 
     /** What has passed the socket so far. */
-    public Traffic traffic() {
+    public ChannelTrafficMeter traffic() {
         return traffic;
     }
 
     /** This run's number. */
-    public long boot() {
-        return boot;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** Has what comes on a channel heard, sender and payload, on the receiving thread: must be quick. */
-    public void channel(int id, BiConsumer<String, byte[]> heard) {
+    public void registerChannel(int id, BiConsumer<String, byte[]> heard) {
         if (id < 1 || id > Byte.MAX_VALUE || channels.putIfAbsent(id, heard) != null) {
             throw new IllegalArgumentException("not a free channel: " + id);
         }
@@ -158,8 +158,8 @@
         byte[] packet;
         String to;
         synchronized (this) {
-            Update m = core.member(member);
-            if (m == null || over || payload.length > MOST_PAYLOAD) {
+            MemberUpdate m = core.member(member);
+            if (m == null || over || payload.length > MAX_PAYLOAD_BYTES) {
                 return false;
             }
             to = m.address();
@@ -168,7 +168,7 @@
         return transmit(id, to, packet);
     }
 
-    private void send(String to, Message message) {
+    private void send(String to, SwimMessage message) {
         transmit(MEMBERSHIP, to, sealed.seal(message, System.currentTimeMillis()));
     }
 
@@ -188,7 +188,7 @@
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                Sealed.Opened o;
+                PacketAuthenticator.OpenedPacket o;
                 synchronized (this) {
                     o = sealed.open(buffer, packet.getLength(), System.currentTimeMillis());
                     if (o == null) {
@@ -200,7 +200,7 @@
                         continue;
                     }
                     if (o.message() != null) {
-                        core.received(now(), o.from(), o.address(), o.message());
+                        core.received(now(), o.sender(), o.address(), o.message());
                         notifyAll();
                         continue;
                     }
@@ -208,7 +208,7 @@
                 // Not under the lock: who hears may hold its own, and send.
                 BiConsumer<String, byte[]> heard = channels.get(o.channel());
                 if (heard != null) {
-                    heard.accept(o.from(), o.payload());
+                    heard.accept(o.sender(), o.payload());
                 }
             } catch (IOException e) {
                 // closed, or a passing fault of the socket: the next packet tells
--- a/src/main/java/maplespread/figures/Figures.java
+++ b/src/main/java/maplespread/metrics/Metrics.java
@@ -1,4 +1,4 @@
-package maplespread.figures;
+package maplespread.metrics;
 
 import java.util.Collection;
 import java.util.Locale;
@@ -12,16 +12,16 @@
  * Counts from the process's start; they never go back, also not over a reload that drops a class. All may be
  * added to and read by any thread without a lock.
  */
-public final class Figures {
+public final class Metrics {
     /** How a job ended for its client. */
-    public enum Code {
+    public enum ResponseCode {
         SUCCESS,
         BUSY,
         FAILURE
     }
 
     /** Workers on the list, and how many of these get nothing new at present. */
-    public record Hosts(int listed, int down) {}
+    public record HostCounts(int listed, int down) {}
 
     private static final class PerClass {
         final LongAdder[] ended = {new LongAdder(), new LongAdder(), new LongAdder()};
@@ -38,7 +38,7 @@
     private final LongAdder shed = new LongAdder();
     private final LongAdder left = new LongAdder();
     private final LongAdder unread = new LongAdder();
-    private volatile Hosts hosts = new Hosts(0, 0);
+    private volatile HostCounts hosts = new HostCounts(0, 0);
     private final Map<String, LongAdder> unserved = new ConcurrentSkipListMap<>(); // by reason
     private long[] logged = new long[7];
 
@@ -58,9 +58,9 @@
     }
 
     /** A job's final answer has been written to its client, so long after the job was taken. */
-    public void answered(String cls, Code code, long tookNanos) {
+    public void answered(String cls, ResponseCode code, long tookNanos) {
         classes.computeIfAbsent(cls, n -> new PerClass()).ended[code.ordinal()].increment();
-        if (code == Code.SUCCESS) {
+        if (code == ResponseCode.SUCCESS) {
             servedNanos.add(tookNanos);
         }
     }
@@ -114,7 +114,7 @@
         (ok ? reconfigOk : reconfigFailed).increment();
     }
 
-    public void hosts(Hosts now) {
+    public void hosts(HostCounts now) {
         hosts = now;
     }
 
@@ -128,7 +128,7 @@
     public String text() {
         StringBuilder all = new StringBuilder(1024);
         classes.forEach((name, c) -> {
-            for (Code code : Code.values()) {
+            for (ResponseCode code : ResponseCode.values()) {
                 all.append("app_calls{tier=\"")
                         .append(name)
                         .append("\",code=\"")
@@ -138,7 +138,7 @@
                         .append('\n');
             }
         });
-        Hosts now = hosts;
+        HostCounts now = hosts;
         line(all, "backend_calls", attempts.sum());
         line(all, "inflight", inflight());
         line(all, "hosts_listed", now.listed());
--- a/src/main/java/maplespread/partition/Fence.java
+++ b/src/main/java/maplespread/partition/FencingCheck.java
@@ -20,90 +20,90 @@
  * here with its clock as it is then, before each send. Electors keep nothing but the agreed value, and no
  * clock; message delays are not bounded.
  */
-public final class Fence {
+public final class FencingCheck {
     public static final long NEVER = Long.MAX_VALUE;
 
-    private final FenceSettings set;
+    private final LeaseSettings set;
     private final String self;
     private final Map<Long, Long> silenceHeardAt = new HashMap<>(); // by the epoch at which it began
-    private final Set<String> granted = new HashSet<>();
-    private Owners owners;
+    private final Set<String> recordGrant = new HashSet<>();
+    private SlotAssignment assignment;
     private long[] openAt;
-    private long seq, askedAt, askedEpoch;
+    private long seq, askedAt, renewalEpoch;
     private long leaseUntil = Long.MIN_VALUE;
 
-    public Fence(FenceSettings set, String self, Owners first) {
+    public FencingCheck(LeaseSettings set, String self, SlotAssignment first) {
         this.set = set;
         this.self = self;
-        owners = first;
+        assignment = first;
         openAt = new long[first.slots().size()];
         Arrays.fill(openAt, NEVER);
     }
 
     /** The latest that is known to be agreed on. */
-    public Owners owners() {
-        return owners;
+    public SlotAssignment assignment() {
+        return assignment;
     }
 
     /**
      * A value that was agreed on; {@code runsMs}: the longest that a job under its table or the one before
      * can run. False: it is not news.
      */
-    public boolean learned(long now, Owners next, long runsMs) {
-        if (next.version() <= owners.version()) {
+    public boolean learn(long now, SlotAssignment next, long runsMs) {
+        if (next.version() <= assignment.version()) {
             return false;
         }
         next.silent().values().forEach(e -> silenceHeardAt.putIfAbsent(e, now));
         for (int i = 0; i < openAt.length; i++) {
-            Owners.Slot slot = next.slots().get(i);
+            SlotAssignment.Slot slot = next.slots().get(i);
             if (!slot.owner().equals(self)) {
                 openAt[i] = NEVER;
-            } else if (slot.leavers().isEmpty()) {
+            } else if (slot.previousOwners().isEmpty()) {
                 openAt[i] = Math.min(openAt[i], now);
-            } else if (openAt[i] == NEVER || owners.slots().get(i).since() != slot.since()) {
+            } else if (openAt[i] == NEVER || assignment.slots().get(i).ownedSinceEpoch() != slot.ownedSinceEpoch()) {
                 long from = Long.MIN_VALUE;
-                for (long silence : slot.leavers().values()) {
+                for (long silence : slot.previousOwners().values()) {
                     from = Math.max(from, silence == 0 ? now : silenceHeardAt.getOrDefault(silence, now));
                 }
                 openAt[i] = from + set.holdMs(runsMs);
             }
         }
         Set<Long> needed = new HashSet<>(next.silent().values());
-        next.slots().forEach(s -> needed.addAll(s.leavers().values()));
+        next.slots().forEach(s -> needed.addAll(s.previousOwners().values()));
         silenceHeardAt.keySet().retainAll(needed);
-        owners = next;
+        assignment = next;
         return true;
     }
 
     // ------------------------------------------------------------ the lease
 
     /** Begins to ask all electors; returns the number that goes with the question and its answers. */
-    public long ask(long now) {
+    public long startRenewal(long now) {
         askedAt = now;
-        askedEpoch = owners.epoch();
-        granted.clear();
+        renewalEpoch = assignment.epoch();
+        recordGrant.clear();
         return ++seq;
     }
 
-    /** An elector has answered that it grants, by {@link Owners#grants}, what was asked with this number. */
-    public void granted(long now, String elector, long asked) {
-        granted(elector, asked, all -> all.size() > set.electors() / 2);
+    /** An elector has answered that it grants, by {@link SlotAssignment#grantsLease}, what was asked with this number. */
+    public void recordGrant(long now, String elector, long asked) {
+        recordGrant(elector, asked, all -> all.size() > set.electors() / 2);
     }
 
     /** The same where electors change; {@code majority}: whether these are one of those asked. */
-    public void granted(String elector, long asked, Predicate<Set<String>> majority) {
-        if (asked == seq && granted.add(elector) && majority.test(granted)) {
+    public void recordGrant(String elector, long asked, Predicate<Set<String>> majority) {
+        if (asked == seq && recordGrant.add(elector) && majority.test(recordGrant)) {
             leaseUntil = Math.max(leaseUntil, askedAt + set.leaseMs());
         }
     }
 
     /** The epoch under which the last question was asked. */
-    public long askedEpoch() {
-        return askedEpoch;
+    public long renewalEpoch() {
+        return renewalEpoch;
     }
 
     /** Whether a majority's word holds at this moment. */
-    public boolean mayAct(long now) {
+    public boolean holdsLease(long now) {
         return now < leaseUntil;
     }
 
@@ -111,31 +111,31 @@
 
     /**
      * From when on this member may send for the slot, as far as is known; {@link #NEVER}: it may not. {@code
-     * since}: what {@link Owners.Slot#since} was when the job was taken: a slot that went and came back does
+     * since}: what {@link SlotAssignment.Slot#ownedSinceEpoch} was when the job was taken: a slot that went and came back does
      * not open for what was taken before.
      */
-    public long from(long now, int slot, long since) {
-        Owners.Slot s = owners.slots().get(slot);
-        return mayAct(now) && s.owner().equals(self) && s.since() == since ? openAt[slot] : NEVER;
+    public long sendAllowedFrom(long now, int slot, long since) {
+        SlotAssignment.Slot s = assignment.slots().get(slot);
+        return holdsLease(now) && s.owner().equals(self) && s.ownedSinceEpoch() == since ? openAt[slot] : NEVER;
     }
 
-    /** Slots for which this member has waited its time, and since when it has each: {@link Owners#opened}. */
-    public Map<Integer, Long> opened(long now) {
+    /** Slots for which this member has waited its time, and since when it has each: {@link SlotAssignment#forgetPreviousOwners}. */
+    public Map<Integer, Long> openedSlots(long now) {
         Map<Integer, Long> done = new TreeMap<>();
         for (int i = 0; i < openAt.length; i++) {
-            Owners.Slot slot = owners.slots().get(i);
-            if (slot.owner().equals(self) && !slot.leavers().isEmpty() && openAt[i] <= now) {
-                done.put(i, slot.since());
+            SlotAssignment.Slot slot = assignment.slots().get(i);
+            if (slot.owner().equals(self) && !slot.previousOwners().isEmpty() && openAt[i] <= now) {
+                done.put(i, slot.ownedSinceEpoch());
             }
         }
         return done;
     }
 
     /** Slots that were this member's, and of which it may now say that nothing is out. */
-    public Set<Integer> confirms(IntPredicate idle) {
+    public Set<Integer> drainedSlots(IntPredicate idle) {
         Set<Integer> done = new TreeSet<>();
         for (int i = 0; i < openAt.length; i++) {
-            if (owners.slots().get(i).leavers().containsKey(self) && idle.test(i)) {
+            if (assignment.slots().get(i).previousOwners().containsKey(self) && idle.test(i)) {
                 done.add(i);
             }
         }
--- a/src/main/java/maplespread/partition/KeyQueue.java
+++ b/src/main/java/maplespread/partition/PerKeyQueue.java
@@ -20,9 +20,9 @@
  * work for jobs that can no longer make their deadline, and against a hot key that takes the room of others:
  * one key may fill no more of a partition's bound than is left free.
  */
-public final class KeyQueue {
+public final class PerKeyQueue {
     /** Why a job is answered without having gone out. All but {@code STOPPED} may be tried again. */
-    public enum Answer {
+    public enum Rejection {
         LATE,
         AGED,
         FULL,
@@ -35,71 +35,71 @@
      * How a job that was out has ended, all its attempts together. LINGERS: done, but an earlier attempt of
      * it may still run.
      */
-    public enum Outcome {
+    public enum ExecutionResult {
         DONE,
         FAILED,
         NEVER_RAN,
         UNKNOWN,
-        LINGERS
+        DONE_ATTEMPT_MAY_RUN
     }
 
     /**
      * A job as it is taken; times are milliseconds of the clock that is passed in. {@code workMs}: how long
      * it is thought to run, 0 where nobody knows.
      */
-    public record Job(long id, String key, Rule rule, double workMs, long deadline, long takenAt) {}
+    public record QueuedRequest(long id, String key, Rule rule, double workMs, long deadlineMs, long acceptedAtMs) {}
 
     /** What the queue asks and tells; none of these calls may call back. */
-    public interface Sink {
-        /** From when on the job may be sent; {@link Fence#NEVER}: no longer by this member. */
-        long from(Job job);
+    public interface Callbacks {
+        /** From when on the job may be sent; {@link FencingCheck#NEVER}: no longer by this member. */
+        long sendAllowedFrom(QueuedRequest job);
 
-        void send(Job job);
+        void send(QueuedRequest job);
 
-        void answer(Job job, Answer why);
+        void reject(QueuedRequest job, Rejection why);
     }
 
-    private static final class Line {
-        final Map<Long, Job> waiting = new LinkedHashMap<>();
-        Job out;
+    private static final class KeyState {
+        final Map<Long, QueuedRequest> waiting = new LinkedHashMap<>();
+        QueuedRequest out;
         long sentAt;
         long heldUntil = Long.MIN_VALUE;
         boolean stopping; // not seen among the stored ones yet
         long dueAt = Long.MAX_VALUE;
     }
 
-    private record Due(long at, String key) {}
+    private record Wakeup(long at, String key) {}
 
     /** What waits in one partition. */
-    private static final class Sum {
+    private static final class PartitionLoad {
         int jobs;
         double workMs;
     }
 
-    private final FenceSettings set;
-    private final Map<String, Bounds> bounds = new HashMap<>();
-    private final Sink sink;
-    private final Map<String, Line> lines = new HashMap<>();
+    private final LeaseSettings set;
+    private final Map<String, QueueLimits> bounds = new HashMap<>();
+    private final Callbacks sink;
+    private final Map<String, KeyState> lines = new HashMap<>();
     private final Map<Long, String> keys = new HashMap<>(); // of all that wait or are out
-    private final Map<String, Sum> sums = new HashMap<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private Set<String> stopped = Set.of();
+    private final Map<String, PartitionLoad> sums = new HashMap<>();
+    private final PriorityQueue<Wakeup> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private Set<String> updateStoppedKeys = Set.of();
 
-    public KeyQueue(FenceSettings set, Sink sink) {
+    public PerKeyQueue(LeaseSettings set, Callbacks sink) {
         this.set = set;
         this.sink = sink;
     }
 
     /** These partitions there are now. */
-    public void partitions(Collection<Partition> all) {
-        all.forEach(p -> bounds.put(p.name(), p.bounds()));
+    public void updatePartitions(Collection<Partition> all) {
+        all.forEach(p -> bounds.put(p.name(), p.limits()));
     }
 
     /** The stored keys that are stopped; one that is no longer among them takes jobs again. */
-    public void stopped(Set<String> stored) {
-        stopped = stored;
+    public void updateStoppedKeys(Set<String> stored) {
+        updateStoppedKeys = stored;
         for (String key : stored) {
-            Line line = lines.get(key);
+            KeyState line = lines.get(key);
             if (line != null) {
                 line.stopping = false;
             }
@@ -107,10 +107,10 @@
     }
 
     /**
-     * Keys that have stopped here and are not stored yet ({@link Owners#stop}): to be stored before the
+     * Keys that have stopped here and are not stored yet ({@link SlotAssignment#stopKey}): to be stored before the
      * failure of their head is answered.
      */
-    public Set<String> stopping() {
+    public Set<String> unstoredStops() {
         Set<String> all = new TreeSet<>();
         lines.forEach((key, line) -> {
             if (line.stopping) {
@@ -121,8 +121,8 @@
     }
 
     /** The stop was not taken up, so the failure is answered as in doubt, and the key goes on. */
-    public void notStored(long now, String key) {
-        Line line = lines.get(key);
+    public void stopNotStored(long now, String key) {
+        KeyState line = lines.get(key);
         if (line != null) {
             line.stopping = false;
             look(now, key, line);
@@ -130,23 +130,23 @@
     }
 
     /** Jobs that wait for their turn. */
-    public int waiting() {
+    public int waitingCount() {
         return sums.values().stream().mapToInt(s -> s.jobs).sum();
     }
 
     /** Milliseconds of work that wait for a partition: what is to come there. */
-    public double workToCome(String partition) {
-        Sum sum = sums.get(partition);
+    public double waitingWorkMs(String partition) {
+        PartitionLoad sum = sums.get(partition);
         return sum == null ? 0 : sum.workMs;
     }
 
     /** Takes a job: from here on its place in its key's line is fixed. */
-    public void take(long now, Job job) {
-        Line line = lines.computeIfAbsent(job.key, k -> new Line());
-        if (stopped.contains(job.key) || line.stopping) {
-            sink.answer(job, Answer.STOPPED);
+    public void enqueue(long now, QueuedRequest job) {
+        KeyState line = lines.computeIfAbsent(job.key, k -> new KeyState());
+        if (updateStoppedKeys.contains(job.key) || line.stopping) {
+            sink.reject(job, Rejection.STOPPED);
         } else if (full(line, job)) {
-            sink.answer(job, Answer.FULL);
+            sink.reject(job, Rejection.FULL);
         } else {
             line.waiting.put(job.id, job);
             keys.put(job.id, job.key);
@@ -155,71 +155,73 @@
         look(now, job.key, line);
     }
 
-    private boolean full(Line line, Job job) {
-        Sum sum = sums.computeIfAbsent(job.rule.partition(), p -> new Sum());
-        Bounds each = job.rule.eachKey();
-        Bounds all = bounds.get(job.rule.partition());
+    private boolean full(KeyState line, QueuedRequest job) {
+        PartitionLoad sum = sums.computeIfAbsent(job.rule.partition(), p -> new PartitionLoad());
+        QueueLimits each = job.rule.perKeyLimits();
+        QueueLimits all = bounds.get(job.rule.partition());
         double work = job.workMs
-                + line.waiting.values().stream().mapToDouble(Job::workMs).sum();
+                + line.waiting.values().stream()
+                        .mapToDouble(QueuedRequest::workMs)
+                        .sum();
         int jobs = line.waiting.size() + 1;
-        return jobs > each.jobs()
-                || work > each.workMs()
-                || jobs > all.jobs() - sum.jobs
-                || work > all.workMs() - sum.workMs;
+        return jobs > each.maxRequests()
+                || work > each.maxWorkMs()
+                || jobs > all.maxRequests() - sum.jobs
+                || work > all.maxWorkMs() - sum.workMs;
     }
 
-    private void count(Job job, int sign) {
-        Sum sum = sums.get(job.rule.partition());
+    private void count(QueuedRequest job, int sign) {
+        PartitionLoad sum = sums.get(job.rule.partition());
         sum.jobs += sign;
         sum.workMs = sum.jobs == 0 ? 0 : sum.workMs + sign * job.workMs;
     }
 
     /** The job that was out has ended. */
-    public void ended(long now, long id, Outcome how) {
+    public void complete(long now, long id, ExecutionResult how) {
         String key = keys.get(id);
-        Line line = key == null ? null : lines.get(key);
+        KeyState line = key == null ? null : lines.get(key);
         if (line == null || line.out == null || line.out.id != id) {
             return;
         }
         Rule rule = line.out.rule;
         keys.remove(id);
         line.out = null;
-        if (how == Outcome.UNKNOWN || how == Outcome.LINGERS) {
-            line.heldUntil = now + set.surely(rule.runsMs());
+        if (how == ExecutionResult.UNKNOWN || how == ExecutionResult.DONE_ATTEMPT_MAY_RUN) {
+            line.heldUntil = now + set.withDriftMs(rule.maxRunMs());
         }
         // Where nobody knows, it may have failed.
-        if (how == Outcome.FAILED || how == Outcome.UNKNOWN) {
-            if (rule.failed() == Rule.Failed.STOP) {
+        if (how == ExecutionResult.FAILED || how == ExecutionResult.UNKNOWN) {
+            if (rule.onFailure() == Rule.OnFailure.STOP) {
                 line.stopping = true;
-                drop(line, Answer.STOPPED);
-            } else if (rule.failed() == Rule.Failed.SKIP) {
-                drop(line, Answer.SKIPPED);
+                drop(line, Rejection.STOPPED);
+            } else if (rule.onFailure() == Rule.OnFailure.SKIP) {
+                drop(line, Rejection.SKIPPED);
             }
         }
         look(now, key, line);
     }
 
-    private void drop(Line line, Answer why) {
-        for (Job job : List.copyOf(line.waiting.values())) {
+    private void drop(KeyState line, Rejection why) {
+        for (QueuedRequest job : List.copyOf(line.waiting.values())) {
             answer(line, job, why);
         }
     }
 
-    private void answer(Line line, Job job, Answer why) {
+    private void answer(KeyState line, QueuedRequest job, Rejection why) {
         leave(line, job);
         keys.remove(job.id);
-        sink.answer(job, why);
+        sink.reject(job, why);
     }
 
-    private void leave(Line line, Job job) {
+    private void leave(KeyState line, QueuedRequest job) {
         line.waiting.remove(job.id);
         count(job, -1);
     }
 
     /** Nobody waits for the job any more. One that is out still holds its key. */
-    public void gone(long now, long id) {
+    public void cancel(long now, long id) {
         String key = keys.get(id);
-        Line line = key == null ? null : lines.get(key);
+        KeyState line = key == null ? null : lines.get(key);
         if (line != null && line.waiting.containsKey(id)) {
             leave(line, line.waiting.get(id));
             keys.remove(id);
@@ -228,10 +230,10 @@
     }
 
     /** Does what is due; returns when to be called again. */
-    public long tick(long now) {
+    public long runDue(long now) {
         while (!dues.isEmpty() && dues.peek().at <= now) {
-            Due due = dues.remove();
-            Line line = lines.get(due.key);
+            Wakeup due = dues.remove();
+            KeyState line = lines.get(due.key);
             if (line != null && line.dueAt == due.at) {
                 line.dueAt = Long.MAX_VALUE;
                 look(now, due.key, line);
@@ -241,14 +243,14 @@
     }
 
     /** The fence or the tables have changed: every line is looked at. */
-    public void changed(long now) {
+    public void reevaluateAll(long now) {
         for (String key : List.copyOf(lines.keySet())) {
             look(now, key, lines.get(key));
         }
     }
 
     /** Slots of which a job is out or may still run, or a stop is to be stored. */
-    public Set<Integer> busy(long now, ToIntFunction<String> slotOf) {
+    public Set<Integer> busySlots(long now, ToIntFunction<String> slotOf) {
         Set<Integer> all = new HashSet<>();
         lines.forEach((key, line) -> {
             if (line.out != null || line.heldUntil > now || line.stopping) {
@@ -259,25 +261,25 @@
     }
 
     /** Answers what cannot go out in time, sends the head if it may go, and notes when to look again. */
-    private void look(long now, String key, Line line) {
+    private void look(long now, String key, KeyState line) {
         long free = Math.max(now, line.heldUntil);
         if (line.out != null) {
             free = Math.max(free, line.sentAt + (long) line.out.workMs);
         }
         long due = line.heldUntil > now ? line.heldUntil : Long.MAX_VALUE;
-        for (Job job : new ArrayList<>(line.waiting.values())) {
-            long from = sink.from(job);
+        for (QueuedRequest job : new ArrayList<>(line.waiting.values())) {
+            long from = sink.sendAllowedFrom(job);
             long start = Math.max(free, from);
-            long oldest = job.takenAt
+            long oldest = job.acceptedAtMs
                     + Math.min(
-                            job.rule.eachKey().ageMs(),
-                            bounds.get(job.rule.partition()).ageMs());
-            if (from == Fence.NEVER) {
-                answer(line, job, Answer.MOVED);
-            } else if (start + job.workMs > job.deadline) {
-                answer(line, job, Answer.LATE);
+                            job.rule.perKeyLimits().maxAgeMs(),
+                            bounds.get(job.rule.partition()).maxAgeMs());
+            if (from == FencingCheck.NEVER) {
+                answer(line, job, Rejection.MOVED);
+            } else if (start + job.workMs > job.deadlineMs) {
+                answer(line, job, Rejection.LATE);
             } else if (now >= oldest) {
-                answer(line, job, Answer.AGED);
+                answer(line, job, Rejection.AGED);
             } else if (line.out == null && start <= now) {
                 leave(line, job);
                 line.out = job;
@@ -286,7 +288,7 @@
                 sink.send(job);
             } else {
                 // Behind a head that runs over, the last moment comes before the one that was reckoned.
-                due = Math.min(due, Math.min(oldest, (long) (job.deadline - job.workMs) + 1));
+                due = Math.min(due, Math.min(oldest, (long) (job.deadlineMs - job.workMs) + 1));
                 due = line.out == null ? Math.min(due, start) : due;
                 free = start + (long) job.workMs;
             }
@@ -295,7 +297,7 @@
             lines.remove(key);
         } else if (due < Long.MAX_VALUE && due != line.dueAt) {
             line.dueAt = due;
-            dues.add(new Due(due, key));
+            dues.add(new Wakeup(due, key));
         }
     }
 }
--- a/src/main/java/maplespread/partition/Bounds.java
+++ b/src/main/java/maplespread/partition/QueueLimits.java
@@ -1,4 +1,4 @@
 package maplespread.partition;
 
 /** Bounds on what waits: jobs, their work in milliseconds, and how long one has waited. */
-public record Bounds(int jobs, double workMs, long ageMs) {}
+public record QueueLimits(int maxRequests, double maxWorkMs, long maxAgeMs) {}
--- a/src/main/java/maplespread/partition/Attributes.java
+++ b/src/main/java/maplespread/partition/RequestAttributes.java
@@ -7,17 +7,18 @@
  * platform has them. Attributes go by the names {@code class}, {@code tenant}, {@code entity}, {@code path}
  * and {@code label.NAME}.
  */
-public record Attributes(String cls, String tenant, String entity, String path, Map<String, Double> labels) {
-    static final String LABEL = "label.";
+public record RequestAttributes(
+        String requestClass, String tenant, String entity, String path, Map<String, Double> labels) {
+    static final String LABEL_PREFIX = "label.";
 
     /** A string, a Double for a label, or null where the job has no such attribute. */
     Object get(String attribute) {
         return switch (attribute) {
-            case "class" -> cls;
+            case "class" -> requestClass;
             case "tenant" -> tenant;
             case "entity" -> entity;
             case "path" -> path;
-            default -> labels.get(attribute.substring(LABEL.length()));
+            default -> labels.get(attribute.substring(LABEL_PREFIX.length()));
         };
     }
 }
--- a/src/main/java/maplespread/partition/Table.java
+++ b/src/main/java/maplespread/partition/RoutingTable.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * An ordered table of rules: the first that matches counts. Made by {@link TableReader}, which has checked
+ * An ordered table of rules: the first that matches counts. Made by {@link RoutingTableParser}, which has checked
  * that the last one matches every job. Compiled: for each attribute and way of asking, the set of rules that
  * the job's value passes is found at once, and the first rule in all of the sets is the one.
  */
-public final class Table {
+public final class RoutingTable {
     private final List<Rule> rules;
     private final Map<String, Partition> partitions;
-    private final List<Index> indices = new ArrayList<>();
+    private final List<RuleIndex> indices = new ArrayList<>();
 
-    Table(List<Rule> rules, Map<String, Partition> partitions) {
+    RoutingTable(List<Rule> rules, Map<String, Partition> partitions) {
         this.rules = List.copyOf(rules);
         this.partitions = Map.copyOf(partitions);
         rules.stream()
                 .flatMap(r -> r.when().stream())
                 .map(Rule.Condition::attribute)
                 .distinct()
-                .forEach(a -> Index.of(a, this.rules, indices));
+                .forEach(a -> RuleIndex.of(a, this.rules, indices));
     }
 
     public List<Rule> rules() {
@@ -33,16 +33,16 @@
     }
 
     /** How long after its sending an ordered job can still run at most, under any rule. */
-    public long longestRunMs() {
+    public long maxRunMs() {
         return rules.stream()
-                .filter(Rule::ordered)
-                .mapToLong(Rule::runsMs)
+                .filter(Rule::isOrdered)
+                .mapToLong(Rule::maxRunMs)
                 .max()
                 .orElse(0);
     }
 
     /** The first rule that matches. */
-    public Rule decide(Attributes job) {
+    public Rule decide(RequestAttributes job) {
         int words = (rules.size() + 63) / 64;
         long[][] sets = new long[indices.size()][];
         for (int i = 0; i < sets.length; i++) {
--- a/src/main/java/maplespread/partition/TableError.java
+++ b/src/main/java/maplespread/partition/RoutingTableException.java
@@ -1,9 +1,9 @@
 package maplespread.partition;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** A table that cannot be used. Names the rule or the partition; nothing of it counts. */
-public final class TableError extends FleetError {
+public final class RoutingTableException extends FleetException {
     private static final long serialVersionUID = 1;
 
     /** What is wrong with it, for those who sort errors by more than their words. */
@@ -21,7 +21,7 @@
     private final Kind kind;
     private final String where;
 
-    TableError(Kind kind, String where, String wrong, String remedy) {
+    RoutingTableException(Kind kind, String where, String wrong, String remedy) {
         super(
                 (where.isEmpty() ? "table" : where) + ": " + wrong,
                 "the table that counted before; none of the new one is taken up",
