--- a/src/main/java/maplespread/partition/TableReader.java
+++ b/src/main/java/maplespread/partition/RoutingTableParser.java
@@ -15,16 +15,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 import maplespread.partition.Partition.Worker;
+import maplespread.partition.RoutingTableException.Kind;
 import maplespread.partition.Rule.Condition;
-import maplespread.partition.Rule.Failed;
+import maplespread.partition.Rule.OnFailure;
 import maplespread.partition.Rule.Order;
-import maplespread.partition.TableError.Kind;
 
 /**
  * The one place where a table is read. It is checked whole, or it is refused with the first fault that is
  * found; docs/operators/partition.md has every key and error.
  */
-public final class TableReader {
+public final class RoutingTableParser {
     private static final int MOST_RULES = 4096;
     private static final int MOST_VALUES = 50_000;
     private static final String ALL = "all"; // the partition of all workers, always there
@@ -33,19 +33,19 @@
      * What a table may name. {@code tenants} empty: there are none. {@code workers} empty: not known yet, so
      * it is not checked whether partitions have any.
      */
-    public record Site(
+    public record SiteNames(
             List<String> classes, List<String> tenants, List<String> zones, List<String> kinds, List<Worker> workers) {}
 
     /** One object of the text: what nobody has asked for is an error at the end. */
-    private static final class Part {
+    private static final class JsonSection {
         final String where;
         final JsonObject in;
         final Set<String> asked = new TreeSet<>();
 
-        Part(String where, JsonElement in) throws TableError {
+        JsonSection(String where, JsonElement in) throws RoutingTableException {
             this.where = where;
             if (in == null || !in.isJsonObject()) {
-                throw new TableError(Kind.MALFORMED, where, "must be an object", "write it as {...}");
+                throw new RoutingTableException(Kind.MALFORMED, where, "must be an object", "write it as {...}");
             }
             this.in = in.getAsJsonObject();
         }
@@ -56,11 +56,11 @@
             return e == null || e.isJsonNull() ? null : e;
         }
 
-        TableError wrong(String key, String why) {
-            return new TableError(Kind.MALFORMED, where, key + " " + why, "correct " + key);
+        RoutingTableException wrong(String key, String why) {
+            return new RoutingTableException(Kind.MALFORMED, where, key + " " + why, "correct " + key);
         }
 
-        String text(String key, String otherwise) throws TableError {
+        String text(String key, String otherwise) throws RoutingTableException {
             JsonElement e = get(key);
             if (e == null && otherwise != null) {
                 return otherwise;
@@ -71,21 +71,21 @@
             return e.getAsString();
         }
 
-        <E extends Enum<E>> E word(String key, E otherwise, Class<E> words) throws TableError {
+        <E extends Enum<E>> E word(String key, E otherwise, Class<E> words) throws RoutingTableException {
             String word = text(key, otherwise.name().toLowerCase(java.util.Locale.ROOT));
             for (E e : words.getEnumConstants()) {
                 if (e.name().toLowerCase(java.util.Locale.ROOT).equals(word)) {
                     return e;
                 }
             }
-            throw new TableError(
+            throw new RoutingTableException(
                     Kind.UNKNOWN_NAME,
                     where,
                     key + " " + word + " is not known",
                     "use one of " + List.of(words.getEnumConstants()).toString().toLowerCase(java.util.Locale.ROOT));
         }
 
-        double number(String key, double otherwise, double least, double most) throws TableError {
+        double number(String key, double otherwise, double least, double most) throws RoutingTableException {
             JsonElement e = get(key);
             double v = e == null ? otherwise : numberOf(e);
             if (!(v >= least && v <= most)) {
@@ -94,7 +94,7 @@
             return v;
         }
 
-        Set<String> texts(String key) throws TableError {
+        Set<String> texts(String key) throws RoutingTableException {
             Set<String> all = new LinkedHashSet<>();
             JsonElement e = get(key);
             if (e != null && (!e.isJsonArray() || e.getAsJsonArray().isEmpty())) {
@@ -109,7 +109,7 @@
         }
 
         /** Two numbers, the first below the second. */
-        double[] span(String key, double least, double most) throws TableError {
+        double[] span(String key, double least, double most) throws RoutingTableException {
             JsonElement e = get(key);
             if (e == null) {
                 return new double[] {least, most};
@@ -126,61 +126,62 @@
             return v;
         }
 
-        Bounds bounds(String key, double jobs, double workS, double ageMs) throws TableError {
+        QueueLimits bounds(String key, double jobs, double workS, double ageMs) throws RoutingTableException {
             JsonElement e = get(key);
-            Part in = new Part(where, e == null ? new JsonObject() : e);
-            Bounds b = new Bounds(
+            JsonSection in = new JsonSection(where, e == null ? new JsonObject() : e);
+            QueueLimits b = new QueueLimits(
                     (int) in.number("jobs", jobs, 1, 1e6), in.number("work_s", workS, 0.001, 1e6) * 1000, (long)
                             in.number("age_ms", ageMs, 1, 3.6e6));
             in.end();
             return b;
         }
 
-        void end() throws TableError {
+        void end() throws RoutingTableException {
             for (String key : in.keySet()) {
                 if (!asked.contains(key)) {
-                    throw new TableError(
+                    throw new RoutingTableException(
                             Kind.UNKNOWN_NAME, where, "key " + key + " is not known", "use one of " + asked);
                 }
             }
         }
     }
 
-    private final Site site;
+    private final SiteNames site;
     private int values;
 
-    private TableReader(Site site) {
+    private RoutingTableParser(SiteNames site) {
         this.site = site;
     }
 
     /** The table in a JSON text. */
-    public static Table read(String text, Site site) throws TableError {
+    public static RoutingTable parse(String text, SiteNames site) throws RoutingTableException {
         JsonElement e;
         try {
             e = JsonParser.parseString(text);
         } catch (JsonParseException x) {
-            throw new TableError(Kind.MALFORMED, "", "not JSON", "correct the text");
+            throw new RoutingTableException(Kind.MALFORMED, "", "not JSON", "correct the text");
         }
-        return new TableReader(site).table(new Part("", e));
+        return new RoutingTableParser(site).table(new JsonSection("", e));
     }
 
-    private Table table(Part root) throws TableError {
+    private RoutingTable table(JsonSection root) throws RoutingTableException {
         Map<String, Partition> partitions = new LinkedHashMap<>();
         JsonElement named = root.get("partitions");
-        Part parts = new Part("partitions", named == null ? new JsonObject() : named);
+        JsonSection parts = new JsonSection("partitions", named == null ? new JsonObject() : named);
         for (String name : parts.in.keySet()) {
-            partitions.put(name, partition(name, new Part("partition " + name, parts.get(name))));
+            partitions.put(name, partition(name, new JsonSection("partition " + name, parts.get(name))));
         }
         partitions.putIfAbsent(
                 ALL,
-                new Partition(ALL, Set.of(), Set.of(), Set.of(), 0, 1, false, new Bounds(100_000, 1e9, 3_600_000)));
+                new Partition(
+                        ALL, Set.of(), Set.of(), Set.of(), 0, 1, false, new QueueLimits(100_000, 1e9, 3_600_000)));
         apart(partitions.values());
         JsonElement rows = root.get("rules");
         if (rows == null || !rows.isJsonArray() || rows.getAsJsonArray().isEmpty()) {
             throw root.wrong("rules", "must be a list with at least one rule");
         }
         if (rows.getAsJsonArray().size() > MOST_RULES) {
-            throw new TableError(
+            throw new RoutingTableException(
                     Kind.TOO_LARGE, "", "more than " + MOST_RULES + " rules", "join rules by lists of values");
         }
         root.end();
@@ -189,7 +190,7 @@
         for (JsonElement row : rows.getAsJsonArray()) {
             Rule rule = rule(rules.size(), row, partitions);
             if (!names.add(rule.name())) {
-                throw new TableError(
+                throw new RoutingTableException(
                         Kind.MALFORMED,
                         "rule " + rule.name(),
                         "the name stands twice",
@@ -199,17 +200,17 @@
         }
         Rule last = rules.get(rules.size() - 1);
         if (!last.when().isEmpty()) {
-            throw new TableError(
+            throw new RoutingTableException(
                     Kind.NO_DEFAULT,
                     "rule " + last.name(),
                     "is the last one and has conditions," + " so some job may match no rule",
                     "end the table with a rule without a when");
         }
-        Reach reach = new Reach(rules, site.classes, site.tenants);
+        UnreachableRuleFinder reach = new UnreachableRuleFinder(rules, site.classes, site.tenants);
         for (int i = 0; i < rules.size() - 1; i++) { // the default may be left without a job
             List<Rule> takers = reach.takenBy(i);
             if (takers != null) {
-                throw new TableError(
+                throw new RoutingTableException(
                         Kind.NEVER_MATCHES,
                         "rule " + rules.get(i).name(),
                         takers.isEmpty()
@@ -225,10 +226,10 @@
             }
         }
         spills(rules);
-        return new Table(rules, partitions);
+        return new RoutingTable(rules, partitions);
     }
 
-    private Partition partition(String name, Part in) throws TableError {
+    private Partition partition(String name, JsonSection in) throws RoutingTableException {
         Set<Integer> cells = new LinkedHashSet<>();
         JsonElement list = in.get("cells");
         if (list != null) {
@@ -258,8 +259,8 @@
                 apart != null && apart.getAsBoolean(),
                 in.bounds("bounds", 100_000, 1e6, 3_600_000));
         in.end();
-        if (!site.workers.isEmpty() && site.workers.stream().noneMatch(p::holds)) {
-            throw new TableError(
+        if (!site.workers.isEmpty() && site.workers.stream().noneMatch(p::contains)) {
+            throw new RoutingTableException(
                     Kind.EMPTY,
                     in.where,
                     "has no worker of the " + site.workers.size() + " that are listed",
@@ -268,12 +269,12 @@
         return p;
     }
 
-    private static void apart(Collection<Partition> all) throws TableError {
+    private static void apart(Collection<Partition> all) throws RoutingTableException {
         for (Partition p : all) {
             for (Partition o : all) {
                 // The one of all workers meets every other, and is nobody's word.
-                if (p.apart() && p != o && !o.name().equals(ALL) && p.mayMeet(o)) {
-                    throw new TableError(
+                if (p.exclusive() && p != o && !o.name().equals(ALL) && p.mayOverlap(o)) {
+                    throw new RoutingTableException(
                             Kind.OVERLAP,
                             "partition " + p.name(),
                             "is to stand apart, and " + o.name() + " may share workers with it",
@@ -283,10 +284,11 @@
         }
     }
 
-    private Set<String> known(Part in, String key, Set<String> names, Collection<String> of) throws TableError {
+    private Set<String> known(JsonSection in, String key, Set<String> names, Collection<String> of)
+            throws RoutingTableException {
         for (String name : names) {
             if (!of.contains(name)) {
-                throw new TableError(
+                throw new RoutingTableException(
                         Kind.UNKNOWN_NAME,
                         in.where,
                         key + ": " + name + " is not known",
@@ -296,24 +298,25 @@
         return names;
     }
 
-    private Rule rule(int place, JsonElement row, Map<String, Partition> partitions) throws TableError {
-        Part in = new Part("rule " + (place + 1), row);
+    private Rule rule(int place, JsonElement row, Map<String, Partition> partitions) throws RoutingTableException {
+        JsonSection in = new JsonSection("rule " + (place + 1), row);
         String name = in.text("name", String.valueOf(place + 1));
-        in = new Part("rule " + name, row);
+        in = new JsonSection("rule " + name, row);
         in.get("name");
         String partition = in.text("to", ALL);
         known(in, "to", Set.of(partition), partitions.keySet());
         Order order = in.word("order", Order.NONE, Order.class);
         String key = attribute(in, in.text("key", "entity"));
-        Failed failed = in.word("failed", order == Order.BY_KEY_STOP ? Failed.STOP : Failed.GO_ON, Failed.class);
-        if (failed == Failed.STOP != (order == Order.BY_KEY_STOP)) {
+        OnFailure failed =
+                in.word("failed", order == Order.BY_KEY_STOP ? OnFailure.STOP : OnFailure.GO_ON, OnFailure.class);
+        if (failed == OnFailure.STOP != (order == Order.BY_KEY_STOP)) {
             throw in.wrong("failed", "is stop if and only if order is by_key_stop");
         }
         long runs = (long) in.number("runs_ms", 1000, 1, 3.6e6);
-        Bounds each = in.bounds("each_key", 100, 600, 600_000);
+        QueueLimits each = in.bounds("each_key", 100, 600, 600_000);
         List<String> spill = List.copyOf(known(in, "spill", in.texts("spill"), partitions.keySet()));
         if (order != Order.NONE && !spill.isEmpty()) {
-            throw new TableError(
+            throw new RoutingTableException(
                     Kind.SPILL,
                     in.where,
                     "is ordered, and what is ordered never spills",
@@ -327,10 +330,11 @@
         return rule;
     }
 
-    private static String attribute(Part in, String name) throws TableError {
+    private static String attribute(JsonSection in, String name) throws RoutingTableException {
         if (!List.of("class", "tenant", "entity", "path").contains(name)
-                && !(name.startsWith(Attributes.LABEL) && name.length() > Attributes.LABEL.length())) {
-            throw new TableError(
+                && !(name.startsWith(RequestAttributes.LABEL_PREFIX)
+                        && name.length() > RequestAttributes.LABEL_PREFIX.length())) {
+            throw new RoutingTableException(
                     Kind.UNKNOWN_NAME,
                     in.where,
                     "attribute " + name + " is not known",
@@ -339,19 +343,19 @@
         return name;
     }
 
-    private List<Condition> conditions(Part rule) throws TableError {
+    private List<Condition> conditions(JsonSection rule) throws RoutingTableException {
         List<Condition> all = new ArrayList<>();
         JsonElement when = rule.get("when");
-        Part in = new Part(rule.where, when == null ? new JsonObject() : when);
+        JsonSection in = new JsonSection(rule.where, when == null ? new JsonObject() : when);
         for (String name : in.in.keySet()) {
             attribute(in, name);
             JsonElement e = in.get(name);
-            boolean label = name.startsWith(Attributes.LABEL);
+            boolean label = name.startsWith(RequestAttributes.LABEL_PREFIX);
             if (e != null && !e.isJsonObject()) {
                 all.add(new Condition(name, oneOf(in, name, label, e)));
                 continue;
             }
-            Part asks = new Part(rule.where, e);
+            JsonSection asks = new JsonSection(rule.where, e);
             JsonElement one = asks.get("in");
             if (one != null) {
                 all.add(new Condition(name, oneOf(in, name, label, one)));
@@ -359,7 +363,7 @@
             if (label && (asks.get("from") != null | asks.get("below") != null)) {
                 all.add(new Condition(
                         name,
-                        new Asks.Range(
+                        new AttributeMatcher.Range(
                                 asks.number("from", -Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE),
                                 asks.number("below", Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE))));
             }
@@ -368,12 +372,12 @@
                 if (!string(prefix)) {
                     throw asks.wrong(name + ".prefix", "must be a string");
                 }
-                all.add(new Condition(name, new Asks.Prefix(prefix.getAsString())));
+                all.add(new Condition(name, new AttributeMatcher.Prefix(prefix.getAsString())));
                 values++;
             }
             if (!label && asks.get("share") != null) {
                 double[] share = asks.span("share", 0, 1);
-                all.add(new Condition(name, new Asks.Share(share[0], share[1])));
+                all.add(new Condition(name, new AttributeMatcher.Share(share[0], share[1])));
                 values++;
             }
             asks.end();
@@ -382,7 +386,7 @@
             }
         }
         if (values > MOST_VALUES) {
-            throw new TableError(
+            throw new RoutingTableException(
                     Kind.TOO_LARGE,
                     rule.where,
                     "with it the table has more than " + MOST_VALUES + " values",
@@ -391,7 +395,8 @@
         return List.copyOf(all);
     }
 
-    private Asks oneOf(Part in, String name, boolean label, JsonElement e) throws TableError {
+    private AttributeMatcher oneOf(JsonSection in, String name, boolean label, JsonElement e)
+            throws RoutingTableException {
         Set<Object> all = new LinkedHashSet<>();
         List<JsonElement> list = e.isJsonArray() ? e.getAsJsonArray().asList() : List.of(e);
         for (JsonElement v : list) {
@@ -408,17 +413,17 @@
         for (Object v : names == null ? Set.of() : all) {
             known(in, name, Set.of((String) v), names);
         }
-        return new Asks.OneOf(Set.copyOf(all));
+        return new AttributeMatcher.OneOf(Set.copyOf(all));
     }
 
     /** What one partition's rules spill into another may not come back: both would push to and fro. */
-    private static void spills(List<Rule> rules) throws TableError {
+    private static void spills(List<Rule> rules) throws RoutingTableException {
         Map<String, Set<String>> to = new LinkedHashMap<>();
         for (Rule rule : rules) {
             for (String spill : rule.spill()) {
                 to.computeIfAbsent(rule.partition(), p -> new LinkedHashSet<>()).add(spill);
                 if (reaches(spill, rule.partition(), to, new HashSet<>())) {
-                    throw new TableError(
+                    throw new RoutingTableException(
                             Kind.SPILL,
                             "rule " + rule.name(),
                             "spills from " + rule.partition() + " to " + spill + ", from where rules lead back",
--- a/src/main/java/maplespread/partition/Rule.java
+++ b/src/main/java/maplespread/partition/Rule.java
@@ -13,12 +13,12 @@
         String partition,
         Order order,
         String key,
-        Failed failed,
-        long runsMs,
-        Bounds eachKey,
+        OnFailure onFailure,
+        long maxRunMs,
+        QueueLimits perKeyLimits,
         List<String> spill) {
     /** One condition; all of a rule's must hold. */
-    public record Condition(String attribute, Asks asks) {}
+    public record Condition(String attribute, AttributeMatcher matcher) {}
 
     public enum Order {
         NONE,
@@ -27,7 +27,7 @@
     }
 
     /** What follows for a key when its head has failed. */
-    public enum Failed {
+    public enum OnFailure {
         /** The next job goes out. */
         GO_ON,
         /** What waited behind it is refused; what comes later goes out. */
@@ -36,7 +36,7 @@
         STOP
     }
 
-    public boolean ordered() {
+    public boolean isOrdered() {
         return order != Order.NONE;
     }
 
@@ -44,7 +44,7 @@
      * The job's key under this rule; null: it lacks the attribute. Rules with the same attribute share keys,
      * so a job that comes under another of them stays in its line.
      */
-    public String keyOf(Attributes job) {
+    public String keyOf(RequestAttributes job) {
         Object value = job.get(key);
         return value == null ? null : key + "=" + value;
     }
--- a/src/main/java/maplespread/partition/Index.java
+++ b/src/main/java/maplespread/partition/RuleIndex.java
@@ -11,37 +11,38 @@
  * For one attribute and one way of asking: which rules a job passes, as a set of bits, those among them that
  * do not ask this way. Values that differ in nothing have one set between them.
  */
-abstract class Index {
+abstract class RuleIndex {
     private final String attribute;
-    private final List<List<Asks>> asks; // by rule, this way
+    private final List<List<AttributeMatcher>> asks; // by rule, this way
     private final Map<String, long[]> shared = new HashMap<>();
     private final long[] absent;
 
-    private Index(String attribute, List<Rule> rules, Class<? extends Asks> way) {
+    private RuleIndex(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> way) {
         this.attribute = attribute;
         asks = rules.stream()
                 .map(r -> r.when().stream()
-                        .filter(c -> c.attribute().equals(attribute) && way.isInstance(c.asks()))
-                        .map(Rule.Condition::asks)
+                        .filter(c -> c.attribute().equals(attribute) && way.isInstance(c.matcher()))
+                        .map(Rule.Condition::matcher)
                         .toList())
                 .toList();
         absent = bits(a -> false);
     }
 
     /** Adds an index for each way in which some rule asks for the attribute. */
-    static void of(String attribute, List<Rule> rules, List<Index> to) {
-        List<Asks> asked = rules.stream()
+    static void of(String attribute, List<Rule> rules, List<RuleIndex> to) {
+        List<AttributeMatcher> asked = rules.stream()
                 .flatMap(r -> r.when().stream())
                 .filter(c -> c.attribute().equals(attribute))
-                .map(Rule.Condition::asks)
+                .map(Rule.Condition::matcher)
                 .toList();
-        if (asked.stream().anyMatch(Asks.OneOf.class::isInstance)) {
+        if (asked.stream().anyMatch(AttributeMatcher.OneOf.class::isInstance)) {
             to.add(new Exact(attribute, rules, asked));
         }
-        if (asked.stream().anyMatch(Asks.Prefix.class::isInstance)) {
+        if (asked.stream().anyMatch(AttributeMatcher.Prefix.class::isInstance)) {
             to.add(new Prefixes(attribute, rules, asked));
         }
-        for (Class<? extends Asks> way : List.of(Asks.Range.class, Asks.Share.class)) {
+        for (Class<? extends AttributeMatcher> way :
+                List.of(AttributeMatcher.Range.class, AttributeMatcher.Share.class)) {
             if (asked.stream().anyMatch(way::isInstance)) {
                 to.add(new Spans(attribute, rules, way, asked));
             }
@@ -49,18 +50,18 @@
     }
 
     /** The rules whose asking this way the job passes; not to be changed. */
-    final long[] passed(Attributes job) {
+    final long[] passed(RequestAttributes job) {
         Object value = job.get(attribute);
         return value == null ? absent : at(value);
     }
 
     abstract long[] at(Object value);
 
-    final long[] bits(Predicate<Asks> passes) {
+    final long[] bits(Predicate<AttributeMatcher> passes) {
         long[] set = new long[(asks.size() + 63) / 64];
         for (int i = 0; i < asks.size(); i++) {
             boolean all = true;
-            for (Asks a : asks.get(i)) {
+            for (AttributeMatcher a : asks.get(i)) {
                 all &= passes.test(a);
             }
             if (all) {
@@ -70,15 +71,15 @@
         return shared.computeIfAbsent(Arrays.toString(set), k -> set);
     }
 
-    private static final class Exact extends Index {
+    private static final class Exact extends RuleIndex {
         private final Map<Object, long[]> sets = new HashMap<>();
         private final long[] other;
 
-        Exact(String attribute, List<Rule> rules, List<Asks> asked) {
-            super(attribute, rules, Asks.OneOf.class);
-            for (Asks a : asked) {
-                if (a instanceof Asks.OneOf one) {
-                    one.values().forEach(v -> sets.computeIfAbsent(v, k -> bits(x -> x.passes(k))));
+        Exact(String attribute, List<Rule> rules, List<AttributeMatcher> asked) {
+            super(attribute, rules, AttributeMatcher.OneOf.class);
+            for (AttributeMatcher a : asked) {
+                if (a instanceof AttributeMatcher.OneOf one) {
+                    one.values().forEach(v -> sets.computeIfAbsent(v, k -> bits(x -> x.matches(k))));
                 }
             }
             other = bits(a -> false);
@@ -91,17 +92,17 @@
     }
 
     /** Prefixes in order, each with the longest other one that it begins with. */
-    private static final class Prefixes extends Index {
+    private static final class Prefixes extends RuleIndex {
         private final String[] prefixes;
         private final int[] within;
         private final long[][] sets;
         private final long[] none;
 
-        Prefixes(String attribute, List<Rule> rules, List<Asks> asked) {
-            super(attribute, rules, Asks.Prefix.class);
+        Prefixes(String attribute, List<Rule> rules, List<AttributeMatcher> asked) {
+            super(attribute, rules, AttributeMatcher.Prefix.class);
             TreeSet<String> all = new TreeSet<>();
-            for (Asks a : asked) {
-                if (a instanceof Asks.Prefix p) {
+            for (AttributeMatcher a : asked) {
+                if (a instanceof AttributeMatcher.Prefix p) {
                     all.add(p.prefix());
                 }
             }
@@ -114,7 +115,7 @@
                 while (within[i] >= 0 && !p.startsWith(prefixes[within[i]])) {
                     within[i] = within[within[i]];
                 }
-                sets[i] = bits(a -> a.passes(p));
+                sets[i] = bits(a -> a.matches(p));
             }
             none = bits(a -> false);
         }
@@ -132,36 +133,36 @@
     }
 
     /** Parts of the number line: ranges of labels, shares of the unit circle. */
-    private static final class Spans extends Index {
+    private static final class Spans extends RuleIndex {
         private final boolean share;
         private final double[] cuts;
         private final long[][] sets; // from each cut on; the first: before all
 
-        Spans(String attribute, List<Rule> rules, Class<? extends Asks> way, List<Asks> asked) {
+        Spans(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> way, List<AttributeMatcher> asked) {
             super(attribute, rules, way);
-            share = way == Asks.Share.class;
+            share = way == AttributeMatcher.Share.class;
             cuts = cuts(asked);
             sets = new long[cuts.length + 1][];
             for (int i = 0; i <= cuts.length; i++) {
                 double x = i == 0 ? Double.NEGATIVE_INFINITY : cuts[i - 1];
-                sets[i] = bits(a -> share ? ((Asks.Share) a).holds(x) : a.passes(x));
+                sets[i] = bits(a -> share ? ((AttributeMatcher.Share) a).contains(x) : a.matches(x));
             }
         }
 
         @Override
         long[] at(Object value) {
-            int i = Arrays.binarySearch(cuts, share ? Asks.Share.unit((String) value) : (Double) value);
+            int i = Arrays.binarySearch(cuts, share ? AttributeMatcher.Share.unitHash((String) value) : (Double) value);
             return sets[i >= 0 ? i + 1 : -i - 1];
         }
     }
 
     /** Where ranges or shares begin and end, in order. */
-    static double[] cuts(List<Asks> asked) {
+    static double[] cuts(List<AttributeMatcher> asked) {
         TreeSet<Double> all = new TreeSet<>();
-        for (Asks a : asked) {
-            if (a instanceof Asks.Range r) {
+        for (AttributeMatcher a : asked) {
+            if (a instanceof AttributeMatcher.Range r) {
                 all.addAll(List.of(r.from(), r.below()));
-            } else if (a instanceof Asks.Share s) {
+            } else if (a instanceof AttributeMatcher.Share s) {
                 all.addAll(List.of(s.from(), s.below()));
             }
         }
--- a/src/main/java/maplespread/partition/Reach.java
+++ b/src/main/java/maplespread/partition/UnreachableRuleFinder.java
@@ -18,13 +18,15 @@
  * <p>Errs in the rule's favour: a value's share counts as independent of the value, and beyond {@link #MOST}
  * cuts the question is left open.
  */
-final class Reach {
+final class UnreachableRuleFinder {
     private static final int MOST = 50_000;
 
     /** A kind of values: one value, or all other strings whose longest known prefix this is. */
     private record Kind(Object value, String prefix) {
-        boolean passes(Asks a) {
-            return prefix == null ? a.passes(value) : a instanceof Asks.Prefix p && prefix.startsWith(p.prefix());
+        boolean passes(AttributeMatcher a) {
+            return prefix == null
+                    ? a.matches(value)
+                    : a instanceof AttributeMatcher.Prefix p && prefix.startsWith(p.prefix());
         }
     }
 
@@ -34,7 +36,7 @@
     private final List<BitSet[]> boxes = new ArrayList<>();
 
     /** {@code classes}, {@code tenants}: all that there are; no tenants: jobs have none. */
-    Reach(List<Rule> rules, Collection<String> classes, Collection<String> tenants) {
+    UnreachableRuleFinder(List<Rule> rules, Collection<String> classes, Collection<String> tenants) {
         this.rules = rules;
         List<String> attributes = rules.stream()
                 .flatMap(r -> r.when().stream())
@@ -44,29 +46,32 @@
         rules.forEach(r -> boxes.add(new BitSet[2 * attributes.size()]));
         for (int d = 0; d < attributes.size(); d++) {
             String attribute = attributes.get(d);
-            List<Asks> asked =
+            List<AttributeMatcher> asked =
                     rules.stream().flatMap(r -> asks(r, attribute).stream()).toList();
             List<Kind> kinds = attribute.equals("class")
                     ? values(classes)
                     : attribute.equals("tenant") && !tenants.isEmpty() ? values(tenants) : kinds(attribute, asked);
-            double[] cuts = Index.cuts(
-                    asked.stream().filter(Asks.Share.class::isInstance).toList());
+            double[] cuts = RuleIndex.cuts(asked.stream()
+                    .filter(AttributeMatcher.Share.class::isInstance)
+                    .toList());
             for (int r = 0; r < rules.size(); r++) {
                 BitSet side = new BitSet();
                 BitSet shares = new BitSet();
                 side.set(0, kinds.size());
                 shares.set(0, cuts.length + 1);
-                for (Asks a : asks(rules.get(r), attribute)) {
-                    if (a instanceof Asks.Share s) {
+                for (AttributeMatcher a : asks(rules.get(r), attribute)) {
+                    if (a instanceof AttributeMatcher.Share s) {
                         for (int i = 0; i <= cuts.length; i++) {
-                            if (!s.holds(i == 0 ? -1 : cuts[i - 1])) {
+                            if (!s.contains(i == 0 ? -1 : cuts[i - 1])) {
                                 shares.clear(i);
                             }
                         }
                     }
                     for (int k = 0; k < kinds.size(); k++) {
                         Kind kind = kinds.get(k);
-                        if (a instanceof Asks.Share ? kind.value == null && kind.prefix == null : !kind.passes(a)) {
+                        if (a instanceof AttributeMatcher.Share
+                                ? kind.value == null && kind.prefix == null
+                                : !kind.passes(a)) {
                             side.clear(k);
                         }
                     }
@@ -77,10 +82,10 @@
         }
     }
 
-    private static List<Asks> asks(Rule rule, String attribute) {
+    private static List<AttributeMatcher> asks(Rule rule, String attribute) {
         return rule.when().stream()
                 .filter(c -> c.attribute().equals(attribute))
-                .map(Rule.Condition::asks)
+                .map(Rule.Condition::matcher)
                 .toList();
     }
 
@@ -88,18 +93,18 @@
         return new ArrayList<>(values.stream().map(v -> new Kind(v, null)).toList());
     }
 
-    private static List<Kind> kinds(String attribute, List<Asks> asked) {
+    private static List<Kind> kinds(String attribute, List<AttributeMatcher> asked) {
         Set<Object> values = new TreeSet<>();
         Set<String> prefixes = new TreeSet<>(Set.of(""));
-        for (Asks a : asked) {
-            if (a instanceof Asks.OneOf one) {
+        for (AttributeMatcher a : asked) {
+            if (a instanceof AttributeMatcher.OneOf one) {
                 values.addAll(one.values());
-            } else if (a instanceof Asks.Prefix p) {
+            } else if (a instanceof AttributeMatcher.Prefix p) {
                 prefixes.add(p.prefix());
             }
         }
-        boolean label = attribute.startsWith(Attributes.LABEL);
-        double[] cuts = label ? Index.cuts(asked) : new double[0];
+        boolean label = attribute.startsWith(RequestAttributes.LABEL_PREFIX);
+        double[] cuts = label ? RuleIndex.cuts(asked) : new double[0];
         for (int i = 0; label && i <= cuts.length; i++) {
             double x = i == 0 ? -Double.MAX_VALUE : cuts[i - 1];
             while (!values.add(x)) { // a listed value does not stand for others
--- a/src/main/java/maplespread/partition/client/Packed.java
+++ b/src/main/java/maplespread/partition/client/CompressedTable.java
@@ -10,10 +10,10 @@
 import java.util.zip.InflaterInputStream;
 
 /** A table's text as the agreed value holds it: that must fit into one packet, with the table before it. */
-final class Packed {
-    private Packed() {}
+final class CompressedTable {
+    private CompressedTable() {}
 
-    static String of(String text) {
+    static String compress(String text) {
         ByteArrayOutputStream packed = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(packed)) {
             out.write(text.getBytes(StandardCharsets.UTF_8));
@@ -24,7 +24,7 @@
     }
 
     /** An IllegalArgumentException where it is no such text. */
-    static String text(String packed) {
+    static String decompress(String packed) {
         try (InflaterInputStream in = new InflaterInputStream(
                 new ByteArrayInputStream(Base64.getDecoder().decode(packed)))) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
--- a/src/main/java/maplespread/partition/client/Orders.java
+++ b/src/main/java/maplespread/partition/client/OrderedDispatch.java
@@ -15,33 +15,33 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import maplespread.caller.Turns;
+import maplespread.caller.RequestSequencer;
+import maplespread.facade.InFlightRequest;
 import maplespread.facade.Outcome;
-import maplespread.facade.Transaction;
 import maplespread.http.HttpWriter;
 import maplespread.log.Event;
-import maplespread.partition.Attributes;
-import maplespread.partition.Fence;
-import maplespread.partition.FenceSettings;
-import maplespread.partition.KeyQueue;
-import maplespread.partition.Owners;
+import maplespread.partition.FencingCheck;
+import maplespread.partition.LeaseSettings;
 import maplespread.partition.Partition;
+import maplespread.partition.PerKeyQueue;
+import maplespread.partition.RequestAttributes;
+import maplespread.partition.RoutingTable;
+import maplespread.partition.RoutingTableTransition;
 import maplespread.partition.Rule;
-import maplespread.partition.Table;
-import maplespread.partition.Tables;
-import maplespread.worker.Relay;
+import maplespread.partition.SlotAssignment;
+import maplespread.worker.PeerForwarder;
 
 /**
  * Gives jobs their turn: the fence, the tables and the lines of keys under one lock, which is held for
  * moments only; jobs wait on the threads that they have anyway, and are handed on from there.
  */
-final class Orders implements Turns, KeyQueue.Sink {
+final class OrderedDispatch implements RequestSequencer, PerKeyQueue.Callbacks {
     private static final double PAUSE_MS = 250; // advised to who is refused
     private static final double SOON_MS = 100; // where another one may serve at once
     private static final long LOOK_MS = 10; // at what may have changed elsewhere
 
     /** What it needs of the fleet. */
-    interface Others {
+    interface ClusterOperations {
         /** Where a member takes jobs; null: not known. Does not wait. */
         String address(String member);
 
@@ -53,41 +53,41 @@
     }
 
     /** A job from when it came to when it is sent or answered; under the lock but for the hand-over. */
-    private final class Visit {
-        final Job job;
-        final Attributes attributes;
+    private final class PendingRequest {
+        final SequencedRequest job;
+        final RequestAttributes attributes;
         final double workMs;
         final long deadline;
         volatile boolean left;
-        Mine waits; // in a line; null: in none
+        OrderedRequest waits; // in a line; null: in none
         String to; // where it is handed on; null: nowhere
         String owner; // that is there, of this slot
         int slot;
         long epoch; // under which it is
         int tries;
 
-        Visit(Job job) {
+        PendingRequest(SequencedRequest job) {
             this.job = job;
             String path = job.message().target();
             int query = path.indexOf('?');
-            attributes = new Attributes(
+            attributes = new RequestAttributes(
                     job.message().lane(),
                     job.tenant(),
                     job.entity(),
                     query < 0 ? path : path.substring(0, query),
                     job.labels());
-            double work = job.transaction().workMs();
+            double work = job.request().workMs();
             workMs = work > 0 ? work : 0;
-            deadline = now() + job.leftMs();
+            deadline = now() + job.remainingMs();
         }
 
         boolean handed() {
-            return job.handedBy() != null;
+            return job.forwardedBy() != null;
         }
 
         /** Whether whoever handed it on knows of a later epoch than this one. */
         boolean ahead(long known) {
-            String[] words = job.handedBy().split(" ");
+            String[] words = job.forwardedBy().split(" ");
             return words.length > 1 && words[1].matches("[0-9]{1,18}") && Long.parseLong(words[1]) > known;
         }
 
@@ -101,26 +101,26 @@
     }
 
     /** A job that is this member's to send. */
-    private final class Mine implements Go {
+    private final class OrderedRequest implements Permit {
         final long id;
-        final Visit visit;
+        final PendingRequest visit;
         final Rule rule;
         final String key;
         final long since; // of its slot, when it was taken
         final Condition word = lock.newCondition();
         boolean sent;
-        KeyQueue.Answer answer;
+        PerKeyQueue.Rejection answer;
         long tablesSeen; // by which the next two were found
         boolean sameKey = true;
         long from;
         volatile boolean ran, lingers, failed;
 
-        Mine(Visit visit, Tables.Place place, long since) {
+        OrderedRequest(PendingRequest visit, RoutingTableTransition.RoutingDecision place, long since) {
             id = ++ids;
             this.visit = visit;
             rule = place.rule();
             key = place.key();
-            from = place.from();
+            from = place.sendAllowedFrom();
             tablesSeen = tablesLearned;
             this.since = since;
         }
@@ -128,16 +128,19 @@
         /** From when on it may be sent; under the lock. */
         long from(long now) {
             if (tablesSeen != tablesLearned) {
-                Tables.Place p = tables.decide(now, visit.attributes);
+                RoutingTableTransition.RoutingDecision p = tables.decide(now, visit.attributes);
                 sameKey = key.equals(p.key());
-                from = p.from();
+                from = p.sendAllowedFrom();
                 tablesSeen = tablesLearned;
             }
-            return sameKey ? Math.max(from, fence.from(now, fence.owners().slotOf(key), since)) : Fence.NEVER;
+            return sameKey
+                    ? Math.max(
+                            from, fence.sendAllowedFrom(now, fence.assignment().slotOf(key), since))
+                    : FencingCheck.NEVER;
         }
 
         @Override
-        public boolean still() {
+        public boolean isValid() {
             lock.lock();
             try {
                 long now = now();
@@ -148,93 +151,103 @@
         }
 
         @Override
-        public void tried(Outcome how) {
-            boolean never = how == Outcome.TURNED_AWAY || how == Outcome.NOT_CONNECTED || how == Outcome.NEVER_SENT;
+        public void attemptCompleted(Outcome how) {
+            boolean never = how == Outcome.REJECTED || how == Outcome.CONNECT_FAILED || how == Outcome.NEVER_SENT;
             ran |= !never;
             failed |= how == Outcome.ERROR;
             lingers |= !never && how != Outcome.SERVED && how != Outcome.ERROR;
         }
 
         @Override
-        public End over(boolean served) {
-            KeyQueue.Outcome how = served
-                    ? lingers ? KeyQueue.Outcome.LINGERS : KeyQueue.Outcome.DONE
+        public Completion release(boolean served) {
+            PerKeyQueue.ExecutionResult how = served
+                    ? lingers ? PerKeyQueue.ExecutionResult.DONE_ATTEMPT_MAY_RUN : PerKeyQueue.ExecutionResult.DONE
                     : lingers
-                            ? KeyQueue.Outcome.UNKNOWN
-                            : failed ? KeyQueue.Outcome.FAILED : KeyQueue.Outcome.NEVER_RAN;
+                            ? PerKeyQueue.ExecutionResult.UNKNOWN
+                            : failed ? PerKeyQueue.ExecutionResult.FAILED : PerKeyQueue.ExecutionResult.NEVER_RAN;
             boolean stop;
             lock.lock();
             try {
                 mine.remove(id);
-                queue.ended(now(), id, how);
-                stop = how == KeyQueue.Outcome.FAILED && queue.stopping().contains(key) && storing.add(key);
+                queue.complete(now(), id, how);
+                stop = how == PerKeyQueue.ExecutionResult.FAILED
+                        && queue.unstoredStops().contains(key)
+                        && storing.add(key);
                 due();
             } finally {
                 lock.unlock();
             }
             if (stop && !stored(key, Math.max(1, visit.leftMs()))) {
-                return End.DOUBT;
+                return Completion.IN_DOUBT;
             }
-            return !ran ? End.NEVER_RAN : how == KeyQueue.Outcome.UNKNOWN ? End.DOUBT : End.ENDED;
+            return !ran
+                    ? Completion.NEVER_RAN
+                    : how == PerKeyQueue.ExecutionResult.UNKNOWN ? Completion.IN_DOUBT : Completion.ENDED;
         }
 
         @Override
-        public Said lost() {
+        public FinalResponse permitLostResponse() {
             return refused("moved", SOON_MS, !visit.handed());
         }
     }
 
     /** A job of no order: its rule says only where it may go. */
-    private static final Go FREE = new Go() {
+    private static final Permit FREE = new Permit() {
         @Override
-        public boolean still() {
+        public boolean isValid() {
             return true;
         }
 
         @Override
-        public void tried(Outcome how) {}
+        public void attemptCompleted(Outcome how) {}
 
         @Override
-        public End over(boolean served) {
-            return End.ENDED;
+        public Completion release(boolean served) {
+            return Completion.ENDED;
         }
 
         @Override
-        public Said lost() {
+        public FinalResponse permitLostResponse() {
             return null;
         }
     };
 
     private final String name;
-    private final FenceSettings set;
-    private final Fleet fleet;
-    private final Relay relay;
-    private final Others others;
+    private final LeaseSettings set;
+    private final PartitionEndpoints fleet;
+    private final PeerForwarder relay;
+    private final ClusterOperations others;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition(); // lease, owners or tables
     private final Condition dueSooner = lock.newCondition();
-    private final KeyQueue queue;
-    private final Map<Long, Mine> mine = new HashMap<>(); // waiting or out
-    private final Map<Transaction, Visit> open = new IdentityHashMap<>();
+    private final PerKeyQueue queue;
+    private final Map<Long, OrderedRequest> mine = new HashMap<>(); // waiting or out
+    private final Map<InFlightRequest, PendingRequest> open = new IdentityHashMap<>();
     private final Set<String> storing = new HashSet<>(); // keys whose stop is under way
-    private Fence fence; // null: not in the group yet
+    private FencingCheck fence; // null: not in the group yet
     private String member = "";
-    private Tables tables; // null: none agreed on
-    private Table table; // the one that counts, else the file's
+    private RoutingTableTransition tables; // null: none agreed on
+    private RoutingTable table; // the one that counts, else the file's
     private long ids;
     private long tablesLearned;
     private boolean leased;
     private long dueAt = Long.MAX_VALUE;
 
     /** {@code file}: the table while none is agreed on. */
-    Orders(String name, FenceSettings set, Table file, Fleet fleet, Relay relay, Others others) {
+    OrderedDispatch(
+            String name,
+            LeaseSettings set,
+            RoutingTable file,
+            PartitionEndpoints fleet,
+            PeerForwarder relay,
+            ClusterOperations others) {
         this.name = name;
         this.set = set;
         this.table = file;
         this.fleet = fleet;
         this.relay = relay;
         this.others = others;
-        queue = new KeyQueue(set, this);
+        queue = new PerKeyQueue(set, this);
     }
 
     static long now() {
@@ -253,26 +266,26 @@
     // ------------------------------------------------------------ jobs
 
     @Override
-    public Turn take(Job job) throws InterruptedException {
-        Visit v = new Visit(job);
-        locked(() -> open.put(job.transaction(), v));
+    public SequencingResult acquire(SequencedRequest job) throws InterruptedException {
+        PendingRequest v = new PendingRequest(job);
+        locked(() -> open.put(job.request(), v));
         try {
             while (true) {
-                Turn turn = here(v);
+                SequencingResult turn = here(v);
                 turn = turn == null ? elsewhere(v) : turn;
                 if (turn != null) {
                     return turn;
                 }
             }
         } finally {
-            locked(() -> open.remove(job.transaction()));
+            locked(() -> open.remove(job.request()));
         }
     }
 
     @Override
-    public void left(Transaction t) {
-        Visit v = locked(() -> {
-            Visit found = open.get(t);
+    public void clientLeft(InFlightRequest t) {
+        PendingRequest v = locked(() -> {
+            PendingRequest found = open.get(t);
             if (found != null) {
                 found.left = true;
                 if (found.waits != null) {
@@ -287,14 +300,14 @@
     }
 
     /** What becomes of the job as far as this member goes; null: it is to be handed on. */
-    private Turn here(Visit v) throws InterruptedException {
+    private SequencingResult here(PendingRequest v) throws InterruptedException {
         lock.lockInterruptibly();
         try {
             while (!v.left) {
                 long now = now();
-                Tables.Place p = tables == null ? null : tables.decide(now, v.attributes);
+                RoutingTableTransition.RoutingDecision p = tables == null ? null : tables.decide(now, v.attributes);
                 Rule rule = p == null ? table.decide(v.attributes) : p.rule();
-                if (!rule.ordered()) {
+                if (!rule.isOrdered()) {
                     return v.handed() ? moved() : free(v, rule);
                 }
                 if (rule.keyOf(v.attributes) == null) {
@@ -302,15 +315,15 @@
                 }
                 String why = "no-lease";
                 if (p != null) {
-                    Owners owners = fence.owners();
+                    SlotAssignment owners = fence.assignment();
                     int place = owners.slotOf(p.key());
-                    Owners.Slot slot = owners.slots().get(place);
+                    SlotAssignment.Slot slot = owners.slots().get(place);
                     boolean own = slot.owner().equals(member);
                     if (v.handed() && (!own || v.ahead(owners.epoch()))) {
                         return moved();
                     }
-                    if (own && fence.from(now, place, slot.since()) != Fence.NEVER) {
-                        Turn turn = line(v, p, slot.since());
+                    if (own && fence.sendAllowedFrom(now, place, slot.ownedSinceEpoch()) != FencingCheck.NEVER) {
+                        SequencingResult turn = line(v, p, slot.ownedSinceEpoch());
                         if (turn != null) {
                             return turn;
                         }
@@ -333,24 +346,26 @@
                 }
                 changed.await(LOOK_MS, TimeUnit.MILLISECONDS);
             }
-            return new Left();
+            return new ClientLeft();
         } finally {
             lock.unlock();
         }
     }
 
     /** Waits in the line of its key; null: its slot went to another member before its turn. */
-    private Turn line(Visit v, Tables.Place p, long since) throws InterruptedException {
-        Fleet.Members workers = fleet.of(table.partitions().get(p.rule().partition()));
-        if (!workers.served()) {
+    private SequencingResult line(PendingRequest v, RoutingTableTransition.RoutingDecision p, long since)
+            throws InterruptedException {
+        PartitionEndpoints.PartitionWorkers workers =
+                fleet.workersOf(table.partitions().get(p.rule().partition()));
+        if (!workers.hasServingWorker()) {
             return refused("no-worker", PAUSE_MS, true);
         }
         long now = now();
-        Mine m = new Mine(v, p, since);
+        OrderedRequest m = new OrderedRequest(v, p, since);
         mine.put(m.id, m);
         v.waits = m;
         try {
-            queue.take(now, new KeyQueue.Job(m.id, m.key, m.rule, v.workMs, v.deadline, now));
+            queue.enqueue(now, new PerKeyQueue.QueuedRequest(m.id, m.key, m.rule, v.workMs, v.deadline, now));
             due();
             while (!m.sent && m.answer == null && !v.left) {
                 m.word.await();
@@ -358,17 +373,17 @@
         } finally {
             v.waits = null;
             if (!m.sent) {
-                queue.gone(now(), m.id);
+                queue.cancel(now(), m.id);
                 mine.remove(m.id);
                 due();
             }
         }
         if (m.sent) {
-            v.job.transaction().narrow(workers, m::still);
+            v.job.request().restrict(workers, m::isValid);
             return m;
         }
         if (v.left) {
-            return new Left();
+            return new ClientLeft();
         }
         return switch (m.answer) {
             case MOVED -> v.handed() ? moved() : null;
@@ -378,41 +393,42 @@
     }
 
     /** To the rule's partition, or where that has no worker to the first one of its spill that has. */
-    private Turn free(Visit v, Rule rule) {
+    private SequencingResult free(PendingRequest v, Rule rule) {
         List<String> ways = new ArrayList<>(List.of(rule.partition()));
         ways.addAll(rule.spill());
         String way = ways.stream()
-                .filter(w -> fleet.of(table.partitions().get(w)).served())
+                .filter(w -> fleet.workersOf(table.partitions().get(w)).hasServingWorker())
                 .findFirst()
                 .orElse(rule.partition());
-        v.job.transaction().narrow(fleet.of(table.partitions().get(way)), null);
+        v.job.request().restrict(fleet.workersOf(table.partitions().get(way)), null);
         return FREE;
     }
 
     /** Hands the job on, not under the lock; null: it was not taken there, and may be looked at again. */
-    private Turn elsewhere(Visit v) throws InterruptedException {
+    private SequencingResult elsewhere(PendingRequest v) throws InterruptedException {
         HttpWriter request = HttpWriter.request(
                         v.job.message().method(), v.job.message().target(), v.to)
                 .field("X-Txn", v.job.message().id())
                 .field("X-Remaining-Ms", Long.toString(Math.max(1, v.leftMs())))
-                .field(HANDED_BY, name + ' ' + v.epoch);
+                .field(FORWARDED_BY_HEADER, name + ' ' + v.epoch);
         v.job.fields().forEach(f -> request.field(f[0], f[1]));
-        Relay.Ended end = relay.run(v, v.to, request, v.job.message().body(), Math.max(1, v.leftMs()));
+        PeerForwarder.Result end = relay.run(v, v.to, request, v.job.message().body(), Math.max(1, v.leftMs()));
         if (v.left) {
-            return new Left();
+            return new ClientLeft();
         }
-        boolean moved = end.end() == Relay.End.NOT_SENT || end.status() == 503 && "moved".equals(field(end, REASON));
-        if (end.end() == Relay.End.LOST) {
+        boolean moved = end.status() == PeerForwarder.Status.NOT_SENT
+                || end.httpStatus() == 503 && "moved".equals(field(end, ORDER_REASON_HEADER));
+        if (end.status() == PeerForwarder.Status.LOST) {
             return said(502, List.of(), "handed on, and not heard of again: it may have run", "in-doubt");
         }
         if (!moved) {
             List<String[]> fields = new ArrayList<>();
-            for (String kept : new String[] {REASON, "Retry-After", "Allow"}) {
+            for (String kept : new String[] {ORDER_REASON_HEADER, "Retry-After", "Allow"}) {
                 if (field(end, kept) != null) {
                     fields.add(new String[] {kept, field(end, kept)});
                 }
             }
-            return new Said(end.status(), fields, end.body(), true);
+            return new FinalResponse(end.httpStatus(), fields, end.body(), true);
         }
         v.to = null;
         lock.lockInterruptibly();
@@ -424,7 +440,7 @@
         return null;
     }
 
-    private static String field(Relay.Ended end, String name) {
+    private static String field(PeerForwarder.Result end, String name) {
         return end.fields().stream()
                 .filter(f -> f[0].equalsIgnoreCase(name))
                 .map(f -> f[1])
@@ -433,12 +449,12 @@
     }
 
     /** Not taken here: whoever handed it on looks again. */
-    private Said moved() {
+    private FinalResponse moved() {
         return refused("moved", SOON_MS, false);
     }
 
-    private Said refused(String why, double pauseMs, boolean taken) {
-        List<String[]> fields = new ArrayList<>(List.<String[]>of(new String[] {REASON, why}));
+    private FinalResponse refused(String why, double pauseMs, boolean taken) {
+        List<String[]> fields = new ArrayList<>(List.<String[]>of(new String[] {ORDER_REASON_HEADER, why}));
         double pause = Math.min(pauseMs, others.mostPauseMs());
         if (pause > 0) {
             fields.add(new String[] {"Retry-After", String.format(Locale.ROOT, "%.3f", pause / 1000)});
@@ -446,40 +462,40 @@
         return said(503, fields, why, taken);
     }
 
-    private static Said said(int status, List<String[]> fields, String text, String why) {
+    private static FinalResponse said(int status, List<String[]> fields, String text, String why) {
         List<String[]> all = new ArrayList<>(fields);
-        all.add(new String[] {REASON, why});
+        all.add(new String[] {ORDER_REASON_HEADER, why});
         return said(status, all, text, true);
     }
 
-    private static Said said(int status, List<String[]> fields, String text, boolean taken) {
-        return new Said(status, fields, (text + "\n").getBytes(StandardCharsets.UTF_8), taken);
+    private static FinalResponse said(int status, List<String[]> fields, String text, boolean taken) {
+        return new FinalResponse(status, fields, (text + "\n").getBytes(StandardCharsets.UTF_8), taken);
     }
 
     // ------------------------------------------------------------ the lines, under the lock
 
     @Override
-    public long from(KeyQueue.Job job) {
+    public long sendAllowedFrom(PerKeyQueue.QueuedRequest job) {
         return mine.get(job.id()).from(now());
     }
 
     @Override
-    public void send(KeyQueue.Job job) {
-        Mine m = mine.get(job.id());
+    public void send(PerKeyQueue.QueuedRequest job) {
+        OrderedRequest m = mine.get(job.id());
         m.sent = true;
         m.word.signal();
     }
 
     @Override
-    public void answer(KeyQueue.Job job, KeyQueue.Answer why) {
-        Mine m = mine.get(job.id());
+    public void reject(PerKeyQueue.QueuedRequest job, PerKeyQueue.Rejection why) {
+        OrderedRequest m = mine.get(job.id());
         m.answer = why;
         m.word.signal();
     }
 
     /** After whatever may have changed what is due when. */
     private void due() {
-        long at = queue.tick(now());
+        long at = queue.runDue(now());
         if (at < dueAt) {
             dueAt = at;
             dueSooner.signal();
@@ -491,7 +507,7 @@
         lock.lockInterruptibly();
         try {
             while (true) {
-                dueAt = queue.tick(now());
+                dueAt = queue.runDue(now());
                 dueSooner.await(Math.max(1, Math.min(1000, dueAt - now())), TimeUnit.MILLISECONDS);
             }
         } finally {
@@ -505,63 +521,63 @@
     void joined(String as, int slots) {
         locked(() -> {
             member = as;
-            fence = new Fence(set, as, Owners.first(slots, "", 0));
+            fence = new FencingCheck(set, as, SlotAssignment.initial(slots, "", 0));
             return null;
         });
     }
 
     /** A value that was agreed on, with its tables; false: it is not news. */
-    boolean learned(Owners next, Table now, Table before) {
+    boolean learned(SlotAssignment next, RoutingTable now, RoutingTable before) {
         boolean news = took(next, now, before);
         if (news) {
             // Silent, and now gone: its answers are in doubt, whether waited for or not.
             locked(() -> open.values().stream()
                             .filter(v -> v.to != null
                                     && v.slot < next.slots().size()
-                                    && next.slots().get(v.slot).leavers().getOrDefault(v.owner, 0L) > 0)
+                                    && next.slots().get(v.slot).previousOwners().getOrDefault(v.owner, 0L) > 0)
                             .toList())
                     .forEach(relay::cancel);
         }
         return news;
     }
 
-    private boolean took(Owners next, Table now, Table before) {
+    private boolean took(SlotAssignment next, RoutingTable now, RoutingTable before) {
         return locked(() -> {
             long at = now();
-            long runsMs = Tables.longestRunMs(now, before);
-            if (!fence.learned(at, next, runsMs)) {
+            long runsMs = RoutingTableTransition.maxRunMs(now, before);
+            if (!fence.learn(at, next, runsMs)) {
                 return false;
             }
             if (tables == null || table != now) {
-                tables = tables == null ? new Tables() : tables;
+                tables = tables == null ? new RoutingTableTransition() : tables;
                 table = now;
                 tablesLearned++;
-                queue.partitions(now.partitions().values());
+                queue.updatePartitions(now.partitions().values());
                 Set<Partition> known = Collections.newSetFromMap(new IdentityHashMap<>());
                 known.addAll(now.partitions().values());
                 known.addAll(before.partitions().values());
-                fleet.keep(known);
+                fleet.retain(known);
             }
-            tables.learned(at, next.tableSince(), now, before, set.holdMs(runsMs));
-            queue.stopped(next.stopped());
+            tables.learn(at, next.tableEpoch(), now, before, set.holdMs(runsMs));
+            queue.updateStoppedKeys(next.stoppedKeys());
             looked(at);
             return true;
         });
     }
 
     private void looked(long at) {
-        queue.changed(at);
+        queue.reevaluateAll(at);
         changed.signalAll();
         due();
     }
 
     /** The latest value that is known; null: none. */
-    Owners owners() {
-        return locked(() -> tables == null ? null : fence.owners());
+    SlotAssignment owners() {
+        return locked(() -> tables == null ? null : fence.assignment());
     }
 
     /** The table that counts; null: none is agreed on. */
-    Table table() {
+    RoutingTable table() {
         return locked(() -> tables == null ? null : table);
     }
 
@@ -570,30 +586,30 @@
     }
 
     /** A question to all electors: its number, and the epoch that it is about. */
-    record Question(long number, long epoch) {}
+    record LeaseQuestion(long number, long epoch) {}
 
     /** Begins one; null: not in the group yet. */
-    Question ask() {
+    LeaseQuestion ask() {
         return locked(() -> {
             if (fence == null) {
                 return null;
             }
             lease();
-            long number = fence.ask(now());
-            return new Question(number, tables == null ? 0 : fence.askedEpoch());
+            long number = fence.startRenewal(now());
+            return new LeaseQuestion(number, tables == null ? 0 : fence.renewalEpoch());
         });
     }
 
     void granted(String elector, long number, Predicate<Set<String>> majority) {
         locked(() -> {
-            fence.granted(elector, number, majority);
+            fence.recordGrant(elector, number, majority);
             lease();
             return null;
         });
     }
 
     private void lease() {
-        boolean now = fence.mayAct(now());
+        boolean now = fence.holdsLease(now());
         if (now != leased) {
             leased = now;
             Event.write(!now, "partition.lease", "member", member, "held", now);
@@ -602,12 +618,12 @@
     }
 
     boolean leased() {
-        return locked(() -> fence != null && fence.mayAct(now()));
+        return locked(() -> fence != null && fence.holdsLease(now()));
     }
 
     /** The longest that a job under the table that counts, or the file's, can run. */
     long longestRunMs() {
-        return locked(table::longestRunMs);
+        return locked(table::maxRunMs);
     }
 
     /** Slots of before, of which nothing is out or held any more. */
@@ -616,20 +632,20 @@
             if (tables == null) {
                 return Set.<Integer>of();
             }
-            Set<Integer> busy = queue.busy(now(), fence.owners()::slotOf);
-            return fence.confirms(slot -> !busy.contains(slot));
+            Set<Integer> busy = queue.busySlots(now(), fence.assignment()::slotOf);
+            return fence.drainedSlots(slot -> !busy.contains(slot));
         });
     }
 
     /** Slots for whose earlier owners this member has waited long enough. */
     Map<Integer, Long> opened() {
-        return locked(() -> tables == null ? Map.<Integer, Long>of() : fence.opened(now()));
+        return locked(() -> tables == null ? Map.<Integer, Long>of() : fence.openedSlots(now()));
     }
 
     /** Has the stops stored that nobody waits for. */
     void storeStops(long waitMs) {
         Set<String> keys = locked(() -> {
-            Set<String> all = queue.stopping();
+            Set<String> all = queue.unstoredStops();
             all.removeIf(key -> !storing.add(key));
             return all;
         });
@@ -646,7 +662,7 @@
             locked(() -> {
                 storing.remove(key);
                 if (goesOn) {
-                    queue.notStored(now(), key);
+                    queue.stopNotStored(now(), key);
                     due();
                 }
                 return null;
@@ -660,8 +676,10 @@
         return locked(() -> {
             List<Integer> all = new ArrayList<>();
             long now = now();
-            for (int i = 0; tables != null && i < fence.owners().slots().size(); i++) {
-                if (fence.from(now, i, fence.owners().slots().get(i).since()) <= now) {
+            for (int i = 0; tables != null && i < fence.assignment().slots().size(); i++) {
+                if (fence.sendAllowedFrom(
+                                now, i, fence.assignment().slots().get(i).ownedSinceEpoch())
+                        <= now) {
                     all.add(i);
                 }
             }
@@ -670,10 +688,10 @@
     }
 
     int waiting() {
-        return locked(queue::waiting);
+        return locked(queue::waitingCount);
     }
 
     double workToCome(String partition) {
-        return locked(() -> queue.workToCome(partition));
+        return locked(() -> queue.waitingWorkMs(partition));
     }
 }
--- a/src/main/java/maplespread/partition/client/PartitionRefused.java
+++ b/src/main/java/maplespread/partition/client/PartitionCallException.java
@@ -1,12 +1,12 @@
 package maplespread.partition.client;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** A call of an operator's about order that could not be followed. Nothing was changed by it. */
-public final class PartitionRefused extends FleetError {
+public final class PartitionCallException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #wrong()} says it in words. */
+    /** Why, for a program; {@link #problem()} says it in words. */
     public enum Reason {
         /** This instance is not in the group yet, or no table is agreed on. */
         NOT_AGREED(503, "jobs without an order", "look at who the electors are, and call again"),
@@ -28,7 +28,7 @@
 
     final int status;
 
-    PartitionRefused(Reason reason, String wrong) {
+    PartitionCallException(Reason reason, String wrong) {
         super(wrong, reason.works, reason.remedy);
         status = reason.status;
     }
--- a/src/main/java/maplespread/partition/client/Fleet.java
+++ b/src/main/java/maplespread/partition/client/PartitionEndpoints.java
@@ -9,51 +9,51 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import maplespread.config.Config;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.EndpointListener;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.partition.Partition;
 import maplespread.partition.Partition.Worker;
-import maplespread.routes.RouteSink;
+import maplespread.policy.Dispatch;
 
 /** The workers as the list shows them, and which of them are in a partition. */
-public final class Fleet implements RouteSink {
-    private final RouteSink next;
+public final class PartitionEndpoints implements EndpointListener {
+    private final EndpointListener next;
     private final Config.Names names;
-    private final Map<String, Route> routes = new HashMap<>();
-    private final Map<Partition, Members> members = new IdentityHashMap<>();
+    private final Map<String, Endpoint> routes = new HashMap<>();
+    private final Map<Partition, PartitionWorkers> members = new IdentityHashMap<>();
     private volatile long version;
 
     /** {@code next}: hears all of it, after this one. */
-    public Fleet(RouteSink next, Config.Names names) {
+    public PartitionEndpoints(EndpointListener next, Config.Names names) {
         this.next = next;
         this.names = names;
     }
 
     /** The workers of one partition; found anew once the list has changed. */
-    final class Members implements Predicate<String> {
+    final class PartitionWorkers implements Predicate<String> {
         private final Partition of;
-        private volatile Found found = new Found(-1, Set.of(), false);
+        private volatile Snapshot found = new Snapshot(-1, Set.of(), false);
 
-        private Members(Partition of) {
+        private PartitionWorkers(Partition of) {
             this.of = of;
         }
 
-        private record Found(long version, Set<String> ids, boolean served) {}
+        private record Snapshot(long version, Set<String> ids, boolean served) {}
 
-        private Found found() {
-            Found f = found;
+        private Snapshot found() {
+            Snapshot f = found;
             if (f.version != version) {
-                synchronized (Fleet.this) {
+                synchronized (PartitionEndpoints.this) {
                     Set<String> ids = new HashSet<>();
                     boolean served = false;
-                    for (Route r : routes.values()) {
-                        if (of.holds(worker(r))) {
+                    for (Endpoint r : routes.values()) {
+                        if (of.contains(worker(r))) {
                             ids.add(r.worker());
-                            served |= r.state() == Route.State.SERVING;
+                            served |= r.state() == Endpoint.State.SERVING;
                         }
                     }
-                    f = new Found(version, ids, served);
+                    f = new Snapshot(version, ids, served);
                     found = f;
                 }
             }
@@ -66,21 +66,21 @@
         }
 
         /** Whether any of them takes work. */
-        boolean served() {
+        boolean hasServingWorker() {
             return found().served;
         }
     }
 
-    synchronized Members of(Partition p) {
-        return members.computeIfAbsent(p, Members::new);
+    synchronized PartitionWorkers workersOf(Partition p) {
+        return members.computeIfAbsent(p, PartitionWorkers::new);
     }
 
     /** Only these are asked for from now on. */
-    synchronized void keep(Set<Partition> partitions) {
+    synchronized void retain(Set<Partition> partitions) {
         members.keySet().removeIf(p -> partitions.stream().noneMatch(k -> k == p));
     }
 
-    private Worker worker(Route r) {
+    private Worker worker(Endpoint r) {
         return new Worker(r.worker(), name(names.zones(), r.zone()), name(names.kinds(), r.kind()), r.cell());
     }
 
@@ -93,14 +93,14 @@
     }
 
     @Override
-    public void news(EndpointUpdate news) {
+    public void endpointsChanged(EndpointUpdate news) {
         // Before the module: what it may pick is known here.
         synchronized (this) {
-            if (news.kind() != EndpointUpdate.Kind.CHANGES) {
+            if (news.kind() != EndpointUpdate.Kind.DELTA) {
                 routes.clear();
             }
-            for (Route r : news.routes()) {
-                if (r.state() == Route.State.DELETED) {
+            for (Endpoint r : news.endpoints()) {
+                if (r.state() == Endpoint.State.DELETED) {
                     routes.remove(r.worker());
                 } else {
                     routes.put(r.worker(), r);
@@ -108,16 +108,16 @@
             }
             version++;
         }
-        next.news(news);
+        next.endpointsChanged(news);
     }
 
     @Override
-    public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
+    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
         next.watchLost(loss, heardAgoMs);
     }
 
     @Override
-    public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {
-        next.unconfirmed(why, heardAgoMs);
+    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+        next.listUnconfirmed(why, heardAgoMs);
     }
 }
--- a/src/main/java/maplespread/partition/client/Keeper.java
+++ b/src/main/java/maplespread/partition/client/PartitionService.java
@@ -16,34 +16,34 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
-import maplespread.agreement.client.Register;
-import maplespread.caller.Turns;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.admin.AdminRoutes.Call;
+import maplespread.caller.RequestSequencer;
+import maplespread.cluster.SharedState;
 import maplespread.config.Config;
 import maplespread.config.PartitionSettings;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Call;
-import maplespread.console.Calls.Reply;
-import maplespread.faults.FleetError;
-import maplespread.group.Sections;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.VersionedValue;
+import maplespread.consensus.client.ReplicatedRegister;
+import maplespread.errors.FleetException;
 import maplespread.log.Event;
-import maplespread.membership.Update;
-import maplespread.membership.client.Group;
-import maplespread.partition.FenceSettings;
-import maplespread.partition.Hearings;
-import maplespread.partition.Owners;
-import maplespread.partition.Table;
-import maplespread.partition.TableError;
-import maplespread.partition.client.PartitionRefused.Reason;
-import maplespread.worker.Relay;
+import maplespread.membership.MemberUpdate;
+import maplespread.membership.client.ClusterTransport;
+import maplespread.partition.HeartbeatTable;
+import maplespread.partition.LeaseSettings;
+import maplespread.partition.RoutingTable;
+import maplespread.partition.RoutingTableException;
+import maplespread.partition.SlotAssignment;
+import maplespread.partition.client.PartitionCallException.Reason;
+import maplespread.worker.PeerForwarder;
 
 /**
  * This member's part in keeping order: one thread asks for the lease and answers nobody late, one has changes
  * decided and may wait for them, one gives jobs their turn when time alone brings it.
  */
-public final class Keeper implements Closeable {
+public final class PartitionService implements Closeable {
     /** Of the group's channels. */
     public static final int CHANNEL = 4;
 
@@ -57,22 +57,22 @@
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
 
     /** The group and its register, once this one is in them. */
-    public record Ties(Group group, Register register) {}
+    public record ClusterHandle(ClusterTransport group, ReplicatedRegister register) {}
 
     /** What this stands on; {@code wants}: whether clients are to be sent here; {@code address}: for jobs. */
-    public record Ground(
+    public record Dependencies(
             Supplier<Config> config,
-            Supplier<Ties> ties,
-            BooleanSupplier wants,
-            Supplier<String> address,
-            Relay relay,
-            Fleet fleet) {}
+            Supplier<ClusterHandle> cluster,
+            BooleanSupplier acceptsRequests,
+            Supplier<String> advertisedAddress,
+            PeerForwarder forwarder,
+            PartitionEndpoints endpoints) {}
 
-    private record Seat(long run, String address) {}
+    private record PeerEndpoint(long run, String address) {}
 
     /** The electors that a question went to, and those that have answered it. */
-    private record Asked(long number, Set<String> electors, Set<String> answered) {
-        Asked(long number, Collection<String> electors) {
+    private record ElectorPoll(long number, Set<String> electors, Set<String> answered) {
+        ElectorPoll(long number, Collection<String> electors) {
             this(number, Set.copyOf(electors), ConcurrentHashMap.newKeySet());
         }
 
@@ -82,12 +82,12 @@
     }
 
     /** A value's own part, so that one value is read once. */
-    private static final class Reading {
-        private Value of;
-        private Owners owners;
+    private static final class CachedAssignment {
+        private VersionedValue of;
+        private SlotAssignment owners;
 
         /** Null: nothing is agreed on. */
-        synchronized Owners read(Value v) {
+        synchronized SlotAssignment read(VersionedValue v) {
             if (v != of) {
                 owners = v == null ? null : section(v);
                 of = v;
@@ -98,36 +98,37 @@
 
     private final String name;
     private final PartitionSettings set;
-    private final Ground ground;
-    private final FenceSettings fence;
-    private final Hearings.Patience patience;
-    private final Orders orders;
-    private final Hearings hearings = new Hearings(Orders.now()); // guarded by itself
-    private final Map<String, Seat> seats = new ConcurrentHashMap<>();
-    private final Map<String, Table> compiled = new ConcurrentHashMap<>();
-    private final Reading voted = new Reading();
-    private final Reading known = new Reading();
+    private final Dependencies ground;
+    private final LeaseSettings fence;
+    private final HeartbeatTable.Timeouts patience;
+    private final OrderedDispatch orders;
+    private final HeartbeatTable hearings = new HeartbeatTable(OrderedDispatch.now()); // guarded by itself
+    private final Map<String, PeerEndpoint> seats = new ConcurrentHashMap<>();
+    private final Map<String, RoutingTable> compiled = new ConcurrentHashMap<>();
+    private final CachedAssignment voted = new CachedAssignment();
+    private final CachedAssignment known = new CachedAssignment();
     private final Semaphore places = new Semaphore(PLACES);
     private final List<Thread> threads;
-    private volatile Ties ties;
-    private volatile Asked asked = new Asked(0, Set.of());
+    private volatile ClusterHandle ties;
+    private volatile ElectorPoll asked = new ElectorPoll(0, Set.of());
     private volatile String fileTable;
     private volatile boolean fileChanged; // its table is to be the fleet's
     private volatile boolean leaving;
     private volatile String unreadable = "";
-    private volatile long answeredAt = Orders.now(); // by a majority, whatever it said
-    private Owners told; // what the log has
+    private volatile long answeredAt = OrderedDispatch.now(); // by a majority, whatever it said
+    private SlotAssignment told; // what the log has
     private long emptyLife, emptySince;
     private volatile long hereAt;
 
-    public Keeper(PartitionSettings set, Ground ground) throws TableError {
+    public PartitionService(PartitionSettings set, Dependencies ground) throws RoutingTableException {
         this.set = set;
         this.ground = ground;
         name = ground.config().get().name();
-        fence = new FenceSettings(1, set.leaseMs(), set.drift());
-        patience = new Hearings.Patience(set.silentMs(), set.goneMs());
+        fence = new LeaseSettings(1, set.leaseMs(), set.drift());
+        patience = new HeartbeatTable.Timeouts(set.silentMs(), set.goneMs());
         fileTable = packed(set.table());
-        orders = new Orders(name, fence, table(fileTable), ground.fleet(), ground.relay(), new Others());
+        orders = new OrderedDispatch(
+                name, fence, table(fileTable), ground.endpoints(), ground.forwarder(), new Others());
         threads = List.of(
                 daemon("partition", this::asks),
                 daemon("partition turns", this::ticks),
@@ -145,7 +146,7 @@
     }
 
     /** This one gives its slots up, and serves on. */
-    public void leave() {
+    public void releaseSlots() {
         leaving = true;
     }
 
@@ -154,17 +155,17 @@
         threads.forEach(Thread::interrupt);
     }
 
-    public Turns turns() {
+    public RequestSequencer sequencer() {
         return orders;
     }
 
     /** Where other members take jobs. */
     public Collection<String> peers() {
-        return seats.values().stream().map(Seat::address).toList();
+        return seats.values().stream().map(PeerEndpoint::address).toList();
     }
 
     /** The file has been read anew: another table than before is to be the fleet's. */
-    public void file(PartitionSettings next) {
+    public void reloadTable(PartitionSettings next) {
         String text = packed(next.table());
         if (!text.equals(fileTable)) {
             fileTable = text;
@@ -173,22 +174,23 @@
     }
 
     private static String packed(String text) {
-        return Packed.of(JsonParser.parseString(text).toString());
+        return CompressedTable.compress(JsonParser.parseString(text).toString());
     }
 
-    private Table table(String packed) throws TableError {
-        Table known = compiled.get(packed);
+    private RoutingTable table(String packed) throws RoutingTableException {
+        RoutingTable known = compiled.get(packed);
         if (known == null) {
-            known = PartitionSettings.read(Packed.text(packed), ground.config().get(), List.of());
+            known = PartitionSettings.read(
+                    CompressedTable.decompress(packed), ground.config().get(), List.of());
             compiled.put(packed, known);
         }
         return known;
     }
 
-    private final class Others implements Orders.Others {
+    private final class Others implements OrderedDispatch.ClusterOperations {
         @Override
         public String address(String member) {
-            Seat seat = seats.get(Owners.name(member));
+            PeerEndpoint seat = seats.get(SlotAssignment.dispatcherName(member));
             return seat != null && member.endsWith("#" + seat.run) ? seat.address : null;
         }
 
@@ -199,7 +201,7 @@
 
         @Override
         public double mostPauseMs() {
-            return ground.config().get().settings().permissions().maxPauseMs();
+            return ground.config().get().settings().permissions().maxRetryAfterMs();
         }
     }
 
@@ -207,12 +209,12 @@
 
     private void asks() {
         loop(() -> {
-            Ties t = ground.ties().get();
+            ClusterHandle t = ground.cluster().get();
             if (t != null) {
                 if (ties == null) {
                     orders.joined(member(t), set.slots());
-                    t.group().channel(CHANNEL, (from, bytes) -> heard(t, from, bytes));
-                    t.register().listen(this::learn);
+                    t.group().registerChannel(CHANNEL, (from, bytes) -> heard(t, from, bytes));
+                    t.register().addListener(this::learn);
                     ties = t;
                 }
                 ask(t);
@@ -249,8 +251,8 @@
         }
     }
 
-    private String member(Ties t) {
-        return name + '#' + t.group().boot();
+    private String member(ClusterHandle t) {
+        return name + '#' + t.group().incarnation();
     }
 
     /**
@@ -260,22 +262,22 @@
     private boolean wants() {
         return !leaving
                 && unreadable.isEmpty()
-                && Orders.now() - answeredAt < set.goneMs()
-                && ground.wants().getAsBoolean();
+                && OrderedDispatch.now() - answeredAt < set.goneMs()
+                && ground.acceptsRequests().getAsBoolean();
     }
 
-    private void ask(Ties t) {
-        long now = Orders.now();
-        Value v = t.register().known();
+    private void ask(ClusterHandle t) {
+        long now = OrderedDispatch.now();
+        VersionedValue v = t.register().decidedValue();
         if (v != null) {
             learn(v);
         }
         List<String> electors = electors(t, v);
-        Orders.Question q = orders.ask();
-        asked = new Asked(q.number(), electors);
-        Note ask =
-                Note.ask(t.group().boot(), q, v == null ? 0 : v.epoch(), v == null ? 0 : v.electorsNumber(), wants());
-        byte[] bytes = ask.bytes();
+        OrderedDispatch.LeaseQuestion q = orders.ask();
+        asked = new ElectorPoll(q.number(), electors);
+        PartitionMessage ask = PartitionMessage.leaseRequest(
+                t.group().incarnation(), q, v == null ? 0 : v.epoch(), v == null ? 0 : v.electorsVersion(), wants());
+        byte[] bytes = ask.encode();
         for (String e : electors) {
             if (e.equals(name)) {
                 answered(name, q.number(), grants(t, name, ask));
@@ -284,56 +286,58 @@
             }
         }
         if (electors.contains(name)) {
-            Hearings.Report report;
+            HeartbeatTable.Report report;
             synchronized (hearings) {
                 Set<String> names = new TreeSet<>(
-                        t.group().members().stream().map(Update::name).toList());
-                hearings.keep(names);
+                        t.group().members().stream().map(MemberUpdate::name).toList());
+                hearings.retain(names);
                 report = hearings.report(now);
             }
-            byte[] heard = Note.heard(t.group().boot(), report).bytes();
+            byte[] heard = PartitionMessage.heartbeatReport(t.group().incarnation(), report)
+                    .encode();
             electors.stream()
                     .filter(e -> !e.equals(name))
                     .forEach(e -> t.group().send(CHANNEL, e, heard));
         }
-        String address = ground.address().get();
+        String address = ground.advertisedAddress().get();
         if (address != null && now - hereAt >= HERE_MS) {
             hereAt = now;
-            byte[] here = Note.here(t.group().boot(), address).bytes();
+            byte[] here = PartitionMessage.advertisedAddress(t.group().incarnation(), address)
+                    .encode();
             t.group().members().stream()
-                    .map(Update::name)
+                    .map(MemberUpdate::name)
                     .filter(m -> !m.equals(name))
                     .forEach(m -> t.group().send(CHANNEL, m, here));
         }
     }
 
-    private static List<String> electors(Ties t, Value v) {
+    private static List<String> electors(ClusterHandle t, VersionedValue v) {
         return v != null ? v.electors() : t.register().electors().get(0);
     }
 
     /** On the group's receiving thread. */
-    private void heard(Ties t, String from, byte[] bytes) {
-        Note n = Note.read(bytes);
+    private void heard(ClusterHandle t, String from, byte[] bytes) {
+        PartitionMessage n = PartitionMessage.decode(bytes);
         if (n == null) {
             return;
         }
         switch (n.kind()) {
-            case ASK ->
+            case LEASE_REQUEST ->
                 t.group()
                         .send(
                                 CHANNEL,
                                 from,
-                                Note.answer(t.group().boot(), n.number(), grants(t, from, n))
-                                        .bytes());
-            case ANSWER -> answered(from, n.number(), n.yes());
-            case HEARD -> {
+                                PartitionMessage.leaseResponse(t.group().incarnation(), n.round(), grants(t, from, n))
+                                        .encode());
+            case LEASE_RESPONSE -> answered(from, n.round(), n.yes());
+            case HEARTBEAT_REPORT -> {
                 synchronized (hearings) {
-                    hearings.told(Orders.now(), from, n.report());
+                    hearings.recordReport(OrderedDispatch.now(), from, n.report());
                 }
             }
-            case HERE -> {
-                Seat was = seats.put(from, new Seat(n.run(), n.address()));
-                if (was == null || was.run != n.run()) { // it may not know of this one yet
+            case ADDRESS -> {
+                PeerEndpoint was = seats.put(from, new PeerEndpoint(n.incarnation(), n.address()));
+                if (was == null || was.run != n.incarnation()) { // it may not know of this one yet
                     hereAt = 0;
                 }
             }
@@ -344,26 +348,26 @@
      * Whether this one, as an elector, knows of nothing later. It goes by what it has voted for, decided or
      * not: once an epoch is decided, a majority has voted for it, though few may have heard so.
      */
-    private boolean grants(Ties t, String from, Note ask) {
+    private boolean grants(ClusterHandle t, String from, PartitionMessage ask) {
         synchronized (hearings) {
-            hearings.heard(Orders.now(), from, ask.run(), ask.number(), ask.yes());
+            hearings.recordHeartbeat(OrderedDispatch.now(), from, ask.incarnation(), ask.round(), ask.yes());
         }
-        Value v = t.register().voted();
-        if (v == null || v.epoch() != ask.life() || v.electorsNumber() > ask.electors()) {
+        VersionedValue v = t.register().acceptedValue();
+        if (v == null || v.epoch() != ask.registerEpoch() || v.electorsVersion() > ask.electorsVersion()) {
             return false;
         }
-        Owners owners = voted.read(v);
-        return owners != null && owners.grants(from + '#' + ask.run(), ask.epoch());
+        SlotAssignment owners = voted.read(v);
+        return owners != null && owners.grantsLease(from + '#' + ask.incarnation(), ask.epoch());
     }
 
     private void answered(String elector, long number, boolean yes) {
-        Asked to = asked;
+        ElectorPoll to = asked;
         if (to.number != number) {
             return;
         }
         to.answered.add(elector);
         if (to.majority(to.answered)) {
-            answeredAt = Orders.now();
+            answeredAt = OrderedDispatch.now();
         }
         if (yes) {
             orders.granted(elector, number, to::majority);
@@ -372,33 +376,33 @@
 
     // ------------------------------------------------------------ the agreed value
 
-    private static Owners written(Value v) {
-        String text = Sections.read(v.text(), SECTION);
-        return text.isEmpty() ? null : Owners.read(text);
+    private static SlotAssignment written(VersionedValue v) {
+        String text = SharedState.read(v.text(), SECTION);
+        return text.isEmpty() ? null : SlotAssignment.fromJson(text);
     }
 
     /**
      * Null: nothing is agreed on. Numbers begin with that of the register's life, so a lower one is of an
      * earlier life, which was founded anew since: some of what followed it may be lost.
      */
-    private static Owners section(Value v) {
-        Owners o = written(v);
+    private static SlotAssignment section(VersionedValue v) {
+        SlotAssignment o = written(v);
         return o == null || o.version() < v.epoch() ? null : o;
     }
 
-    private synchronized void learn(Value v) {
-        Owners next = known.read(v);
-        Owners last = orders.owners();
+    private synchronized void learn(VersionedValue v) {
+        SlotAssignment next = known.read(v);
+        SlotAssignment last = orders.owners();
         if (next == null || last != null && next.version() <= last.version()) {
             return;
         }
         try {
-            if (!orders.learned(next, table(next.table()), table(next.before()))) {
+            if (!orders.learned(next, table(next.table()), table(next.previousTable()))) {
                 return;
             }
-            compiled.keySet().retainAll(List.of(next.table(), next.before(), fileTable));
+            compiled.keySet().retainAll(List.of(next.table(), next.previousTable(), fileTable));
             unreadable = "";
-        } catch (TableError e) { // another's file may have other names
+        } catch (RoutingTableException e) { // another's file may have other names
             if (!unreadable.equals(e.getMessage())) {
                 unreadable = e.getMessage();
                 Event.of("partition.table_unreadable", "why", unreadable).error();
@@ -417,44 +421,44 @@
                             "silent",
                             next.silent().keySet(),
                             "table_since",
-                            next.tableSince())
+                            next.tableEpoch())
                     .info();
         }
-        if (told == null || told.tableSince() != next.tableSince()) {
-            Event.of("partition.table", "epoch", next.tableSince()).info();
+        if (told == null || told.tableEpoch() != next.tableEpoch()) {
+            Event.of("partition.table", "epoch", next.tableEpoch()).info();
         }
-        Set<String> before = told == null ? Set.of() : told.stopped();
-        next.stopped().stream()
+        Set<String> before = told == null ? Set.of() : told.stoppedKeys();
+        next.stoppedKeys().stream()
                 .filter(k -> !before.contains(k))
                 .forEach(k -> Event.of("partition.stopped", "key", k).warn());
         before.stream()
-                .filter(k -> !next.stopped().contains(k))
+                .filter(k -> !next.stoppedKeys().contains(k))
                 .forEach(k -> Event.of("partition.started", "key", k).info());
         told = next;
     }
 
     /** A command as a change of the whole value, of which order has a section. */
-    private static Change change(UnaryOperator<Owners> command) {
+    private static Mutation change(UnaryOperator<SlotAssignment> command) {
         return value -> {
-            Owners now = section(value);
-            Owners next = now == null ? null : command.apply(now);
-            return next == now ? value.text() : Sections.write(value.text(), SECTION, next.text());
+            SlotAssignment now = section(value);
+            SlotAssignment next = now == null ? null : command.apply(now);
+            return next == now ? value.text() : SharedState.write(value.text(), SECTION, next.toJson());
         };
     }
 
-    private Result put(Ties t, Change change, long waitMs) {
-        Result r = t.register().change(change, waitMs);
-        if (r.kind() == Result.Kind.DECIDED) {
+    private ChangeResult put(ClusterHandle t, Mutation change, long waitMs) {
+        ChangeResult r = t.register().change(change, waitMs);
+        if (r.outcome() == ChangeResult.Outcome.DECIDED) {
             learn(r.value());
-        } else if (r.kind() == Result.Kind.REFUSED) {
-            Event.of("partition.refused", "why", r.why().getMessage()).warn();
+        } else if (r.outcome() == ChangeResult.Outcome.REJECTED) {
+            Event.of("partition.refused", "why", r.error().getMessage()).warn();
         }
         return r;
     }
 
     /** Has it decided where it would change what is known. */
-    private void propose(Ties t, UnaryOperator<Owners> command) {
-        Owners known = orders.owners();
+    private void propose(ClusterHandle t, UnaryOperator<SlotAssignment> command) {
+        SlotAssignment known = orders.owners();
         if (known != null && command.apply(known) != known) {
             put(t, change(command), PROPOSE_MS);
         }
@@ -462,7 +466,7 @@
 
     private void changes() {
         loop(() -> {
-            Ties t = ties;
+            ClusterHandle t = ties;
             if (t != null) {
                 look(t);
             }
@@ -470,16 +474,16 @@
         });
     }
 
-    private void look(Ties t) {
-        Value v = t.register().known();
+    private void look(ClusterHandle t) {
+        VersionedValue v = t.register().decidedValue();
         if (v == null) {
-            put(t, Change.READ, PROPOSE_MS);
+            put(t, Mutation.READ, PROPOSE_MS);
             return;
         }
-        long now = Orders.now();
+        long now = OrderedDispatch.now();
         boolean leads;
         synchronized (hearings) {
-            leads = hearings.leads(now, v.electors(), name, set.silentMs());
+            leads = hearings.isLeader(now, v.electors(), name, set.silentMs());
         }
         if (known.read(v) == null) {
             first(t, v, now, leads);
@@ -488,27 +492,27 @@
         if (leads) {
             propose(t, o -> {
                 synchronized (hearings) {
-                    long at = Orders.now(); // it may have stood still meanwhile
-                    return !hearings.leads(at, v.electors(), name, set.silentMs())
+                    long at = OrderedDispatch.now(); // it may have stood still meanwhile
+                    return !hearings.isLeader(at, v.electors(), name, set.silentMs())
                             ? o
-                            : hearings.members(at, v.electors(), name, o, patience);
+                            : hearings.nextAssignment(at, v.electors(), name, o, patience);
                 }
             });
         }
         Set<Integer> done = orders.confirms();
         if (!done.isEmpty()) {
-            propose(t, o -> o.confirm(member(t), done));
+            propose(t, o -> o.confirmDrained(member(t), done));
         }
         Map<Integer, Long> opened = orders.opened();
         if (!opened.isEmpty()) {
-            propose(t, o -> o.opened(member(t), opened));
+            propose(t, o -> o.forgetPreviousOwners(member(t), opened));
         }
         orders.storeStops(PROPOSE_MS);
         if (fileChanged && orders.mayChange()) {
             String next = fileTable;
-            long seen = orders.owners().tableSince();
-            Result r = put(t, change(o -> o.table(next, seen)), PROPOSE_MS);
-            fileChanged = r.kind() != Result.Kind.DECIDED
+            long seen = orders.owners().tableEpoch();
+            ChangeResult r = put(t, change(o -> o.table(next, seen)), PROPOSE_MS);
+            fileChanged = r.outcome() != ChangeResult.Outcome.DECIDED
                     || !section(r.value()).table().equals(next);
         }
     }
@@ -517,7 +521,7 @@
      * Nothing is agreed on: all begin, or what was agreed is lost. What was sent before must be over, and
      * whoever knew of it may be gone, so a hold time is waited from when this life was first seen.
      */
-    private void first(Ties t, Value v, long now, boolean leads) {
+    private void first(ClusterHandle t, VersionedValue v, long now, boolean leads) {
         if (emptyLife != v.epoch()) {
             emptyLife = v.epoch();
             emptySince = now;
@@ -528,13 +532,13 @@
             put(
                     t,
                     value -> {
-                        Owners before = written(value);
-                        Owners next = before == null
-                                ? Owners.first(set.slots(), text, value.epoch())
-                                : before.again(value.epoch());
+                        SlotAssignment before = written(value);
+                        SlotAssignment next = before == null
+                                ? SlotAssignment.initial(set.slots(), text, value.epoch())
+                                : before.reinitialized(value.epoch());
                         return section(value) != null
                                 ? value.text()
-                                : Sections.write(value.text(), SECTION, next.text());
+                                : SharedState.write(value.text(), SECTION, next.toJson());
                     },
                     PROPOSE_MS);
         }
@@ -542,10 +546,10 @@
 
     /** Has it stored that a key has stopped; false: that is not known. */
     private boolean store(String key, long waitMs) {
-        Ties t = ties;
-        Result r = t == null ? null : put(t, change(o -> o.stop(member(t), key)), waitMs);
-        Owners now = r == null || r.kind() != Result.Kind.DECIDED ? null : section(r.value());
-        boolean stored = now != null && now.stopped().contains(key);
+        ClusterHandle t = ties;
+        ChangeResult r = t == null ? null : put(t, change(o -> o.stopKey(member(t), key)), waitMs);
+        SlotAssignment now = r == null || r.outcome() != ChangeResult.Outcome.DECIDED ? null : section(r.value());
+        boolean stored = now != null && now.stoppedKeys().contains(key);
         if (!stored) {
             Event.of("partition.stop_not_stored", "key", key).warn();
         }
@@ -555,24 +559,24 @@
     // ------------------------------------------------------------ calls
 
     /** The console's, by method and path. */
-    public Map<String, Call> calls() {
+    public Map<String, Call> adminCalls() {
         return Map.of(
                 "GET /admin/partition",
-                ask -> new Reply(200, shown(ask.query("key"))),
+                ask -> new AdminResponse(200, shown(ask.query("key"))),
                 "POST /admin/partition/table",
                 waiting(this::table),
                 "POST /admin/partition/start",
                 waiting((t, ask) -> {
                     String key = ask.query("key");
                     if (key.isBlank()) {
-                        throw new PartitionRefused(Reason.BAD_CALL, "the call lacks ?key=");
+                        throw new PartitionCallException(Reason.BAD_CALL, "the call lacks ?key=");
                     }
                     boolean[] was = new boolean[1];
-                    Result r = put(
+                    ChangeResult r = put(
                             t,
                             change(o -> {
-                                was[0] = o.stopped().contains(key);
-                                return o.start(key);
+                                was[0] = o.stoppedKeys().contains(key);
+                                return o.startKey(key);
                             }),
                             CALL_MS);
                     return told(r, was[0] ? "starts" : "was not stopped");
@@ -581,18 +585,18 @@
 
     /** A call that is put to the fleet. */
     private interface Put {
-        Reply answer(Ties t, Ask ask) throws FleetError;
+        AdminResponse answer(ClusterHandle t, AdminRequest ask) throws FleetException;
     }
 
     private Call waiting(Put put) {
         return ask -> {
             if (!places.tryAcquire()) {
-                return new Reply(503, "other calls wait for the fleet");
+                return new AdminResponse(503, "other calls wait for the fleet");
             }
             try {
-                Ties t = ties;
+                ClusterHandle t = ties;
                 if (t == null || orders.owners() == null) {
-                    throw new PartitionRefused(
+                    throw new PartitionCallException(
                             Reason.NOT_AGREED,
                             name
                                     + (t == null
@@ -600,42 +604,46 @@
                                             : " knows of no table that is agreed on yet"));
                 }
                 return put.answer(t, ask);
-            } catch (PartitionRefused e) {
-                return new Reply(e.status, e.getMessage());
-            } catch (FleetError e) {
-                return new Reply(409, e.getMessage());
+            } catch (PartitionCallException e) {
+                return new AdminResponse(e.status, e.getMessage());
+            } catch (FleetException e) {
+                return new AdminResponse(409, e.getMessage());
             } finally {
                 places.release();
             }
         };
     }
 
-    private static Reply told(Result r, String done) {
-        return r.kind() == Result.Kind.DECIDED
-                ? new Reply(200, done)
-                : new Reply(r.kind() == Result.Kind.REFUSED ? 409 : 503, r.why().getMessage());
+    private static AdminResponse told(ChangeResult r, String done) {
+        return r.outcome() == ChangeResult.Outcome.DECIDED
+                ? new AdminResponse(200, done)
+                : new AdminResponse(
+                        r.outcome() == ChangeResult.Outcome.REJECTED ? 409 : 503,
+                        r.error().getMessage());
     }
 
-    private Reply table(Ties t, Ask ask) throws FleetError {
-        PartitionSettings.read(ask.body(), ground.config().get(), ground.fleet().workers());
+    private AdminResponse table(ClusterHandle t, AdminRequest ask) throws FleetException {
+        PartitionSettings.read(
+                ask.body(), ground.config().get(), ground.endpoints().workers());
         String text = packed(ask.body());
-        Owners known = orders.owners();
+        SlotAssignment known = orders.owners();
         if (!known.table().equals(text) && !orders.mayChange()) {
-            throw new PartitionRefused(Reason.SETTLING, "the change of epoch " + known.tableSince() + " still settles");
+            throw new PartitionCallException(
+                    Reason.SETTLING, "the change of epoch " + known.tableEpoch() + " still settles");
         }
-        Result r = put(t, change(o -> o.table(text, known.tableSince())), CALL_MS);
-        Owners now = r.kind() == Result.Kind.DECIDED ? section(r.value()) : known;
-        if (r.kind() == Result.Kind.DECIDED && !now.table().equals(text)) {
-            throw new PartitionRefused(Reason.SETTLING, "another table came first, as epoch " + now.tableSince());
+        ChangeResult r = put(t, change(o -> o.table(text, known.tableEpoch())), CALL_MS);
+        SlotAssignment now = r.outcome() == ChangeResult.Outcome.DECIDED ? section(r.value()) : known;
+        if (r.outcome() == ChangeResult.Outcome.DECIDED && !now.table().equals(text)) {
+            throw new PartitionCallException(Reason.SETTLING, "another table came first, as epoch " + now.tableEpoch());
         }
-        return told(r, "table of epoch " + now.tableSince());
+        return told(r, "table of epoch " + now.tableEpoch());
     }
 
     private String shown(String key) {
         JsonObject all = new JsonObject();
-        Ties t = ties;
-        Owners o = orders.owners();
-        Table table = orders.table();
+        ClusterHandle t = ties;
+        SlotAssignment o = orders.owners();
+        RoutingTable table = orders.table();
         all.addProperty("name", name);
         all.addProperty("member", t == null ? "" : member(t));
         all.addProperty("joined", t != null);
@@ -646,17 +654,17 @@
         }
         all.addProperty("version", o.version());
         all.addProperty("epoch", o.epoch());
-        all.addProperty("table_since", o.tableSince());
+        all.addProperty("table_since", o.tableEpoch());
         all.addProperty("may_change", orders.mayChange());
         all.add("members", texts(o.members()));
         all.add("silent", texts(o.silent().keySet()));
         JsonArray slots = new JsonArray();
         JsonObject leavers = new JsonObject();
         for (int i = 0; i < o.slots().size(); i++) {
-            Owners.Slot s = o.slots().get(i);
-            slots.add(s.owner().isEmpty() ? "" : Owners.name(s.owner()));
-            if (!s.leavers().isEmpty()) {
-                leavers.add(String.valueOf(i), texts(s.leavers().keySet()));
+            SlotAssignment.Slot s = o.slots().get(i);
+            slots.add(s.owner().isEmpty() ? "" : SlotAssignment.dispatcherName(s.owner()));
+            if (!s.previousOwners().isEmpty()) {
+                leavers.add(String.valueOf(i), texts(s.previousOwners().keySet()));
             }
         }
         all.add("slots", slots);
@@ -665,12 +673,12 @@
         JsonObject work = new JsonObject();
         table.partitions().keySet().forEach(p -> work.addProperty(p, orders.workToCome(p)));
         all.add("work_to_come_ms", work);
-        all.add("stopped", texts(o.stopped()));
+        all.add("stopped", texts(o.stoppedKeys()));
         if (!key.isBlank()) {
             all.addProperty("slot", o.slotOf(key));
             all.add("owner", slots.get(o.slotOf(key)));
         }
-        all.add("table", JsonParser.parseString(Packed.text(o.table())));
+        all.add("table", JsonParser.parseString(CompressedTable.decompress(o.table())));
         return GSON.toJson(all);
     }
 
--- a/src/main/java/maplespread/decision/Dispatch.java
+++ b/src/main/java/maplespread/policy/Dispatch.java
@@ -1,13 +1,13 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import java.util.List;
 import java.util.function.Predicate;
 
 /**
- * The whole interface between a host (a dispatcher node) and the decision module {@link Logic}.
+ * The whole interface between a host (a dispatcher node) and the decision module {@link DispatchPolicy}.
  *
- * <p>A host makes one {@code Logic} per node, calls its {@link Events} from one thread, in order, and
- * carries out the {@link Actions} the module calls while it handles an event. Times are microseconds of
+ * <p>A host makes one {@code Logic} per node, calls its {@link PolicyEvents} from one thread, in order, and
+ * carries out the {@link PolicyActions} the module calls while it handles an event. Times are microseconds of
  * the host's own clock, which must never run backwards; spans of work and of time in the records are
  * milliseconds. Any number that a host does not know is given as {@code NaN} (or as the neutral value
  * stated).
@@ -16,34 +16,34 @@
     private Dispatch() {}
 
     /** May a request of the class be repeated once an attempt may have run? */
-    public enum Effect {
+    public enum Idempotency {
         READ_LIKE,
-        KEYED,
-        UNSAFE
+        IDEMPOTENCY_KEY,
+        NON_IDEMPOTENT
     }
 
     /** Which workers drop a repeat of a keyed request. */
-    public enum Group {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
     }
 
     /** How a worker appears on the list. */
-    public enum Health {
+    public enum EndpointLifecycle {
         ACTIVE,
-        LEAVING,
-        LEFT
+        DRAINING,
+        REMOVED
     }
 
     /**
      * CHANGES: only entries that changed. FULL: all entries. HELD: all, as last held, possibly out of
      * date.
      */
-    public enum ListKind {
-        CHANGES,
-        FULL,
-        HELD
+    public enum EndpointListKind {
+        DELTA,
+        FULL_SNAPSHOT,
+        CACHED_SNAPSHOT
     }
 
     /**
@@ -51,7 +51,7 @@
      * a watch tells all changes; RENEWING: it does not, for a short while; UNREACHABLE: it does not, and there is
      * nobody who could know of one; STALE: changes may have been missed that this node is held to.
      */
-    public enum ListState {
+    public enum EndpointListState {
         UNCONFIRMED,
         CONFIRMED,
         RENEWING,
@@ -63,7 +63,7 @@
      * How a watch or a call for one ended. ENDED: by discovery, after it had spoken; REFUSED: nobody listened;
      * NO_ANSWER: no first word came; NOT_ASKED: the call never left this machine.
      */
-    public enum ListLoss {
+    public enum EndpointWatchFailure {
         ENDED,
         REFUSED,
         NO_ANSWER,
@@ -74,7 +74,7 @@
      * Why a list that was confirmed is in doubt while no call has failed. SILENT: its watch says nothing any more;
      * MOVED: another address of discovery counts from now on, which has said nothing yet.
      */
-    public enum ListDoubt {
+    public enum EndpointListDoubt {
         SILENT,
         MOVED
     }
@@ -83,7 +83,7 @@
      * Why a request is ended unserved. OVERLOADED: any attempt would cost more than the refusal; NO_SERVER: none may be
      * used; LIST_NOT_CONFIRMED: none may be used by a list that may be out of date; FAULT: the module failed.
      */
-    public enum Refusal {
+    public enum RejectionReason {
         OVERLOADED,
         NO_SERVER,
         LIST_NOT_CONFIRMED,
@@ -98,20 +98,20 @@
      * a connection kept from before, on which the worker had not said anything: it tells nothing of the
      * worker.
      */
-    public enum Verdict {
-        OK,
+    public enum AttemptOutcome {
+        SERVED,
         ERROR,
-        FULL,
-        TIMEOUT,
-        NO_CONNECTION,
+        REJECTED,
+        TIMED_OUT,
+        CONNECT_FAILED,
         RESET,
         CANCELLED,
-        MOOT,
-        CUT;
+        NEVER_SENT,
+        STALE_CONNECTION_RESET;
 
         /** Whether this outcome proves that the attempt never ran. */
-        public boolean neverRan() {
-            return this == FULL || this == NO_CONNECTION || this == MOOT;
+        public boolean provesNeverRan() {
+            return this == REJECTED || this == CONNECT_FAILED || this == NEVER_SENT;
         }
     }
 
@@ -120,34 +120,37 @@
      * it does not); {@code kind}: the worker kind it must run on, or -1; {@code lateShare}: share of the
      * worth paid for an answer after the aim and before the deadline.
      */
-    public record ClassSpec(
-            double aimMs,
-            double stretch,
+    public record RequestClass(
+            double latencyObjectiveMs,
+            double stretchFactor,
             double deadlineMs,
-            double worth,
-            double lateShare,
-            Effect effect,
-            Group group,
-            double windowMs,
+            double priorityWeight,
+            double lateWeightShare,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            double deduplicationWindowMs,
             boolean streaming,
-            int kind) {
-        public ClassSpec {
-            need(aimMs > 0 && deadlineMs > 0, "a class needs an aim and a deadline above zero");
-            need(stretch >= 0 && worth >= 0 && windowMs >= 0, "stretch, worth and window must not be negative");
-            need(lateShare >= 0 && lateShare <= 1, "lateShare must lie in 0..1");
-            need(effect != null && group != null, "a class needs an effect and a group");
+            int requiredWorkerKind) {
+        public RequestClass {
+            need(latencyObjectiveMs > 0 && deadlineMs > 0, "a class needs an aim and a deadline above zero");
+            need(
+                    stretchFactor >= 0 && priorityWeight >= 0 && deduplicationWindowMs >= 0,
+                    "stretch, worth and window must not be negative");
+            need(lateWeightShare >= 0 && lateWeightShare <= 1, "lateShare must lie in 0..1");
+            need(idempotency != null && deduplicationScope != null, "a class needs an effect and a group");
         }
 
         /** Whether a job may be sent again so long after its first attempt that may have run. */
-        public boolean repeatable(double sinceMs) {
-            return effect == Effect.READ_LIKE || effect == Effect.KEYED && sinceMs <= windowMs;
+        public boolean mayRepeatAfter(double sinceMs) {
+            return idempotency == Idempotency.READ_LIKE
+                    || idempotency == Idempotency.IDEMPOTENCY_KEY && sinceMs <= deduplicationWindowMs;
         }
     }
 
     /** A tenant and the rate of its requests, over all nodes together, that counts in full (0: no limit). */
-    public record Tenant(double allowancePerS) {
+    public record Tenant(double quotaPerSecond) {
         public Tenant {
-            need(allowancePerS >= 0, "an allowance must not be negative");
+            need(quotaPerSecond >= 0, "an allowance must not be negative");
         }
     }
 
@@ -155,33 +158,33 @@
      * What the site allows. {@code tryLimit} counts attempts; {@code maxPauseMs} is 0 where advice is not
      * given; an idle connection closes after {@code connIdleMs}.
      */
-    public record Permissions(
-            boolean cancel,
+    public record SitePermissions(
+            boolean cancellation,
             boolean probing,
-            boolean secondCopies,
-            int tryLimit,
-            double dialTimeoutMs,
-            double maxPauseMs,
-            double connIdleMs) {
-        public Permissions {
-            need(tryLimit >= 1, "tryLimit must be at least 1");
-            need(dialTimeoutMs >= 0 && maxPauseMs >= 0, "times must not be negative");
-            need(connIdleMs >= 0, "connIdleMs must not be negative");
+            boolean hedging,
+            int maxAttempts,
+            double connectTimeoutMs,
+            double maxRetryAfterMs,
+            double idleConnectionMs) {
+        public SitePermissions {
+            need(maxAttempts >= 1, "tryLimit must be at least 1");
+            need(connectTimeoutMs >= 0 && maxRetryAfterMs >= 0, "times must not be negative");
+            need(idleConnectionMs >= 0, "connIdleMs must not be negative");
         }
     }
 
     /** Figures of the rules: drain grace, list age, and the cold budget. */
-    public record Rules(
+    public record PlatformRules(
             double drainGraceMs,
-            double askWithinMs,
-            double coldFrom,
-            double warmWithinMs,
-            double fallMultiple,
-            double fallMs,
-            double answerSlackMs) {
-        public Rules {
-            need(coldFrom > 0 && coldFrom <= 1, "coldFrom must lie in 0..1");
-            need(warmWithinMs >= 0 && fallMultiple > 0 && fallMs > 0, "the cold figures must be above zero");
+            double maxListAgeMs,
+            double slowStartCapacityShare,
+            double slowStartMs,
+            double overloadFactor,
+            double overloadWindowMs,
+            double responseSlackMs) {
+        public PlatformRules {
+            need(slowStartCapacityShare > 0 && slowStartCapacityShare <= 1, "coldFrom must lie in 0..1");
+            need(slowStartMs >= 0 && overloadFactor > 0 && overloadWindowMs > 0, "the cold figures must be above zero");
         }
     }
 
@@ -193,27 +196,27 @@
      * overShare}: worth of a request beyond its tenant's share; {@code crossZone}: price of a send to
      * another zone, as a share of a request.
      */
-    public record Settings(
-            int balancers,
-            int index,
+    public record PolicySettings(
+            int dispatcherCount,
+            int dispatcherIndex,
             int zone,
-            boolean ask,
-            boolean byWork,
-            boolean tellsStart,
-            double progressMs,
-            boolean inOrder,
+            boolean pollsDiscovery,
+            boolean weightPerWork,
+            boolean workersReportStart,
+            double progressIntervalMs,
+            boolean fifoWorkers,
             double tickMs,
-            double overShare,
-            double crossZone,
-            List<ClassSpec> classes,
+            double overQuotaWeight,
+            double crossZoneCost,
+            List<RequestClass> classes,
             List<Tenant> tenants,
-            Permissions permissions,
-            Rules rules) {
-        public Settings {
-            need(balancers >= 1, "balancers must be at least 1");
+            SitePermissions permissions,
+            PlatformRules rules) {
+        public PolicySettings {
+            need(dispatcherCount >= 1, "balancers must be at least 1");
             need(!classes.isEmpty(), "at least one class is needed");
             need(permissions != null && rules != null, "permissions and rules are needed");
-            need(overShare >= 0 && crossZone >= 0, "worths and prices must not be negative");
+            need(overQuotaWeight >= 0 && crossZoneCost >= 0, "worths and prices must not be negative");
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
         }
@@ -222,24 +225,24 @@
          * The same for each of two processes that are one node: what nodes share out among them, such as the
          * work for a cold worker, is halved, so that both together take what the one would.
          */
-        public Settings shared() {
-            return among(2 * balancers);
+        public PolicySettings sharedByTwoProcesses() {
+            return withDispatcherCount(2 * dispatcherCount);
         }
 
         /** The same where so many nodes share each of the workers. */
-        public Settings among(int nodes) {
-            return new Settings(
+        public PolicySettings withDispatcherCount(int nodes) {
+            return new PolicySettings(
                     nodes,
-                    index,
+                    dispatcherIndex,
                     zone,
-                    ask,
-                    byWork,
-                    tellsStart,
-                    progressMs,
-                    inOrder,
+                    pollsDiscovery,
+                    weightPerWork,
+                    workersReportStart,
+                    progressIntervalMs,
+                    fifoWorkers,
                     tickMs,
-                    overShare,
-                    crossZone,
+                    overQuotaWeight,
+                    crossZoneCost,
                     classes,
                     tenants,
                     permissions,
@@ -250,28 +253,28 @@
          * Whether a request with so long to go is its client's first try: one with less time left than its
          * class's deadline, by more than an eighth of the shortest aim, is a later try of one seen before.
          */
-        public boolean firstTry(int cls, double leftMs) {
+        public boolean isFirstAttempt(int cls, double leftMs) {
             double aim = Double.MAX_VALUE;
-            for (ClassSpec c : classes) {
-                aim = Math.min(aim, c.aimMs());
+            for (RequestClass c : classes) {
+                aim = Math.min(aim, c.latencyObjectiveMs());
             }
             return leftMs >= classes.get(cls).deadlineMs() - aim / 8;
         }
 
         /** The same with other classes. */
-        public Settings with(List<ClassSpec> others) {
-            return new Settings(
-                    balancers,
-                    index,
+        public PolicySettings withClasses(List<RequestClass> others) {
+            return new PolicySettings(
+                    dispatcherCount,
+                    dispatcherIndex,
                     zone,
-                    ask,
-                    byWork,
-                    tellsStart,
-                    progressMs,
-                    inOrder,
+                    pollsDiscovery,
+                    weightPerWork,
+                    workersReportStart,
+                    progressIntervalMs,
+                    fifoWorkers,
                     tickMs,
-                    overShare,
-                    crossZone,
+                    overQuotaWeight,
+                    crossZoneCost,
                     others,
                     tenants,
                     permissions,
@@ -283,7 +286,14 @@
      * A worker as the list shows it. {@code upSinceMs}: when it last started, on the host's clock; 0: long
      * ago.
      */
-    public record Entry(String worker, Health health, double rating, int kind, int cell, int zone, double upSinceMs) {}
+    public record EndpointEntry(
+            String worker,
+            EndpointLifecycle lifecycle,
+            double weight,
+            int workerKind,
+            int cell,
+            int zone,
+            double startedAtMs) {}
 
     /**
      * A request taken by this node. {@code deadlineUs}: when its client stops waiting; {@code key}: what it
@@ -292,20 +302,20 @@
      * 0..1; where a starved tenant is relieved, up to 4; {@code among}: the workers that it may
      * go to, by id, null: any; its answer may change while it is open.
      */
-    public record Request(
+    public record PolicyRequest(
             long id,
-            int cls,
-            int tenant,
+            int classIndex,
+            int tenantIndex,
             long deadlineUs,
-            double workMs,
+            double workHintMs,
             double slots,
-            double memory,
-            String key,
-            Settings under,
-            double counts,
-            Predicate<String> among) {
+            double memoryUnits,
+            String affinityKey,
+            PolicySettings acceptedSettings,
+            double weightFactor,
+            Predicate<String> eligibleWorkers) {
         /** To any worker. */
-        public Request(
+        public PolicyRequest(
                 long id,
                 int cls,
                 int tenant,
@@ -314,23 +324,24 @@
                 double slots,
                 double memory,
                 String key,
-                Settings under,
+                PolicySettings under,
                 double counts) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, key, under, counts, null);
         }
 
-        boolean allows(String worker) {
-            return among == null || among.test(worker);
+        boolean mayGoTo(String worker) {
+            return eligibleWorkers == null || eligibleWorkers.test(worker);
         }
 
         /** Under the present settings. */
-        public Request(
+        public PolicyRequest(
                 long id, int cls, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, key, null, 1);
         }
 
         /** A request without a key. */
-        public Request(long id, int cls, int tenant, long deadlineUs, double workMs, double slots, double memory) {
+        public PolicyRequest(
+                long id, int cls, int tenant, long deadlineUs, double workMs, double slots, double memory) {
             this(id, cls, tenant, deadlineUs, workMs, slots, memory, null, null, 1);
         }
     }
@@ -339,87 +350,92 @@
      * A worker's load report; NaN where a figure is absent. {@code util} is the share of its CPU that is
      * busy.
      */
-    public record Report(
-            double active, double waiting, double util, double serviceMs, double freeSlots, double freeMemory) {}
+    public record LoadReport(
+            double activeRequests,
+            double queuedRequests,
+            double cpuUtilization,
+            double meanServiceMs,
+            double freeSlots,
+            double freeMemoryUnits) {}
 
     /** What a host tells a node. Nothing else moves it. */
-    public interface Events {
+    public interface PolicyEvents {
         /**
          * Other settings hold from now on, for requests taken from now on; what was learnt stays. Classes
          * keep their places: new ones stand behind those there were.
          */
-        void settings(long nowUs, Settings next);
+        void settingsChanged(long nowUs, PolicySettings next);
 
         /** News of the worker list. {@code version} only grows. */
-        void list(long nowUs, ListKind kind, long version, List<Entry> entries);
+        void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries);
 
         /** Discovery has told all that it has, and a watch goes on telling. */
-        void listConfirmed(long nowUs);
+        void endpointListConfirmed(long nowUs);
 
         /** The list is in doubt, last heard of so long ago; the host sees to a new watch without a word from here. */
-        void listUnconfirmed(long nowUs, ListDoubt why, double heardAgoMs);
+        void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs);
 
         /** A watch or fetch failed, or the watch broke, last heard so long ago. */
-        void listFailed(long nowUs, ListLoss loss, double heardAgoMs);
+        void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs);
 
         /** A request was taken. Its id must be new. */
-        void request(long nowUs, Request request);
+        void requestAccepted(long nowUs, PolicyRequest request);
 
         /** The attempt has started (share 0) or has done this share of its work. */
-        void progress(long nowUs, long id, int attempt, String worker, boolean started, double share);
+        void attemptProgressed(long nowUs, long id, int attempt, String worker, boolean started, double share);
 
         /** A streamed answer has started. */
-        void opened(long nowUs, long id, int attempt, String worker);
+        void responseStarted(long nowUs, long id, int attempt, String worker);
 
         /**
          * An attempt is over. {@code ended}: the request has ended, by this or earlier. {@code report} may
          * be null.
          */
-        void outcome(
+        void attemptEnded(
                 long nowUs,
                 long id,
                 int attempt,
                 String worker,
-                Verdict verdict,
+                AttemptOutcome verdict,
                 double lagMs,
                 boolean ended,
-                Report report);
+                LoadReport report);
 
         /** Nobody waits for the request any more. */
-        void gone(long nowUs, long id);
+        void requestAbandoned(long nowUs, long id);
 
-        /** A timer set with {@link Actions#timer} is due. */
-        void timer(long nowUs, long label);
+        /** A timer set with {@link PolicyActions#scheduleTimer} is due. */
+        void timerExpired(long nowUs, long label);
 
         /** A probe ended. {@code report} may be null. */
-        void probed(long nowUs, String worker, Verdict verdict, double lagMs, Report report);
+        void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report);
     }
 
     /** What a node tells its host. None of these calls may call back into the node. */
-    public interface Actions {
+    public interface PolicyActions {
         /** Send the request to the worker: its next attempt, counted from 0. */
-        void send(long id, String worker);
+        void sendAttempt(long id, String worker);
 
         /** End the request; the client may safely try again, after {@code pauseMs} if above 0. */
-        void refuse(long id, double pauseMs, Refusal why);
+        void reject(long id, double pauseMs, RejectionReason why);
 
         /** End the request with an error; nothing is promised. */
-        void fail(long id, Refusal why);
+        void fail(long id, RejectionReason why);
 
         /** Call off an attempt; it still gets its outcome. */
-        void cancel(long id, int attempt);
+        void cancelAttempt(long id, int attempt);
 
         /** Probe a worker. */
         void probe(String worker);
 
         /** Subscribe to the list. */
-        void watch();
+        void watchEndpointList();
 
         /** Ask for the event {@code timer} after this long. */
-        void timer(double delayMs, long label);
+        void scheduleTimer(double delayMs, long label);
 
         /** How far the list can be relied on has changed, so long after it was last confirmed. */
-        void listState(ListState from, ListState to, double ageMs);
+        void listStateChanged(EndpointListState from, EndpointListState to, double ageMs);
 
         /** A line for the operators. */
         void log(String line);
--- a/src/main/java/maplespread/decision/Logic.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,6 +1,6 @@
-package maplespread.decision;
+package maplespread.policy;
 
-import static maplespread.decision.Numbers.*;
+import static maplespread.policy.StableHash.*;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import maplespread.decision.Dispatch.*;
-import maplespread.decision.Numbers.Row;
+import maplespread.policy.Dispatch.*;
+import maplespread.policy.StableHash.GrowingArray;
 
 /**
  * All decisions of a node; its interface (settings, events, actions) is in Dispatch.java. The design is rule
@@ -21,18 +21,18 @@
  * changed. Parts: events, roster, worker, value function, request, placement, upkeep. Times are milliseconds,
  * work is milliseconds on a standard core. Nothing hangs on the order of a hash map.
  */
-public final class Logic implements Dispatch.Events {
+public final class DispatchPolicy implements Dispatch.PolicyEvents {
     private static final long TICK = 1;
     private static final double TOLD = 6000;             // then a change counts as told, whatever failed
     private static final double ROUND = 5500;            // of a large fleet's calls: within TOLD each comes again
     private static final double LINE_COST = 0.7;         // of discovery for a line of a whole list, with a margin
-    private Settings set;
-    private Rules rules;
-    private Permissions allow;
-    private final Actions actions;
+    private PolicySettings set;
+    private PlatformRules rules;
+    private SitePermissions allow;
+    private final PolicyActions actions;
     private final SplittableRandom random;
-    private final Roster<Worker> workers = new Roster<>();
-    private final ListFreshness freshness;
+    private final WorkerTable<Worker> workers = new WorkerTable<>();
+    private final EndpointListFreshness freshness;
     private final Map<String, Worker> byId = new HashMap<>();
     private final Map<Integer, Kind> kinds = new HashMap<>();
     private final Map<Long, Req> open = new HashMap<>();         // until ended and all attempts are over
@@ -42,40 +42,40 @@
     private double period;  // half an aim: a few scans a request, no more
     private double now = Double.NEGATIVE_INFINITY;
 
-    public Logic(Settings settings, long seed, Actions actions) {
+    public DispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         Dispatch.need(settings != null && actions != null, "settings and actions are needed");
         this.actions = actions;
         random = new SplittableRandom(seed);
-        freshness = new ListFreshness(actions::listState);
+        freshness = new EndpointListFreshness(actions::listStateChanged);
         take(settings);
     }
 
-    private void take(Settings settings) {
+    private void take(PolicySettings settings) {
         set = settings;
         rules = set.rules();
         allow = set.permissions();
-        aim = set.classes().stream().mapToDouble(ClassSpec::aimMs).min().orElseThrow();
-        horizon = set.classes().stream().mapToDouble(ClassSpec::deadlineMs).min().orElseThrow();
+        aim = set.classes().stream().mapToDouble(RequestClass::latencyObjectiveMs).min().orElseThrow();
+        horizon = set.classes().stream().mapToDouble(RequestClass::deadlineMs).min().orElseThrow();
         period = Math.max(set.tickMs(), aim / 2);
-        freshness.settings(!set.ask(), rules.askWithinMs());
+        freshness.settings(!set.pollsDiscovery(), rules.maxListAgeMs());
     }
 
     // ------------------------------------------------------------ events
 
-    @Override public void settings(long nowUs, Settings next) {
+    @Override public void settingsChanged(long nowUs, PolicySettings next) {
         at(nowUs);
         Dispatch.need(next.classes().size() >= set.classes().size(), "classes keep their places");
         take(next);
         scanAt = Double.NEGATIVE_INFINITY;                       // sums are made anew
     }
 
-    @Override public void list(long nowUs, ListKind kind, long version, List<Entry> entries) {
+    @Override public void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries) {
         at(nowUs);
-        boolean whole = kind != ListKind.CHANGES;
+        boolean whole = kind != EndpointListKind.DELTA;
         if (whole) {                                             // who is absent from the whole has left
-            Set<String> named = entries.stream().map(Entry::worker).collect(Collectors.toSet());
+            Set<String> named = entries.stream().map(EndpointEntry::worker).collect(Collectors.toSet());
             List.copyOf(workers.all()).stream().filter(w -> !named.contains(w.id))
-                .forEach(w -> health(w, Health.LEFT));
+                .forEach(w -> health(w, EndpointLifecycle.REMOVED));
         }
         scanAt = Double.NEGATIVE_INFINITY;                       // sums are made anew
         entries.forEach(this::entry);
@@ -84,20 +84,20 @@
         }
         priced = null;
         looks.forEach(q -> q.asked.clear());
-        if (kind == ListKind.HELD) {
+        if (kind == EndpointListKind.CACHED_SNAPSHOT) {
             // A whole large fleet may start at once, and discovery answers one call after another: each has its turn.
-            double last = Math.min(TOLD * 2 / 3, LINE_COST * set.balancers() * entries.size()) - TOLD / 30;
+            double last = Math.min(TOLD * 2 / 3, LINE_COST * set.dispatcherCount() * entries.size()) - TOLD / 30;
             watchAt = now + turn(Math.max(0, last));
             double first = period * (0.5 + random.nextDouble() / 2);        // nodes must not tick in step
             tickAt = now + first;
-            actions.timer(first, TICK);
+            actions.scheduleTimer(first, TICK);
         } else {
             watchAt = Double.POSITIVE_INFINITY;
             watchFails = 0;
         }
     }
 
-    @Override public void listConfirmed(long nowUs) {
+    @Override public void endpointListConfirmed(long nowUs) {
         at(nowUs);
         boolean usable = freshness.usable(now);
         freshness.confirmed(now);
@@ -106,31 +106,31 @@
         }
     }
 
-    @Override public void listUnconfirmed(long nowUs, ListDoubt why, double heardAgoMs) {
+    @Override public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs) {
         at(nowUs);
-        if (why == ListDoubt.MOVED) {
+        if (why == EndpointListDoubt.MOVED) {
             freshness.moved(now);
         } else {
             freshness.silent(now, heardAgoMs);
         }
     }
 
-    @Override public void listFailed(long nowUs, ListLoss loss, double heardAgoMs) {
+    @Override public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
         at(nowUs);
         freshness.failed(now, loss, heardAgoMs);
         // Jittered: calls in step would all be late. As long as this one waited: dead calls are served too.
-        double most = Math.min(rules.askWithinMs() / 4, TOLD / 5), took = watchAt < 1e300 ? now - askedAt : 0;
+        double most = Math.min(rules.maxListAgeMs() / 4, TOLD / 5), took = watchAt < 1e300 ? now - askedAt : 0;
         double wait = Math.min(most, horizon / 20 * (1L << Math.min(++watchFails, 6)));
         watchAt = now + Math.max(wait, Math.min(took, TOLD / 3)) * (0.4 + 0.8 * random.nextDouble());
-        double all = LINE_COST * set.balancers() * workers.size();
+        double all = LINE_COST * set.dispatcherCount() * workers.size();
         if (all > TOLD / 2) {                                    // a large fleet's calls would be a crowd by themselves
             watchAt = took > TOLD / 6 ? slotAfter(now + period, Math.min(ROUND, all)) : now + period + turn(TOLD / 2);
         }
     }
 
-    @Override public void request(long nowUs, Request r) {
+    @Override public void requestAccepted(long nowUs, PolicyRequest r) {
         at(nowUs);
-        Dispatch.need(r.cls() >= 0 && r.cls() < set.classes().size(), "no such class: " + r.cls());
+        Dispatch.need(r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
         if (open.containsKey(r.id())) {
             throw new IllegalStateException("request " + r.id() + " was taken before");
         }
@@ -139,17 +139,17 @@
         scan();
         offered(q);
         place(q);
-        if (allow.probing() && set.balancers() > 1 && q.rounds == 0) {
+        if (allow.probing() && set.dispatcherCount() > 1 && q.rounds == 0) {
             workers.all().stream().filter(w -> !w.down && now - w.reportAt > aim)    // the stalest
                 .min(Comparator.comparingDouble(w -> w.reportAt)).ifPresent(this::probe);
         }
     }
 
-    @Override public void progress(long nowUs, long id, int n, String worker, boolean started, double share) {
+    @Override public void attemptProgressed(long nowUs, long id, int n, String worker, boolean started, double share) {
         heard(nowUs, id, n).ifPresent(a -> a.worker.ran(a, started ? 0 : clamp(share, 0, 1)));
     }
 
-    @Override public void opened(long nowUs, long id, int attempt, String worker) {
+    @Override public void responseStarted(long nowUs, long id, int attempt, String worker) {
         heard(nowUs, id, attempt).ifPresent(a -> a.req.streaming = true);
     }
 
@@ -160,8 +160,8 @@
         return a;
     }
 
-    @Override public void outcome(long nowUs, long id, int attempt, String worker, Verdict verdict,
-            double lagMs, boolean ended, Report report) {
+    @Override public void attemptEnded(long nowUs, long id, int attempt, String worker, AttemptOutcome verdict,
+            double lagMs, boolean ended, LoadReport report) {
         at(nowUs);
         Optional.ofNullable(byId.get(worker)).ifPresent(w -> w.report(report));
         Attempt a = attempt(id, attempt);
@@ -178,32 +178,32 @@
         a.req.forget();
     }
 
-    @Override public void gone(long nowUs, long id) {
+    @Override public void requestAbandoned(long nowUs, long id) {
         at(nowUs);
         Optional.ofNullable(open.get(id)).ifPresent(Req::end);
     }
 
-    @Override public void timer(long nowUs, long label) {
+    @Override public void timerExpired(long nowUs, long label) {
         at(nowUs);
         if (label == TICK) {
             upkeep();
             tickAt = now + period;
-            actions.timer(period, TICK);
+            actions.scheduleTimer(period, TICK);
         } else {
             looked(open.get(label - 1 - TICK));
         }
     }
 
-    @Override public void probed(long nowUs, String worker, Verdict verdict, double lagMs, Report report) {
+    @Override public void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report) {
         at(nowUs);
         Worker w = byId.get(worker);
         if (w == null) {
             return;
         }
         w.probing = false;
-        if (verdict == Verdict.NO_CONNECTION) {
+        if (verdict == AttemptOutcome.CONNECT_FAILED) {
             w.unconnected(lagMs);
-        } else if (verdict == Verdict.OK) {
+        } else if (verdict == AttemptOutcome.SERVED) {
             w.report(report);
             w.carried(!w.connected());
             w.refresh();
@@ -241,29 +241,29 @@
     private double watchAt = Double.POSITIVE_INFINITY, askedAt;
     private int watchFails;
 
-    private void entry(Entry e) {
+    private void entry(EndpointEntry e) {
         Worker w = byId.get(e.worker());
         if (w == null) {
             w = new Worker(e.worker());
             byId.put(w.id, w);
         }
-        w.kindNo = e.kind();
-        w.kind = kinds.computeIfAbsent(e.kind(), k -> new Kind());
+        w.kindNo = e.workerKind();
+        w.kind = kinds.computeIfAbsent(e.workerKind(), k -> new Kind());
         w.cell = e.cell();
         w.zone = e.zone();
-        if (e.upSinceMs() > 0 && e.upSinceMs() != w.upSince) {
-            w.upSince = e.upSinceMs();
+        if (e.startedAtMs() > 0 && e.startedAtMs() != w.upSince) {
+            w.upSince = e.startedAtMs();
             w.cold(Math.min(now, w.upSince));
             w.down &= w.lostAt >= w.upSince;
         }
         w.refresh();
-        health(w, e.health());
+        health(w, e.lifecycle());
     }
 
     /** A change costs that worker and no other. */
-    private void health(Worker w, Health health) {
+    private void health(Worker w, EndpointLifecycle health) {
         w.health = health;
-        workers.put(w, health != Health.LEFT);
+        workers.put(w, health != EndpointLifecycle.REMOVED);
         workers.share(w, w.usable());
     }
 
@@ -274,12 +274,12 @@
         double work, time, speed = 1, slots, unseen, unseenAt;   // unseen: others' backlog, as time
     }
 
-    private final class Worker extends Roster.Placed {
+    private final class Worker extends WorkerTable.Indexed {
         final String id;
-        final Row bad = new Row(), badAt = new Row();            // by class
+        final GrowingArray bad = new GrowingArray(), badAt = new GrowingArray();            // by class
         final List<Attempt> held = new ArrayList<>();            // sent from here, outcome not yet seen
         Kind kind;
-        Health health;
+        EndpointLifecycle health;
         int kindNo, cell, zone, fails;
         boolean down, probing;
         double upSince, coldAt = Double.NEGATIVE_INFINITY, own;  // own: hinted work pushed and not finished
@@ -309,9 +309,9 @@
             extra = foreignWork();
             u = (own + extra) / cap + outwaited();
             if (isCold()) {
-                saved = Math.min(saved + coldBudget() * (now - savedAt) / rules.fallMs(), coldMost());
+                saved = Math.min(saved + coldBudget() * (now - savedAt) / rules.overloadWindowMs(), coldMost());
                 fullAt = saved < coldMost() ? now : fullAt;
-                saved = now - fullAt > rules.fallMs() ? 0 : saved;
+                saved = now - fullAt > rules.overloadWindowMs() ? 0 : saved;
                 savedAt = now;
             }
         }
@@ -323,7 +323,7 @@
                 double wait = Double.isNaN(a.startAt) && !a.lost ? now - aim / 8 - a.sentAt - a.wait : 0;
                 over = Math.max(over, wait);
             }
-            return set.tellsStart() ? over : 0;
+            return set.workersReportStart() ? over : 0;
         }
 
         /** Departure "free slot": the job starts at once, as far as pushes and reports tell. */
@@ -332,7 +332,7 @@
         }
 
         double usable() {
-            return health == Health.ACTIVE && !down ? cap : 0;
+            return health == EndpointLifecycle.ACTIVE && !down ? cap : 0;
         }
 
         double slots() {
@@ -340,12 +340,12 @@
         }
 
         double warmth() {
-            double from = rules.coldFrom();
-            return isCold() ? from + (1 - from) * Math.max(0, now - coldAt) / rules.warmWithinMs() : 1;
+            double from = rules.slowStartCapacityShare();
+            return isCold() ? from + (1 - from) * Math.max(0, now - coldAt) / rules.slowStartMs() : 1;
         }
 
         boolean isCold() {
-            return now - coldAt < rules.warmWithinMs();
+            return now - coldAt < rules.slowStartMs();
         }
 
         void cold(double since) {
@@ -361,26 +361,26 @@
          */
         double foreignWork() {
             double keep = fade((now - foreignAt) * speed / (2 * meanAll()));
-            double drawn = set.balancers() == 1 ? 0 : kind.unseen * cap * (1 + draw(random)) / 2;
+            double drawn = set.dispatcherCount() == 1 ? 0 : kind.unseen * cap * (1 + draw(random)) / 2;
             return keep * foreign * meanAll() + (1 - keep) * drawn;
         }
 
-        void report(Report r) {
-            if (r == null || r.active() > 1e4 || r.freeSlots() > 1e4) {
+        void report(LoadReport r) {
+            if (r == null || r.activeRequests() > 1e4 || r.freeSlots() > 1e4) {
                 return;                                          // none, or absurd: no part of it is believed
             }
             reportAt = now;
-            foreignMemory = r.freeMemory() >= 0 ? Math.max(0, slots() - r.freeMemory() - memory) : 0;
-            if (!set.tellsStart() && r.serviceMs() > 0 && r.serviceMs() < horizon
-                && r.serviceMs() != service) {
-                service = r.serviceMs();
+            foreignMemory = r.freeMemoryUnits() >= 0 ? Math.max(0, slots() - r.freeMemoryUnits() - memory) : 0;
+            if (!set.workersReportStart() && r.meanServiceMs() > 0 && r.meanServiceMs() < horizon
+                && r.meanServiceMs() != service) {
+                service = r.meanServiceMs();
                 learn(meanAll() / 2, service / 2);               // a recent mean over all nodes' jobs
             }
             double mine = Math.min(inUse, slots()), others = slots() - r.freeSlots() - mine;
-            if (r.active() >= 0) {
-                others = r.active() - held.size();
+            if (r.activeRequests() >= 0) {
+                others = r.activeRequests() - held.size();
                 if (r.freeSlots() > 0.5) {
-                    seeSlots(r.active() + r.freeSlots());
+                    seeSlots(r.activeRequests() + r.freeSlots());
                 }
             } else if (r.freeSlots() >= 0 && held.isEmpty()) {
                 seeSlots(Math.max(r.freeSlots(), slots()));
@@ -389,10 +389,10 @@
                 double keep = 0.5 * fade((now - foreignAt) * speed / (2 * meanAll()));
                 // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
                 double full = Math.max(Math.max(foreign, others), kind.unseen * cap / meanAll());
-                foreign = r.active() >= 0 || r.freeSlots() > 0.5
+                foreign = r.activeRequests() >= 0 || r.freeSlots() > 0.5
                     ? keep * foreign + (1 - keep) * Math.max(0, others) : full;
                 foreignAt = now;
-                kind.unseen += set.tellsStart() ? 0 : 0.05 * (foreign * meanAll() / cap - kind.unseen);
+                kind.unseen += set.workersReportStart() ? 0 : 0.05 * (foreign * meanAll() / cap - kind.unseen);
             }
         }
 
@@ -402,11 +402,11 @@
          * still; where a repeat is harmless, it is called off and placed anew.
          */
         void outrun(Attempt a) {
-            for (Attempt b : set.inOrder() ? List.copyOf(held) : List.<Attempt>of()) {
+            for (Attempt b : set.fifoWorkers() ? List.copyOf(held) : List.<Attempt>of()) {
                 if (Double.isNaN(b.startAt) && !b.lost && a.sentAt - b.sentAt > aim / 2) {
                     b.lost = true;
-                    if (allow.cancel() && b.req.spec.effect() == Effect.READ_LIKE && !b.req.ended) {
-                        actions.cancel(b.req.of.id(), b.req.attempts.indexOf(b));
+                    if (allow.cancellation() && b.req.spec.idempotency() == Idempotency.READ_LIKE && !b.req.ended) {
+                        actions.cancelAttempt(b.req.of.id(), b.req.attempts.indexOf(b));
                     }
                 }
             }
@@ -455,10 +455,10 @@
         }
 
         /** The one end of every attempt: its work leaves the backlog, unless it may go on unseen. */
-        void settled(Attempt a, Verdict v, double lag) {
+        void settled(Attempt a, AttemptOutcome v, double lag) {
             a.over = true;
             a.req.out--;
-            a.neverRan = v.neverRan();
+            a.neverRan = v.provesNeverRan();
             held.remove(a);
             memory = held.isEmpty() ? 0 : memory - a.req.memory;
             if (held.isEmpty()) {
@@ -466,12 +466,12 @@
             }
             double rest = a.work * (1 - a.share);
             inUse = held.isEmpty() ? 0 : inUse - a.req.slots;
-            if (!a.neverRan && v != Verdict.CANCELLED && v != Verdict.CUT && !a.late) {
-                tried(a.req.cls, v == Verdict.OK ? 0 : 1);
+            if (!a.neverRan && v != AttemptOutcome.CANCELLED && v != AttemptOutcome.STALE_CONNECTION_RESET && !a.late) {
+                tried(a.req.cls, v == AttemptOutcome.SERVED ? 0 : 1);
             }
             own = held.isEmpty() ? 0 : Math.max(0, own - rest);
             switch (v) {
-                case OK -> {
+                case SERVED -> {
                     if (!Double.isNaN(a.startAt) || a.free) {
                         compare(this, a.req.logHint, Double.isNaN(a.startAt) ? lag : now - a.startAt);
                     }
@@ -483,10 +483,10 @@
                     alive();
                     carried(a.dialed);
                 }
-                case NO_CONNECTION -> unconnected(lag);
+                case CONNECT_FAILED -> unconnected(lag);
                 case RESET -> unconnected(0);
-                case FULL -> rest();
-                case TIMEOUT -> {
+                case REJECTED -> rest();
+                case TIMED_OUT -> {
                     if (aliveAt < a.sentAt) {                    // it may hang, or only that connection
                         rest();
                     }
@@ -533,12 +533,12 @@
         boolean coldRoom(double x) {
             double weight = Math.max(x, meanAll());
             return !isCold() || saved >= Math.min(weight, coldMost())
-                && weight <= coldBudget() * set.balancers() / 2;
+                && weight <= coldBudget() * set.dispatcherCount() / 2;
         }
 
         double coldBudget() {
             double sure = Math.min(kind.speed, speed) * slots() * warmth();
-            return 0.5 * rules.fallMultiple() * sure * rules.fallMs() / set.balancers();
+            return 0.5 * rules.overloadFactor() * sure * rules.overloadWindowMs() / set.dispatcherCount();
         }
 
         double coldMost() {
@@ -561,7 +561,7 @@
 
         void carried(boolean dialed) {
             conns = Math.max(now < openUntil ? conns : 0, held.size() + 1);
-            openUntil = now + allow.connIdleMs();
+            openUntil = now + allow.idleConnectionMs();
             if (dialed) {
                 dialled(0);
             }
@@ -574,7 +574,7 @@
          * this worker only where others can be connected to.
          */
         void unconnected(double lag) {
-            boolean slow = lag > allow.dialTimeoutMs() / 2;
+            boolean slow = lag > allow.connectTimeoutMs() / 2;
             if (!slow || dialFailures() < 0.25) {
                 if (down || !allow.probing()) {
                     cold(now);
@@ -591,7 +591,7 @@
 
     // ------------------------------------------------------------ value function
 
-    private final Row mean = new Row(), seen = new Row(), failed = new Row();    // of classes
+    private final GrowingArray mean = new GrowingArray(), seen = new GrowingArray(), failed = new GrowingArray();    // of classes
     private double rate, rateAt = Double.NaN;                    // offered jobs a millisecond, before refusal
     private double meanX = Double.NaN, meanWorth = Double.NaN, offers, lostShare;
     private double mineAvg, unseenAvg, crowd = 1, scanAt;        // crowd: all nodes' load over its own
@@ -634,12 +634,12 @@
         } else {
             q.x = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
         }
-        double worth = q.spec.worth() * (set.byWork() ? q.x : 1);
+        double worth = q.spec.priorityWeight() * (set.weightPerWork() ? q.x : 1);
         double step = Math.max(0.01, 1 / ++offers);              // a plain mean first, forgetting later
         meanX = offers == 1 ? q.x : meanX + step * (q.x - meanX);
         meanWorth = offers == 1 ? worth : meanWorth + step * (worth - meanWorth);
-        q.weight = clamp(worth / Math.max(meanWorth, 1e-9), 0.05, 50) * q.of.counts();
-        if (offers > 1 && !set.firstTry(q.cls, q.deadline - now)) {
+        q.weight = clamp(worth / Math.max(meanWorth, 1e-9), 0.05, 50) * q.of.weightFactor();
+        if (offers > 1 && !set.isFirstAttempt(q.cls, q.deadline - now)) {
             return;                                              // a client's later try: offered before
         }
         rate = (Double.isNaN(rateAt) ? 0 : rate * Math.exp((rateAt - now) / horizon)) + 1 / horizon;
@@ -664,7 +664,7 @@
     /** The waiting-time aim of a class: its aim plus (stretch - 1) typical run times, within the deadline. */
     private double tau(Req q) {
         double m = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
-        return clamp(q.spec.aimMs() + (q.spec.stretch() - 1) * m, q.spec.aimMs() / 4, q.spec.deadlineMs());
+        return clamp(q.spec.latencyObjectiveMs() + (q.spec.stretchFactor() - 1) * m, q.spec.latencyObjectiveMs() / 4, q.spec.deadlineMs());
     }
 
     /** v(u + g) - v(u) of a worker; its lost share leans on the fleet's, worth ten jobs, against noise. */
@@ -720,9 +720,9 @@
     }
 
     private final class Req {
-        final Request of;                                        // as it was taken
+        final PolicyRequest of;                                        // as it was taken
         final int cls, tries;                                    // tries: attempts at most
-        final ClassSpec spec;                                    // both as when it was taken
+        final RequestClass spec;                                    // both as when it was taken
         final double arrived, deadline, slots, memory;
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<Worker> asked = new ArrayList<>(LOOKS);       // probed for it
@@ -737,18 +737,18 @@
             return mix(key ^ w.idHash) >>> 1;
         }
 
-        Req(Request r) {
+        Req(PolicyRequest r) {
             of = r;
-            cls = r.cls();
-            Settings under = r.under() == null ? set : r.under();
+            cls = r.classIndex();
+            PolicySettings under = r.acceptedSettings() == null ? set : r.acceptedSettings();
             spec = under.classes().get(cls);
-            tries = under.permissions().tryLimit();
+            tries = under.permissions().maxAttempts();
             arrived = now;
             deadline = r.deadlineUs() / 1000.0;
-            x = r.workMs() > 1e-4 * aim && r.workMs() < 1e3 * spec.deadlineMs() ? r.workMs() : Double.NaN;
-            memory = r.memory() > 0 && r.memory() < 1000 ? r.memory() : 0;
+            x = r.workHintMs() > 1e-4 * aim && r.workHintMs() < 1e3 * spec.deadlineMs() ? r.workHintMs() : Double.NaN;
+            memory = r.memoryUnits() > 0 && r.memoryUnits() < 1000 ? r.memoryUnits() : 0;
             slots = r.slots() > 0 && r.slots() < 1000 ? r.slots() : 1;
-            key = r.key() == null || r.key().isEmpty() ? 0 : hash(r.key()) | 1;
+            key = r.affinityKey() == null || r.affinityKey().isEmpty() ? 0 : hash(r.affinityKey()) | 1;
         }
 
         /** Rules 1 and 2: may it be sent to w, as far as it and its earlier attempts go? */
@@ -757,9 +757,9 @@
                 return false;
             }
             for (Attempt a : attempts) {
-                if (!a.neverRan && (!spec.repeatable(now - a.sentAt) || spec.effect() == Effect.KEYED
-                    && (spec.group() == Group.ZONE && a.worker.zone != w.zone
-                        || spec.group() == Group.CELL && a.worker.cell != w.cell))) {
+                if (!a.neverRan && (!spec.mayRepeatAfter(now - a.sentAt) || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                    && (spec.deduplicationScope() == DeduplicationScope.ZONE && a.worker.zone != w.zone
+                        || spec.deduplicationScope() == DeduplicationScope.CELL && a.worker.cell != w.cell))) {
                     return false;
                 }
             }
@@ -767,15 +767,15 @@
         }
 
         boolean refusable() {
-            return spec.effect() == Effect.READ_LIKE
-                || spec.effect() == Effect.KEYED && spec.group() == Group.ALL
+            return spec.idempotency() == Idempotency.READ_LIKE
+                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY && spec.deduplicationScope() == DeduplicationScope.ALL
                 || attempts.stream().allMatch(a -> a.neverRan);
         }
 
         /** The one exit of every request that this node ends: refused where that is legal, else failed. */
-        void stop(Refusal why) {
+        void stop(RejectionReason why) {
             if (refusable() && now < deadline) {
-                actions.refuse(of.id(), Math.min(Math.max(soonest, aim / 2), allow.maxPauseMs()), why);
+                actions.reject(of.id(), Math.min(Math.max(soonest, aim / 2), allow.maxRetryAfterMs()), why);
             } else {
                 actions.fail(of.id(), why);
             }
@@ -807,9 +807,9 @@
      * not confirmed may name servers whose removal counts as notified, so its freshness is asked at every send.
      */
     private boolean gate(Req q, Worker w) {
-        return w.health == Health.ACTIVE && freshness.usable(now)
-            && (q.spec.kind() < 0 || q.spec.kind() == w.kindNo)
-            && Math.max(q.slots, q.memory) <= Math.max(1, w.slots()) && q.of.allows(w.id)
+        return w.health == EndpointLifecycle.ACTIVE && freshness.usable(now)
+            && (q.spec.requiredWorkerKind() < 0 || q.spec.requiredWorkerKind() == w.kindNo)
+            && Math.max(q.slots, q.memory) <= Math.max(1, w.slots()) && q.of.mayGoTo(w.id)
             && q.legal(w) && w.coldRoom(q.x);
     }
 
@@ -819,13 +819,13 @@
     }
 
     /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
-    public boolean listUsable(long nowUs) {
+    public boolean endpointListUsable(long nowUs) {
         return freshness.usable(nowUs / 1000.0);
     }
 
     /** How many listed workers get nothing new at present: leaving, down or resting. */
-    public int avoided() {
-        return (int) workers.all().stream().filter(w -> w.health != Health.ACTIVE || !ready(w)).count();
+    public int avoidedWorkers() {
+        return (int) workers.all().stream().filter(w -> w.health != EndpointLifecycle.ACTIVE || !ready(w)).count();
     }
 
     /** Rule (25): the least cost over the ready workers, or any legal one where none is; refusal at one. */
@@ -847,7 +847,7 @@
         if (best != null) {
             send(q, seen == null ? best : seen);
         } else {
-            Refusal why = refusal(q);
+            RejectionReason why = refusal(q);
             if (why == null) {
                 parked.add(q);                                   // no legal worker: a bounded wait
             } else {
@@ -857,19 +857,19 @@
     }
 
     /** Why no attempt is made for a request for which there is no worker now; null: it may wait for one. */
-    private Refusal refusal(Req q) {
+    private RejectionReason refusal(Req q) {
         if (allowed) {
-            return Refusal.OVERLOADED;
+            return RejectionReason.OVERLOADED;
         } else if (q.attempts.size() >= q.tries) {
-            return Refusal.ATTEMPTS_USED;
-        } else if (q.spec.effect() == Effect.UNSAFE && !q.refusable()) {
-            return Refusal.MAY_HAVE_RUN;
-        } else if (now < q.deadline - 2 * period && now - q.arrived < q.spec.aimMs()) {
+            return RejectionReason.ATTEMPTS_USED;
+        } else if (q.spec.idempotency() == Idempotency.NON_IDEMPOTENT && !q.refusable()) {
+            return RejectionReason.MAY_HAVE_RUN;
+        } else if (now < q.deadline - 2 * period && now - q.arrived < q.spec.latencyObjectiveMs()) {
             return null;
         } else if (now >= q.deadline - 2 * period) {
-            return Refusal.OUT_OF_TIME;
+            return RejectionReason.OUT_OF_TIME;
         }
-        return freshness.usable(now) ? Refusal.NO_SERVER : Refusal.LIST_NOT_CONFIRMED;
+        return freshness.usable(now) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED;
     }
 
     private static final int LOOKS = 3, ROUNDS = 2;
@@ -895,7 +895,7 @@
             best = workers.cheapest(REFUSED);
         }
         looks.add(q);
-        actions.timer(aim / 8, q.of.id() + 1 + TICK);
+        actions.scheduleTimer(aim / 8, q.of.id() + 1 + TICK);
         return true;
     }
 
@@ -903,7 +903,7 @@
     private void looked(Req q) {
         if (q != null && stalledAt > q.arrived && !q.unheard.isEmpty()) {
             stalledAt = Double.NEGATIVE_INFINITY;                // the answers may stand behind this timer
-            actions.timer(set.tickMs(), q.of.id() + 1 + TICK);
+            actions.scheduleTimer(set.tickMs(), q.of.id() + 1 + TICK);
         } else if (q != null && looks.remove(q)) {
             q.unheard.forEach(Worker::rest);
             q.unheard.clear();
@@ -946,21 +946,21 @@
             + w.foreignMemory * fade((now - w.reportAt) / meanAll()) <= w.slots();
         double d = late(q, w, !fits ? Math.max(w.u, meanAll() / w.cap) : w.free(q) ? 0 : w.u);
         // Departure "late worth": an answer past the aim but before the deadline keeps that share.
-        d *= now + w.u + q.x / w.speed < q.deadline ? 1 - q.spec.lateShare() : 1;
+        d *= now + w.u + q.x / w.speed < q.deadline ? 1 - q.spec.lateWeightShare() : 1;
         // Departure "worth": the increase counts mean jobs; set against refusing this one, at one.
         double tau = tau(q), g = (q.x + fetch(q, w) * w.speed) * q.slots / w.cap;
         double cost = d + increase(w, w.u, g, tau) / q.weight;
         // Departure "crossing": its price chooses among workers but refuses nothing by itself.
-        double toll = w.zone == set.zone() ? 0 : set.crossZone() / q.weight;
+        double toll = w.zone == set.zone() ? 0 : set.crossZoneCost() / q.weight;
         // Departure "open connections": so does the time that a new one is likely to lose.
-        toll += dialShare < 1e-3 || w.connected() ? 0 : dialFailures() * allow.dialTimeoutMs() / tau;
+        toll += dialShare < 1e-3 || w.connected() ? 0 : dialFailures() * allow.connectTimeoutMs() / tau;
         // Departure "trial": who sends nothing learns nothing, and would refuse all for as long as it lasts.
         return cost < 1 || now - lastSent > horizon / 2 ? cost + toll + w.failing(q.cls) : REFUSED;
     }
 
     /** d of rule (25), departure "own aim": its own hinted run against its own aim; 0 to 1, as hints are rough. */
     private double late(Req q, Worker w, double wait) {
-        double left = Math.min(q.spec.aimMs() + q.spec.stretch() * q.x - (now - q.arrived), q.deadline - now);
+        double left = Math.min(q.spec.latencyObjectiveMs() + q.spec.stretchFactor() * q.x - (now - q.arrived), q.deadline - now);
         double takes = wait + q.x / w.speed + fetch(q, w);
         return clamp(0.5 + 2 * (takes - left) / takes, 0, 1);
     }
@@ -978,7 +978,7 @@
         q.home = null;
         q.second = null;
         for (Worker w : q.key != 0 ? workers.all() : List.<Worker>of()) {
-            if (w.health == Health.ACTIVE && !w.down && q.of.allows(w.id)) {
+            if (w.health == EndpointLifecycle.ACTIVE && !w.down && q.of.mayGoTo(w.id)) {
                 if (q.home == null || q.rank(w) > q.rank(q.home)) {
                     q.second = q.home;
                     q.home = w;
@@ -1012,7 +1012,7 @@
         w.memory += q.memory;
         w.saved -= Math.max(a.x, meanAll());
         w.refresh();
-        actions.send(q.of.id(), w.id);
+        actions.sendAttempt(q.of.id(), w.id);
     }
 
     // ------------------------------------------------------------ upkeep: silence, probes
@@ -1026,11 +1026,11 @@
             return;                                              // fresh enough: its own events are in
         }
         double mine = 0, unseen = 0, waits = 0, ready = 0;
-        soonest = allow.maxPauseMs();
+        soonest = allow.maxRetryAfterMs();
         for (Worker w : workers.all()) {
             w.refresh();
             workers.share(w, w.usable());
-            if (w.health == Health.ACTIVE) {
+            if (w.health == EndpointLifecycle.ACTIVE) {
                 soonest = ready(w) ? Math.min(soonest, w.u) : soonest;
                 waits += ready(w) ? w.u : 0;
                 ready += ready(w) ? 1 : 0;
@@ -1044,12 +1044,12 @@
         }
         workers.sum();
         double step = clamp((now - meanAt) / horizon, 0, 1);     // at first one among nodes of its own size
-        unseenAvg = Double.isNaN(meanAt) ? (set.balancers() - 1) * meanAll() / 2 : unseenAvg;
+        unseenAvg = Double.isNaN(meanAt) ? (set.dispatcherCount() - 1) * meanAll() / 2 : unseenAvg;
         scanAt = meanAt = now;
         crammed += step * (waits / Math.max(1, ready) / meanAll() - crammed);
         mineAvg += step * (mine - mineAvg);
         unseenAvg += step * (unseen - unseenAvg);
-        crowd = clamp(1 + unseenAvg / Math.max(mineAvg, meanAll() / 2), 1, set.balancers());
+        crowd = clamp(1 + unseenAvg / Math.max(mineAvg, meanAll() / 2), 1, set.dispatcherCount());
     }
 
     private void upkeep() {
@@ -1076,14 +1076,14 @@
 
     /** When it is this node's turn, where all share a time. */
     private double turn(double time) {
-        return time * (set.index() % set.balancers()) / set.balancers();
+        return time * (set.dispatcherIndex() % set.dispatcherCount()) / set.dispatcherCount();
     }
 
     private void askInTurn() {
-        if (now >= watchAt && set.ask()) {
-            actions.watch();
+        if (now >= watchAt && set.pollsDiscovery()) {
+            actions.watchEndpointList();
             askedAt = now;
-            watchAt = now + rules.askWithinMs() / 2;             // no answer by then: ask again
+            watchAt = now + rules.maxListAgeMs() / 2;             // no answer by then: ask again
         }
     }
 
@@ -1103,10 +1103,10 @@
      */
     private boolean overdue(Attempt a) {
         double grace = a.due - a.sentAt, expect = a.due + grace;
-        if (set.tellsStart() && Double.isNaN(a.startAt)) {
-            expect = a.due + Math.max(set.progressMs(), grace);
-        } else if (set.tellsStart() && set.progressMs() > 0) {
-            expect = Math.min(expect, a.noteAt + set.progressMs());
+        if (set.workersReportStart() && Double.isNaN(a.startAt)) {
+            expect = a.due + Math.max(set.progressIntervalMs(), grace);
+        } else if (set.workersReportStart() && set.progressIntervalMs() > 0) {
+            expect = Math.min(expect, a.noteAt + set.progressIntervalMs());
         }
         return now - aim - meanAll() / a.worker.speed > Math.max(expect, stalledAt);
     }
--- a/src/main/java/maplespread/decision/ListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -1,7 +1,7 @@
-package maplespread.decision;
+package maplespread.policy;
 
-import maplespread.decision.Dispatch.ListLoss;
-import maplespread.decision.Dispatch.ListState;
+import maplespread.policy.Dispatch.EndpointListState;
+import maplespread.policy.Dispatch.EndpointWatchFailure;
 
 /**
  * How far the server list can be relied on, at any time of the process's life. One place holds the state, what
@@ -11,10 +11,10 @@
  * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it,
  * whether or not it arrived. What has not been confirmed for that long may name servers that have drained or gone.
  */
-final class ListFreshness {
+final class EndpointListFreshness {
     /** Hears of every change of the state. */
     interface Listener {
-        void changed(ListState from, ListState to, double ageMs);
+        void changed(EndpointListState from, EndpointListState to, double ageMs);
     }
 
     /** From a change until it counts as notified, by the protocol, whether or not it arrived. */
@@ -27,16 +27,16 @@
     private static final double MARGIN_MS = 500;
 
     private final Listener listener;
-    private boolean pushed;
-    private double reliedOnMs;
-    private ListState state = ListState.UNCONFIRMED;
+    private boolean agentPushesList;
+    private double maxUnconfirmedMs;
+    private EndpointListState state = EndpointListState.UNCONFIRMED;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
     private double usableUntil = Double.NEGATIVE_INFINITY;
     private boolean outageLikely; // discovery ended the watch by itself
     private boolean gapless; // since the last confirmation there was no moment in which a change could be had unheard
-    private boolean refusalSeen;
+    private boolean connectionRefusedSeen;
 
-    ListFreshness(Listener listener) {
+    EndpointListFreshness(Listener listener) {
         this.listener = listener;
     }
 
@@ -45,20 +45,20 @@
      * askWithinMs}: for so long without a call the settings let a list stand, four times as long after a failed one.
      */
     void settings(boolean pushed, double askWithinMs) {
-        this.pushed = pushed;
-        reliedOnMs = Math.min(NOTIFIED_WITHIN_MS, 4 * askWithinMs) - MARGIN_MS;
+        this.agentPushesList = pushed;
+        maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, 4 * askWithinMs) - MARGIN_MS;
     }
 
     /** Discovery has said everything that it has, as of now, and goes on telling. */
     void confirmed(double now) {
         confirmedAt = now;
         usableUntil = Double.POSITIVE_INFINITY;
-        move(ListState.CONFIRMED, now);
+        move(EndpointListState.CONFIRMED, now);
     }
 
     /** The watch says nothing any more, last heard so long ago. */
     void silent(double now, double heardAgoMs) {
-        if (state == ListState.CONFIRMED) {
+        if (state == EndpointListState.CONFIRMED) {
             doubt(now, now - heardAgoMs, false, false);
         }
     }
@@ -67,14 +67,14 @@
     void moved(double now) {
         if (usable(now)) {
             double until = Math.min(usableUntil, now + NOTIFIED_AFTER_MOVE_MS - MARGIN_MS);
-            doubt(now, state == ListState.CONFIRMED ? now : confirmedAt, false, true);
+            doubt(now, state == EndpointListState.CONFIRMED ? now : confirmedAt, false, true);
             usableUntil = until;
         }
     }
 
     /** There is no watch any more, or a call for one has failed, last heard so long ago. */
-    void failed(double now, ListLoss loss, double heardAgoMs) {
-        if (state == ListState.CONFIRMED && loss == ListLoss.ENDED) {
+    void failed(double now, EndpointWatchFailure loss, double heardAgoMs) {
+        if (state == EndpointListState.CONFIRMED && loss == EndpointWatchFailure.ENDED) {
             doubt(now, now, true, true); // watches end when discovery goes down, and what came before came whole
             return;
         }
@@ -91,11 +91,11 @@
 
     private void doubt(double now, double since, boolean outage, boolean noGap) {
         confirmedAt = since;
-        usableUntil = since + reliedOnMs;
+        usableUntil = since + maxUnconfirmedMs;
         outageLikely = outage;
         gapless = noGap;
-        refusalSeen = false;
-        move(ListState.RENEWING, now);
+        connectionRefusedSeen = false;
+        move(EndpointListState.RENEWING, now);
     }
 
     /**
@@ -103,35 +103,35 @@
      * taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
      */
     private void unanswered(double now) {
-        if (pushed || outageLikely && !refusalSeen) {
+        if (agentPushesList || outageLikely && !connectionRefusedSeen) {
             usableUntil = Double.POSITIVE_INFINITY;
-            move(ListState.UNREACHABLE, now);
+            move(EndpointListState.UNREACHABLE, now);
         } else {
             gapless = false;
-            move(ListState.RENEWING, now);
+            move(EndpointListState.RENEWING, now);
         }
     }
 
     /** Nobody is there to know of a change, and nobody was since the list was confirmed. */
     private void refused(double now) {
-        if (pushed || gapless) {
-            refusalSeen = true;
-            usableUntil = now + reliedOnMs;
-            move(ListState.UNREACHABLE, now);
+        if (agentPushesList || gapless) {
+            connectionRefusedSeen = true;
+            usableUntil = now + maxUnconfirmedMs;
+            move(EndpointListState.UNREACHABLE, now);
         }
     }
 
     /** Whether a request may be sent by the list. */
     boolean usable(double now) {
-        if (now >= usableUntil && state != ListState.UNCONFIRMED) {
-            move(ListState.STALE, now);
+        if (now >= usableUntil && state != EndpointListState.UNCONFIRMED) {
+            move(EndpointListState.STALE, now);
         }
         return now < usableUntil;
     }
 
-    private void move(ListState to, double now) {
+    private void move(EndpointListState to, double now) {
         if (to != state) {
-            ListState from = state;
+            EndpointListState from = state;
             state = to;
             listener.changed(from, to, now - confirmedAt);
         }
--- a/src/main/java/maplespread/decision/Numbers.java
+++ b/src/main/java/maplespread/policy/StableHash.java
@@ -1,10 +1,10 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** Small arithmetic for {@link Logic}. */
-public final class Numbers {
+/** Small arithmetic for {@link DispatchPolicy}. */
+public final class StableHash {
     private static final double[] QUANTILES = new double[256];
 
     static {
@@ -13,7 +13,7 @@
         }
     }
 
-    private Numbers() {}
+    private StableHash() {}
 
     /** What news of that age, in time constants, still tells: near exp(-age), and cheap. */
     static double fade(double age) {
@@ -47,7 +47,7 @@
     }
 
     /** Figures by number, 0 where none was put; as many as are needed. */
-    static final class Row {
+    static final class GrowingArray {
         private double[] all = {};
 
         double at(int i) {
--- a/src/main/java/maplespread/decision/Roster.java
+++ b/src/main/java/maplespread/policy/WorkerTable.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,9 +8,9 @@
  * The workers in places without gaps, with a share and a cost by place and the shares' sum. Coming and going
  * costs the same whatever their number: the last one takes the place of one that goes. Decides nothing.
  */
-final class Roster<W extends Roster.Placed> {
+final class WorkerTable<W extends WorkerTable.Indexed> {
     /** What has a place; -1 while it has none. */
-    static class Placed {
+    static class Indexed {
         int at = -1;
     }
 
--- a/src/main/java/maplespread/fair/Shares.java
+++ b/src/main/java/maplespread/quota/TenantQuota.java
@@ -1,10 +1,10 @@
-package maplespread.fair;
+package maplespread.quota;
 
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import maplespread.decision.Dispatch;
+import maplespread.policy.Dispatch;
 
 /**
  * What requests count for under their tenants' shares. Token buckets by tenant are filled at this
@@ -22,7 +22,7 @@
  * tenant that is thought greedy at a dispatcher where simply more of all arrives, and against a price for
  * being beyond on days when there is enough for all.
  */
-public final class Shares {
+public final class TenantQuota {
     private static final double BURST_MS = 1000; // a bucket holds its fill of so long
     private static final double MEMORY_MS = 2000; // of the rate that is seen here
     private static final double STEP = 0.02; // of one end: about 50 are remembered
@@ -38,9 +38,9 @@
     private double rateAt = Double.NaN;
     private double turnedAway; // of those within, lately
 
-    public Shares(List<Dispatch.Tenant> tenants) {
+    public TenantQuota(List<Dispatch.Tenant> tenants) {
         allowances =
-                tenants.stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray();
+                tenants.stream().mapToDouble(Dispatch.Tenant::quotaPerSecond).toArray();
         tokens = new double[allowances.length];
         filled = new double[tokens.length];
         rates = new double[tokens.length];
@@ -53,7 +53,7 @@
      * before; those are judged and not counted again. {@code dispatchers}: among how many the tenants'
      * traffic is spread.
      */
-    public double of(double nowMs, long id, int tenant, boolean first, int dispatchers) {
+    public double weight(double nowMs, long id, int tenant, boolean first, int dispatchers) {
         if (tenant < 0 || tenant >= allowances.length || allowances[tenant] <= 0) {
             return 1;
         }
@@ -84,14 +84,14 @@
     }
 
     /** The request has its answer; {@code away}: it was turned away or failed. */
-    public void ended(long id, boolean away) {
+    public void requestCompleted(long id, boolean away) {
         if (within.remove(id)) {
             turnedAway += STEP * ((away ? 1 : 0) - turnedAway);
         }
     }
 
     /** Nobody waits for the request any more: it tells nothing. */
-    public void left(long id) {
+    public void clientLeft(long id) {
         within.remove(id);
     }
 }
--- a/src/main/java/maplespread/fair/package-info.java
+++ b/src/main/java/maplespread/quota/package-info.java
@@ -3,4 +3,4 @@
  * the others. Pure: no sockets, clock, threads or randomness. The decision module is told the result with
  * each request; it alone decides what is turned away.
  */
-package maplespread.fair;
+package maplespread.quota;
--- a/src/main/java/maplespread/registry/End.java
+++ b/src/main/java/maplespread/registry/CallOutcome.java
@@ -1,7 +1,7 @@
 package maplespread.registry;
 
 /** How a call to the registry ended, as the shell saw it. */
-public enum End {
+public enum CallOutcome {
     /** Its answer was whole. */
     DONE,
     /** The core had it stopped. */
--- a/src/main/java/maplespread/registry/View.java
+++ b/src/main/java/maplespread/registry/EndpointView.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 
 /**
  * What the registry says of the workers, by key and by worker, and what the dispatcher has been told of it. A
@@ -27,17 +27,17 @@
  * history does not know ({@code orphans}): its absence is lost data and not somebody's word, so it stays for
  * a time in which it can register anew.
  */
-public final class View {
-    private static final class Held {
+public final class EndpointView {
+    private static final class Claim {
         final int part;
         final String key;
         long revision;
         int print; // of the value last seen, readable or not
         long readAt; // when its route was last read, as a count
-        Route route; // null: no value of it could be read yet
+        Endpoint route; // null: no value of it could be read yet
         long orphanUntil = Long.MAX_VALUE;
 
-        Held(int part, String key) {
+        Claim(int part, String key) {
             this.part = part;
             this.key = key;
         }
@@ -46,39 +46,39 @@
     private static final int MOST_DRAINS = 50_000;
 
     /** One start of a worker that was told to be draining. */
-    private record Drain(String worker, double startedAtMs) {}
+    private record DrainedStart(String worker, double startedAtMs) {}
 
     /** What a rebuild has changed, in workers. */
-    public record Difference(int added, int gone, int drained, int restarted, int other) {
+    public record ChangeCounts(int added, int removed, int drained, int restarted, int changed) {
         boolean none() {
-            return added + gone + drained + restarted + other == 0;
+            return added + removed + drained + restarted + changed == 0;
         }
     }
 
-    private final ClaimReader reader;
-    private final RegistrySink sink;
+    private final EntryDecoder reader;
+    private final RegistryListener sink;
     private final long forgetAfterMs;
-    private final List<Map<String, Held>> parts = new ArrayList<>();
+    private final List<Map<String, Claim>> parts = new ArrayList<>();
     private final BitSet unread = new BitSet(); // parts that have never been whole
-    private final Map<String, List<Held>> byWorker = new HashMap<>();
-    private final Map<String, Route> shown = new LinkedHashMap<>();
+    private final Map<String, List<Claim>> byWorker = new HashMap<>();
+    private final Map<String, Endpoint> publishedEndpoints = new LinkedHashMap<>();
     /** Drains told, and up to which reading each holds whatever the registry says; 0: none. */
-    private final Map<Drain, Long> drains = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<DrainedStart, Long> drains = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Drain, Long> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<DrainedStart, Long> eldest) {
             return size() > MOST_DRAINS;
         }
     };
 
     private long reading;
-    private final Set<Held> orphans = new LinkedHashSet<>();
+    private final Set<Claim> orphans = new LinkedHashSet<>();
     private long orphansUntil = Long.MAX_VALUE;
     private long generation;
-    private boolean told;
+    private boolean published;
 
-    public View(int parts, ClaimReader reader, long forgetAfterMs, RegistrySink sink) {
+    public EndpointView(int parts, EntryDecoder reader, long forgetAfterMs, RegistryListener sink) {
         this.reader = reader;
         this.forgetAfterMs = forgetAfterMs;
         this.sink = sink;
@@ -89,25 +89,25 @@
     }
 
     /** Whether every part has been read whole, so that the dispatcher has been told. */
-    public boolean told() {
-        return told;
+    public boolean published() {
+        return published;
     }
 
     /** What the dispatcher has been told, by worker. */
-    public Map<String, Route> shown() {
-        return java.util.Collections.unmodifiableMap(shown);
+    public Map<String, Endpoint> publishedEndpoints() {
+        return java.util.Collections.unmodifiableMap(publishedEndpoints);
     }
 
     /** How many keys the registry is held to have in a part. */
-    long size(int part) {
+    long entryCount(int part) {
         return parts.get(part).size()
                 - orphans.stream().filter(h -> h.part == part).count();
     }
 
     /** The key of a part that was changed last; null where it has none. */
-    String newest(int part) {
-        Held best = null;
-        for (Held h : parts.get(part).values()) {
+    String newestKey(int part) {
+        Claim best = null;
+        for (Claim h : parts.get(part).values()) {
             if (h.orphanUntil == Long.MAX_VALUE
                     && (best == null
                             || h.revision > best.revision
@@ -119,20 +119,20 @@
     }
 
     /** Whether an item is what is held under the newest key; null: none is held. */
-    boolean holds(int part, Item item) {
-        String key = newest(part);
+    boolean newestEntryIs(int part, RegistryEntry item) {
+        String key = newestKey(part);
         return key == null
                 ? item == null
                 : item != null && key.equals(item.key()) && same(parts.get(part).get(key), item);
     }
 
     /** How many keys of a part have gone, where it has so many now and these have changed. */
-    long gone(int part, List<Item> changed, long count) {
+    long countDeleted(int part, List<RegistryEntry> changed, long count) {
         long fresh = changed.stream()
                 .map(item -> parts.get(part).get(item.key()))
                 .filter(h -> h == null || h.orphanUntil < Long.MAX_VALUE)
                 .count();
-        return size(part) + fresh - count;
+        return entryCount(part) + fresh - count;
     }
 
     /** Workers kept though a restored registry does not know them. */
@@ -141,9 +141,9 @@
     }
 
     /** The changes of one or more whole revisions. */
-    void apply(int part, List<Item> items, long revision) {
+    void apply(int part, List<RegistryEntry> items, long revision) {
         Set<String> touched = new LinkedHashSet<>();
-        for (Item item : items) {
+        for (RegistryEntry item : items) {
             if (item.isDeleted()) {
                 remove(part, item.key(), touched);
             } else {
@@ -156,10 +156,10 @@
     /**
      * All of a part as it stands. {@code other}: by another history than the one held so far.
      */
-    Difference replace(int part, Map<String, Item> fresh, boolean other, long revision, long now) {
+    ChangeCounts replace(int part, Map<String, RegistryEntry> fresh, boolean other, long revision, long now) {
         Set<String> touched = new LinkedHashSet<>();
-        Map<String, Held> held = parts.get(part);
-        for (Held h : List.copyOf(held.values())) {
+        Map<String, Claim> held = parts.get(part);
+        for (Claim h : List.copyOf(held.values())) {
             if (fresh.containsKey(h.key) || h.orphanUntil < Long.MAX_VALUE && !other) {
                 continue;
             }
@@ -173,8 +173,8 @@
                 remove(part, h.key, touched);
             }
         }
-        for (Item item : fresh.values()) {
-            Held h = held.get(item.key());
+        for (RegistryEntry item : fresh.values()) {
+            Claim h = held.get(item.key());
             if (other || h == null || h.orphanUntil < Long.MAX_VALUE || !same(h, item)) {
                 put(part, item, touched);
             }
@@ -191,10 +191,10 @@
      * before that and is not held so. Guards against a registry that was restored and has come further
      * since, whose revisions alone look right.
      */
-    boolean contradicted(int part, Map<String, Item> fresh, long revision) {
-        Map<String, Held> held = parts.get(part);
-        for (Item item : fresh.values()) {
-            Held h = held.get(item.key());
+    boolean contradicts(int part, Map<String, RegistryEntry> fresh, long revision) {
+        Map<String, Claim> held = parts.get(part);
+        for (RegistryEntry item : fresh.values()) {
+            Claim h = held.get(item.key());
             if (h == null || h.orphanUntil < Long.MAX_VALUE
                     ? item.revision() <= revision
                     : item.revision() < h.revision || item.revision() == h.revision && !same(h, item)) {
@@ -204,21 +204,21 @@
         return false;
     }
 
-    private static boolean same(Held h, Item item) {
-        return h.revision == item.revision() && h.print == item.print();
+    private static boolean same(Claim h, RegistryEntry item) {
+        return h.revision == item.revision() && h.print == item.valueHash();
     }
 
     /**
      * Lets go of a part's workers that a restored registry has not come to know in time. {@code heardAt}: up
      * to when all that it says of the part is known; time alone does not say that nobody came back.
      */
-    void expire(int part, long heardAt) {
+    void releaseOrphans(int part, long heardAt) {
         if (heardAt < orphansUntil) {
             return;
         }
         Set<String> touched = new LinkedHashSet<>();
         orphansUntil = Long.MAX_VALUE;
-        for (Held h : List.copyOf(orphans)) {
+        for (Claim h : List.copyOf(orphans)) {
             if (h.part == part && h.orphanUntil <= heardAt) {
                 remove(h.part, h.key, touched);
             } else {
@@ -226,24 +226,24 @@
             }
         }
         if (!touched.isEmpty()) {
-            sink.event(true, "registry.forgotten", "workers", touched.size());
+            sink.eventOccurred(true, "registry.forgotten", "workers", touched.size());
             publish(touched, generation);
         }
     }
 
-    private void put(int part, Item item, Set<String> touched) {
-        Held h = parts.get(part).computeIfAbsent(item.key(), k -> new Held(part, k));
+    private void put(int part, RegistryEntry item, Set<String> touched) {
+        Claim h = parts.get(part).computeIfAbsent(item.key(), k -> new Claim(part, k));
         h.revision = item.revision();
-        h.print = item.print();
+        h.print = item.valueHash();
         if (orphans.remove(h)) {
             h.orphanUntil = Long.MAX_VALUE;
         }
-        Route route;
+        Endpoint route;
         try {
-            route = Objects.requireNonNull(reader.read(item.key(), item.text()));
+            route = Objects.requireNonNull(reader.decode(item.key(), item.value()));
         } catch (RuntimeException e) {
             // Costs this change only: what the key said before still counts.
-            sink.event(
+            sink.eventOccurred(
                     true, "registry.unreadable", "key", item.key(), "revision", item.revision(), "why", e.getMessage());
             return;
         }
@@ -251,10 +251,10 @@
             leave(h, touched);
         }
         if (h.route == null) {
-            List<Held> claims = byWorker.computeIfAbsent(route.worker(), w -> new ArrayList<>(1));
+            List<Claim> claims = byWorker.computeIfAbsent(route.worker(), w -> new ArrayList<>(1));
             claims.add(h);
             if (claims.size() > 1) {
-                sink.event(
+                sink.eventOccurred(
                         true,
                         "registry.claimed_twice",
                         "worker",
@@ -271,19 +271,19 @@
     }
 
     private void remove(int part, String key, Set<String> touched) {
-        Held h = parts.get(part).remove(key);
+        Claim h = parts.get(part).remove(key);
         if (h != null) {
             orphans.remove(h);
             leave(h, touched);
         }
     }
 
-    private void leave(Held h, Set<String> touched) {
+    private void leave(Claim h, Set<String> touched) {
         if (h.route == null) {
             return;
         }
         String worker = h.route.worker();
-        List<Held> claims = byWorker.get(worker);
+        List<Claim> claims = byWorker.get(worker);
         claims.remove(h);
         if (claims.isEmpty()) {
             byWorker.remove(worker);
@@ -292,22 +292,22 @@
         touched.add(worker);
     }
 
-    private Route winner(String worker) {
-        Held best = null;
-        for (Held h : byWorker.getOrDefault(worker, List.of())) {
+    private Endpoint winner(String worker) {
+        Claim best = null;
+        for (Claim h : byWorker.getOrDefault(worker, List.of())) {
             best = best == null || before(h, best) ? h : best;
         }
         if (best == null) {
             return null;
         }
-        Route r = best.route;
-        if (best.readAt > drains.getOrDefault(new Drain(worker, r.startedAtMs()), 0L)) {
+        Endpoint r = best.route;
+        if (best.readAt > drains.getOrDefault(new DrainedStart(worker, r.startedAtMs()), 0L)) {
             return r; // nothing is held against it, or it is newer
         }
-        return new Route(
+        return new Endpoint(
                 r.worker(),
                 r.address(),
-                Route.State.DRAINING,
+                Endpoint.State.DRAINING,
                 r.weight(),
                 r.kind(),
                 r.cell(),
@@ -315,39 +315,40 @@
                 r.startedAtMs());
     }
 
-    private static boolean before(Held a, Held b) {
+    private static boolean before(Claim a, Claim b) {
         int byStart = Double.compare(a.route.startedAtMs(), b.route.startedAtMs());
-        int byDrain = Boolean.compare(a.route.state() != Route.State.SERVING, b.route.state() != Route.State.SERVING);
+        int byDrain =
+                Boolean.compare(a.route.state() != Endpoint.State.SERVING, b.route.state() != Endpoint.State.SERVING);
         int byKey = a.part != b.part ? b.part - a.part : b.key.compareTo(a.key);
         return (byStart != 0 ? byStart : byDrain != 0 ? byDrain : byKey) > 0;
     }
 
     /** Tells what differs from what was told; nothing before all parts have been read. */
-    private Difference publish(Collection<String> touched, long revision) {
+    private ChangeCounts publish(Collection<String> touched, long revision) {
         generation = Math.max(generation, revision);
         if (!unread.isEmpty()) {
-            return new Difference(0, 0, 0, 0, 0);
+            return new ChangeCounts(0, 0, 0, 0, 0);
         }
         int added = 0, gone = 0, drained = 0, restarted = 0, other = 0;
-        List<Route> changes = new ArrayList<>();
-        for (String worker : told ? touched : List.copyOf(byWorker.keySet())) {
-            Route now = winner(worker);
-            Route before = now == null ? shown.remove(worker) : shown.put(worker, now);
+        List<Endpoint> changes = new ArrayList<>();
+        for (String worker : published ? touched : List.copyOf(byWorker.keySet())) {
+            Endpoint now = winner(worker);
+            Endpoint before = now == null ? publishedEndpoints.remove(worker) : publishedEndpoints.put(worker, now);
             if (Objects.equals(before, now)) {
                 continue;
             }
-            if (now != null && now.state() == Route.State.SERVING) {
-                drains.remove(new Drain(worker, now.startedAtMs()));
+            if (now != null && now.state() == Endpoint.State.SERVING) {
+                drains.remove(new DrainedStart(worker, now.startedAtMs()));
             } else if (now != null) {
-                drains.putIfAbsent(new Drain(worker, now.startedAtMs()), 0L);
+                drains.putIfAbsent(new DrainedStart(worker, now.startedAtMs()), 0L);
             }
             changes.add(
                     now != null
                             ? now
-                            : new Route(
+                            : new Endpoint(
                                     worker,
                                     before.address(),
-                                    Route.State.DELETED,
+                                    Endpoint.State.DELETED,
                                     before.weight(),
                                     before.kind(),
                                     before.cell(),
@@ -359,17 +360,17 @@
                 gone++;
             } else if (now.startedAtMs() != before.startedAtMs()) {
                 restarted++;
-            } else if (now.state() != before.state() && now.state() != Route.State.SERVING) {
+            } else if (now.state() != before.state() && now.state() != Endpoint.State.SERVING) {
                 drained++;
             } else {
                 other++;
             }
         }
-        if (!told || !changes.isEmpty()) {
-            EndpointUpdate.Kind kind = told ? EndpointUpdate.Kind.CHANGES : EndpointUpdate.Kind.WHOLE;
-            told = true;
-            sink.news(new EndpointUpdate(kind, generation, changes));
+        if (!published || !changes.isEmpty()) {
+            EndpointUpdate.Kind kind = published ? EndpointUpdate.Kind.DELTA : EndpointUpdate.Kind.FULL_SNAPSHOT;
+            published = true;
+            sink.endpointsChanged(new EndpointUpdate(kind, generation, changes));
         }
-        return new Difference(added, gone, drained, restarted, other);
+        return new ChangeCounts(added, gone, drained, restarted, other);
     }
 }
