--- a/src/main/java/maplespread/registry/ClaimReader.java
+++ b/src/main/java/maplespread/registry/EntryDecoder.java
@@ -1,9 +1,9 @@
 package maplespread.registry;
 
-import maplespread.facade.Route;
+import maplespread.facade.Endpoint;
 
 /** Makes a route of a key and its text. */
-public interface ClaimReader {
+public interface EntryDecoder {
     /** Any runtime exception: the value cannot be read; its message says why. */
-    Route read(String key, String text);
+    Endpoint decode(String key, String text);
 }
--- a/src/main/java/maplespread/registry/Item.java
+++ b/src/main/java/maplespread/registry/RegistryEntry.java
@@ -6,36 +6,36 @@
  * One key as the registry holds it: its text, and the revision of its last change. A null text: deleted at
  * that revision. The text is made when it is first needed, since most keys of a whole answer are old news.
  */
-public final class Item {
+public final class RegistryEntry {
     private final String key;
     private final long revision;
     private final boolean deleted;
-    private final int print;
+    private final int valueHash;
     private Supplier<String> source;
-    private String text;
+    private String value;
 
-    private Item(String key, long revision, boolean deleted, int print, Supplier<String> source) {
+    private RegistryEntry(String key, long revision, boolean deleted, int print, Supplier<String> source) {
         this.key = key;
         this.revision = revision;
         this.deleted = deleted;
-        this.print = print;
+        this.valueHash = print;
         this.source = source;
     }
 
-    public static Item of(String key, String text, long revision) {
-        return new Item(key, revision, false, text.hashCode(), () -> text);
+    public static RegistryEntry of(String key, String text, long revision) {
+        return new RegistryEntry(key, revision, false, text.hashCode(), () -> text);
     }
 
     /**
      * {@code text} may fail with any runtime exception: the value is then one that cannot be read. {@code
      * print}: a hash of the value as it came, the same whenever the value is.
      */
-    public static Item lazy(String key, long revision, int print, Supplier<String> text) {
-        return new Item(key, revision, false, print, text);
+    public static RegistryEntry lazy(String key, long revision, int print, Supplier<String> text) {
+        return new RegistryEntry(key, revision, false, print, text);
     }
 
-    public static Item deleted(String key, long revision) {
-        return new Item(key, revision, true, 0, null);
+    public static RegistryEntry deleted(String key, long revision) {
+        return new RegistryEntry(key, revision, true, 0, null);
     }
 
     public String key() {
@@ -51,16 +51,16 @@
     }
 
     /** A hash of the value, had without decoding it. */
-    public int print() {
-        return print;
+    public int valueHash() {
+        return valueHash;
     }
 
-    public String text() {
+    public String value() {
         if (source != null) {
-            text = source.get();
+            value = source.get();
             source = null;
         }
-        return text;
+        return value;
     }
 
     @Override
--- a/src/main/java/maplespread/registry/RegistrySink.java
+++ b/src/main/java/maplespread/registry/RegistryListener.java
@@ -3,10 +3,10 @@
 import maplespread.facade.EndpointUpdate;
 
 /** Where a core's words go. Called while the core handles what it heard; must not call back into it. */
-public interface RegistrySink {
+public interface RegistryListener {
     /** Whole once, when all parts have first been read; changes after that. */
-    void news(EndpointUpdate news);
+    void endpointsChanged(EndpointUpdate news);
 
     /** Something that operators may want to know; {@code pairs}: a key and its value, in turn. */
-    void event(boolean warning, String name, Object... pairs);
+    void eventOccurred(boolean warning, String name, Object... pairs);
 }
--- a/src/main/java/maplespread/registry/Endpoints.java
+++ b/src/main/java/maplespread/registry/RegistryServerSelector.java
@@ -5,12 +5,12 @@
  * is tried again soon, since that costs nothing and resuming is to be quick; one that accepts and then
  * fails, or says nothing, rests longer each time.
  */
-final class Endpoints {
+final class RegistryServerSelector {
     private static final long SOON_BASE_MS = 20, SOON_CAP_MS = 80;
     private static final long BASE_MS = 50, CAP_MS = 1000;
     private static final long DENIED_BASE_MS = 1000, DENIED_CAP_MS = 30_000;
 
-    private final Pace pace;
+    private final RequestRateLimiter pace;
     private final long[] restUntil;
     private final long[] lastRest;
     private final boolean[] proved; // it has been of use since it last failed
@@ -18,7 +18,7 @@
     private long failures;
     private int current;
 
-    Endpoints(int count, Pace pace) {
+    RegistryServerSelector(int count, RequestRateLimiter pace) {
         this.pace = pace;
         restUntil = new long[count];
         lastRest = new long[count];
@@ -30,7 +30,7 @@
      * The endpoint to ask; -1: none yet. The present one while it holds, else of those that do not rest the
      * one whose failure is longest ago: were the first taken, two dead ones would take turns for good.
      */
-    int pick(long now) {
+    int select(long now) {
         if (failed[current] == 0) {
             return restUntil[current] <= now ? current : -1;
         }
@@ -45,7 +45,7 @@
     }
 
     /** When the first of them may be asked again. */
-    long soonest() {
+    long earliestRetryAtMs() {
         if (failed[current] == 0) {
             return restUntil[current];
         }
@@ -65,7 +65,7 @@
     }
 
     /** It has answered to the purpose. */
-    void useful(int endpoint) {
+    void recordSuccess(int endpoint) {
         lastRest[endpoint] = 0;
         proved[endpoint] = true;
         failed[endpoint] = 0;
@@ -75,28 +75,28 @@
         return proved[endpoint];
     }
 
-    void failed(int endpoint, long now, End how) {
+    void failed(int endpoint, long now, CallOutcome how) {
         proved[endpoint] = false;
         failed[endpoint] = ++failures;
-        long base = how == End.REFUSED ? SOON_BASE_MS : how == End.DENIED ? DENIED_BASE_MS : BASE_MS;
-        long cap = how == End.REFUSED ? SOON_CAP_MS : how == End.DENIED ? DENIED_CAP_MS : CAP_MS;
-        lastRest[endpoint] = pace.next(base, lastRest[endpoint], cap);
+        long base = how == CallOutcome.REFUSED ? SOON_BASE_MS : how == CallOutcome.DENIED ? DENIED_BASE_MS : BASE_MS;
+        long cap = how == CallOutcome.REFUSED ? SOON_CAP_MS : how == CallOutcome.DENIED ? DENIED_CAP_MS : CAP_MS;
+        lastRest[endpoint] = pace.nextBackoffMs(base, lastRest[endpoint], cap);
         restUntil[endpoint] = now + lastRest[endpoint];
     }
 
     /** It was of use and has ended without a fault: asked again after a moment. */
-    void ended(int endpoint, long now) {
-        restUntil[endpoint] = now + pace.next(1, 2, SOON_BASE_MS);
+    void recordNormalEnd(int endpoint, long now) {
+        restUntil[endpoint] = now + pace.nextBackoffMs(1, 2, SOON_BASE_MS);
     }
 
     /** Its answers lie behind what is known; others are asked meanwhile. */
-    void behind(int endpoint, long now, long cap) {
+    void recordStaleAnswer(int endpoint, long now, long cap) {
         failed[endpoint] = ++failures;
-        restUntil[endpoint] = now + pace.next(Math.min(BASE_MS, cap), BASE_MS, Math.max(1, cap));
+        restUntil[endpoint] = now + pace.nextBackoffMs(Math.min(BASE_MS, cap), BASE_MS, Math.max(1, cap));
     }
 
     /** Whether a better one than the present may be tried; if so, it is the present one from now on. */
-    boolean prefer(long now) {
+    boolean switchToPreferred(long now) {
         for (int i = 0; i < current; i++) {
             if (restUntil[i] <= now) {
                 current = i;
@@ -108,7 +108,7 @@
     }
 
     /** All may be asked at once: for when the reason of their refusals may be gone. */
-    void wake(long now) {
+    void clearBackoffs(long now) {
         for (int i = 0; i < restUntil.length; i++) {
             restUntil[i] = Math.min(restUntil[i], now);
             lastRest[i] = 0;
--- a/src/main/java/maplespread/registry/RegistrySettings.java
+++ b/src/main/java/maplespread/registry/RegistrySettings.java
@@ -35,12 +35,12 @@
         CONSUL_HEALTH;
 
         /** Whether every answer holds all there is, and none tells what has changed. */
-        public boolean wholeAnswers() {
+        public boolean returnsFullSnapshots() {
             return this != ETCD;
         }
     }
 
-    public static final long DIAL_MS = 250, SILENCE_MS = 2000;
+    public static final long DEFAULT_DIAL_MS = 250, DEFAULT_SILENCE_MS = 2000;
     private static final long LONG_WAIT_MS = 10_000, SHORT_WAIT_MS = 2000;
     private static final int FEW_ENDPOINTS = 2; // 2 s are enough for a try at each
     /** Consul adds up to this part of a wait to it. */
@@ -51,7 +51,7 @@
     private static final long MOST_ANSWER_MS = 1000, LEAST_ANSWER_MS = 50;
 
     /** With the defaults of the operators' file, for tools and tests. */
-    public static RegistrySettings of(Dialect dialect, List<String> endpoints, List<String> follow) {
+    public static RegistrySettings withDefaults(Dialect dialect, List<String> endpoints, List<String> follow) {
         int n = endpoints.size();
         return new RegistrySettings(
                 dialect,
@@ -60,10 +60,10 @@
                 "",
                 1000,
                 2000,
-                DIAL_MS,
-                answerFor(dialect, n, follow.size(), DIAL_MS, SILENCE_MS, waitFor(n)),
-                SILENCE_MS,
-                waitFor(n),
+                DEFAULT_DIAL_MS,
+                defaultAnswerMs(dialect, n, follow.size(), DEFAULT_DIAL_MS, DEFAULT_SILENCE_MS, defaultWaitMs(n)),
+                DEFAULT_SILENCE_MS,
+                defaultWaitMs(n),
                 30_000,
                 3000,
                 15_000,
@@ -71,75 +71,76 @@
     }
 
     /** A long wait costs the registry less; with many endpoints only a short one leaves time for them. */
-    public static long waitFor(int endpoints) {
+    public static long defaultWaitMs(int endpoints) {
         return endpoints <= FEW_ENDPOINTS ? LONG_WAIT_MS : SHORT_WAIT_MS;
     }
 
     /** The longest time for an answer that keeps the clock, in steps of 50 ms; 1 s is enough for any. */
-    public static long answerFor(Dialect dialect, int endpoints, int follow, long dialMs, long silenceMs, long waitMs) {
-        long answer = MOST_ANSWER_MS, clock = clockMs(dialect, waitMs);
+    public static long defaultAnswerMs(
+            Dialect dialect, int endpoints, int follow, long dialMs, long silenceMs, long waitMs) {
+        long answer = MOST_ANSWER_MS, clock = stalenessLimitMs(dialect, waitMs);
         while (answer > LEAST_ANSWER_MS
-                && worstMs(dialect, endpoints, follow, dialMs, answer, silenceMs, waitMs) > clock) {
+                && worstCaseMs(dialect, endpoints, follow, dialMs, answer, silenceMs, waitMs) > clock) {
             answer -= LEAST_ANSWER_MS;
         }
         return answer;
     }
 
     /** Within so many milliseconds of silence the new word is to be in hand. */
-    public long clockMs() {
-        return clockMs(dialect, waitMs);
+    public long stalenessLimitMs() {
+        return stalenessLimitMs(dialect, waitMs);
     }
 
-    private static long clockMs(Dialect dialect, long waitMs) {
-        return dialect.wholeAnswers() ? Math.max(CLOCK_MS, waitMs + AFTER_WAIT_MS) : CLOCK_MS;
+    private static long stalenessLimitMs(Dialect dialect, long waitMs) {
+        return dialect.returnsFullSnapshots() ? Math.max(CLOCK_MS, waitMs + AFTER_WAIT_MS) : CLOCK_MS;
     }
 
     /** How long it may take, while one endpoint answers in time and all others take calls in silence. */
-    public long worstMs() {
-        return worstMs(dialMs, silenceMs, waitMs);
+    public long worstCaseMs() {
+        return worstCaseMs(dialMs, silenceMs, waitMs);
     }
 
-    private long worstMs(long dial, long silence, long wait) {
-        return worstMs(dialect, endpoints.size(), follow.size(), dial, answerMs, silence, wait);
+    private long worstCaseMs(long dial, long silence, long wait) {
+        return worstCaseMs(dialect, endpoints.size(), follow.size(), dial, answerMs, silence, wait);
     }
 
     /**
      * The silence until it is noticed; a try that is lost at each other endpoint; and the one that answers:
      * for Consul the list, for etcd the check, what was missed, and a rebuild's first page of each prefix.
      */
-    private static long worstMs(
+    private static long worstCaseMs(
             Dialect dialect, int endpoints, int follow, long dialMs, long answerMs, long silenceMs, long waitMs) {
         long call = dialMs + answerMs;
-        boolean consul = dialect.wholeAnswers();
+        boolean consul = dialect.returnsFullSnapshots();
         long noticed = consul ? waitMs + call : Math.max(silenceMs, call);
         return noticed + endpoints * (call + REST_MS) + (consul ? 0 : (1 + follow) * answerMs) + MARGIN_MS;
     }
 
     /** The key because of which the clock cannot be kept; null: it is kept. */
-    public String tooLate() {
-        if (!paceKeepsClock(1)) {
+    public String keyBreakingStalenessLimit() {
+        if (!rateKeepsStalenessLimit(1)) {
             return "requests_per_s";
         }
-        if (worstMs() <= clockMs()) {
+        if (worstCaseMs() <= stalenessLimitMs()) {
             return null;
         }
-        if (worstMs(dialMs, Math.min(silenceMs, SILENCE_MS), waitMs) <= clockMs()) {
+        if (worstCaseMs(dialMs, Math.min(silenceMs, DEFAULT_SILENCE_MS), waitMs) <= stalenessLimitMs()) {
             return "silence_ms";
         }
-        if (worstMs(Math.min(dialMs, DIAL_MS), silenceMs, waitMs) <= clockMs()) {
+        if (worstCaseMs(Math.min(dialMs, DEFAULT_DIAL_MS), silenceMs, waitMs) <= stalenessLimitMs()) {
             return "dial_ms";
         }
         if (answerMs > LEAST_ANSWER_MS) {
             return "answer_ms";
         }
         long wait = Math.min(waitMs, SHORT_WAIT_MS);
-        return worstMs(dialMs, silenceMs, wait) <= clockMs(dialect, wait)
+        return worstCaseMs(dialMs, silenceMs, wait) <= stalenessLimitMs(dialect, wait)
                 ? "wait_ms"
-                : !dialect.wholeAnswers() && follow.size() > endpoints.size() ? "follow" : "endpoints";
+                : !dialect.returnsFullSnapshots() && follow.size() > endpoints.size() ? "follow" : "endpoints";
     }
 
     /** Whether a dispatcher's share of the requests comes as fast as answers may. */
-    boolean paceKeepsClock(int dispatchers) {
+    boolean rateKeepsStalenessLimit(int dispatchers) {
         return 1000L * dispatchers <= requestsPerS * answerMs;
     }
 
--- a/src/main/java/maplespread/registry/RegistryCore.java
+++ b/src/main/java/maplespread/registry/RegistryWatcher.java
@@ -12,9 +12,9 @@
  * call is out at a time. Not for several threads at once.
  *
  * <p>The methods that hear return whether the call may go on; where they say no, the shell ends it and tells
- * {@link End#STOPPED}.
+ * {@link CallOutcome#STOPPED}.
  */
-public final class RegistryCore {
+public final class RegistryWatcher {
     /**
      * REBUILDING: all keys are read, page by page, while the view held so far stays. CHECKING: a watch has
      * ended; whether the registry's history is still the one that the view is of. CATCHING_UP: it is, and has
@@ -38,12 +38,12 @@
 
     /** A rebuild under way. */
     private final class Paging {
-        final List<Map<String, Item>> fresh = new ArrayList<>();
+        final List<Map<String, RegistryEntry>> fresh = new ArrayList<>();
         final long startedAt;
         final int endpoint;
         long wordAt; // its first page came then
         String after = "";
-        History history;
+        Revision history;
 
         Paging(long now, int endpoint) {
             startedAt = now;
@@ -55,19 +55,19 @@
     private final RegistrySettings settings;
     private final boolean whole;
     private final int firstPart, parts;
-    private final View view;
-    private final RegistrySink sink;
-    private final Pace pace;
-    private final Endpoints endpoints;
+    private final EndpointView view;
+    private final RegistryListener sink;
+    private final RequestRateLimiter pace;
+    private final RegistryServerSelector endpoints;
 
     private Phase phase = Phase.REBUILDING;
-    private History held; // null: nothing has been read yet
+    private Revision held; // null: nothing has been read yet
     private String gone; // the newest change's key, if it deleted it
     private int goneFrom;
     private final long[] at; // by part: all up to it is held
-    private final List<List<Item>> fragments = new ArrayList<>();
+    private final List<List<RegistryEntry>> fragments = new ArrayList<>();
     private Paging paging;
-    private int page;
+    private int onPage;
     private final long rebuildCap; // a drain may lie unread for as long
     private long rebuildAt, rebuildRest;
     private long doubtSince = NONE;
@@ -78,38 +78,38 @@
     private int preferred; // tries of a better endpoint since it served
     private final long[] wordAt; // by part: nothing was missing then
     private long askedAt, silence;
-    private int created; // watches of the stream that are on
+    private int onWatchCreated; // watches of the stream that are on
     private int silent; // calls without an answer, in a row
-    private int checked; // the endpoint that was checked last
+    private int onHistoryVerified; // the endpoint that was checked last
     private boolean stale;
     private boolean denied;
     private boolean broke; // since the last event about the watch
-    private Ask out;
+    private RegistryCall out;
 
     /**
      * Follows the parts from {@code firstPart} on, so many of them. {@code peers}: dispatchers that share the
      * registry and so the requests that it is to bear. {@code now}: this core's first moment.
      */
-    public RegistryCore(
+    public RegistryWatcher(
             RegistrySettings settings,
             int firstPart,
             int parts,
             int peers,
-            View view,
+            EndpointView view,
             long seed,
             long now,
-            RegistrySink sink) {
+            RegistryListener sink) {
         this.settings = settings;
-        this.whole = settings.dialect().wholeAnswers();
+        this.whole = settings.dialect().returnsFullSnapshots();
         this.firstPart = firstPart;
         this.parts = parts;
         this.view = view;
         this.sink = sink;
         SplittableRandom random = new SplittableRandom(seed);
-        pace = new Pace((double) settings.requestsPerS() / Math.max(1, peers), random);
-        endpoints = new Endpoints(settings.endpoints().size(), pace);
+        pace = new RequestRateLimiter((double) settings.requestsPerS() / Math.max(1, peers), random);
+        endpoints = new RegistryServerSelector(settings.endpoints().size(), pace);
         rebuildCap = Math.min(REBUILD_MOST_MS, REBUILD_CAP_MS + REBUILD_PEER_MS * (peers - 1L));
-        page = settings.page();
+        onPage = settings.page();
         at = new long[parts];
         wordAt = new long[parts];
         Arrays.fill(wordAt, now);
@@ -117,8 +117,8 @@
             fragments.add(new ArrayList<>());
         }
         phase = whole ? Phase.FOLLOWING : Phase.REBUILDING;
-        if (!settings.paceKeepsClock(peers)) {
-            sink.event(
+        if (!settings.rateKeepsStalenessLimit(peers)) {
+            sink.eventOccurred(
                     true,
                     "registry.share_small",
                     "key",
@@ -137,7 +137,7 @@
     }
 
     /** When nothing was last missing from what is held, in its part that is worst off. */
-    public long heardAt() {
+    public long confirmedAtMs() {
         long least = wordAt[0];
         for (long at : wordAt) {
             least = Math.min(least, at);
@@ -149,16 +149,18 @@
      * When the call that is out is silent: without its whole answer, or, where a watch is on, without a line
      * for each of its parts. A part that speaks says nothing of another.
      */
-    public long quietAt() {
+    public long callTimeoutAtMs() {
         // A registry that is slower than answer_ms is to be followed all the same, late as it is.
         long answer = Math.max(
                 settings.answerMs(),
                 Math.min(SLOW_ANSWER_MS, settings.answerMs() << Math.min(MOST_DOUBLINGS, silent / endpoints.size())));
         long limit = askedAt + settings.dialMs() + answer;
-        if (out instanceof Ask.Question q && q.index() > 0) {
+        if (out instanceof RegistryCall.BlockingQuery q && q.index() > 0) {
             return limit + q.waitMs() + q.waitMs() / RegistrySettings.CONSUL_EXTRA;
         }
-        return out instanceof Ask.Watch && created == parts ? Math.max(askedAt, heardAt()) + silence : limit;
+        return out instanceof RegistryCall.Watch && onWatchCreated == parts
+                ? Math.max(askedAt, confirmedAtMs()) + silence
+                : limit;
     }
 
     /** Whether the token is refused. */
@@ -168,16 +170,16 @@
 
     /** The revision up to which all is held; 0: nothing yet. */
     public long revision() {
-        return held == null ? 0 : held.revision();
+        return held == null ? 0 : held.number();
     }
 
     // ------------------------------------------------------------ what to do next
 
     /** Whatever is to be done now. */
-    public Ask next(long now) {
-        if (!stale && held != null && now - heardAt() > settings.clockMs()) {
+    public RegistryCall nextCall(long now) {
+        if (!stale && held != null && now - confirmedAtMs() > settings.stalenessLimitMs()) {
             stale = true;
-            sink.event(
+            sink.eventOccurred(
                     true,
                     "registry.stale",
                     "endpoint",
@@ -185,28 +187,28 @@
                     "revision",
                     revision(),
                     "unheard_ms",
-                    now - heardAt());
+                    now - confirmedAtMs());
         }
-        int endpoint = endpoints.pick(now);
+        int endpoint = endpoints.select(now);
         if (endpoint < 0) {
-            return new Ask.Pause(Math.max(now + 1, endpoints.soonest()));
+            return new RegistryCall.Pause(Math.max(now + 1, endpoints.earliestRetryAtMs()));
         }
         if (paging != null && paging.endpoint != endpoint) {
             beginAgain(); // the pages would be of two members
         }
-        if (phase == Phase.CATCHING_UP && checked != endpoint) {
+        if (phase == Phase.CATCHING_UP && onHistoryVerified != endpoint) {
             phase = Phase.CHECKING; // the check was of another member
         }
         if (phase == Phase.REBUILDING && paging == null && now < rebuildAt) {
-            return new Ask.Pause(rebuildAt);
+            return new RegistryCall.Pause(rebuildAt);
         }
-        long later = pace.take(now);
+        long later = pace.acquire(now);
         if (later > 0) {
-            return new Ask.Pause(later);
+            return new RegistryCall.Pause(later);
         }
         if (endpoint > 0 && preferAt == Long.MAX_VALUE) {
             // A better endpoint that fails whenever it is tried costs a while of blindness each time.
-            preferAt = now + pace.around(settings.preferAgainMs() << Math.min(preferred, MOST_DOUBLINGS));
+            preferAt = now + pace.jittered(settings.preferAgainMs() << Math.min(preferred, MOST_DOUBLINGS));
         }
         askedAt = now;
         out = whole
@@ -215,74 +217,76 @@
                     case REBUILDING -> range(endpoint, now);
                     case CHECKING -> check(endpoint);
                     case CATCHING_UP ->
-                        new Ask.Missed(endpoint, Arrays.stream(at).boxed().toList());
+                        new RegistryCall.ReadMissedChanges(
+                                endpoint, Arrays.stream(at).boxed().toList());
                     case FOLLOWING -> watch(endpoint);
                 };
         return out;
     }
 
-    private Ask question(int endpoint) {
+    private RegistryCall question(int endpoint) {
         // After a break all is read at once: a registry restored meanwhile may stand at the same index.
         long index = consistent || broke || held == null ? 0 : at[0];
-        return new Ask.Question(endpoint, firstPart, index, pace.upTo(settings.askedWaitMs(), SPREAD), consistent);
+        return new RegistryCall.BlockingQuery(
+                endpoint, firstPart, index, pace.shortened(settings.askedWaitMs(), SPREAD), consistent);
     }
 
-    private Ask range(int endpoint, long now) {
+    private RegistryCall range(int endpoint, long now) {
         if (paging == null) {
             paging = new Paging(now, endpoint);
             rebuildRest = now - rebuildAt > 2 * rebuildCap ? 0 : rebuildRest;
-            rebuildRest = pace.next(REBUILD_BASE_MS, rebuildRest, rebuildCap);
+            rebuildRest = pace.nextBackoffMs(REBUILD_BASE_MS, rebuildRest, rebuildCap);
             rebuildAt = now + rebuildRest;
         }
-        return new Ask.Range(
+        return new RegistryCall.RangePage(
                 endpoint,
                 firstPart + paging.fresh.size() - 1,
                 paging.after,
-                paging.history == null ? 0 : paging.history.revision(),
-                page);
+                paging.history == null ? 0 : paging.history.number(),
+                onPage);
     }
 
-    private Ask check(int endpoint) {
-        List<Ask.Proof> proofs = new ArrayList<>();
+    private RegistryCall check(int endpoint) {
+        List<RegistryCall.HistoryProof> proofs = new ArrayList<>();
         for (int i = 0; i < parts; i++) {
-            proofs.add(new Ask.Proof(at[i], view.newest(firstPart + i)));
+            proofs.add(new RegistryCall.HistoryProof(at[i], view.newestKey(firstPart + i)));
         }
-        return new Ask.Check(endpoint, proofs, gone, gone == null ? 0 : at[goneFrom]);
+        return new RegistryCall.VerifyHistory(endpoint, proofs, gone, gone == null ? 0 : at[goneFrom]);
     }
 
-    private Ask watch(int endpoint) {
+    private RegistryCall watch(int endpoint) {
         fragments.forEach(List::clear); // half a revision is none
-        created = 0;
-        silence = pace.upTo(settings.silenceMs(), SPREAD);
+        onWatchCreated = 0;
+        silence = pace.shortened(settings.silenceMs(), SPREAD);
         List<Long> from = new ArrayList<>();
         for (long done : at) {
             from.add(done + 1);
         }
-        return new Ask.Watch(endpoint, from, endpoint > 0 ? preferAt : Long.MAX_VALUE);
+        return new RegistryCall.Watch(endpoint, from, endpoint > 0 ? preferAt : Long.MAX_VALUE);
     }
 
     /** The token has changed: what was refused may be granted now. */
-    public void tokenChanged(long now) {
+    public void onTokenChanged(long now) {
         denied = false;
-        endpoints.wake(now);
+        endpoints.clearBackoffs(now);
     }
 
     // ------------------------------------------------------------ what came
 
     /** A page of the present range. {@code more}: keys are left behind its last one. */
-    public boolean page(long now, History history, List<Item> items, boolean more) {
+    public boolean onPage(long now, Revision history, List<RegistryEntry> items, boolean more) {
         if (!trusted(now, history)) {
             return false;
         }
-        if (paging.history != null && !paging.history.leadsTo(history)) {
-            return ahead(now, history); // the pages would be of two registries
+        if (paging.history != null && !paging.history.mayPrecede(history)) {
+            return onFutureRevision(now, history); // the pages would be of two registries
         }
         if (paging.history == null) {
             paging.history = history;
             paging.wordAt = now;
         }
-        Map<String, Item> fresh = paging.fresh.get(paging.fresh.size() - 1);
-        for (Item item : items) {
+        Map<String, RegistryEntry> fresh = paging.fresh.get(paging.fresh.size() - 1);
+        for (RegistryEntry item : items) {
             fresh.put(item.key(), item);
         }
         if (more && !items.isEmpty()) {
@@ -297,21 +301,21 @@
     }
 
     private void rebuilt(long now) {
-        History next = paging.history;
+        Revision next = paging.history;
         boolean first = held == null;
         boolean other = !first && (otherHistory || proved);
         for (int i = 0; i < parts && !first && !other; i++) {
-            if (view.contradicted(firstPart + i, paging.fresh.get(i), at[i])) {
+            if (view.contradicts(firstPart + i, paging.fresh.get(i), at[i])) {
                 other = true;
-                sink.event(
+                sink.eventOccurred(
                         true,
                         "registry.history_changed",
                         "endpoint",
                         endpointName(),
                         "revision",
-                        next.revision(),
+                        next.number(),
                         "held",
-                        held.revision(),
+                        held.number(),
                         "why",
                         "old keys are not those that are held");
             }
@@ -320,19 +324,19 @@
         gone = null;
         int[] sum = new int[5];
         for (int i = 0; i < parts; i++) {
-            at[i] = next.revision();
-            View.Difference d = view.replace(firstPart + i, paging.fresh.get(i), other, next.revision(), now);
+            at[i] = next.number();
+            EndpointView.ChangeCounts d = view.replace(firstPart + i, paging.fresh.get(i), other, next.number(), now);
             sum[0] += d.added();
-            sum[1] += d.gone();
+            sum[1] += d.removed();
             sum[2] += d.drained();
             sum[3] += d.restarted();
-            sum[4] += d.other();
+            sum[4] += d.changed();
         }
-        sink.event(
+        sink.eventOccurred(
                 false,
                 first ? "registry.built" : "registry.rebuilt",
                 "revision",
-                next.revision(),
+                next.number(),
                 "endpoint",
                 endpointName(),
                 "added",
@@ -354,7 +358,7 @@
         otherHistory = false;
         proved = false;
         doubtSince = NONE;
-        page = settings.page();
+        onPage = settings.page();
         phase = Phase.FOLLOWING;
     }
 
@@ -363,21 +367,22 @@
      * the key that had gone is there. A registry that was restored and has since come as far as what is held
      * shows here: its cluster and revisions alone would look right.
      */
-    public boolean checked(long now, History history, List<Long> counts, List<Item> found, boolean gone) {
+    public boolean onHistoryVerified(
+            long now, Revision history, List<Long> counts, List<RegistryEntry> found, boolean gone) {
         if (!trusted(now, history)) {
             return false;
         }
         boolean same = !gone;
         for (int i = 0; i < parts; i++) {
-            same &= counts.get(i) == view.size(firstPart + i) && view.holds(firstPart + i, found.get(i));
+            same &= counts.get(i) == view.entryCount(firstPart + i) && view.newestEntryIs(firstPart + i, found.get(i));
         }
         if (!same) {
             proved = true;
             believe(now, history, "the last changes held are not in it");
             return false;
         }
-        checked = endpoint();
-        phase = Arrays.stream(at).allMatch(done -> done >= history.revision()) ? Phase.FOLLOWING : Phase.CATCHING_UP;
+        onHistoryVerified = endpoint();
+        phase = Arrays.stream(at).allMatch(done -> done >= history.number()) ? Phase.FOLLOWING : Phase.CATCHING_UP;
         if (phase == Phase.FOLLOWING) {
             word(now, now);
         }
@@ -388,25 +393,25 @@
      * By part how many keys it has at the answer's revision, and those that have changed since what is held.
      * That tells every put; which keys have gone only a rebuild can tell.
      */
-    public boolean missed(long now, History history, List<Long> counts, List<List<Item>> changed) {
+    public boolean onMissedChanges(long now, Revision history, List<Long> counts, List<List<RegistryEntry>> changed) {
         if (!trusted(now, history)) {
             return false;
         }
         for (int i = 0; i < parts; i++) {
-            if (view.gone(firstPart + i, changed.get(i), counts.get(i)) != 0) {
+            if (view.countDeleted(firstPart + i, changed.get(i), counts.get(i)) != 0) {
                 phase = Phase.REBUILDING;
                 paging = null;
                 return true;
             }
         }
         for (int i = 0; i < parts; i++) {
-            at[i] = history.revision();
+            at[i] = history.number();
             if (!changed.get(i).isEmpty()) {
                 gone = null; // the newest change is a put
                 view.apply(firstPart + i, changed.get(i), at[i]);
             }
         }
-        reached(history, history.revision());
+        reached(history, history.number());
         word(now, now);
         phase = Phase.FOLLOWING;
         return true;
@@ -423,33 +428,33 @@
 
     private void fresh(long now) {
         for (int i = 0; i < parts; i++) {
-            view.expire(firstPart + i, wordAt[i]);
+            view.releaseOrphans(firstPart + i, wordAt[i]);
         }
-        if (stale && now - heardAt() <= settings.clockMs()) {
+        if (stale && now - confirmedAtMs() <= settings.stalenessLimitMs()) {
             stale = false;
-            sink.event(false, "registry.fresh", "endpoint", endpointName(), "revision", revision());
+            sink.eventOccurred(false, "registry.fresh", "endpoint", endpointName(), "revision", revision());
         }
     }
 
     /** The revision that a range or a check asked for has been compacted away. */
-    public boolean compacted(long now) {
+    public boolean onCompacted(long now) {
         if (phase == Phase.CHECKING) {
             lost(0); // nothing can be proved any more
         } else if (paging != null) {
-            sink.event(
+            sink.eventOccurred(
                     true,
                     "registry.compacted",
                     "while",
                     "rebuilding",
                     "revision",
-                    paging.history == null ? 0 : paging.history.revision());
+                    paging.history == null ? 0 : paging.history.number());
             beginAgain();
         }
         return true;
     }
 
     private void lost(long oldest) {
-        sink.event(true, "registry.compacted", "while", phase, "revision", held.revision(), "oldest", oldest);
+        sink.eventOccurred(true, "registry.compacted", "while", phase, "revision", held.number(), "oldest", oldest);
         phase = Phase.REBUILDING;
         paging = null;
     }
@@ -457,35 +462,35 @@
     /** The pages read so far are worth nothing; with larger ones the next rebuild is more likely to end. */
     private void beginAgain() {
         paging = null;
-        page = Math.min(page * 2, settings.page() * MOST_PAGE_GROWTH);
+        onPage = Math.min(onPage * 2, settings.page() * MOST_PAGE_GROWTH);
     }
 
     /** The revision that was asked for lies ahead of this member. */
-    public boolean ahead(long now, History history) {
+    public boolean onFutureRevision(long now, Revision history) {
         paging = null;
         if (held != null) {
-            doubt(now, history == null ? new History("", 0, 0) : history);
+            doubt(now, history == null ? new Revision("", 0, 0) : history);
         } else {
-            endpoints.behind(endpoint(), now, settings.restoreAfterMs() / 4);
+            endpoints.recordStaleAnswer(endpoint(), now, settings.restoreAfterMs() / 4);
         }
         return false;
     }
 
     /** The watch of a part is on. */
-    public boolean created(long now, History history, int part) {
+    public boolean onWatchCreated(long now, Revision history, int part) {
         if (!trusted(now, history)) {
             return false;
         }
-        created++;
+        onWatchCreated++;
         useful();
         if (part == firstPart + parts - 1) {
-            sink.event(
+            sink.eventOccurred(
                     false,
                     broke ? "registry.resumed" : "registry.following",
                     "endpoint",
                     endpointName(),
                     "revision",
-                    held.revision());
+                    held.number());
             broke = false;
         }
         return true;
@@ -495,12 +500,12 @@
      * Changes of a part. {@code more}: the answer is one of several that belong together, and the next holds
      * the rest. A revision is never split across answers other than by that.
      */
-    public boolean changes(long now, History history, int part, List<Item> items, boolean more) {
-        if (!history.cluster().equals(held.cluster())) {
+    public boolean onChanges(long now, Revision history, int part, List<RegistryEntry> items, boolean more) {
+        if (!history.clusterId().equals(held.clusterId())) {
             doubt(now, history);
             return false;
         }
-        List<Item> batch = fragments.get(part - firstPart);
+        List<RegistryEntry> batch = fragments.get(part - firstPart);
         batch.addAll(items);
         if (more) {
             return true;
@@ -512,9 +517,9 @@
             fresh(now);
             return true;
         }
-        List<Item> all = List.copyOf(batch);
+        List<RegistryEntry> all = List.copyOf(batch);
         batch.clear();
-        Item newest = all.get(all.size() - 1);
+        RegistryEntry newest = all.get(all.size() - 1);
         at[part - firstPart] = newest.revision();
         gone = newest.isDeleted() ? newest.key() : null;
         goneFrom = part - firstPart;
@@ -525,8 +530,8 @@
     }
 
     /** Nothing that is not told has changed in this part up to the answer's revision. */
-    public boolean progress(long now, History history, int part) {
-        if (!history.cluster().equals(held.cluster())) {
+    public boolean onProgress(long now, Revision history, int part) {
+        if (!history.clusterId().equals(held.clusterId())) {
             doubt(now, history);
             return false;
         }
@@ -534,23 +539,24 @@
         if (fragments.get(i).isEmpty()) {
             wordAt[i] = now;
             fresh(now);
-            at[i] = Math.max(at[i], history.revision());
-            reached(history, history.revision());
+            at[i] = Math.max(at[i], history.number());
+            reached(history, history.number());
         }
         return true;
     }
 
-    private void reached(History history, long revision) {
-        held = new History(held.cluster(), Math.max(held.revision(), revision), Math.max(held.term(), history.term()));
+    private void reached(Revision history, long revision) {
+        held = new Revision(
+                held.clusterId(), Math.max(held.number(), revision), Math.max(held.raftTerm(), history.raftTerm()));
     }
 
     /** A watch was ended by the registry. {@code compactRevision}: the oldest left, if that is why. */
-    public boolean canceled(long now, long compactRevision, String reason) {
+    public boolean onWatchCanceled(long now, long compactRevision, String reason) {
         if (compactRevision > 0) {
             lost(compactRevision);
         } else {
-            sink.event(true, "registry.canceled", "endpoint", endpointName(), "why", reason);
-            endpoints.failed(endpoint(), now, End.ERROR);
+            sink.eventOccurred(true, "registry.canceled", "endpoint", endpointName(), "why", reason);
+            endpoints.failed(endpoint(), now, CallOutcome.ERROR);
             phase = Phase.CHECKING;
         }
         return false;
@@ -559,7 +565,7 @@
     /**
      * Consul's answer. {@code lastContactMs}: how long this server has not heard its leader.
      */
-    public boolean answer(long now, long index, boolean leader, long lastContactMs, List<Item> items) {
+    public boolean onQueryResult(long now, long index, boolean leader, long lastContactMs, List<RegistryEntry> items) {
         if (!leader) {
             return failing(now, "it knows no leader");
         }
@@ -570,13 +576,13 @@
         }
         if (back && !consistent) {
             // Either this server lags or the index was reset: the leader itself is asked for the whole.
-            sink.event(true, "registry.doubt", "endpoint", endpointName(), "revision", reached, "held", at[0]);
+            sink.eventOccurred(true, "registry.doubt", "endpoint", endpointName(), "revision", reached, "held", at[0]);
             consistent = true;
             return false;
         }
         boolean first = held == null;
         if (back) {
-            sink.event(
+            sink.eventOccurred(
                     true,
                     "registry.history_changed",
                     "endpoint",
@@ -591,15 +597,15 @@
         useful();
         consistent = false;
         if (first || reached != at[0] || broke) {
-            Map<String, Item> fresh = new LinkedHashMap<>();
+            Map<String, RegistryEntry> fresh = new LinkedHashMap<>();
             items.forEach(item -> fresh.put(item.key(), item));
             // An instance's index may fall when one of its checks is removed: it proves nothing.
             if (!first
                     && !back
                     && settings.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH
-                    && view.contradicted(firstPart, fresh, at[0])) {
+                    && view.contradicts(firstPart, fresh, at[0])) {
                 back = true;
-                sink.event(
+                sink.eventOccurred(
                         true,
                         "registry.history_changed",
                         "endpoint",
@@ -612,10 +618,10 @@
                         "old keys are not those that are held");
             }
             at[0] = reached;
-            held = new History("", reached, 0);
-            View.Difference d = view.replace(firstPart, fresh, back, reached, now);
+            held = new Revision("", reached, 0);
+            EndpointView.ChangeCounts d = view.replace(firstPart, fresh, back, reached, now);
             if (first || back) {
-                sink.event(
+                sink.eventOccurred(
                         false,
                         first ? "registry.built" : "registry.rebuilt",
                         "revision",
@@ -625,62 +631,62 @@
                         "added",
                         d.added(),
                         "gone",
-                        d.gone(),
+                        d.removed(),
                         "drained",
                         d.drained(),
                         "restarted",
                         d.restarted(),
                         "other",
-                        d.other(),
+                        d.changed(),
                         "orphans",
                         view.orphans());
             }
         }
         word(now, now);
         if (broke) {
-            sink.event(false, "registry.resumed", "endpoint", endpointName(), "revision", reached);
+            sink.eventOccurred(false, "registry.resumed", "endpoint", endpointName(), "revision", reached);
             broke = false;
         }
         return true;
     }
 
     private boolean failing(long now, String why) {
-        sink.event(true, "registry.failing", "endpoint", endpointName(), "why", why);
-        endpoints.failed(endpoint(), now, End.ERROR);
+        sink.eventOccurred(true, "registry.failing", "endpoint", endpointName(), "why", why);
+        endpoints.failed(endpoint(), now, CallOutcome.ERROR);
         return false;
     }
 
     /** The call is over. */
-    public void ended(long now, End how) {
+    public void onCallEnded(long now, CallOutcome how) {
         int endpoint = endpoint();
-        boolean watching = out instanceof Ask.Watch;
-        denied = how == End.DENIED;
+        boolean watching = out instanceof RegistryCall.Watch;
+        denied = how == CallOutcome.DENIED;
         boolean quiet = false;
-        boolean cut = how == End.BROKEN || how == End.SILENT || how == End.REFUSED;
+        boolean cut = how == CallOutcome.BROKEN || how == CallOutcome.SILENT || how == CallOutcome.REFUSED;
         if (cut && paging != null && paging.history != null) {
             beginAgain(); // another history may answer from now on
         }
         switch (how) {
             case DONE, STOPPED -> {
-                if (watching && how == End.DONE) {
-                    endpoints.ended(endpoint, now);
+                if (watching && how == CallOutcome.DONE) {
+                    endpoints.recordNormalEnd(endpoint, now);
                 }
-                if (!watching && how == End.DONE) {
+                if (!watching && how == CallOutcome.DONE) {
                     useful();
                 }
             }
             case BROKEN -> {
                 // A connection that was of use may break once at no price: resuming is to be quick.
                 if (endpoints.proved(endpoint)) {
-                    endpoints.failed(endpoint, now, End.REFUSED);
+                    endpoints.failed(endpoint, now, CallOutcome.REFUSED);
                 } else {
                     endpoints.failed(endpoint, now, how);
                 }
             }
             case SILENT -> {
                 // A watch may rightly be silent; it is replaced all the same, and first asked where it was.
-                if (watching && created == parts) {
-                    endpoints.ended(endpoint, now);
+                if (watching && onWatchCreated == parts) {
+                    endpoints.recordNormalEnd(endpoint, now);
                     quiet = true;
                 } else {
                     silent++;
@@ -688,9 +694,9 @@
                 }
             }
             case TOO_LARGE -> {
-                page = Math.max(1, page / 4);
-                if (out instanceof Ask.Range) {
-                    endpoints.ended(endpoint, now);
+                onPage = Math.max(1, onPage / 4);
+                if (out instanceof RegistryCall.RangePage) {
+                    endpoints.recordNormalEnd(endpoint, now);
                 } else if (phase == Phase.CATCHING_UP) {
                     phase = Phase.REBUILDING; // in pages it is not too large
                     paging = null;
@@ -701,11 +707,11 @@
             default -> endpoints.failed(endpoint, now, how);
         }
         if (quiet) {
-            sink.event(false, "registry.silent", "endpoint", endpointName(), "revision", revision());
-        } else if (how != End.DONE && how != End.STOPPED) {
-            sink.event(
+            sink.eventOccurred(false, "registry.silent", "endpoint", endpointName(), "revision", revision());
+        } else if (how != CallOutcome.DONE && how != CallOutcome.STOPPED) {
+            sink.eventOccurred(
                     true,
-                    how == End.DENIED ? "registry.denied" : "registry.broken",
+                    how == CallOutcome.DENIED ? "registry.denied" : "registry.broken",
                     "endpoint",
                     endpointName(),
                     "how",
@@ -715,17 +721,18 @@
                     "revision",
                     revision(),
                     "unheard_ms",
-                    now - heardAt());
+                    now - confirmedAtMs());
             broke = true;
         }
         if (now >= preferAt) {
             preferAt = Long.MAX_VALUE;
-            if (endpoints.prefer(now)) {
+            if (endpoints.switchToPreferred(now)) {
                 preferred++;
-                sink.event(false, "registry.prefer", "endpoint", endpointName());
+                sink.eventOccurred(false, "registry.prefer", "endpoint", endpointName());
             }
         }
-        if (watching && phase == Phase.FOLLOWING || out instanceof Ask.Missed && phase == Phase.CATCHING_UP) {
+        if (watching && phase == Phase.FOLLOWING
+                || out instanceof RegistryCall.ReadMissedChanges && phase == Phase.CATCHING_UP) {
             phase = Phase.CHECKING;
         }
     }
@@ -733,11 +740,11 @@
     // ------------------------------------------------------------ whose history it is
 
     /** Whether an answer may follow what is held; where not, it changes nothing. */
-    private boolean trusted(long now, History history) {
+    private boolean trusted(long now, Revision history) {
         if (proved) {
             return true;
         }
-        if (held == null || held.leadsTo(history)) {
+        if (held == null || held.mayPrecede(history)) {
             otherHistory = false;
             doubtSince = NONE;
             return true;
@@ -753,40 +760,40 @@
      * An answer that goes back: a member that lags, one of another cluster, or a registry restored from a
      * backup. Only the last shows at every endpoint for long: until then the view stays as it is.
      */
-    private void doubt(long now, History history) {
+    private void doubt(long now, Revision history) {
         if (doubtSince == NONE) {
             doubtSince = now;
-            sink.event(
+            sink.eventOccurred(
                     true,
                     "registry.doubt",
                     "endpoint",
                     endpointName(),
                     "cluster",
-                    history.cluster(),
+                    history.clusterId(),
                     "revision",
-                    history.revision(),
+                    history.number(),
                     "held",
-                    held.revision());
+                    held.number());
         }
         if (now - doubtSince >= settings.restoreAfterMs()) {
             believe(now, history, "all endpoints have said so for " + (now - doubtSince) + " ms");
         } else {
-            endpoints.behind(endpoint(), now, settings.restoreAfterMs() / 4);
+            endpoints.recordStaleAnswer(endpoint(), now, settings.restoreAfterMs() / 4);
         }
     }
 
-    private void believe(long now, History history, String why) {
-        sink.event(
+    private void believe(long now, Revision history, String why) {
+        sink.eventOccurred(
                 true,
                 "registry.history_changed",
                 "endpoint",
                 endpointName(),
                 "cluster",
-                history.cluster(),
+                history.clusterId(),
                 "revision",
-                history.revision(),
+                history.number(),
                 "held",
-                held.revision(),
+                held.number(),
                 "why",
                 why);
         otherHistory = true;
@@ -796,7 +803,7 @@
     }
 
     private void useful() {
-        endpoints.useful(endpoint());
+        endpoints.recordSuccess(endpoint());
         preferred = endpoint() == 0 ? 0 : preferred;
     }
 
--- a/src/main/java/maplespread/registry/Pace.java
+++ b/src/main/java/maplespread/registry/RequestRateLimiter.java
@@ -7,7 +7,7 @@
  * Backoff And Jitter", AWS Architecture Blog 2015): dispatchers that lose one registry together must
  * not return in step.
  */
-final class Pace {
+final class RequestRateLimiter {
     private static final double BURST = 2; // a check and its watch go together
     private final SplittableRandom random;
     private final double perMs;
@@ -15,13 +15,13 @@
     private long filledAt;
 
     /** {@code perS}: requests a second; may be below one. */
-    Pace(double perS, SplittableRandom random) {
+    RequestRateLimiter(double perS, SplittableRandom random) {
         this.perMs = perS / 1000;
         this.random = random;
     }
 
     /** 0 where a request may go now, and it is counted; else when to ask again. */
-    long take(long now) {
+    long acquire(long now) {
         if (filledAt != 0) {
             tokens = Math.min(BURST, tokens + Math.max(0, now - filledAt) * perMs);
         }
@@ -34,18 +34,18 @@
     }
 
     /** The wait after one of {@code last}: from base to three times the last, cap at most. */
-    long next(long base, long last, long cap) {
+    long nextBackoffMs(long base, long last, long cap) {
         long top = Math.min(cap, Math.max(base + 1, last * 3));
         return top <= base ? top : base + random.nextLong(top - base + 1);
     }
 
     /** At most the span, less by up to this part of it: what begins in step does not end so. */
-    long upTo(long span, int part) {
+    long shortened(long span, int part) {
         return Math.max(1, span - random.nextLong(span / part + 1));
     }
 
     /** Within a tenth of the span, so that long waits do not end in step either. */
-    long around(long span) {
+    long jittered(long span) {
         return Math.max(1, span - span / 10 + random.nextLong(Math.max(1, span / 5)));
     }
 }
--- a/src/main/java/maplespread/registry/client/RegistryAdmin.java
+++ b/src/main/java/maplespread/registry/client/RegistryAdmin.java
@@ -6,22 +6,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import maplespread.registry.End;
-import maplespread.registry.Item;
+import maplespread.registry.CallOutcome;
+import maplespread.registry.RegistryEntry;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
-import maplespread.registry.wire.ConsulWire;
-import maplespread.registry.wire.EtcdWire;
-import maplespread.registry.wire.Request;
-import maplespread.registry.wire.WireError;
+import maplespread.registry.wire.ConsulProtocol;
+import maplespread.registry.wire.EtcdProtocol;
+import maplespread.registry.wire.RegistryProtocolException;
+import maplespread.registry.wire.RegistryRequest;
 
 /** What operators and workers write into a registry: single calls, to the first endpoint that answers. */
 public final class RegistryAdmin implements Closeable {
     /** It could not be done; the message says why. */
-    public static final class NotDone extends Exception {
+    public static final class RegistryAdminException extends Exception {
         private static final long serialVersionUID = 1;
 
-        NotDone(String why) {
+        RegistryAdminException(String why) {
             super(why);
         }
     }
@@ -30,12 +30,12 @@
     private static final long ANSWER_MS = 3000; // a person waits: no clock runs here
     private static final String RECALLED = "leaveTakenBack";
     private final RegistrySettings settings;
-    private final RegistryLink link;
+    private final RegistryConnection link;
     private final boolean etcd, health;
 
     public RegistryAdmin(RegistrySettings settings) {
         this.settings = settings;
-        link = new RegistryLink(settings, new TokenFile(settings.tokenFile()));
+        link = new RegistryConnection(settings, new TokenFile(settings.tokenFile()));
         etcd = settings.dialect() == Dialect.ETCD;
         health = settings.dialect() == Dialect.CONSUL_HEALTH;
     }
@@ -44,66 +44,70 @@
      * Asks one endpoint after the other. Reads may be asked again elsewhere; a write whose answer was lost
      * may have been made, so that is said and not tried again.
      */
-    private String call(Request request, boolean read, boolean orNone) throws NotDone {
+    private String call(RegistryRequest request, boolean read, boolean orNone) throws RegistryAdminException {
         String why = "";
         for (String endpoint : settings.endpoints()) {
             try {
-                return link.call(endpoint, request, Follower.nowMs() + ANSWER_MS, orNone)
+                return link.call(endpoint, request, RegistryClient.nowMs() + ANSWER_MS, orNone)
                         .body();
-            } catch (RegistryLink.Failed e) {
+            } catch (RegistryConnection.CallFailedException e) {
                 why += (why.isEmpty() ? "" : "; ") + endpoint + ": " + e.getMessage();
-                if (!read && e.how != End.REFUSED && e.how != End.DENIED && e.how != End.ERROR) {
-                    throw new NotDone(why + " (it may have been done)");
+                if (!read
+                        && e.how != CallOutcome.REFUSED
+                        && e.how != CallOutcome.DENIED
+                        && e.how != CallOutcome.ERROR) {
+                    throw new RegistryAdminException(why + " (it may have been done)");
                 }
             }
         }
-        throw new NotDone(why);
+        throw new RegistryAdminException(why);
     }
 
     /** All keys with their values. */
-    public List<Item> items() throws NotDone {
+    public List<RegistryEntry> entries() throws RegistryAdminException {
         try {
-            List<Item> all = new ArrayList<>();
+            List<RegistryEntry> all = new ArrayList<>();
             for (String name : settings.follow()) {
                 if (!etcd) {
-                    Request ask = health ? ConsulWire.health(name, 0, 0, true) : ConsulWire.keys(name, 0, 0, true);
+                    RegistryRequest ask =
+                            health ? ConsulProtocol.health(name, 0, 0, true) : ConsulProtocol.keys(name, 0, 0, true);
                     String body = call(ask, true, !health);
-                    all.addAll(health ? ConsulWire.health(body) : ConsulWire.keys(body));
+                    all.addAll(health ? ConsulProtocol.health(body) : ConsulProtocol.keys(body));
                     continue;
                 }
                 String after = "";
                 long revision = 0;
                 while (true) {
-                    EtcdWire.Page page =
-                            EtcdWire.page(call(EtcdWire.range(name, after, revision, settings.page()), true, false));
-                    all.addAll(page.items());
+                    EtcdProtocol.RangeResponse page = EtcdProtocol.page(
+                            call(EtcdProtocol.range(name, after, revision, settings.page()), true, false));
+                    all.addAll(page.entries());
                     if (!page.more()) {
                         break;
                     }
-                    after = page.items().get(page.items().size() - 1).key();
-                    revision = revision == 0 ? page.history().revision() : revision;
+                    after = page.entries().get(page.entries().size() - 1).key();
+                    revision = revision == 0 ? page.revision().number() : revision;
                 }
             }
             return all;
-        } catch (WireError e) {
-            throw new NotDone(e.getMessage());
+        } catch (RegistryProtocolException e) {
+            throw new RegistryAdminException(e.getMessage());
         }
     }
 
     /** The key under which a worker stands; null where it does not. */
-    private Item find(String worker) throws NotDone {
-        Item found = null;
-        for (Item item : items()) {
+    private RegistryEntry find(String worker) throws RegistryAdminException {
+        RegistryEntry found = null;
+        for (RegistryEntry item : entries()) {
             String id;
             try {
-                JsonObject o = JsonParser.parseString(item.text()).getAsJsonObject();
+                JsonObject o = JsonParser.parseString(item.value()).getAsJsonObject();
                 id = o.has("instanceId") ? o.get("instanceId").getAsString() : last(item.key());
             } catch (RuntimeException unreadable) {
                 id = last(item.key());
             }
             if (id.equals(worker)) {
                 if (found != null) {
-                    throw new NotDone(worker + " stands twice: " + found.key() + " and " + item.key());
+                    throw new RegistryAdminException(worker + " stands twice: " + found.key() + " and " + item.key());
                 }
                 found = item;
             }
@@ -121,22 +125,22 @@
         return health ? worker : first + (first.endsWith("/") ? "" : "/") + worker;
     }
 
-    /** Writes a worker in discovery's form; {@code lease}: from {@link #lease}, or empty. */
-    public void put(String worker, JsonObject value, String lease, long ttlSeconds) throws NotDone {
+    /** Writes a worker in discovery's form; {@code lease}: from {@link #grantLease}, or empty. */
+    public void put(String worker, JsonObject value, String lease, long ttlSeconds) throws RegistryAdminException {
         String text = value.toString();
         if (health) {
-            call(ConsulWire.register(settings.follow().get(0), worker, text, ttlSeconds), false, false);
+            call(ConsulProtocol.register(settings.follow().get(0), worker, text, ttlSeconds), false, false);
         } else if (etcd) {
-            call(EtcdWire.put(keyOf(worker), text, lease.isEmpty() ? 0 : Long.parseLong(lease)), false, false);
-        } else if (!call(ConsulWire.put(keyOf(worker), text, -1, lease), false, false)
+            call(EtcdProtocol.put(keyOf(worker), text, lease.isEmpty() ? 0 : Long.parseLong(lease)), false, false);
+        } else if (!call(ConsulProtocol.put(keyOf(worker), text, -1, lease), false, false)
                 .strip()
                 .equals("true")) {
-            throw new NotDone(keyOf(worker) + " is held by another session");
+            throw new RegistryAdminException(keyOf(worker) + " is held by another session");
         }
     }
 
     /** Has the worker drain; false where it is not there. Other changes made meanwhile are not undone. */
-    public boolean drain(String worker) throws NotDone {
+    public boolean drain(String worker) throws RegistryAdminException {
         return change(worker, value -> {
             value.addProperty("lifecycle", "DRAINING");
             return true;
@@ -145,10 +149,10 @@
 
     /**
      * Has this run of the worker (its start, 1: long ago) drain by a leave; false where it is not there, or
-     * the leave was taken back. The mark that {@link #recall} leaves at the worker is read and heeded in one
+     * the leave was taken back. The mark that {@link #cancelDrain} leaves at the worker is read and heeded in one
      * swap with the drain.
      */
-    public boolean drain(String worker, long run, long leave) throws NotDone {
+    public boolean drain(String worker, long run, long leave) throws RegistryAdminException {
         return change(worker, value -> {
             if (run(value) != run || mark(value) >= leave) {
                 return false;
@@ -162,7 +166,7 @@
      * Has this run of the worker serve on, or again, and marks the leave as taken back; false where that run
      * is not there. After it no {@link #drain(String, long, long)} by that leave or an earlier one is made.
      */
-    public boolean recall(String worker, long run, long leave) throws NotDone {
+    public boolean cancelDrain(String worker, long run, long leave) throws RegistryAdminException {
         return change(worker, value -> {
             if (run(value) != run) {
                 return false;
@@ -182,98 +186,98 @@
     }
 
     /** {@code change}: false where the worker is to stay as it is. */
-    private boolean change(String worker, Predicate<JsonObject> change) throws NotDone {
+    private boolean change(String worker, Predicate<JsonObject> change) throws RegistryAdminException {
         for (int i = 0; i < SWAPS; i++) {
-            Item item = find(worker);
+            RegistryEntry item = find(worker);
             if (item == null) {
                 return false;
             }
             if (health) {
-                call(ConsulWire.maintenance(worker, true), false, false);
+                call(ConsulProtocol.maintenance(worker, true), false, false);
                 return true;
             }
             JsonObject value;
             boolean wanted;
             try {
-                value = JsonParser.parseString(item.text()).getAsJsonObject();
+                value = JsonParser.parseString(item.value()).getAsJsonObject();
                 wanted = change.test(value);
             } catch (RuntimeException e) {
-                throw new NotDone(item.key() + " cannot be read: " + e.getMessage());
+                throw new RegistryAdminException(item.key() + " cannot be read: " + e.getMessage());
             }
             if (!wanted) {
                 return false;
             }
             try {
                 boolean done = etcd
-                        ? EtcdWire.swapped(
-                                call(EtcdWire.swap(item.key(), value.toString(), item.revision()), false, false))
-                        : call(ConsulWire.put(item.key(), value.toString(), item.revision(), ""), false, false)
+                        ? EtcdProtocol.swapped(
+                                call(EtcdProtocol.swap(item.key(), value.toString(), item.revision()), false, false))
+                        : call(ConsulProtocol.put(item.key(), value.toString(), item.revision(), ""), false, false)
                                 .strip()
                                 .equals("true");
                 if (done) {
                     return true;
                 }
-            } catch (WireError e) {
-                throw new NotDone(e.getMessage());
+            } catch (RegistryProtocolException e) {
+                throw new RegistryAdminException(e.getMessage());
             }
         }
-        throw new NotDone(worker + " was changed by others each time");
+        throw new RegistryAdminException(worker + " was changed by others each time");
     }
 
     /** Removes the worker; false where it is not there. */
-    public boolean remove(String worker) throws NotDone {
-        Item item = find(worker);
+    public boolean remove(String worker) throws RegistryAdminException {
+        RegistryEntry item = find(worker);
         if (item == null) {
             return false;
         }
         call(
                 health
-                        ? ConsulWire.deregister(worker)
-                        : etcd ? EtcdWire.delete(item.key()) : ConsulWire.delete(item.key()),
+                        ? ConsulProtocol.deregister(worker)
+                        : etcd ? EtcdProtocol.delete(item.key()) : ConsulProtocol.delete(item.key()),
                 false,
                 false);
         return true;
     }
 
     /** A lease, or session, that ends by itself unless it is kept; empty where a check does its work. */
-    public String lease(long seconds) throws NotDone {
+    public String grantLease(long seconds) throws RegistryAdminException {
         try {
             return health
                     ? ""
                     : etcd
-                            ? Long.toString(EtcdWire.lease(call(EtcdWire.grant(seconds), false, false)))
-                            : ConsulWire.session(call(ConsulWire.session(seconds), false, false));
-        } catch (WireError e) {
-            throw new NotDone(e.getMessage());
+                            ? Long.toString(EtcdProtocol.lease(call(EtcdProtocol.grant(seconds), false, false)))
+                            : ConsulProtocol.session(call(ConsulProtocol.session(seconds), false, false));
+        } catch (RegistryProtocolException e) {
+            throw new RegistryAdminException(e.getMessage());
         }
     }
 
     /** Keeps the lease for its length again; false where it has ended. */
-    public boolean keep(String lease, String worker) throws NotDone {
+    public boolean renewLease(String lease, String worker) throws RegistryAdminException {
         if (health) {
-            call(ConsulWire.pass(worker), true, false);
+            call(ConsulProtocol.pass(worker), true, false);
             return true;
         }
         if (!etcd) {
-            return !call(ConsulWire.renew(lease), true, true).isEmpty();
+            return !call(ConsulProtocol.renew(lease), true, true).isEmpty();
         }
         try {
-            return EtcdWire.left(call(EtcdWire.keepAlive(Long.parseLong(lease)), true, false)
+            return EtcdProtocol.left(call(EtcdProtocol.keepAlive(Long.parseLong(lease)), true, false)
                             .strip())
                     > 0;
-        } catch (WireError e) {
-            throw new NotDone(e.getMessage());
+        } catch (RegistryProtocolException e) {
+            throw new RegistryAdminException(e.getMessage());
         }
     }
 
     /** Ends the lease, and with it what was written under it. */
-    public void end(String lease, String worker) throws NotDone {
+    public void revokeLease(String lease, String worker) throws RegistryAdminException {
         if (health) {
-            call(ConsulWire.deregister(worker), false, false);
+            call(ConsulProtocol.deregister(worker), false, false);
         } else if (etcd) {
-            call(EtcdWire.revoke(Long.parseLong(lease)), false, false);
+            call(EtcdProtocol.revoke(Long.parseLong(lease)), false, false);
         } else {
-            call(ConsulWire.destroy(lease), false, false);
+            call(ConsulProtocol.destroy(lease), false, false);
         }
     }
 
--- a/src/main/java/maplespread/registry/client/RegistryLink.java
+++ b/src/main/java/maplespread/registry/client/RegistryConnection.java
@@ -8,27 +8,27 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.function.LongSupplier;
+import maplespread.discovery.EndpointParser;
 import maplespread.http.HttpConnection;
-import maplespread.http.HttpError;
+import maplespread.http.HttpException;
 import maplespread.http.HttpHead;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
-import maplespread.http.Lines;
-import maplespread.registry.End;
+import maplespread.http.LineSplitter;
+import maplespread.registry.CallOutcome;
 import maplespread.registry.RegistrySettings;
-import maplespread.registry.wire.Request;
-import maplespread.routes.RouteReader;
+import maplespread.registry.wire.RegistryRequest;
 
 /** A connection to one endpoint at a time, kept between calls. For one thread, but for {@link #close}. */
-final class RegistryLink implements Closeable {
+final class RegistryConnection implements Closeable {
     /** A call that has no answer of use. */
-    static final class Failed extends Exception {
+    static final class CallFailedException extends Exception {
         private static final long serialVersionUID = 1;
-        final End how;
+        final CallOutcome how;
         final int status;
         final String body;
 
-        Failed(End how, int status, String body) {
+        CallFailedException(CallOutcome how, int status, String body) {
             super(
                     how
                             + (status > 0 ? " " + status : "")
@@ -43,7 +43,7 @@
     }
 
     /** A whole answer. */
-    record Answer(HttpHead head, String body) {
+    record Response(HttpHead head, String body) {
         long number(String field, long otherwise) {
             String text = head.get(field);
             try {
@@ -55,8 +55,8 @@
     }
 
     /** Takes a line of a stream; false ends it. */
-    interface LineTaker {
-        boolean take(String line) throws Failed;
+    interface LineConsumer {
+        boolean take(String line) throws CallFailedException;
     }
 
     private static final int MOST_ANSWER = 16 << 20;
@@ -70,13 +70,13 @@
     private String to = "";
     private long usedAt;
 
-    RegistryLink(RegistrySettings settings, TokenFile token) {
+    RegistryConnection(RegistrySettings settings, TokenFile token) {
         this.settings = settings;
         this.token = token;
     }
 
     /** Asks and waits until then for the whole answer; only 200, and 404 where {@code orNone}, are of use. */
-    Answer call(String endpoint, Request request, long byMs, boolean orNone) throws Failed {
+    Response call(String endpoint, RegistryRequest request, long byMs, boolean orNone) throws CallFailedException {
         ByteArrayOutputStream body = new ByteArrayOutputStream(1024);
         HttpParser parser = HttpParser.responseOrError(MOST_ANSWER, body::write);
         try {
@@ -90,12 +90,13 @@
         String text = body.toString(StandardCharsets.UTF_8);
         int status = parser.head().status();
         if (status != 200 && !(status == 404 && orNone)) {
-            throw new Failed(status == 401 || status == 403 ? End.DENIED : End.ERROR, status, text);
+            throw new CallFailedException(
+                    status == 401 || status == 403 ? CallOutcome.DENIED : CallOutcome.ERROR, status, text);
         }
         if (status == 200) {
             checkType(parser.head());
         }
-        return new Answer(parser.head(), status == 404 ? "" : text);
+        return new Response(parser.head(), status == 404 ? "" : text);
     }
 
     /**
@@ -103,16 +104,17 @@
      * is silent: {@code quietAt} says when, anew after each line. Bytes that make no whole line are silence.
      * A line that is cut off by the connection's end is never handed on.
      */
-    End stream(String endpoint, Request request, LongSupplier quietAt, long byMs, LineTaker taker) throws Failed {
+    CallOutcome stream(String endpoint, RegistryRequest request, LongSupplier quietAt, long byMs, LineConsumer taker)
+            throws CallFailedException {
         ByteArrayOutputStream error = new ByteArrayOutputStream();
-        Failed[] inside = new Failed[1];
+        CallFailedException[] inside = new CallFailedException[1];
         boolean[] stopped = new boolean[1];
-        Lines lines = new Lines(MOST_ANSWER, line -> {
+        LineSplitter lines = new LineSplitter(MOST_ANSWER, line -> {
             try {
                 if (!stopped[0] && !line.isEmpty()) {
                     stopped[0] = !taker.take(line);
                 }
-            } catch (Failed e) {
+            } catch (CallFailedException e) {
                 inside[0] = e;
                 stopped[0] = true;
             }
@@ -134,9 +136,9 @@
                     checkType(parser.head());
                     typed = true;
                 }
-                long now = Follower.nowMs(), quiet = quietAt.getAsLong();
+                long now = RegistryClient.nowMs(), quiet = quietAt.getAsLong();
                 if (now >= byMs) {
-                    return End.STOPPED;
+                    return CallOutcome.STOPPED;
                 }
                 if (now >= quiet) {
                     throw new SocketTimeoutException("the stream is silent");
@@ -159,15 +161,15 @@
         }
         int status = parser.head().status();
         if (status != 200 && parser.headDone()) {
-            throw new Failed(
-                    status == 401 || status == 403 ? End.DENIED : End.ERROR,
+            throw new CallFailedException(
+                    status == 401 || status == 403 ? CallOutcome.DENIED : CallOutcome.ERROR,
                     status,
                     error.toString(StandardCharsets.UTF_8));
         }
-        return stopped[0] ? End.STOPPED : End.DONE;
+        return stopped[0] ? CallOutcome.STOPPED : CallOutcome.DONE;
     }
 
-    private void send(String endpoint, Request request) throws IOException, Failed {
+    private void send(String endpoint, RegistryRequest request) throws IOException, CallFailedException {
         boolean kept = link != null && endpoint.equals(to);
         if (kept && System.nanoTime() - usedAt > TRUSTED_NANOS && link.stale()) {
             // Told as a break, not dialled anew in silence: another history may answer at the address.
@@ -175,18 +177,18 @@
         }
         if (!kept) {
             drop();
-            InetSocketAddress address = RouteReader.address(endpoint);
+            InetSocketAddress address = EndpointParser.parseAddress(endpoint);
             try {
                 link = HttpConnection.dial(address, settings.dialMs());
             } catch (SocketTimeoutException e) {
-                throw new Failed(End.SILENT, 0, "no connection in " + settings.dialMs() + " ms");
+                throw new CallFailedException(CallOutcome.SILENT, 0, "no connection in " + settings.dialMs() + " ms");
             } catch (IOException e) {
-                throw new Failed(End.REFUSED, 0, String.valueOf(e.getMessage()));
+                throw new CallFailedException(CallOutcome.REFUSED, 0, String.valueOf(e.getMessage()));
             }
             to = endpoint;
             if (over) {
                 drop();
-                throw new Failed(End.STOPPED, 0, "ended");
+                throw new CallFailedException(CallOutcome.STOPPED, 0, "ended");
             }
         }
         HttpWriter writer = HttpWriter.request(request.method(), request.target(), endpoint);
@@ -202,10 +204,10 @@
         link.send(request.method().equals("GET") ? writer.bytes() : writer.body(body));
     }
 
-    private static void checkType(HttpHead head) throws Failed {
+    private static void checkType(HttpHead head) throws CallFailedException {
         String type = head.get("Content-Type");
         if (type == null || !type.toLowerCase(java.util.Locale.ROOT).contains("json")) {
-            throw new Failed(End.MALFORMED, 0, "an answer of type " + type);
+            throw new CallFailedException(CallOutcome.MALFORMED, 0, "an answer of type " + type);
         }
     }
 
@@ -215,16 +217,17 @@
         }
     }
 
-    private Failed failed(IOException e) {
+    private CallFailedException failed(IOException e) {
         drop();
         if (over) {
-            return new Failed(End.STOPPED, 0, "ended");
+            return new CallFailedException(CallOutcome.STOPPED, 0, "ended");
         }
         String why = String.valueOf(e.getMessage());
-        if (e instanceof HttpError bad) {
-            return new Failed(bad.status() == 413 ? End.TOO_LARGE : End.MALFORMED, 0, why);
+        if (e instanceof HttpException bad) {
+            return new CallFailedException(bad.status() == 413 ? CallOutcome.TOO_LARGE : CallOutcome.MALFORMED, 0, why);
         }
-        return new Failed(e instanceof SocketTimeoutException ? End.SILENT : End.BROKEN, 0, why);
+        return new CallFailedException(
+                e instanceof SocketTimeoutException ? CallOutcome.SILENT : CallOutcome.BROKEN, 0, why);
     }
 
     private void drop() {
--- a/src/main/java/maplespread/registry/client/RegistrySource.java
+++ b/src/main/java/maplespread/registry/client/RegistryEndpointSource.java
@@ -5,62 +5,64 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import maplespread.discovery.EndpointListener;
+import maplespread.discovery.EndpointParser;
+import maplespread.discovery.EndpointSource;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.log.Event;
-import maplespread.registry.ClaimReader;
-import maplespread.registry.RegistryCore;
+import maplespread.registry.EndpointView;
+import maplespread.registry.EntryDecoder;
+import maplespread.registry.RegistryListener;
 import maplespread.registry.RegistrySettings;
-import maplespread.registry.RegistrySink;
-import maplespread.registry.View;
-import maplespread.routes.RouteReader;
-import maplespread.routes.RouteSink;
-import maplespread.routes.RouteSource;
+import maplespread.registry.RegistryWatcher;
 
 /** Workers from a registry. One conversation for all of etcd's prefixes, one for each of Consul's names. */
-public final class RegistrySource implements RouteSource {
+public final class RegistryEndpointSource implements EndpointSource {
     private static final long STACK = 256 * 1024; // Gson recurses once a level
     private final RegistrySettings settings;
-    private final View view;
-    private final List<RegistryCore> cores = new ArrayList<>();
-    private final List<Follower> followers = new ArrayList<>();
-    private final long startedAt = Follower.nowMs();
+    private final EndpointView view;
+    private final List<RegistryWatcher> cores = new ArrayList<>();
+    private final List<RegistryClient> followers = new ArrayList<>();
+    private final long startedAt = RegistryClient.nowMs();
 
     /** {@code peers}: dispatchers that share the registry. */
-    public RegistrySource(RegistrySettings settings, RouteReader reader, int peers, long seed, RouteSink to) {
+    public RegistryEndpointSource(
+            RegistrySettings settings, EndpointParser reader, int peers, long seed, EndpointListener to) {
         this.settings = settings;
-        RegistrySink sink = new RegistrySink() {
+        RegistryListener sink = new RegistryListener() {
             @Override
-            public void news(EndpointUpdate news) {
-                to.news(news);
+            public void endpointsChanged(EndpointUpdate news) {
+                to.endpointsChanged(news);
             }
 
             @Override
-            public void event(boolean warning, String name, Object... pairs) {
+            public void eventOccurred(boolean warning, String name, Object... pairs) {
                 Event.write(warning, name, pairs);
             }
         };
         int parts = settings.follow().size();
-        view = new View(parts, claims(reader), settings.forgetAfterMs(), sink);
-        int each = settings.dialect().wholeAnswers() ? 1 : parts;
+        view = new EndpointView(parts, entryDecoder(reader), settings.forgetAfterMs(), sink);
+        int each = settings.dialect().returnsFullSnapshots() ? 1 : parts;
         for (int first = 0; first < parts; first += each) {
-            RegistryCore core = new RegistryCore(settings, first, each, peers, view, seed + first, startedAt, sink);
+            RegistryWatcher core =
+                    new RegistryWatcher(settings, first, each, peers, view, seed + first, startedAt, sink);
             cores.add(core);
-            followers.add(new Follower(
+            followers.add(new RegistryClient(
                     settings, core, view, "registry " + settings.follow().get(first), STACK));
         }
     }
 
     /** A value is in discovery's form; where it names no worker, the key's last segment does. */
-    public static ClaimReader claims(RouteReader reader) {
+    public static EntryDecoder entryDecoder(EndpointParser reader) {
         return (key, text) -> {
             try {
                 JsonObject o = JsonParser.parseString(text).getAsJsonObject();
                 if (!o.has("instanceId")) {
                     o.addProperty("instanceId", key.substring(key.lastIndexOf('/') + 1));
                 }
-                Route route = reader.route(o);
-                if (route.state() == Route.State.DELETED) {
+                Endpoint route = reader.parseEndpoint(o);
+                if (route.state() == Endpoint.State.DELETED) {
                     throw new IllegalArgumentException("a key that is there cannot be DELETED");
                 }
                 if (route.worker().isEmpty()) {
@@ -76,7 +78,7 @@
 
     @Override
     public void start() {
-        followers.forEach(Follower::start);
+        followers.forEach(RegistryClient::start);
     }
 
     /** The core keeps its own pace. */
@@ -84,16 +86,16 @@
     public void watch() {}
 
     @Override
-    public boolean move(InetSocketAddress address) {
+    public boolean moveTo(InetSocketAddress address) {
         return false;
     }
 
     @Override
-    public String unready() {
+    public String notReadyReason() {
         long most = settings.notReadyAfterMs();
         synchronized (view) {
-            for (RegistryCore core : cores) {
-                long age = Follower.nowMs() - core.heardAt();
+            for (RegistryWatcher core : cores) {
+                long age = RegistryClient.nowMs() - core.confirmedAtMs();
                 if (most > 0 && age > most) {
                     return "the registry has said nothing for " + age / 1000 + " s"
                             + (core.denied() ? ": it refuses the token" : "");
@@ -112,6 +114,6 @@
 
     @Override
     public void close() {
-        followers.forEach(Follower::close);
+        followers.forEach(RegistryClient::close);
     }
 }
--- a/src/main/java/maplespread/registry/wire/ConsulWire.java
+++ b/src/main/java/maplespread/registry/wire/ConsulProtocol.java
@@ -13,23 +13,24 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
-import maplespread.registry.Item;
+import maplespread.registry.RegistryEntry;
 
 /** Consul's HTTP API: blocking questions for recursive keys, and for the health of a service's instances. */
-public final class ConsulWire {
-    private ConsulWire() {}
+public final class ConsulProtocol {
+    private ConsulProtocol() {}
 
     // ------------------------------------------------------------ requests
 
     /** All keys under a prefix, once the index is above this one (0: at once). */
-    public static Request keys(String prefix, long index, long waitMs, boolean consistent) {
-        return new Request("GET", "/v1/kv/" + path(prefix) + "?recurse=true" + block(index, waitMs, consistent), "");
+    public static RegistryRequest keys(String prefix, long index, long waitMs, boolean consistent) {
+        return new RegistryRequest(
+                "GET", "/v1/kv/" + path(prefix) + "?recurse=true" + block(index, waitMs, consistent), "");
     }
 
     /** All instances of a service, failing ones too. */
-    public static Request health(String service, long index, long waitMs, boolean consistent) {
+    public static RegistryRequest health(String service, long index, long waitMs, boolean consistent) {
         String block = block(index, waitMs, consistent);
-        return new Request(
+        return new RegistryRequest(
                 "GET", "/v1/health/service/" + path(service) + (block.isEmpty() ? "" : "?" + block.substring(1)), "");
     }
 
@@ -37,44 +38,44 @@
         return (index > 0 ? "&index=" + index + "&wait=" + waitMs + "ms" : "") + (consistent ? "&consistent" : "");
     }
 
-    public static Request get(String key) {
-        return new Request("GET", "/v1/kv/" + path(key), "");
+    public static RegistryRequest get(String key) {
+        return new RegistryRequest("GET", "/v1/kv/" + path(key), "");
     }
 
     /** {@code swapAt}: only if the key was last changed at this index; below 0: in any case. */
-    public static Request put(String key, String value, long swapAt, String session) {
+    public static RegistryRequest put(String key, String value, long swapAt, String session) {
         String how = swapAt >= 0 ? "?cas=" + swapAt : session.isEmpty() ? "" : "?acquire=" + session;
-        return new Request("PUT", "/v1/kv/" + path(key) + how, value);
+        return new RegistryRequest("PUT", "/v1/kv/" + path(key) + how, value);
     }
 
-    public static Request delete(String key) {
-        return new Request("DELETE", "/v1/kv/" + path(key), "");
+    public static RegistryRequest delete(String key) {
+        return new RegistryRequest("DELETE", "/v1/kv/" + path(key), "");
     }
 
     /** A session whose keys are deleted when it ends. */
-    public static Request session(long seconds) {
-        return new Request(
+    public static RegistryRequest session(long seconds) {
+        return new RegistryRequest(
                 "PUT",
                 "/v1/session/create",
                 "{\"TTL\":\"" + seconds + "s\",\"Behavior\":\"delete\",\"LockDelay\":\"0s\"}");
     }
 
-    public static Request renew(String session) {
-        return new Request("PUT", "/v1/session/renew/" + path(session), "");
+    public static RegistryRequest renew(String session) {
+        return new RegistryRequest("PUT", "/v1/session/renew/" + path(session), "");
     }
 
-    public static Request destroy(String session) {
-        return new Request("PUT", "/v1/session/destroy/" + path(session), "");
+    public static RegistryRequest destroy(String session) {
+        return new RegistryRequest("PUT", "/v1/session/destroy/" + path(session), "");
     }
 
     /** Maintenance mode of a service's instance at its agent: a drain. */
-    public static Request maintenance(String instance, boolean on) {
-        return new Request(
+    public static RegistryRequest maintenance(String instance, boolean on) {
+        return new RegistryRequest(
                 "PUT", "/v1/agent/service/maintenance/" + path(instance) + "?enable=" + on + "&reason=drain", "");
     }
 
     /** Registers an instance at the agent, in discovery's members. */
-    public static Request register(String service, String instance, String value, long ttlSeconds) {
+    public static RegistryRequest register(String service, String instance, String value, long ttlSeconds) {
         JsonObject in = JsonParser.parseString(value).getAsJsonObject();
         String address = in.get("hostPort").getAsString();
         JsonObject o = new JsonObject();
@@ -95,15 +96,15 @@
                     JsonParser.parseString("{\"TTL\":\"" + ttlSeconds + "s\",\"Status\":\"passing\","
                             + "\"DeregisterCriticalServiceAfter\":\"1m\"}"));
         }
-        return new Request("PUT", "/v1/agent/service/register", o.toString());
+        return new RegistryRequest("PUT", "/v1/agent/service/register", o.toString());
     }
 
-    public static Request deregister(String instance) {
-        return new Request("PUT", "/v1/agent/service/deregister/" + path(instance), "");
+    public static RegistryRequest deregister(String instance) {
+        return new RegistryRequest("PUT", "/v1/agent/service/deregister/" + path(instance), "");
     }
 
-    public static Request pass(String instance) {
-        return new Request("PUT", "/v1/agent/check/pass/" + path("service:" + instance), "");
+    public static RegistryRequest pass(String instance) {
+        return new RegistryRequest("PUT", "/v1/agent/check/pass/" + path("service:" + instance), "");
     }
 
     private static String path(String text) {
@@ -115,9 +116,9 @@
     // ------------------------------------------------------------ answers
 
     /** The keys of an answer; 404 with an empty body holds none. */
-    public static List<Item> keys(String body) throws WireError {
+    public static List<RegistryEntry> keys(String body) throws RegistryProtocolException {
         try {
-            List<Item> items = new ArrayList<>();
+            List<RegistryEntry> items = new ArrayList<>();
             if (body.isBlank()) {
                 return items;
             }
@@ -130,11 +131,11 @@
             in.endArray();
             return items;
         } catch (IOException | RuntimeException e) {
-            throw new WireError("not a list of keys", e);
+            throw new RegistryProtocolException("not a list of keys", e);
         }
     }
 
-    private static Item key(JsonReader in) throws IOException {
+    private static RegistryEntry key(JsonReader in) throws IOException {
         String key = null;
         String value = null;
         long index = -1;
@@ -158,7 +159,7 @@
             throw new IllegalArgumentException("a key without its Key or ModifyIndex");
         }
         String coded = value == null ? "" : value;
-        return Item.lazy(
+        return RegistryEntry.lazy(
                 key,
                 index,
                 coded.hashCode(),
@@ -170,9 +171,9 @@
      * the latest is the entry's, and the number of its checks is part of it, since a check that is removed
      * leaves no index behind.
      */
-    public static List<Item> health(String body) throws WireError {
+    public static List<RegistryEntry> health(String body) throws RegistryProtocolException {
         try {
-            List<Item> items = new ArrayList<>();
+            List<RegistryEntry> items = new ArrayList<>();
             for (JsonElement e : array(body)) {
                 JsonObject o = e.getAsJsonObject();
                 JsonObject service = o.getAsJsonObject("Service");
@@ -187,12 +188,12 @@
                         + node.get("Node").getAsString()
                         + '/'
                         + service.get("ID").getAsString();
-                items.add(Item.lazy(
+                items.add(RegistryEntry.lazy(
                         key, latest * 64 + Math.min(63, checks.size()), 0, () -> instance(service, node, checks)));
             }
             return items;
         } catch (RuntimeException e) {
-            throw new WireError("not a list of instances", e);
+            throw new RegistryProtocolException("not a list of instances", e);
         }
     }
 
@@ -239,11 +240,11 @@
     }
 
     /** The id of a session created. */
-    public static String session(String body) throws WireError {
+    public static String session(String body) throws RegistryProtocolException {
         try {
             return JsonParser.parseString(body).getAsJsonObject().get("ID").getAsString();
         } catch (RuntimeException e) {
-            throw new WireError("not a session", e);
+            throw new RegistryProtocolException("not a session", e);
         }
     }
 }
--- a/src/main/java/maplespread/registry/wire/EtcdWire.java
+++ b/src/main/java/maplespread/registry/wire/EtcdProtocol.java
@@ -9,65 +9,67 @@
 import java.util.Arrays;
 import java.util.Base64;
 import java.util.List;
-import maplespread.registry.Ask;
-import maplespread.registry.History;
-import maplespread.registry.Item;
+import maplespread.registry.RegistryCall;
+import maplespread.registry.RegistryEntry;
+import maplespread.registry.Revision;
 
 /**
  * etcd v3 by its JSON gateway: keys and values in base64, 64-bit numbers as strings, members that hold a zero
  * left out.
  */
-public final class EtcdWire {
+public final class EtcdProtocol {
     /** A range's answer. */
-    public record Page(History history, List<Item> items, boolean more) {}
+    public record RangeResponse(Revision revision, List<RegistryEntry> entries, boolean more) {}
 
     /** A check's answer. */
-    public record Checked(History history, List<Long> counts, List<Item> found, boolean gone) {}
+    public record HistoryResponse(
+            Revision revision, List<Long> counts, List<RegistryEntry> found, boolean deletedKeyFound) {}
 
     /** By prefix how many keys there are, and which of them have changed. */
-    public record Missed(History history, List<Long> counts, List<List<Item>> changed) {}
+    public record MissedChangesResponse(Revision revision, List<Long> counts, List<List<RegistryEntry>> changed) {}
 
     /** One line of a watch; {@code watch} is the id that the request gave. */
-    public record Notice(
-            History history,
-            long watch,
+    public record WatchResponse(
+            Revision revision,
+            long watchId,
             boolean created,
             boolean canceled,
             long compactRevision,
-            String reason,
+            String cancelReason,
             boolean fragment,
-            List<Item> items) {}
+            List<RegistryEntry> entries) {}
 
     /** What an answer other than 200 means. */
-    public enum Fault {
+    public enum ErrorKind {
         COMPACTED,
         AHEAD,
         DENIED,
         OTHER
     }
 
-    private EtcdWire() {}
+    private EtcdProtocol() {}
 
     // ------------------------------------------------------------ requests
 
     /** Keys that begin with the prefix and lie behind {@code after}; revision 0: the present one. */
-    public static Request range(String prefix, String after, long revision, int limit) {
+    public static RegistryRequest range(String prefix, String after, long revision, int limit) {
         JsonObject o = new JsonObject();
         o.addProperty("key", base64(after.isEmpty() ? prefix : after + '\0'));
         o.addProperty("range_end", end(prefix));
         number(o, "revision", revision);
         number(o, "limit", limit);
-        return new Request("POST", "/v3/kv/range", o.toString());
+        return new RegistryRequest("POST", "/v3/kv/range", o.toString());
     }
 
     /**
      * By prefix the number of keys at a revision and one of them (null: none is asked for), then the key that
      * should not be there: all in one request.
      */
-    public static Request check(List<String> prefixes, List<Ask.Proof> proofs, String gone, long goneAt) {
+    public static RegistryRequest check(
+            List<String> prefixes, List<RegistryCall.HistoryProof> proofs, String gone, long goneAt) {
         JsonArray ranges = new JsonArray();
         for (int i = 0; i < prefixes.size(); i++) {
-            Ask.Proof proof = proofs.get(i);
+            RegistryCall.HistoryProof proof = proofs.get(i);
             JsonObject count = operation(range(prefixes.get(i), "", proof.revision(), 0));
             count.getAsJsonObject("request_range").addProperty("count_only", true);
             ranges.add(count);
@@ -80,11 +82,11 @@
         }
         JsonObject txn = new JsonObject();
         txn.add("success", ranges);
-        return new Request("POST", "/v3/kv/txn", txn.toString());
+        return new RegistryRequest("POST", "/v3/kv/txn", txn.toString());
     }
 
     /** By prefix the number of keys, and those that have changed since these revisions. */
-    public static Request missed(List<String> prefixes, List<Long> since) {
+    public static RegistryRequest missed(List<String> prefixes, List<Long> since) {
         JsonArray ranges = new JsonArray();
         for (int i = 0; i < prefixes.size(); i++) {
             JsonObject count = operation(range(prefixes.get(i), "", 0, 0));
@@ -96,28 +98,28 @@
         }
         JsonObject txn = new JsonObject();
         txn.add("success", ranges);
-        return new Request("POST", "/v3/kv/txn", txn.toString());
+        return new RegistryRequest("POST", "/v3/kv/txn", txn.toString());
     }
 
-    private static JsonObject operation(Request range) {
+    private static JsonObject operation(RegistryRequest range) {
         JsonObject o = new JsonObject();
         o.add("request_range", JsonParser.parseString(range.body()));
         return o;
     }
 
     /** One key at a revision (0: the present one). */
-    public static Request get(String key, long revision) {
+    public static RegistryRequest get(String key, long revision) {
         JsonObject o = new JsonObject();
         o.addProperty("key", base64(key));
         number(o, "revision", revision);
-        return new Request("POST", "/v3/kv/range", o.toString());
+        return new RegistryRequest("POST", "/v3/kv/range", o.toString());
     }
 
     /**
      * One stream with a watch for each prefix, from these revisions on; the watches' ids count from one. The
      * gateway takes all messages of the stream from the one body.
      */
-    public static Request watch(List<String> prefixes, List<Long> from) {
+    public static RegistryRequest watch(List<String> prefixes, List<Long> from) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < prefixes.size(); i++) {
             JsonObject o = new JsonObject();
@@ -131,23 +133,23 @@
             create.add("create_request", o);
             all.append(create).append('\n');
         }
-        return new Request("POST", "/v3/watch", all.toString());
+        return new RegistryRequest("POST", "/v3/watch", all.toString());
     }
 
     /** Lease 0: the key stays until it is deleted. */
-    public static Request put(String key, String value, long lease) {
+    public static RegistryRequest put(String key, String value, long lease) {
         JsonObject o = new JsonObject();
         o.addProperty("key", base64(key));
         o.addProperty("value", base64(value));
         number(o, "lease", lease);
-        return new Request("POST", "/v3/kv/put", o.toString());
+        return new RegistryRequest("POST", "/v3/kv/put", o.toString());
     }
 
     /** The put, only if the key's last change is still that of {@code revision}; the lease stays. */
-    public static Request swap(String key, String value, long revision) {
+    public static RegistryRequest swap(String key, String value, long revision) {
         JsonObject put = JsonParser.parseString(put(key, value, 0).body()).getAsJsonObject();
         put.addProperty("ignore_lease", true);
-        return new Request(
+        return new RegistryRequest(
                 "POST",
                 "/v3/kv/txn",
                 "{\"compare\":[{\"key\":\"" + base64(key)
@@ -155,69 +157,70 @@
                         + "\"}],\"success\":[{\"request_put\":" + put + "}]}");
     }
 
-    public static Request delete(String key) {
-        return new Request("POST", "/v3/kv/deleterange", "{\"key\":\"" + base64(key) + "\"}");
+    public static RegistryRequest delete(String key) {
+        return new RegistryRequest("POST", "/v3/kv/deleterange", "{\"key\":\"" + base64(key) + "\"}");
     }
 
-    public static Request grant(long seconds) {
-        return new Request("POST", "/v3/lease/grant", "{\"TTL\":\"" + seconds + "\"}");
+    public static RegistryRequest grant(long seconds) {
+        return new RegistryRequest("POST", "/v3/lease/grant", "{\"TTL\":\"" + seconds + "\"}");
     }
 
-    public static Request keepAlive(long lease) {
-        return new Request("POST", "/v3/lease/keepalive", "{\"ID\":\"" + lease + "\"}");
+    public static RegistryRequest keepAlive(long lease) {
+        return new RegistryRequest("POST", "/v3/lease/keepalive", "{\"ID\":\"" + lease + "\"}");
     }
 
-    public static Request revoke(long lease) {
-        return new Request("POST", "/v3/lease/revoke", "{\"ID\":\"" + lease + "\"}");
+    public static RegistryRequest revoke(long lease) {
+        return new RegistryRequest("POST", "/v3/lease/revoke", "{\"ID\":\"" + lease + "\"}");
     }
 
     // ------------------------------------------------------------ answers
 
-    public static Page page(String body) throws WireError {
+    public static RangeResponse page(String body) throws RegistryProtocolException {
         try {
             JsonObject o = object(body);
-            return new Page(history(o), items(o, "kvs"), flag(o, "more"));
+            return new RangeResponse(history(o), items(o, "kvs"), flag(o, "more"));
         } catch (RuntimeException e) {
-            throw new WireError("not a range's answer", e);
+            throw new RegistryProtocolException("not a range's answer", e);
         }
     }
 
     /** The answer to a check. */
-    public static Checked checked(String body, List<Ask.Proof> proofs, boolean gone) throws WireError {
+    public static HistoryResponse checked(String body, List<RegistryCall.HistoryProof> proofs, boolean gone)
+            throws RegistryProtocolException {
         try {
             JsonObject o = object(body);
-            List<Item> found = new ArrayList<>();
+            List<RegistryEntry> found = new ArrayList<>();
             List<Long> counts = new ArrayList<>();
             JsonArray all = o.getAsJsonArray("responses");
             int next = 0;
-            for (Ask.Proof proof : proofs) {
+            for (RegistryCall.HistoryProof proof : proofs) {
                 counts.add(number(ranged(all, next++), "count"));
-                List<Item> items = proof.key() == null ? List.of() : items(ranged(all, next++), "kvs");
+                List<RegistryEntry> items = proof.key() == null ? List.of() : items(ranged(all, next++), "kvs");
                 found.add(items.isEmpty() ? null : items.get(0));
             }
-            return new Checked(
+            return new HistoryResponse(
                     history(o),
                     counts,
                     found,
                     gone && !items(ranged(all, next), "kvs").isEmpty());
         } catch (RuntimeException e) {
-            throw new WireError("not a check's answer", e);
+            throw new RegistryProtocolException("not a check's answer", e);
         }
     }
 
-    public static Missed missed(String body) throws WireError {
+    public static MissedChangesResponse missed(String body) throws RegistryProtocolException {
         try {
             JsonObject o = object(body);
             List<Long> counts = new ArrayList<>();
-            List<List<Item>> changed = new ArrayList<>();
+            List<List<RegistryEntry>> changed = new ArrayList<>();
             JsonArray all = o.getAsJsonArray("responses");
             for (int i = 0; i < all.size(); i += 2) {
                 counts.add(number(ranged(all, i), "count"));
                 changed.add(items(ranged(all, i + 1), "kvs"));
             }
-            return new Missed(history(o), counts, changed);
+            return new MissedChangesResponse(history(o), counts, changed);
         } catch (RuntimeException e) {
-            throw new WireError("not an answer to what was missed", e);
+            throw new RegistryProtocolException("not an answer to what was missed", e);
         }
     }
 
@@ -226,20 +229,20 @@
     }
 
     /** A line of a watch's stream. */
-    public static Notice notice(String line) throws WireError {
+    public static WatchResponse notice(String line) throws RegistryProtocolException {
         try {
             JsonObject o = object(line).getAsJsonObject("result");
-            List<Item> items = new ArrayList<>();
+            List<RegistryEntry> items = new ArrayList<>();
             if (o.has("events")) {
                 for (JsonElement e : o.getAsJsonArray("events")) {
                     JsonObject event = e.getAsJsonObject();
                     JsonObject kv = event.getAsJsonObject("kv");
                     boolean gone =
                             event.has("type") && event.get("type").getAsString().equals("DELETE");
-                    items.add(gone ? Item.deleted(text(kv, "key"), number(kv, "mod_revision")) : item(kv));
+                    items.add(gone ? RegistryEntry.deleted(text(kv, "key"), number(kv, "mod_revision")) : item(kv));
                 }
             }
-            return new Notice(
+            return new WatchResponse(
                     history(o),
                     number(o, "watch_id"),
                     flag(o, "created"),
@@ -249,14 +252,14 @@
                     flag(o, "fragment"),
                     items);
         } catch (RuntimeException e) {
-            throw new WireError("not a watch's line", e);
+            throw new RegistryProtocolException("not a watch's line", e);
         }
     }
 
     /**
      * What an error means: the gateway's status says little, its message is etcd's own (rpctypes/error.go).
      */
-    public static Fault fault(int status, String body) {
+    public static ErrorKind fault(int status, String body) {
         String text = body;
         try {
             JsonObject o = object(body);
@@ -267,44 +270,44 @@
             // the status and the raw text must do
         }
         if (text.contains("has been compacted")) {
-            return Fault.COMPACTED;
+            return ErrorKind.COMPACTED;
         }
         if (text.contains("is a future revision")) {
-            return Fault.AHEAD;
+            return ErrorKind.AHEAD;
         }
         return status == 401
                         || status == 403
                         || text.contains("permission denied")
                         || text.contains("invalid auth token")
                         || text.contains("user name is empty")
-                ? Fault.DENIED
-                : Fault.OTHER;
+                ? ErrorKind.DENIED
+                : ErrorKind.OTHER;
     }
 
     /** The id of a lease granted. */
-    public static long lease(String body) throws WireError {
+    public static long lease(String body) throws RegistryProtocolException {
         try {
             return number(object(body), "ID");
         } catch (RuntimeException e) {
-            throw new WireError("not a lease", e);
+            throw new RegistryProtocolException("not a lease", e);
         }
     }
 
     /** What is left to a lease, in seconds; 0: it has ended. */
-    public static long left(String line) throws WireError {
+    public static long left(String line) throws RegistryProtocolException {
         try {
             return number(object(line).getAsJsonObject("result"), "TTL");
         } catch (RuntimeException e) {
-            throw new WireError("not a lease's answer", e);
+            throw new RegistryProtocolException("not a lease's answer", e);
         }
     }
 
     /** Whether a swap was made. */
-    public static boolean swapped(String body) throws WireError {
+    public static boolean swapped(String body) throws RegistryProtocolException {
         try {
             return flag(object(body), "succeeded");
         } catch (RuntimeException e) {
-            throw new WireError("not a transaction's answer", e);
+            throw new RegistryProtocolException("not a transaction's answer", e);
         }
     }
 
@@ -314,13 +317,13 @@
         return JsonParser.parseString(body).getAsJsonObject();
     }
 
-    private static History history(JsonObject o) {
+    private static Revision history(JsonObject o) {
         JsonObject h = o.getAsJsonObject("header");
-        return new History(h.get("cluster_id").getAsString(), number(h, "revision"), number(h, "raft_term"));
+        return new Revision(h.get("cluster_id").getAsString(), number(h, "revision"), number(h, "raft_term"));
     }
 
-    private static List<Item> items(JsonObject o, String name) {
-        List<Item> items = new ArrayList<>();
+    private static List<RegistryEntry> items(JsonObject o, String name) {
+        List<RegistryEntry> items = new ArrayList<>();
         if (o.has(name)) {
             for (JsonElement e : o.getAsJsonArray(name)) {
                 items.add(item(e.getAsJsonObject()));
@@ -329,9 +332,9 @@
         return items;
     }
 
-    private static Item item(JsonObject kv) {
+    private static RegistryEntry item(JsonObject kv) {
         int print = kv.has("value") ? kv.get("value").getAsString().hashCode() : 0;
-        return Item.lazy(text(kv, "key"), number(kv, "mod_revision"), print, () -> text(kv, "value"));
+        return RegistryEntry.lazy(text(kv, "key"), number(kv, "mod_revision"), print, () -> text(kv, "value"));
     }
 
     private static String text(JsonObject o, String name) {
--- a/src/main/java/maplespread/registry/wire/WireError.java
+++ b/src/main/java/maplespread/registry/wire/RegistryProtocolException.java
@@ -1,10 +1,10 @@
 package maplespread.registry.wire;
 
 /** An answer that is not of the dialect. */
-public final class WireError extends Exception {
+public final class RegistryProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
-    WireError(String what, Throwable why) {
+    RegistryProtocolException(String what, Throwable why) {
         super(what + ": " + why.getMessage());
     }
 }
--- a/src/main/java/maplespread/registry/wire/Request.java
+++ b/src/main/java/maplespread/registry/wire/RegistryRequest.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One request to a registry. */
-public record Request(String method, String target, String body) {
+public record RegistryRequest(String method, String target, String body) {
     public byte[] bytes() {
         return body.getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/maplespread/release/View.java
+++ b/src/main/java/maplespread/release/FleetView.java
@@ -6,7 +6,7 @@
  * What one instance sees of the fleet at this moment, how it is served, and whose majority decides (none: not
  * told).
  */
-public record View(List<Member> members, Service service, List<String> electors) {
+public record FleetView(List<Member> members, ServiceLevel service, List<String> electors) {
     public enum Role {
         DISPATCHER,
         WORKER
@@ -32,7 +32,7 @@
             String zone,
             String kind,
             String cell,
-            long run,
+            long incarnation,
             String version,
             Status status,
             double capacity,
@@ -43,22 +43,22 @@
     }
 
     /** Of the last window: shares of all answers, mean wait, and how many answers these stand on. */
-    public record Service(double refusedShare, double errorShare, double waitMs, long samples) {
-        public static final Service NONE = new Service(0, 0, 0, 0);
+    public record ServiceLevel(double refusedShare, double errorShare, double waitMs, long samples) {
+        public static final ServiceLevel NONE = new ServiceLevel(0, 0, 0, 0);
     }
 
-    public View {
+    public FleetView {
         members = List.copyOf(members);
         electors = List.copyOf(electors);
     }
 
-    public View(List<Member> members, Service service) {
+    public FleetView(List<Member> members, ServiceLevel service) {
         this(members, service, List.of());
     }
 
     /** The same with these electors. */
-    public View among(List<String> names) {
-        return new View(members, service, names);
+    public FleetView withElectors(List<String> names) {
+        return new FleetView(members, service, names);
     }
 
     /** The member of this name, or null. */
--- a/src/main/java/maplespread/release/Limits.java
+++ b/src/main/java/maplespread/release/Limits.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import maplespread.release.View.Role;
+import maplespread.release.FleetView.Role;
 
 /**
  * How much may be out at once, leave and accidents together. A figure of out: under 1 a share of the members
@@ -54,7 +54,7 @@
     }
 
     /** The first limit that these members out exceed, in words; empty: none. */
-    String exceeded(Map<String, State.Known> members, Set<String> out) {
+    String exceeded(Map<String, RolloutState.KnownMember> members, Set<String> out) {
         Map<String, int[]> groups = new TreeMap<>(); // figure's name -> members, out
         members.forEach((id, m) -> {
             int gone = out.contains(id) ? 1 : 0;
@@ -74,7 +74,7 @@
     }
 
     /** What could never move under these limits, in words; empty: nothing. */
-    String impossible(Map<String, State.Known> members, Set<String> named) {
+    String impossible(Map<String, RolloutState.KnownMember> members, Set<String> named) {
         for (String id : named) {
             String e = exceeded(members, Set.of(id));
             if (!e.isEmpty()) {
@@ -83,17 +83,17 @@
         }
         double all = 0;
         double largest = 0;
-        for (Map.Entry<String, State.Known> m : members.entrySet()) {
-            all += m.getValue().full();
+        for (Map.Entry<String, RolloutState.KnownMember> m : members.entrySet()) {
+            all += m.getValue().warmCapacity();
             largest =
-                    Math.max(largest, named.contains(m.getKey()) ? m.getValue().full() : 0);
+                    Math.max(largest, named.contains(m.getKey()) ? m.getValue().warmCapacity() : 0);
         }
         return all - largest < leastCapacity * all
                 ? "the largest worker can never leave: less than " + leastCapacity + " of all capacity would stay"
                 : "";
     }
 
-    private static String[] groups(State.Known m) {
+    private static String[] groups(RolloutState.KnownMember m) {
         return m.role() == Role.DISPATCHER
                 ? new String[] {"the dispatchers"}
                 : new String[] {"the workers", "the workers in zone " + m.zone(), "the workers of kind " + m.kind()};
--- a/src/main/java/maplespread/release/Commands.java
+++ b/src/main/java/maplespread/release/OperatorCommands.java
@@ -8,46 +8,47 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import maplespread.release.ReleaseRefused.Reason;
-import maplespread.release.State.Accident;
-import maplespread.release.State.Halt;
-import maplespread.release.State.Known;
-import maplespread.release.State.Leave;
-import maplespread.release.State.Phase;
-import maplespread.release.State.Release;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.ReleaseRejectedException.Reason;
+import maplespread.release.RolloutState.Halt;
+import maplespread.release.RolloutState.KnownMember;
+import maplespread.release.RolloutState.Phase;
+import maplespread.release.RolloutState.PlannedOutage;
+import maplespread.release.RolloutState.Release;
+import maplespread.release.RolloutState.UnplannedOutage;
 
 /**
  * All that can be asked of the state. {@code by}: the instance or operator that asks, for the log;
- * {@code act}: {@link State#acts()} as the operator saw it, so that an act that comes late, or twice, does
+ * {@code act}: {@link RolloutState#controlVersion()} as the operator saw it, so that an act that comes late, or twice, does
  * not undo what was decided since.
  */
-public final class Commands {
+public final class OperatorCommands {
     private static final int MOST_TRIES = 3;
 
-    private Commands() {}
+    private OperatorCommands() {}
 
     // ------------------------------------------------------------ an operator's
 
     /** New standing limits; null: none. */
-    public static Command limits(String by, Limits limits) {
+    public static ReleaseCommand setLimits(String by, Limits limits) {
         return now -> {
             if (limits == null ? now.limits() == null : limits.equals(now.limits())) {
                 return now;
             }
-            Draft d = new Draft(now).log(by, "limits", "").disturbed();
+            RolloutStateBuilder d =
+                    new RolloutStateBuilder(now).log(by, "limits", "").restartQuietPeriod();
             d.limits = limits;
-            return d.done();
+            return d.build();
         };
     }
 
     /** Begins a release; again with the same plan: nothing. {@code view}: its members, the service before. */
-    public static Command begin(String by, Plan plan, View view) {
+    public static ReleaseCommand begin(String by, ReleasePlan plan, FleetView view) {
         return now -> {
             plan.check();
-            if (now.on()) {
+            if (now.inProgress()) {
                 if (now.release().plan().equals(plan)) {
                     return now;
                 }
@@ -58,10 +59,10 @@
                 throw refused(Reason.HALTED, "halted: " + now.halt().why());
             }
             String before = now.release() == null ? "" : now.release().plan().id();
-            if (before.equals(plan.id()) || now.ended().contains(plan.id())) {
+            if (before.equals(plan.id()) || now.pastReleases().contains(plan.id())) {
                 throw refused(Reason.NAME_USED, "a release " + plan.id() + " has been before");
             }
-            Draft d = new Draft(now);
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
             for (Member m : view.members()) {
                 if (m.serving()) {
                     put(d, now, m);
@@ -79,21 +80,21 @@
                     d.members.computeIfPresent(m.id(), (id, k) -> changed(k, true));
                 }
             }
-            List<List<String>> steps = plan.cut(d.members);
+            List<List<String>> steps = plan.splitIntoSteps(d.members);
             if (steps.isEmpty()) {
                 throw refused(Reason.BAD_PLAN, "the plan names no member that is known");
             }
             d.release = new Release(plan, Phase.RUNNING, steps, -1, new TreeMap<>(), view.service());
             if (!before.isEmpty()) {
-                d.ended.add(before);
+                d.pastReleases.add(before);
             }
-            State next = d.log(by, "begin", plan.id()).acted(null).done();
-            if (next.inForce().isEmpty()) {
+            RolloutState next = d.log(by, "begin", plan.id()).setHalt(null).build();
+            if (next.limitsInForce().isEmpty()) {
                 throw refused(Reason.BAD_PLAN, "there are no limits, neither standing nor the plan's");
             }
             Set<String> named = new TreeSet<>();
             steps.forEach(named::addAll);
-            for (Limits l : next.inForce()) {
+            for (Limits l : next.limitsInForce()) {
                 String never = l.impossible(next.members(), named);
                 if (!never.isEmpty()) {
                     throw refused(Reason.BAD_PLAN, never);
@@ -104,91 +105,98 @@
     }
 
     /** No leave from here on, release or not. A second halt counts as the newest one. */
-    public static Command halt(String by, String why) {
-        return now -> new Draft(now)
+    public static ReleaseCommand halt(String by, String why) {
+        return now -> new RolloutStateBuilder(now)
                 .log(by, "halt", why)
-                .acted(new Halt(now.acts() + 1, by, why))
-                .done();
+                .setHalt(new Halt(now.controlVersion() + 1, by, why))
+                .build();
     }
 
     /** A halt that an instance comes to by itself; nothing where one stands, or an act has come since. */
-    public static Command haltByItself(String by, String why, long act) {
-        return now -> now.halt() != null || now.acts() != act || !now.on()
+    public static ReleaseCommand haltAutomatically(String by, String why, long act) {
+        return now -> now.halt() != null || now.controlVersion() != act || !now.inProgress()
                 ? now
                 : halt(by, why).apply(now);
     }
 
     /** Lifts the halt; goes on where it was going. */
-    public static Command goOn(String by, String why, long act) {
+    public static ReleaseCommand resume(String by, String why, long act) {
         return now -> {
             newest(now, act);
             if (now.halt() == null) {
                 return now;
             }
-            Draft d = retried(new Draft(now).log(by, "go on", why).acted(null));
+            RolloutStateBuilder d =
+                    retried(new RolloutStateBuilder(now).log(by, "go on", why).setHalt(null));
             Release r = d.release;
             // Service as it is now is the operator's will: what was before the release counts no more.
-            d.release =
-                    r == null ? null : new Release(r.plan(), r.moves(), r.steps(), r.open(), r.tries(), Service.NONE);
-            return d.done();
+            d.release = r == null
+                    ? null
+                    : new Release(r.plan(), r.activePhase(), r.steps(), r.openStep(), r.attempts(), ServiceLevel.NONE);
+            return d.build();
         };
     }
 
     /** Members that were changed return, in reverse order; lifts the halt. */
-    public static Command rollBack(String by, String why, long act) {
+    public static ReleaseCommand rollBack(String by, String why, long act) {
         return now -> {
             newest(now, act);
             if (now.release() == null) {
                 throw refused(Reason.NO_RELEASE, "there was no release to roll back");
             }
-            if (now.release().moves() == Phase.ROLLED_BACK) {
+            if (now.release().activePhase() == Phase.ROLLED_BACK) {
                 return now;
             }
-            Draft d = new Draft(now).log(by, "roll back", why).acted(null);
+            RolloutStateBuilder d =
+                    new RolloutStateBuilder(now).log(by, "roll back", why).setHalt(null);
             d.release = d.release.with(Phase.ROLLING_BACK);
-            return retried(d).done();
+            return retried(d).build();
         };
     }
 
     /** Nothing more is moved, those out come back; lifts the halt. */
-    public static Command abandon(String by, String why, long act) {
+    public static ReleaseCommand abandon(String by, String why, long act) {
         return now -> {
             newest(now, act);
-            if (!now.on()) {
+            if (!now.inProgress()) {
                 throw refused(Reason.NO_RELEASE, "no release is on");
             }
-            Draft d = new Draft(now).log(by, "abandon", why).acted(null);
+            RolloutStateBuilder d =
+                    new RolloutStateBuilder(now).log(by, "abandon", why).setHalt(null);
             d.release = d.release.with(Phase.ABANDONING);
-            return d.done();
+            return d.build();
         };
     }
 
     /** An operator says that the member is gone for good: whatever it held is free. */
-    public static Command gone(String by, String member) {
+    public static ReleaseCommand removeMember(String by, String member) {
         return now -> {
             if (!now.members().containsKey(member)) {
                 throw refused(Reason.MEMBER, "no member " + member + " is known");
             }
-            Draft d = new Draft(now).log(by, "gone", member).disturbed();
+            RolloutStateBuilder d =
+                    new RolloutStateBuilder(now).log(by, "gone", member).restartQuietPeriod();
             d.members.remove(member);
-            d.leaves.remove(member);
-            d.accidents.remove(member);
+            d.plannedOutages.remove(member);
+            d.unplannedOutages.remove(member);
             rename(d, member, null);
-            return d.done();
+            return d.build();
         };
     }
 
     /** A drain without leave: counts as an accident at once; {@code word}: the operator's, logged. */
-    public static Command force(String by, String member, String word) {
+    public static ReleaseCommand forceDrain(String by, String member, String word) {
         return now -> {
             if (word.isBlank()) {
                 throw refused(Reason.NO_LEAVE, "a drain of " + member + " without leave needs a word");
             }
-            Draft d = new Draft(now).log(by, "force " + member, word).disturbed();
-            if (now.members().containsKey(member) && !now.leaves().containsKey(member)) {
-                d.accidents.put(member, new Accident(by, "forced: " + word));
+            RolloutStateBuilder d = new RolloutStateBuilder(now)
+                    .log(by, "force " + member, word)
+                    .restartQuietPeriod();
+            if (now.members().containsKey(member) && !now.plannedOutages().containsKey(member)) {
+                d.unplannedOutages.put(member, new UnplannedOutage(by, "forced: " + word));
             }
-            return d.done();
+            return d.build();
         };
     }
 
@@ -196,22 +204,22 @@
      * Whether this leave stands and is not called back: one of a release is by a halt, and where the release
      * goes another way than the leave was for.
      */
-    public static boolean stands(State now, String member, long run, long number) {
-        Leave l = now.leaves().get(member);
+    public static boolean isDrainPermitted(RolloutState now, String member, long run, long number) {
+        PlannedOutage l = now.plannedOutages().get(member);
         return l != null
                 && l.number() == number
-                && l.run() == run
+                && l.incarnation() == run
                 && (l.release().isEmpty()
                         || now.halt() == null
-                                && now.on()
-                                && l.why().equals(now.release().moves().name()));
+                                && now.inProgress()
+                                && l.why().equals(now.release().activePhase().name()));
     }
 
     /** Throws why a drain is refused; returns where nothing is on, or the member has leave that stands. */
-    public static void checkDrain(State now, String member) throws ReleaseRefused {
-        boolean bound = now.on() || !now.inForce().isEmpty() || now.halt() != null;
-        Leave l = now.leaves().get(member);
-        if (l != null && !stands(now, member, l.run(), l.number())) {
+    public static void requireDrainPermitted(RolloutState now, String member) throws ReleaseRejectedException {
+        boolean bound = now.inProgress() || !now.limitsInForce().isEmpty() || now.halt() != null;
+        PlannedOutage l = now.plannedOutages().get(member);
+        if (l != null && !isDrainPermitted(now, member, l.incarnation(), l.number())) {
             throw refused(
                     now.halt() != null ? Reason.HALTED : Reason.STALE, "the leave of " + member + " is called back");
         }
@@ -219,64 +227,68 @@
             throw refused(
                     Reason.NO_LEAVE,
                     member + " has no leave to be out, and "
-                            + (now.on() ? "release " + now.release().plan().id() + " is on" : "limits are on"));
+                            + (now.inProgress()
+                                    ? "release " + now.release().plan().id() + " is on"
+                                    : "limits are on"));
         }
     }
 
     // ------------------------------------------------------------ leave
 
     /**
-     * Leave for a member of the release that is on. {@code seen}: {@link State#calm()} as the proposer saw
+     * Leave for a member of the release that is on. {@code seen}: {@link RolloutState#stabilityVersion()} as the proposer saw
      * it, through the whole quiet time where a step begins.
      */
-    public static Command leave(String by, String member, long seen, View view) {
+    public static ReleaseCommand grantOutage(String by, String member, long seen, FleetView view) {
         return now -> {
-            if (!now.on()) {
+            if (!now.inProgress()) {
                 throw refused(Reason.NO_RELEASE, "no release is on");
             }
             Release r = now.release();
-            int step = now.step();
-            if (r.moves() == Phase.ABANDONING
+            int step = now.currentStep();
+            if (r.activePhase() == Phase.ABANDONING
                     || step < 0
                     || !r.steps().get(step).contains(member)
-                    || !now.todo().contains(member)) {
+                    || !now.pendingMembers().contains(member)) {
                 throw refused(Reason.NOT_DUE, member + " is not to move now");
             }
             Member m = free(now, member, seen, view);
-            Known k = now.members().get(member);
-            if (m.run() > k.run() && judge(now, m, k.changed()) != k.changed()) {
+            KnownMember k = now.members().get(member);
+            if (m.incarnation() > k.incarnation() && judge(now, m, k.updated()) != k.updated()) {
                 throw refused(Reason.NOT_DUE, member + " has changed without leave, as is soon told");
             }
-            Draft d = new Draft(now);
-            d.grant(member, m.run(), r.plan().id(), r.moves().name());
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
+            d.grantOutage(
+                    member, m.incarnation(), r.plan().id(), r.activePhase().name());
             d.release = r.with(step);
-            return d.done();
+            return d.build();
         };
     }
 
     /** Leave by an operator's call, where no release is on. */
-    public static Command leaveByHand(String by, String member, long seen, View view, String why) {
+    public static ReleaseCommand grantManualOutage(String by, String member, long seen, FleetView view, String why) {
         return now -> {
-            if (now.on()) {
+            if (now.inProgress()) {
                 throw refused(
                         Reason.RELEASE_ON,
                         "release " + now.release().plan().id() + " is on, and gives leave in its own order");
             }
             Member m = free(now, member, seen, view);
-            Draft d = new Draft(now).log(by, "leave " + member, why);
-            d.grant(member, m.run(), "", why);
-            return d.done();
+            RolloutStateBuilder d = new RolloutStateBuilder(now).log(by, "leave " + member, why);
+            d.grantOutage(member, m.incarnation(), "", why);
+            return d.build();
         };
     }
 
     /** The member, where it may have leave by all that is told and all that the proposer sees. */
-    private static Member free(State now, String member, long seen, View view) throws ReleaseRefused {
+    private static Member free(RolloutState now, String member, long seen, FleetView view)
+            throws ReleaseRejectedException {
         if (now.halt() != null) {
             throw refused(
                     Reason.HALTED,
                     "halted by " + now.halt().by() + ": " + now.halt().why());
         }
-        if (now.leaves().containsKey(member)) {
+        if (now.plannedOutages().containsKey(member)) {
             throw refused(Reason.NOT_DUE, member + " has leave");
         }
         calm(now, seen);
@@ -284,29 +296,29 @@
         if (m == null
                 || !m.serving()
                 || !now.members().containsKey(member)
-                || m.run() < now.members().get(member).run()
-                || now.accidents().containsKey(member)) {
+                || m.incarnation() < now.members().get(member).incarnation()
+                || now.unplannedOutages().containsKey(member)) {
             throw refused(Reason.MEMBER, member + " is not seen serving");
         }
-        Set<String> out = now.out();
+        Set<String> out = now.unavailableMembers();
         Map<String, Member> seenNow = new HashMap<>();
         view.members().forEach(x -> seenNow.put(x.id(), x));
         double all = 0;
         double stays = 0;
-        for (Map.Entry<String, Known> k : now.members().entrySet()) {
+        for (Map.Entry<String, KnownMember> k : now.members().entrySet()) {
             Member x = seenNow.get(k.getKey());
             if (x == null || !x.serving()) {
                 out.add(k.getKey());
             }
             if (k.getValue().role() == Role.WORKER) {
-                all += k.getValue().full();
+                all += k.getValue().warmCapacity();
                 stays += k.getKey().equals(member) || out.contains(k.getKey())
                         ? 0
-                        : Math.min(x.capacity(), k.getValue().full());
+                        : Math.min(x.capacity(), k.getValue().warmCapacity());
             }
         }
         out.add(member);
-        for (Limits l : now.inForce()) {
+        for (Limits l : now.limitsInForce()) {
             String over = l.exceeded(now.members(), out);
             if (!over.isEmpty()) {
                 throw refused(Reason.LIMIT, over);
@@ -329,64 +341,65 @@
     }
 
     /** The holder of this leave was seen serving, warm, under a later run. */
-    public static Command back(String by, long number, Member seen) {
+    public static ReleaseCommand confirmReturn(String by, long number, Member seen) {
         return now -> {
-            Leave held = now.leaves().get(seen.id());
+            PlannedOutage held = now.plannedOutages().get(seen.id());
             if (held == null || held.number() != number) {
                 return now; // told before, by another
             }
-            if (seen.run() <= held.run() || !seen.serving() || !seen.warm()) {
-                throw refused(Reason.MEMBER, seen.id() + " is not back: " + seen.status() + ", run " + seen.run());
-            }
-            Draft d = new Draft(now);
-            d.calm++;
-            d.leaves.remove(seen.id());
-            d.accidents.remove(seen.id());
-            Known was = now.members().get(seen.id());
-            boolean named = now.on() && !held.release().isEmpty();
+            if (seen.incarnation() <= held.incarnation() || !seen.serving() || !seen.warm()) {
+                throw refused(
+                        Reason.MEMBER, seen.id() + " is not back: " + seen.status() + ", run " + seen.incarnation());
+            }
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
+            d.stabilityVersion++;
+            d.plannedOutages.remove(seen.id());
+            d.unplannedOutages.remove(seen.id());
+            KnownMember was = now.members().get(seen.id());
+            boolean named = now.inProgress() && !held.release().isEmpty();
             boolean to = named && !byVersion(now, seen)
-                    ? now.release().moves() != Phase.ROLLING_BACK
-                    : judge(now, seen, was.changed());
+                    ? now.release().activePhase() != Phase.ROLLING_BACK
+                    : judge(now, seen, was.updated());
             d.members.put(seen.id(), known(now, seen, was, to));
-            State next = d.done();
-            if (!named || !next.todo().contains(seen.id())) {
+            RolloutState next = d.build();
+            if (!named || !next.pendingMembers().contains(seen.id())) {
                 return next;
             }
             // It has had its leave, and is not what it was to become.
-            Draft again = new Draft(next);
-            TreeMap<String, Integer> tries = new TreeMap<>(next.release().tries());
+            RolloutStateBuilder again = new RolloutStateBuilder(next);
+            TreeMap<String, Integer> tries = new TreeMap<>(next.release().attempts());
             int n = tries.merge(seen.id(), 1, Integer::sum);
             Release r = next.release();
-            again.release = new Release(r.plan(), r.moves(), r.steps(), -1, tries, r.before());
+            again.release = new Release(r.plan(), r.activePhase(), r.steps(), -1, tries, r.baseline());
             return n < MOST_TRIES
-                    ? again.done()
-                    : haltByItself(
+                    ? again.build()
+                    : haltAutomatically(
                                     by,
                                     seen.id() + " came back " + n + " times as version " + seen.version(),
-                                    now.acts())
-                            .apply(again.done());
+                                    now.controlVersion())
+                            .apply(again.build());
         };
     }
 
     /**
-     * The leave is given back unused, or the same run serves again: only where {@link Order.Recall} has been
+     * The leave is given back unused, or the same run serves again: only where {@link RolloutAction.CancelDrain} has been
      * carried out, after which a drain by this leave is refused where it would be carried out.
      */
-    public static Command returned(String by, long number) {
+    public static ReleaseCommand relinquishOutage(String by, long number) {
         return now -> {
-            Draft d = new Draft(now);
-            if (!d.leaves.values().removeIf(l -> l.number() == number)) {
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
+            if (!d.plannedOutages.values().removeIf(l -> l.number() == number)) {
                 return now;
             }
-            d.calm++;
-            return d.done();
+            d.stabilityVersion++;
+            return d.build();
         };
     }
 
     /** The release has reached its end, as the proposer sees it: nobody is out, all are as wanted. */
-    public static Command finish(String by, View view) {
+    public static ReleaseCommand finish(String by, FleetView view) {
         return now -> {
-            if (!now.on()) {
+            if (!now.inProgress()) {
                 return now;
             }
             if (now.halt() != null) {
@@ -395,22 +408,22 @@
                         "halted by " + now.halt().by() + ": " + now.halt().why());
             }
             Release r = now.release();
-            for (Leave l : now.leaves().values()) {
+            for (PlannedOutage l : now.plannedOutages().values()) {
                 if (!l.release().isEmpty()) {
                     throw refused(Reason.NOT_DUE, "leave is still held");
                 }
             }
-            boolean left = r.moves() == Phase.ABANDONING;
+            boolean left = r.activePhase() == Phase.ABANDONING;
             for (List<String> step : left ? List.<List<String>>of() : r.steps()) {
                 for (String id : step) {
                     Member m = view.member(id);
-                    boolean wanted = r.moves() == Phase.RUNNING;
+                    boolean wanted = r.activePhase() == Phase.RUNNING;
                     if (m == null
                             || !m.serving()
-                            || now.accidents().containsKey(id)
-                            || m.run() < now.members().get(id).run()
+                            || now.unplannedOutages().containsKey(id)
+                            || m.incarnation() < now.members().get(id).incarnation()
                             || judge(now, m, wanted) != wanted
-                            || now.members().get(id).changed() != wanted) {
+                            || now.members().get(id).updated() != wanted) {
                         throw refused(Reason.NOT_DUE, id + " is not yet seen as it should be");
                     }
                 }
@@ -420,9 +433,10 @@
                     throw refused(Reason.NOT_DUE, m.id() + " has come, and is not told yet");
                 }
             }
-            Draft d = new Draft(now);
-            d.release = r.with(left ? Phase.ABANDONED : r.moves() == Phase.RUNNING ? Phase.DONE : Phase.ROLLED_BACK);
-            return d.log(by, d.release.moves().name(), r.plan().id()).done();
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
+            d.release =
+                    r.with(left ? Phase.ABANDONED : r.activePhase() == Phase.RUNNING ? Phase.DONE : Phase.ROLLED_BACK);
+            return d.log(by, d.release.activePhase().name(), r.plan().id()).build();
         };
     }
 
@@ -433,26 +447,29 @@
      * them may be another version. {@code seen}: the calm number at which the proposer looked; guards against
      * one that wakes with an old sight.
      */
-    public static Command observe(String by, long seen, Collection<String> out, Collection<Member> serving) {
+    public static ReleaseCommand recordObservations(
+            String by, long seen, Collection<String> out, Collection<Member> serving) {
         return now -> {
             calm(now, seen);
-            Draft d = new Draft(now);
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
             for (String id : out) {
-                if (d.members.containsKey(id) && !d.leaves.containsKey(id)) {
-                    d.accidents.putIfAbsent(id, new Accident(by, "seen out"));
+                if (d.members.containsKey(id) && !d.plannedOutages.containsKey(id)) {
+                    d.unplannedOutages.putIfAbsent(id, new UnplannedOutage(by, "seen out"));
                 }
             }
             for (Member m : serving) {
-                Known k = d.members.get(m.id());
-                if (k != null && m.run() >= k.run()) {
-                    d.accidents.remove(m.id());
-                    if (m.run() > k.run() && now.release() != null && !d.leaves.containsKey(m.id())) {
-                        d.members.put(m.id(), known(now, m, k, judge(now, m, k.changed())));
+                KnownMember k = d.members.get(m.id());
+                if (k != null && m.incarnation() >= k.incarnation()) {
+                    d.unplannedOutages.remove(m.id());
+                    if (m.incarnation() > k.incarnation()
+                            && now.release() != null
+                            && !d.plannedOutages.containsKey(m.id())) {
+                        d.members.put(m.id(), known(now, m, k, judge(now, m, k.updated())));
                     }
                 }
             }
-            boolean same = d.accidents.equals(now.accidents()) && d.members.equals(now.members());
-            return same ? now : d.disturbed().done();
+            boolean same = d.unplannedOutages.equals(now.unplannedOutages()) && d.members.equals(now.members());
+            return same ? now : d.restartQuietPeriod().build();
         };
     }
 
@@ -460,10 +477,10 @@
      * Members that were not known, or whose full capacity has changed. A later run at the address of a member
      * of another name has taken its place, with its leave or accident and its turn.
      */
-    public static Command changeMembers(String by, long seen, Collection<Member> put) {
+    public static ReleaseCommand updateMembers(String by, long seen, Collection<Member> put) {
         return now -> {
             calm(now, seen);
-            Draft d = new Draft(now);
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
             List<String> fresh = new ArrayList<>();
             for (Member m : put) {
                 if (put(d, now, m) && (now.release() == null || byVersion(now, m))) {
@@ -471,43 +488,43 @@
                 }
             }
             if (d.members.keySet().equals(now.members().keySet())) {
-                return d.members.equals(now.members()) ? now : d.done();
+                return d.members.equals(now.members()) ? now : d.build();
             }
             // A restart has nothing to do with who has just come.
             fresh.removeIf(id -> now.release() == null
-                    || now.release().moves() == Phase.ABANDONED
-                    || now.release().moves() == Phase.ROLLED_BACK
+                    || now.release().activePhase() == Phase.ABANDONED
+                    || now.release().activePhase() == Phase.ROLLED_BACK
                     || !now.release().plan().names(id, d.members.get(id)));
             if (!fresh.isEmpty()) {
                 List<List<String>> steps = new ArrayList<>(d.release.steps());
                 steps.add(List.copyOf(fresh));
                 d.release = d.release.with(steps);
             }
-            return d.disturbed().done();
+            return d.restartQuietPeriod().build();
         };
     }
 
     /** Returns whether it is one more than before. */
-    private static boolean put(Draft d, State now, Member m) {
-        Known was = d.members.get(m.id());
+    private static boolean put(RolloutStateBuilder d, RolloutState now, Member m) {
+        KnownMember was = d.members.get(m.id());
         if (was != null) {
-            if (m.run() >= was.run()) {
+            if (m.incarnation() >= was.incarnation()) {
                 d.members.put(
                         m.id(),
-                        new Known(
+                        new KnownMember(
                                 m.address(),
                                 m.role(),
                                 m.zone(),
                                 m.kind(),
                                 m.cell(),
                                 full(now, m, was),
-                                was.run(),
-                                was.changed()));
+                                was.incarnation(),
+                                was.updated()));
             }
             return false;
         }
         String old = "";
-        for (Map.Entry<String, Known> k : d.members.entrySet()) {
+        for (Map.Entry<String, KnownMember> k : d.members.entrySet()) {
             if (k.getValue().role() == m.role() && k.getValue().address().equals(m.address())) {
                 old = k.getKey();
             }
@@ -516,72 +533,73 @@
             d.members.put(m.id(), known(now, m, null, judge(now, m, false)));
             return true;
         }
-        Known k = d.members.get(old);
-        if (m.run() > k.run()) { // else the view is older than the state
+        KnownMember k = d.members.get(old);
+        if (m.incarnation() > k.incarnation()) { // else the view is older than the state
             d.members.remove(old);
-            d.members.put(m.id(), known(now, m, k, judge(now, m, k.changed())));
-            Leave l = d.leaves.remove(old);
+            d.members.put(m.id(), known(now, m, k, judge(now, m, k.updated())));
+            PlannedOutage l = d.plannedOutages.remove(old);
             if (l != null) {
-                d.leaves.put(m.id(), new Leave(l.number(), 0, l.release(), l.why()));
+                d.plannedOutages.put(m.id(), new PlannedOutage(l.number(), 0, l.release(), l.why()));
             }
-            Accident a = d.accidents.remove(old);
+            UnplannedOutage a = d.unplannedOutages.remove(old);
             if (a != null) {
-                d.accidents.put(m.id(), a);
+                d.unplannedOutages.put(m.id(), a);
             }
             rename(d, old, m.id());
         }
         return false;
     }
 
-    /** Somebody has had a majority; see {@link Driver}. */
-    public static Command beat(long seen) {
+    /** Somebody has had a majority; see {@link RolloutController}. */
+    public static ReleaseCommand recordHeartbeat(long seen) {
         return now -> {
-            Draft d = new Draft(now);
-            d.beats += now.beats() == seen ? 1 : 0;
-            return d.done();
+            RolloutStateBuilder d = new RolloutStateBuilder(now);
+            d.heartbeats += now.heartbeats() == seen ? 1 : 0;
+            return d.build();
         };
     }
 
     // ------------------------------------------------------------ parts
 
     /** Whether its version tells what it is; a worker says none, and is judged by runs. */
-    private static boolean byVersion(State now, Member m) {
+    private static boolean byVersion(RolloutState now, Member m) {
         return now.release().plan().byVersion() && !m.version().isEmpty();
     }
 
     /** Whether this run is where the release goes to; {@code was}: what a third version leaves as it was. */
-    private static boolean judge(State now, Member m, boolean was) {
+    private static boolean judge(RolloutState now, Member m, boolean was) {
         if (now.release() == null || !byVersion(now, m)) {
             return was;
         }
-        Plan p = now.release().plan();
+        ReleasePlan p = now.release().plan();
         return m.version().equals(p.to())
                 || was && !p.from().isEmpty() && !m.version().equals(p.from());
     }
 
-    private static Known known(State now, Member m, Known was, boolean changed) {
-        return new Known(
+    private static KnownMember known(RolloutState now, Member m, KnownMember was, boolean changed) {
+        return new KnownMember(
                 m.address(),
                 m.role(),
                 m.zone(),
                 m.kind(),
                 m.cell(),
                 was == null ? m.capacity() : full(now, m, was),
-                Math.max(m.run(), was == null ? 0 : was.run()),
+                Math.max(m.incarnation(), was == null ? 0 : was.incarnation()),
                 changed);
     }
 
-    private static Known changed(Known k, boolean changed) {
-        return new Known(k.address(), k.role(), k.zone(), k.kind(), k.cell(), k.full(), k.run(), changed);
+    private static KnownMember changed(KnownMember k, boolean changed) {
+        return new KnownMember(
+                k.address(), k.role(), k.zone(), k.kind(), k.cell(), k.warmCapacity(), k.incarnation(), changed);
     }
 
     /** While a release is on it only grows: what the release makes slow is to be missed. */
-    private static double full(State now, Member m, Known was) {
-        return m.warm() && !now.on() ? m.capacity() : Math.max(m.capacity(), was.full());
+    private static double full(RolloutState now, Member m, KnownMember was) {
+        return m.warm() && !now.inProgress() ? m.capacity() : Math.max(m.capacity(), was.warmCapacity());
     }
 
-    private static void rename(Draft d, String old, String name) {
-        if (d.release != null && d.release.names(old)) {
+    private static void rename(RolloutStateBuilder d, String old, String name) {
+        if (d.release != null && d.release.includes(old)) {
             List<List<String>> steps = new ArrayList<>();
             for (List<String> step : d.release.steps()) {
                 List<String> next = new ArrayList<>(step);
@@ -594,26 +612,26 @@
         }
     }
 
-    private static Draft retried(Draft d) {
+    private static RolloutStateBuilder retried(RolloutStateBuilder d) {
         if (d.release != null) {
-            d.release = d.release.with(d.release.moves());
+            d.release = d.release.with(d.release.activePhase());
         }
         return d;
     }
 
-    private static void newest(State now, long act) throws ReleaseRefused {
-        if (now.acts() != act) {
+    private static void newest(RolloutState now, long act) throws ReleaseRejectedException {
+        if (now.controlVersion() != act) {
             throw refused(Reason.STALE, "another act or halt has come since");
         }
     }
 
-    private static void calm(State now, long seen) throws ReleaseRefused {
-        if (now.calm() != seen) {
+    private static void calm(RolloutState now, long seen) throws ReleaseRejectedException {
+        if (now.stabilityVersion() != seen) {
             throw refused(Reason.NOT_QUIET, "the fleet has changed since it was looked at");
         }
     }
 
-    private static ReleaseRefused refused(Reason reason, String wrong) {
-        return new ReleaseRefused(reason, wrong);
+    private static ReleaseRejectedException refused(Reason reason, String wrong) {
+        return new ReleaseRejectedException(reason, wrong);
     }
 }
--- a/src/main/java/maplespread/release/Command.java
+++ b/src/main/java/maplespread/release/ReleaseCommand.java
@@ -1,7 +1,7 @@
 package maplespread.release;
 
 /** A change of the newest state, whoever proposes it and however late; pure. */
-public interface Command {
+public interface ReleaseCommand {
     /** The state after it; the same one where nothing is to change. */
-    State apply(State now) throws ReleaseRefused;
+    RolloutState apply(RolloutState now) throws ReleaseRejectedException;
 }
--- a/src/main/java/maplespread/release/Plan.java
+++ b/src/main/java/maplespread/release/ReleasePlan.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import maplespread.release.ReleaseRefused.Reason;
-import maplespread.release.State.Known;
-import maplespread.release.View.Role;
+import maplespread.release.FleetView.Role;
+import maplespread.release.ReleaseRejectedException.Reason;
+import maplespread.release.RolloutState.KnownMember;
 
 /**
  * What a release is to change. Empty lists of zones, kinds, cells and names: all. {@code from}, {@code to}:
@@ -21,7 +21,7 @@
  * {@code steps}: sizes of the steps, the last one repeats. {@code limits}: of its own, beside the standing
  * ones, or null.
  */
-public record Plan(
+public record ReleasePlan(
         String id,
         String from,
         String to,
@@ -62,11 +62,11 @@
             "worse_wait");
 
     /** Reads the console's JSON; what is not named has its default. */
-    public static Plan read(String json) throws ReleaseRefused {
+    public static ReleasePlan read(String json) throws ReleaseRejectedException {
         try {
             JsonObject o = JsonParser.parseString(json).getAsJsonObject();
             known("", o, KEYS);
-            Plan p = new Plan(
+            ReleasePlan p = new ReleasePlan(
                     text(o, "id", ""),
                     text(o, "from", ""),
                     text(o, "to", ""),
@@ -91,7 +91,7 @@
         }
     }
 
-    void check() throws ReleaseRefused {
+    void check() throws ReleaseRejectedException {
         if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
             throw bad("id: 1 to 64 letters, digits, dots, lines");
         }
@@ -114,7 +114,7 @@
         return !to.isEmpty() && !to.equals(from);
     }
 
-    boolean names(String member, Known m) {
+    boolean names(String member, KnownMember m) {
         return (m.role() == Role.DISPATCHER ? dispatchers : workers)
                 && of(zones, m.zone())
                 && of(kinds, m.kind())
@@ -127,11 +127,11 @@
     }
 
     /** The members that it names, cut into steps; no step mixes roles, nor what they are ordered by first. */
-    List<List<String>> cut(Map<String, Known> members) {
-        Map<String, Known> mine = new TreeMap<>(members);
+    List<List<String>> splitIntoSteps(Map<String, KnownMember> members) {
+        Map<String, KnownMember> mine = new TreeMap<>(members);
         mine.entrySet().removeIf(e -> !names(e.getKey(), e.getValue()));
         List<String> all = new ArrayList<>(mine.keySet());
-        all.sort(Comparator.comparing((String m) -> place(mine.get(m)), State::compare)
+        all.sort(Comparator.comparing((String m) -> place(mine.get(m)), RolloutState::compare)
                 .thenComparing(Comparator.naturalOrder()));
         List<List<String>> cut = new ArrayList<>();
         List<String> step = new ArrayList<>();
@@ -152,7 +152,7 @@
         return cut;
     }
 
-    private List<String> place(Known m) {
+    private List<String> place(KnownMember m) {
         List<String> by = new ArrayList<>();
         by.add(m.role() == (first.equals("workers") ? Role.WORKER : Role.DISPATCHER) ? "0" : "1");
         for (String key : order) {
@@ -161,11 +161,11 @@
         return by;
     }
 
-    private static ReleaseRefused bad(String wrong) {
-        return new ReleaseRefused(Reason.BAD_PLAN, wrong);
+    private static ReleaseRejectedException bad(String wrong) {
+        return new ReleaseRejectedException(Reason.BAD_PLAN, wrong);
     }
 
-    private static void known(String where, JsonObject o, Iterable<String> keys) throws ReleaseRefused {
+    private static void known(String where, JsonObject o, Iterable<String> keys) throws ReleaseRejectedException {
         Set<String> left = new java.util.TreeSet<>(o.keySet());
         keys.forEach(left::remove);
         if (!left.isEmpty()) {
@@ -195,7 +195,7 @@
         return o.has("steps") ? list(o, "steps").stream().map(Integer::valueOf).toList() : List.of(1);
     }
 
-    private static Limits limits(JsonObject o) throws ReleaseRefused {
+    private static Limits limits(JsonObject o) throws ReleaseRejectedException {
         known("limits.", o, LIMITS);
         Limits n = Limits.NONE;
         return new Limits(
--- a/src/main/java/maplespread/release/ReleaseRefused.java
+++ b/src/main/java/maplespread/release/ReleaseRejectedException.java
@@ -1,12 +1,12 @@
 package maplespread.release;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** A command that the newest state does not allow. Nothing has changed. */
-public final class ReleaseRefused extends FleetError {
+public final class ReleaseRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #wrong()} says it in words. */
+    /** Why, for a program; {@link #problem()} says it in words. */
     public enum Reason {
         /** The plan or the limits cannot be used as they stand. */
         BAD_PLAN("everything; nothing has begun", "correct what is named and send the plan again"),
@@ -48,7 +48,7 @@
 
     private final Reason reason;
 
-    ReleaseRefused(Reason reason, String wrong) {
+    ReleaseRejectedException(Reason reason, String wrong) {
         super(wrong, reason.works, reason.remedy);
         this.reason = reason;
     }
--- a/src/main/java/maplespread/release/Driver.java
+++ b/src/main/java/maplespread/release/RolloutController.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.release.State.Known;
-import maplespread.release.State.Leave;
-import maplespread.release.State.Phase;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
-import maplespread.release.View.Status;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.FleetView.Status;
+import maplespread.release.RolloutState.KnownMember;
+import maplespread.release.RolloutState.Phase;
+import maplespread.release.RolloutState.PlannedOutage;
 
 /**
  * One instance's part. Every instance has one and all do the same, staggered by their place among those that
@@ -20,7 +20,7 @@
  * begins every wait anew, as does one that stood still. What is proposed is decided by the newest state: a
  * driver that is late or wrong is refused there.
  */
-public final class Driver {
+public final class RolloutController {
     private static final long ENOUGH = 100; // answers, for shares and waits to be judged
 
     /**
@@ -29,7 +29,7 @@
      * majority; {@code splitMs}: without one for so long halts. One that has not looked for three times
      * {@code missMs} stood still.
      */
-    public record Settings(long staggerMs, long missMs, long beatMs, long splitMs) {
+    public record Settings(long staggerMs, long detectionMs, long heartbeatMs, long quorumLossMs) {
         public static final Settings DEFAULT = new Settings(250, 1_000, 2_000, 10_000);
     }
 
@@ -38,7 +38,8 @@
      * {@code orders}: to be carried out; {@code again}: when to look again at the latest (a new state or
      * view: at once); {@code waits}: for what, in words, empty where nothing is on.
      */
-    public record Next(List<Command> propose, List<Order> orders, long again, String waits) {}
+    public record Decision(
+            List<ReleaseCommand> proposals, List<RolloutAction> actions, long nextCheckAtMs, String waitingFor) {}
 
     private final Settings set;
     private final String self;
@@ -47,77 +48,83 @@
     private long calmSince;
     private long acts = -1;
     private long aloneSince = -1;
-    private State aloneAt;
+    private RolloutState aloneAt;
     private long alone;
-    private Service before;
+    private ServiceLevel before;
     private Map<String, Long> since = new HashMap<>(); // what is waited for -> since when
     private Set<String> wanted = new HashSet<>();
-    private final Set<Long> recalled = new HashSet<>();
-    private State state;
-    private View view;
+    private final Set<Long> drainCancelled = new HashSet<>();
+    private RolloutState state;
+    private FleetView view;
     private long now;
     private long place;
 
     /** {@code self}: this dispatcher's member name; {@code now}: of a monotonic clock, in ms. */
-    public Driver(Settings set, String self, long now) {
+    public RolloutController(Settings set, String self, long now) {
         this.set = set;
         this.self = self;
         lookedAt = now;
         calmSince = now;
     }
 
-    /** {@link Order.Recall} of this leave was carried out: a later drain by it is refused there. */
-    public void recalled(long leave) {
-        recalled.add(leave);
+    /** {@link RolloutAction.CancelDrain} of this leave was carried out: a later drain by it is refused there. */
+    public void drainCancelled(long leave) {
+        drainCancelled.add(leave);
     }
 
     /** Looks at the newest state known. {@code majority}: whether the last read or write reached one. */
-    public Next look(long time, State newest, View seen, boolean majority) {
+    public Decision evaluate(long time, RolloutState newest, FleetView seen, boolean majority) {
         now = time;
         state = newest;
         view = seen;
         wanted = new HashSet<>();
-        if (now - lookedAt >= 3 * set.missMs) { // stood still: no wait was whole
+        if (now - lookedAt >= 3 * set.detectionMs) { // stood still: no wait was whole
             since.clear();
             calm = -1;
             aloneSince = -1;
         }
         lookedAt = now;
-        if (state.calm() != calm) {
-            calm = state.calm();
+        if (state.stabilityVersion() != calm) {
+            calm = state.stabilityVersion();
             calmSince = now;
         }
         // Worse is worse than before the release, or than when an operator let it go on.
-        if (!state.on() || acts >= 0 && state.acts() != acts && state.halt() == null) {
+        if (!state.inProgress() || acts >= 0 && state.controlVersion() != acts && state.halt() == null) {
             before = view.service();
         }
-        acts = state.acts();
+        acts = state.controlVersion();
         place = view.members().stream()
                 .filter(m -> m.role() == Role.DISPATCHER && m.serving() && m.id().compareTo(self) < 0)
                 .count();
         majority(majority);
-        List<Command> propose = new ArrayList<>();
-        List<Order> orders = new ArrayList<>();
+        List<ReleaseCommand> propose = new ArrayList<>();
+        List<RolloutAction> orders = new ArrayList<>();
         String waits = "";
-        boolean on = state.on();
+        boolean on = state.inProgress();
         if (!majority) {
             waits = on ? "for a majority" : "";
-        } else if (on || !state.inForce().isEmpty() || !state.leaves().isEmpty()) {
+        } else if (on
+                || !state.limitsInForce().isEmpty()
+                || !state.plannedOutages().isEmpty()) {
             halts(propose);
             seen(propose);
             back(propose);
             waits = !on ? "" : !propose.isEmpty() ? "for what was seen to be told" : goOn(propose);
-            if (on && waited("beat " + state.beats(), set.beatMs, true)) {
-                propose.add(Commands.beat(state.beats()));
+            if (on && waited("beat " + state.heartbeats(), set.heartbeatMs, true)) {
+                propose.add(OperatorCommands.recordHeartbeat(state.heartbeats()));
             }
         }
         orders(orders);
         since.keySet().retainAll(wanted);
-        recalled.removeIf(n -> state.leaves().values().stream().noneMatch(l -> l.number() == n) && n <= state.grants());
-        return new Next(
+        drainCancelled.removeIf(n -> state.plannedOutages().values().stream().noneMatch(l -> l.number() == n)
+                && n <= state.lastOutageNumber());
+        return new Decision(
                 propose,
                 orders,
-                now + (on || !state.inForce().isEmpty() ? Math.min(set.staggerMs, set.missMs / 2) : set.missMs / 2),
+                now
+                        + (on || !state.limitsInForce().isEmpty()
+                                ? Math.min(set.staggerMs, set.detectionMs / 2)
+                                : set.detectionMs / 2),
                 waits);
     }
 
@@ -137,9 +144,9 @@
             }
         } else if (aloneSince >= 0) {
             // Others may have had one meanwhile: then somebody has shown it.
-            boolean none = state.beats() == aloneAt.beats()
-                    && state.calm() == aloneAt.calm()
-                    && state.grants() == aloneAt.grants();
+            boolean none = state.heartbeats() == aloneAt.heartbeats()
+                    && state.stabilityVersion() == aloneAt.stabilityVersion()
+                    && state.lastOutageNumber() == aloneAt.lastOutageNumber();
             alone = none ? now - aloneSince : 0;
             aloneSince = -1;
         }
@@ -147,42 +154,43 @@
 
     // ------------------------------------------------------------ what halts it by itself
 
-    private void halts(List<Command> propose) {
-        boolean moves = state.on() && state.halt() == null && state.release().moves() != Phase.ABANDONING;
+    private void halts(List<ReleaseCommand> propose) {
+        boolean moves =
+                state.inProgress() && state.halt() == null && state.release().activePhase() != Phase.ABANDONING;
         String why = !moves ? "" : halts();
         if (!why.isEmpty()) {
-            propose.add(Commands.haltByItself(self, why, state.acts()));
+            propose.add(OperatorCommands.haltAutomatically(self, why, state.controlVersion()));
         }
     }
 
     private String halts() {
-        if (alone >= set.splitMs) {
+        if (alone >= set.quorumLossMs) {
             return "no majority for " + alone + " ms";
         }
-        for (Limits l : state.inForce()) {
-            String over = l.exceeded(state.members(), state.out());
+        for (Limits l : state.limitsInForce()) {
+            String over = l.exceeded(state.members(), state.unavailableMembers());
             // Whatever the limit and the count: one more accident must not begin the wait anew.
-            if (!over.isEmpty() && waited("over", set.missMs, false)) {
+            if (!over.isEmpty() && waited("over", set.detectionMs, false)) {
                 return "limit exceeded: " + over;
             }
         }
-        for (Map.Entry<String, Leave> l : state.leaves().entrySet()) {
+        for (Map.Entry<String, PlannedOutage> l : state.plannedOutages().entrySet()) {
             if (!l.getValue().release().isEmpty()
-                    && waited("out " + l.getValue().number() + " " + state.acts(), state.backMs(), false)) {
+                    && waited("out " + l.getValue().number() + " " + state.controlVersion(), state.backMs(), false)) {
                 return l.getKey() + " is not back after " + state.backMs() + " ms";
             }
         }
         // What is bad because of the release must not stand in the way of taking it back.
-        return state.release().moves() == Phase.RUNNING ? worse() : "";
+        return state.release().activePhase() == Phase.RUNNING ? worse() : "";
     }
 
     private String worse() {
-        Service is = view.service();
-        Service was = before == null ? state.release().before() : before;
+        ServiceLevel is = view.service();
+        ServiceLevel was = before == null ? state.release().baseline() : before;
         if (is.samples() < ENOUGH || was.samples() < ENOUGH) {
             return "";
         }
-        for (Limits l : state.inForce()) {
+        for (Limits l : state.limitsInForce()) {
             if (is.refusedShare() > was.refusedShare() + l.worseRefused()) {
                 return "refusals " + is.refusedShare() + ", before the release " + was.refusedShare();
             }
@@ -198,59 +206,60 @@
 
     // ------------------------------------------------------------ what is seen
 
-    private void seen(List<Command> propose) {
+    private void seen(List<ReleaseCommand> propose) {
         List<String> out = new ArrayList<>();
         List<Member> serving = new ArrayList<>();
-        for (Map.Entry<String, Known> k : state.members().entrySet()) {
+        for (Map.Entry<String, KnownMember> k : state.members().entrySet()) {
             String id = k.getKey();
             Member m = view.member(id);
             boolean serves = m != null && m.serving();
-            boolean told = state.accidents().containsKey(id);
-            if (!serves && !told && !state.leaves().containsKey(id)) {
-                if (waited("miss " + id, set.missMs, false) && waited("tell " + id, 0, true)) {
+            boolean told = state.unplannedOutages().containsKey(id);
+            if (!serves && !told && !state.plannedOutages().containsKey(id)) {
+                if (waited("miss " + id, set.detectionMs, false) && waited("tell " + id, 0, true)) {
                     out.add(id);
                 }
             } else if (serves
                     && (told
-                            || state.on()
-                                    && state.release().names(id)
-                                    && m.run() > k.getValue().run()
-                                    && !state.leaves().containsKey(id))) {
-                if (waited("here " + id + " " + m.run(), set.missMs, true)) {
+                            || state.inProgress()
+                                    && state.release().includes(id)
+                                    && m.incarnation() > k.getValue().incarnation()
+                                    && !state.plannedOutages().containsKey(id))) {
+                if (waited("here " + id + " " + m.incarnation(), set.detectionMs, true)) {
                     serving.add(m);
                 }
             }
         }
         if (!out.isEmpty() || !serving.isEmpty()) {
-            propose.add(Commands.observe(self, state.calm(), out, serving));
+            propose.add(OperatorCommands.recordObservations(self, state.stabilityVersion(), out, serving));
         }
         List<Member> put = new ArrayList<>();
         for (Member m : view.members()) {
-            Known k = state.members().get(m.id());
+            KnownMember k = state.members().get(m.id());
             boolean grown = k != null
                     && m.warm()
                     && m.role() == Role.WORKER
-                    && (m.capacity() > k.full() * 1.1 || !state.on() && m.capacity() < k.full() * 0.9);
-            if (m.serving() && (k == null || grown) && waited("put " + m.id(), set.missMs, true)) {
+                    && (m.capacity() > k.warmCapacity() * 1.1
+                            || !state.inProgress() && m.capacity() < k.warmCapacity() * 0.9);
+            if (m.serving() && (k == null || grown) && waited("put " + m.id(), set.detectionMs, true)) {
                 put.add(m);
             }
         }
         if (!put.isEmpty()) {
-            propose.add(Commands.changeMembers(self, state.calm(), put));
+            propose.add(OperatorCommands.updateMembers(self, state.stabilityVersion(), put));
         }
     }
 
-    private void back(List<Command> propose) {
-        state.leaves().forEach((id, l) -> {
+    private void back(List<ReleaseCommand> propose) {
+        state.plannedOutages().forEach((id, l) -> {
             Member m = view.member(id);
-            if (recalled.contains(l.number())) {
-                propose.add(Commands.returned(self, l.number()));
+            if (drainCancelled.contains(l.number())) {
+                propose.add(OperatorCommands.relinquishOutage(self, l.number()));
             } else if (m != null
                     && m.serving()
                     && m.warm()
-                    && m.run() > l.run()
+                    && m.incarnation() > l.incarnation()
                     && waited("back " + l.number(), 0, true)) {
-                propose.add(Commands.back(self, l.number(), m));
+                propose.add(OperatorCommands.confirmReturn(self, l.number(), m));
             }
         });
     }
@@ -258,31 +267,31 @@
     // ------------------------------------------------------------ what comes next
 
     /** Leave for those whose turn it is, or the end. Returns for what it waits. */
-    private String goOn(List<Command> propose) {
+    private String goOn(List<ReleaseCommand> propose) {
         if (state.halt() != null) {
             return "for an operator: halted by " + state.halt().by() + ", "
                     + state.halt().why();
         }
-        int step = state.step();
-        boolean opens = step != state.release().open();
+        int step = state.currentStep();
+        boolean opens = step != state.release().openStep();
         if (opens && now - calmSince < state.quietMs()) {
             return "for the quiet time";
         }
-        String calmly = "leave " + state.calm() + " " + state.grants();
+        String calmly = "leave " + state.stabilityVersion() + " " + state.lastOutageNumber();
         if (step < 0) {
-            return attempt(propose, Commands.finish(self, view), "finish " + state.calm());
+            return attempt(propose, OperatorCommands.finish(self, view), "finish " + state.stabilityVersion());
         }
         String waits = "for those that are out";
-        State then = state;
-        List<Command> all = new ArrayList<>();
+        RolloutState then = state;
+        List<ReleaseCommand> all = new ArrayList<>();
         for (String id : state.release().steps().get(step)) {
-            if (state.todo().contains(id) && !state.leaves().containsKey(id)) {
-                Command c = Commands.leave(self, id, state.calm(), view);
+            if (state.pendingMembers().contains(id) && !state.plannedOutages().containsKey(id)) {
+                ReleaseCommand c = OperatorCommands.grantOutage(self, id, state.stabilityVersion(), view);
                 try {
                     then = c.apply(then);
                     all.add(c);
-                } catch (ReleaseRefused e) {
-                    waits = e.wrong();
+                } catch (ReleaseRejectedException e) {
+                    waits = e.problem();
                 }
             }
         }
@@ -292,33 +301,34 @@
         return waits;
     }
 
-    private String attempt(List<Command> propose, Command c, String what) {
+    private String attempt(List<ReleaseCommand> propose, ReleaseCommand c, String what) {
         try {
             c.apply(state);
             if (waited(what, 0, true)) {
                 propose.add(c);
             }
             return "for its end to be told";
-        } catch (ReleaseRefused e) {
-            return e.wrong();
+        } catch (ReleaseRejectedException e) {
+            return e.problem();
         }
     }
 
     /** This instance's own, and the workers': a dispatcher is drained by nobody but itself. */
-    private void orders(List<Order> orders) {
-        state.leaves().forEach((id, l) -> {
+    private void orders(List<RolloutAction> orders) {
+        state.plannedOutages().forEach((id, l) -> {
             Member m = view.member(id);
             boolean mine = id.equals(self) || m != null && m.role() == Role.WORKER;
-            if (!mine || m == null || m.run() != l.run()) {
+            if (!mine || m == null || m.incarnation() != l.incarnation()) {
                 return;
             }
             boolean by = !l.release().isEmpty();
-            boolean back =
-                    by && state.on() && !l.why().equals(state.release().moves().name());
+            boolean back = by
+                    && state.inProgress()
+                    && !l.why().equals(state.release().activePhase().name());
             if (back && (m.serving() || m.status() == Status.DRAINING) || state.halt() != null && by && m.serving()) {
-                orders.add(new Order.Recall(id, l.run(), l.number()));
+                orders.add(new RolloutAction.CancelDrain(id, l.incarnation(), l.number()));
             } else if (m.serving() && waited("order " + l.number(), 0, !id.equals(self))) {
-                orders.add(new Order.Drain(id, l.run(), l.number()));
+                orders.add(new RolloutAction.Drain(id, l.incarnation(), l.number()));
             }
         });
     }
--- a/src/main/java/maplespread/release/State.java
+++ b/src/main/java/maplespread/release/RolloutState.java
@@ -1,6 +1,7 @@
 package maplespread.release;
 
 import com.google.gson.Gson;
+import com.google.gson.annotations.SerializedName;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -14,8 +15,8 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
 
 /**
  * All that is agreed; immutable. {@code limits}: the standing ones, or null; {@code release}: the one that is
@@ -23,19 +24,19 @@
  * number of the last leave; {@code acts}: grows with every act of an operator and every halt, so that a late
  * act is told from one that knew of it; {@code ended}: names of the releases before.
  */
-public record State(
+public record RolloutState(
         Limits limits,
         Release release,
-        SortedMap<String, Known> members,
-        SortedMap<String, Leave> leaves,
-        SortedMap<String, Accident> accidents,
+        SortedMap<String, KnownMember> members,
+        @SerializedName("leaves") SortedMap<String, PlannedOutage> plannedOutages,
+        @SerializedName("accidents") SortedMap<String, UnplannedOutage> unplannedOutages,
         Halt halt,
-        long calm,
-        long grants,
-        long acts,
-        long beats,
-        List<String> ended,
-        List<Act> log) {
+        @SerializedName("calm") long stabilityVersion,
+        @SerializedName("grants") long lastOutageNumber,
+        @SerializedName("acts") long controlVersion,
+        @SerializedName("beats") long heartbeats,
+        @SerializedName("ended") List<String> pastReleases,
+        List<LogEntry> log) {
 
     public enum Phase {
         RUNNING,
@@ -52,31 +53,31 @@
      * none; {@code tries}: how often a member came back other than wanted.
      */
     public record Release(
-            Plan plan,
-            Phase moves,
+            ReleasePlan plan,
+            @SerializedName("moves") Phase activePhase,
             List<List<String>> steps,
-            int open,
-            SortedMap<String, Integer> tries,
-            Service before) {
+            @SerializedName("open") int openStep,
+            @SerializedName("tries") SortedMap<String, Integer> attempts,
+            @SerializedName("before") ServiceLevel baseline) {
         public Release {
             steps = List.copyOf(steps);
-            tries = sorted(tries);
+            attempts = sorted(attempts);
         }
 
         Release with(Phase next) {
-            return new Release(plan, next, steps, -1, new TreeMap<>(), before);
+            return new Release(plan, next, steps, -1, new TreeMap<>(), baseline);
         }
 
         /** The quiet time begins anew. */
         Release with(int nowOpen) {
-            return new Release(plan, moves, steps, nowOpen, tries, before);
+            return new Release(plan, activePhase, steps, nowOpen, attempts, baseline);
         }
 
         Release with(List<List<String>> now) {
-            return new Release(plan, moves, now, -1, tries, before);
+            return new Release(plan, activePhase, now, -1, attempts, baseline);
         }
 
-        boolean names(String member) {
+        boolean includes(String member) {
             return steps.stream().anyMatch(s -> s.contains(member));
         }
     }
@@ -85,31 +86,40 @@
      * A member of the fleet. {@code full}: its capacity when warm; {@code run}: the newest that was told;
      * {@code changed}: it is where the release goes to, and would have to move where that is rolled back.
      */
-    public record Known(
-            String address, Role role, String zone, String kind, String cell, double full, long run, boolean changed) {}
+    public record KnownMember(
+            String address,
+            Role role,
+            String zone,
+            String kind,
+            String cell,
+            @SerializedName("full") double warmCapacity,
+            @SerializedName("run") long incarnation,
+            @SerializedName("changed") boolean updated) {}
 
     /**
      * {@code number}: grows with every grant; {@code run}: the one that may leave, 0: none any more;
      * {@code release}: empty for one by hand; {@code why}: of a release the phase, else the operator's words.
      */
-    public record Leave(long number, long run, String release, String why) {}
+    public record PlannedOutage(
+            long number, @SerializedName("run") long incarnation, String release, String why) {}
 
     /** Out without leave: who saw it, and what. */
-    public record Accident(String by, String why) {}
+    public record UnplannedOutage(String by, String why) {}
 
     public record Halt(long number, String by, String why) {}
 
-    public record Act(String by, String what, String why) {}
+    public record LogEntry(String by, String what, String why) {}
 
-    public static final State EMPTY = new State(null, null, null, null, null, null, 0, 0, 0, 0, null, null);
+    public static final RolloutState EMPTY =
+            new RolloutState(null, null, null, null, null, null, 0, 0, 0, 0, null, null);
     private static final Gson GSON = new Gson();
     private static final int LONG = 16 * 1024;
 
-    public State {
+    public RolloutState {
         members = sorted(members);
-        leaves = sorted(leaves);
-        accidents = sorted(accidents);
-        ended = ended == null ? List.of() : List.copyOf(ended);
+        plannedOutages = sorted(plannedOutages);
+        unplannedOutages = sorted(unplannedOutages);
+        pastReleases = pastReleases == null ? List.of() : List.copyOf(pastReleases);
         log = log == null ? List.of() : List.copyOf(log);
     }
 
@@ -128,12 +138,12 @@
     }
 
     /** "" is the empty state. */
-    public static State read(String text) {
-        return text.isEmpty() ? EMPTY : GSON.fromJson(text.startsWith("{") ? text : unpacked(text), State.class);
+    public static RolloutState parse(String text) {
+        return text.isEmpty() ? EMPTY : GSON.fromJson(text.startsWith("{") ? text : unpacked(text), RolloutState.class);
     }
 
     /** JSON; packed where it is long, for a register takes only so much. */
-    public String text() {
+    public String toText() {
         String json = GSON.toJson(this);
         return json.length() < LONG ? json : packed(json);
     }
@@ -166,24 +176,24 @@
 
     /** HALTED, or where the release is going; null where there never was one. */
     public Phase phase() {
-        return release == null ? null : on() && halt != null ? Phase.HALTED : release.moves;
+        return release == null ? null : inProgress() && halt != null ? Phase.HALTED : release.activePhase;
     }
 
     /** Whether a release is on: not yet done, rolled back or abandoned. */
-    public boolean on() {
+    public boolean inProgress() {
         return release != null
-                && (release.moves == Phase.RUNNING
-                        || release.moves == Phase.ROLLING_BACK
-                        || release.moves == Phase.ABANDONING);
+                && (release.activePhase == Phase.RUNNING
+                        || release.activePhase == Phase.ROLLING_BACK
+                        || release.activePhase == Phase.ABANDONING);
     }
 
     /** The limits that count now, all of them: the standing ones and the release's own. */
-    public List<Limits> inForce() {
+    public List<Limits> limitsInForce() {
         List<Limits> all = new ArrayList<>();
         if (limits != null) {
             all.add(limits);
         }
-        if (on() && release.plan.limits() != null) {
+        if (inProgress() && release.plan.limits() != null) {
             all.add(release.plan.limits());
         }
         return all;
@@ -191,31 +201,31 @@
 
     /** The longest quiet time in force. */
     public long quietMs() {
-        return inForce().stream().mapToLong(Limits::quietMs).max().orElse(0);
+        return limitsInForce().stream().mapToLong(Limits::quietMs).max().orElse(0);
     }
 
     /** The shortest time in force within which a member has to be back. */
     public long backMs() {
-        return inForce().stream().mapToLong(Limits::backMs).min().orElse(Long.MAX_VALUE);
+        return limitsInForce().stream().mapToLong(Limits::backMs).min().orElse(Long.MAX_VALUE);
     }
 
     /** Whoever is out as far as is told: with leave, or by accident. */
-    public Set<String> out() {
-        Set<String> out = new TreeSet<>(leaves.keySet());
-        out.addAll(accidents.keySet());
+    public Set<String> unavailableMembers() {
+        Set<String> out = new TreeSet<>(plannedOutages.keySet());
+        out.addAll(unplannedOutages.keySet());
         return out;
     }
 
     /** The release's members that are where it goes to. */
-    public Set<String> changed() {
+    public Set<String> updatedMembers() {
         return whose(true);
     }
 
     /** The release's members that have still to move, leave or not. */
-    public Set<String> todo() {
-        return release == null || release.moves == Phase.ABANDONING
+    public Set<String> pendingMembers() {
+        return release == null || release.activePhase == Phase.ABANDONING
                 ? Set.of()
-                : whose(release.moves == Phase.ROLLING_BACK || release.moves == Phase.ROLLED_BACK);
+                : whose(release.activePhase == Phase.ROLLING_BACK || release.activePhase == Phase.ROLLED_BACK);
     }
 
     private Set<String> whose(boolean changed) {
@@ -223,7 +233,7 @@
         if (release != null) {
             for (List<String> step : release.steps) {
                 for (String m : step) {
-                    if (members.get(m).changed == changed) {
+                    if (members.get(m).updated == changed) {
                         all.add(m);
                     }
                 }
@@ -233,16 +243,16 @@
     }
 
     /** The step whose turn it is, the last ones first where it rolls back; -1: none is left. */
-    public int step() {
-        if (!on()) {
+    public int currentStep() {
+        if (!inProgress()) {
             return -1;
         }
-        Set<String> left = todo();
+        Set<String> left = pendingMembers();
         int n = release.steps.size();
         for (int k = 0; k < n; k++) {
-            int i = release.moves == Phase.ROLLING_BACK ? n - 1 - k : k;
+            int i = release.activePhase == Phase.ROLLING_BACK ? n - 1 - k : k;
             for (String m : release.steps.get(i)) {
-                Leave held = leaves.get(m);
+                PlannedOutage held = plannedOutages.get(m);
                 if (left.contains(m) || held != null && !held.release.isEmpty()) {
                     return i;
                 }
--- a/src/main/java/maplespread/release/client/CallRefused.java
+++ b/src/main/java/maplespread/release/client/CallRejectedException.java
@@ -1,12 +1,12 @@
 package maplespread.release.client;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** A call of an operator's that could not be put to the fleet. Nothing was changed by it. */
-public final class CallRefused extends FleetError {
+public final class CallRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #wrong()} says it in words. */
+    /** Why, for a program; {@link #problem()} says it in words. */
     public enum Reason {
         /** This instance is not in the group yet. */
         NOT_JOINED(
@@ -31,7 +31,7 @@
 
     final int status;
 
-    CallRefused(Reason reason, String wrong) {
+    CallRejectedException(Reason reason, String wrong) {
         super(wrong, reason.works, reason.remedy);
         status = reason.status;
     }
