--- a/src/main/java/maplespread/release/client/Releases.java
+++ b/src/main/java/maplespread/release/client/RolloutService.java
@@ -11,41 +11,41 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.Semaphore;
-import maplespread.agreement.Change;
-import maplespread.agreement.Refused;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
-import maplespread.agreement.client.Register;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Call;
-import maplespread.console.Calls.Reply;
-import maplespread.faults.FleetError;
-import maplespread.group.Sections;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.admin.AdminRoutes.Call;
+import maplespread.cluster.SharedState;
+import maplespread.consensus.ChangeRejectedException;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.VersionedValue;
+import maplespread.consensus.client.ReplicatedRegister;
+import maplespread.errors.FleetException;
 import maplespread.log.Event;
-import maplespread.release.Command;
-import maplespread.release.Commands;
-import maplespread.release.Driver;
+import maplespread.release.FleetView;
 import maplespread.release.Limits;
-import maplespread.release.Order;
-import maplespread.release.Plan;
-import maplespread.release.ReleaseRefused;
-import maplespread.release.State;
-import maplespread.release.View;
+import maplespread.release.OperatorCommands;
+import maplespread.release.ReleaseCommand;
+import maplespread.release.ReleasePlan;
+import maplespread.release.ReleaseRejectedException;
+import maplespread.release.RolloutAction;
+import maplespread.release.RolloutController;
+import maplespread.release.RolloutState;
 
 /**
  * This instance's part in releases: one thread looks, proposes and carries orders out; the console's calls
  * wait on threads of their own, a few at once, so that those that need no fleet always have a place.
  */
-public final class Releases implements Closeable {
+public final class RolloutService implements Closeable {
     /** What it stands on. */
-    public interface Fleet {
+    public interface LocalInstance {
         /** Null: not in the group yet. */
-        Register register();
+        ReplicatedRegister register();
 
-        View view();
+        FleetView view();
 
         /** Of this process, as the group knows it. */
-        long run();
+        long incarnation();
 
         /** Sends clients away; false outside of service. */
         boolean quiesce();
@@ -64,8 +64,8 @@
     private static final int CALLS = 4;
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
     private final String self;
-    private final Fleet fleet;
-    private final Workers workers;
+    private final LocalInstance fleet;
+    private final WorkerDrainer workers;
     private final Semaphore places = new Semaphore(CALLS);
     private final Semaphore halts = new Semaphore(CALLS); // a halt waits behind no other call
     private final Thread thread;
@@ -75,15 +75,15 @@
     private final Set<Long> back = new HashSet<>(); // leaves that the driver is to hear are back
     private final Map<String, String> wanted = new TreeMap<>(); // by an operator's hand: worker -> what
     private Map<Long, Long> backSince = new HashMap<>(); // leaves called back by hand -> since when
-    private volatile Command limits; // to be proposed; null: done
+    private volatile ReleaseCommand limits; // to be proposed; null: done
     private volatile boolean majority;
     private volatile long contactAt;
     private volatile String waits = "";
-    private Value read; // and what it says:
-    private State state = State.EMPTY;
+    private VersionedValue read; // and what it says:
+    private RolloutState state = RolloutState.EMPTY;
 
     /** {@code workers}: what drains them; {@code limits}: the operators' file's. */
-    public Releases(String self, Fleet fleet, Workers workers, Limits limits) {
+    public RolloutService(String self, LocalInstance fleet, WorkerDrainer workers, Limits limits) {
         this.self = self;
         this.fleet = fleet;
         this.workers = workers;
@@ -92,7 +92,9 @@
                 Event.of("release.limits_differ", "file", limits, "agreed", now.limits())
                         .warn();
             }
-            return now.limits() == null ? Commands.limits(self, limits).apply(now) : now;
+            return now.limits() == null
+                    ? OperatorCommands.setLimits(self, limits).apply(now)
+                    : now;
         };
         thread = new Thread(null, this::drive, "release", STACK);
         thread.setDaemon(true);
@@ -104,7 +106,7 @@
 
     /** The file's limits have been changed: they are to be the fleet's. At a start those agreed go before. */
     public void limits(Limits next) {
-        limits = Commands.limits(self, next);
+        limits = OperatorCommands.setLimits(self, next);
     }
 
     @Override
@@ -119,10 +121,10 @@
 
     // ------------------------------------------------------------ the agreed state
 
-    private State state(Value value) {
+    private RolloutState state(VersionedValue value) {
         synchronized (turn) {
-            if (value != null && value.after(read)) {
-                state = State.read(Sections.read(value.text(), SECTION));
+            if (value != null && value.isLaterThan(read)) {
+                state = RolloutState.parse(SharedState.read(value.text(), SECTION));
                 read = value;
             }
             return state;
@@ -130,21 +132,21 @@
     }
 
     /** A command as a change of the whole value, of which releases have a section. */
-    private static Change change(Command command) {
+    private static Mutation change(ReleaseCommand command) {
         return value -> {
-            State now = State.read(Sections.read(value.text(), SECTION));
+            RolloutState now = RolloutState.parse(SharedState.read(value.text(), SECTION));
             try {
-                State next = command.apply(now);
-                return next.equals(now) ? value.text() : Sections.write(value.text(), SECTION, next.text());
-            } catch (ReleaseRefused e) {
-                throw new Refused(e.wrong(), e.works(), e.remedy());
+                RolloutState next = command.apply(now);
+                return next.equals(now) ? value.text() : SharedState.write(value.text(), SECTION, next.toText());
+            } catch (ReleaseRejectedException e) {
+                throw new ChangeRejectedException(e.problem(), e.unaffected(), e.remedy());
             }
         };
     }
 
-    private Result put(Register register, Change change, long waitMs) {
-        Result r = register.change(change, waitMs);
-        majority = r.kind() != Result.Kind.NO_MAJORITY;
+    private ChangeResult put(ReplicatedRegister register, Mutation change, long waitMs) {
+        ChangeResult r = register.change(change, waitMs);
+        majority = r.outcome() != ChangeResult.Outcome.NO_MAJORITY;
         if (majority) {
             contactAt = now();
         }
@@ -152,19 +154,19 @@
     }
 
     /** The newest state, by a majority; null where there is none. */
-    private State newest(Register register, long waitMs) {
-        Result r = put(register, Change.READ, waitMs);
-        return r.kind() == Result.Kind.DECIDED ? state(r.value()) : null;
+    private RolloutState newest(ReplicatedRegister register, long waitMs) {
+        ChangeResult r = put(register, Mutation.READ, waitMs);
+        return r.outcome() == ChangeResult.Outcome.DECIDED ? state(r.value()) : null;
     }
 
     // ------------------------------------------------------------ this instance's part
 
     private void drive() {
-        Driver driver = new Driver(Driver.Settings.DEFAULT, self, now());
+        RolloutController driver = new RolloutController(RolloutController.Settings.DEFAULT, self, now());
         while (!Thread.currentThread().isInterrupted()) {
             long again = now() + LOOK_MS;
             try {
-                Register register = fleet.register();
+                ReplicatedRegister register = fleet.register();
                 if (register != null) {
                     again = Math.min(again, look(driver, register));
                 }
@@ -179,29 +181,29 @@
         }
     }
 
-    private long look(Driver driver, Register register) {
-        State now = state(register.known());
-        boolean on = now.on() || !now.leaves().isEmpty(); // else nobody waits for what a majority knows
+    private long look(RolloutController driver, ReplicatedRegister register) {
+        RolloutState now = state(register.decidedValue());
+        boolean on = now.inProgress() || !now.plannedOutages().isEmpty(); // else nobody waits for what a majority knows
         if (!majority || on && now() - contactAt > CONTACT_MS) {
-            put(register, Change.READ, PROPOSE_MS);
-            now = state(register.known());
+            put(register, Mutation.READ, PROPOSE_MS);
+            now = state(register.decidedValue());
         }
-        Command mine = limits;
+        ReleaseCommand mine = limits;
         if (mine != null
                 && majority
-                && put(register, change(mine), PROPOSE_MS).kind() == Result.Kind.DECIDED
+                && put(register, change(mine), PROPOSE_MS).outcome() == ChangeResult.Outcome.DECIDED
                 && limits == mine) {
             limits = null;
-            now = state(register.known());
+            now = state(register.decidedValue());
         }
         synchronized (turn) {
-            back.forEach(driver::recalled);
+            back.forEach(driver::drainCancelled);
             back.clear();
         }
-        Driver.Next next = driver.look(now(), now, fleet.view(), majority);
-        waits = next.waits();
-        for (Command c : next.propose()) {
-            if (put(register, change(c), PROPOSE_MS).kind() == Result.Kind.NO_MAJORITY) {
+        RolloutController.Decision next = driver.evaluate(now(), now, fleet.view(), majority);
+        waits = next.waitingFor();
+        for (ReleaseCommand c : next.proposals()) {
+            if (put(register, change(c), PROPOSE_MS).outcome() == ChangeResult.Outcome.NO_MAJORITY) {
                 break;
             }
         }
@@ -210,9 +212,9 @@
         }
         Map<Long, Long> before = backSince;
         backSince = new HashMap<>();
-        for (Order order : next.orders()) {
-            if (order instanceof Order.Recall) {
-                backSince.put(order.leave(), before.getOrDefault(order.leave(), now()));
+        for (RolloutAction order : next.actions()) {
+            if (order instanceof RolloutAction.CancelDrain) {
+                backSince.put(order.outageNumber(), before.getOrDefault(order.outageNumber(), now()));
             }
             if (order.member().equals(self)) {
                 ofThisOne(register, order);
@@ -220,32 +222,33 @@
                 ofWorker(register, order);
             }
         }
-        return next.again();
+        return next.nextCheckAtMs();
     }
 
     /**
      * Whether a drain may begin, as a majority knows it at this moment. An answer that is older than the time
      * it may take counts for nothing: one that stood still after it might drain long after a halt.
      */
-    private boolean stands(Register register, Order order) {
+    private boolean stands(ReplicatedRegister register, RolloutAction order) {
         long asked = now();
-        State newest = newest(register, PROPOSE_MS);
+        RolloutState newest = newest(register, PROPOSE_MS);
         return newest != null
-                && Commands.stands(newest, order.member(), order.run(), order.leave())
+                && OperatorCommands.isDrainPermitted(newest, order.member(), order.incarnation(), order.outageNumber())
                 && now() - asked <= PROPOSE_MS;
     }
 
     /** A drain, or what takes one back, of this very instance. */
-    void ofThisOne(Register register, Order order) {
-        boolean drain = order instanceof Order.Drain;
-        if (order.run() != fleet.run() || drain && !stands(register, order)) {
+    void ofThisOne(ReplicatedRegister register, RolloutAction order) {
+        boolean drain = order instanceof RolloutAction.Drain;
+        if (order.incarnation() != fleet.incarnation() || drain && !stands(register, order)) {
             return;
         }
         synchronized (turn) { // a drain may not pass what takes it back
-            if (drain && order.leave() > recalled && fleet.quiesce()) {
-                Event.of("release.out", "member", self, "leave", order.leave()).info();
+            if (drain && order.outageNumber() > recalled && fleet.quiesce()) {
+                Event.of("release.out", "member", self, "leave", order.outageNumber())
+                        .info();
             } else if (!drain) {
-                takeBack(order.leave());
+                takeBack(order.outageNumber());
             }
         }
     }
@@ -259,23 +262,23 @@
         }
     }
 
-    private void ofWorker(Register register, Order order) {
-        boolean drain = order instanceof Order.Drain;
+    private void ofWorker(ReplicatedRegister register, RolloutAction order) {
+        boolean drain = order instanceof RolloutAction.Drain;
         if (!workers.byRegistry()) {
-            View.Member m = fleet.view().member(order.member());
+            FleetView.Member m = fleet.view().member(order.member());
             if (!drain || majority && now() - contactAt <= CONTACT_MS) {
                 synchronized (wanted) { // what may be over is asked of nobody
                     wanted.put(order.member(), drain ? "drain" : "serve");
                 }
             }
             // Not before every console that has not heard of it has stopped to ask for the drain.
-            if (!drain && m != null && m.serving() && now() - backSince.get(order.leave()) >= HAND_MS) {
-                taken(order.leave()); // who drains it later has no leave
+            if (!drain && m != null && m.serving() && now() - backSince.get(order.outageNumber()) >= HAND_MS) {
+                taken(order.outageNumber()); // who drains it later has no leave
             }
         } else if (drain) {
             workers.drain(order, () -> stands(register, order));
         } else {
-            workers.recall(order, () -> taken(order.leave()));
+            workers.recall(order, () -> taken(order.outageNumber()));
         }
     }
 
@@ -288,30 +291,30 @@
     // ------------------------------------------------------------ calls
 
     /** The console's, by method and path. */
-    public Map<String, Call> calls() {
+    public Map<String, Call> adminRoutes() {
         return Map.of(
                 "GET /admin/release",
-                ask -> new Reply(200, shown()),
+                ask -> new AdminResponse(200, shown()),
                 "POST /admin/release",
                 waiting((r, ask) -> {
-                    Plan plan = Plan.read(ask.body());
-                    return told(put(r, change(Commands.begin(by(ask), plan, fleet.view())), CALL_MS));
+                    ReleasePlan plan = ReleasePlan.read(ask.body());
+                    return told(put(r, change(OperatorCommands.begin(by(ask), plan, fleet.view())), CALL_MS));
                 }),
                 "POST /admin/release/halt",
                 waiting(halts, (r, ask) -> {
                     need(ask, "why");
-                    return told(put(r, change(Commands.halt(by(ask), ask.query("why"))), CALL_MS));
+                    return told(put(r, change(OperatorCommands.halt(by(ask), ask.query("why"))), CALL_MS));
                 }),
                 "POST /admin/release/go-on",
-                act((ask, act) -> Commands.goOn(by(ask), ask.query("why"), act)),
+                act((ask, act) -> OperatorCommands.resume(by(ask), ask.query("why"), act)),
                 "POST /admin/release/roll-back",
-                act((ask, act) -> Commands.rollBack(by(ask), ask.query("why"), act)),
+                act((ask, act) -> OperatorCommands.rollBack(by(ask), ask.query("why"), act)),
                 "POST /admin/release/abandon",
-                act((ask, act) -> Commands.abandon(by(ask), ask.query("why"), act)),
+                act((ask, act) -> OperatorCommands.abandon(by(ask), ask.query("why"), act)),
                 "POST /admin/release/gone",
                 waiting((r, ask) -> {
                     need(ask, "member");
-                    return told(put(r, change(Commands.gone(by(ask), ask.query("member"))), CALL_MS));
+                    return told(put(r, change(OperatorCommands.removeMember(by(ask), ask.query("member"))), CALL_MS));
                 }),
                 "POST /admin/quiesce",
                 this::quiesce,
@@ -321,18 +324,18 @@
 
     /** A call that is put to the fleet. */
     private interface Put {
-        Reply answer(Register register, Ask ask) throws FleetError;
+        AdminResponse answer(ReplicatedRegister register, AdminRequest ask) throws FleetException;
     }
 
     /** What an operator does about the release, as it is known where the call comes. */
     private interface Act {
-        Command of(Ask ask, long act);
+        ReleaseCommand of(AdminRequest ask, long act);
     }
 
     private Call act(Act act) {
         return waiting((r, ask) -> {
             need(ask, "why");
-            return told(put(r, change(act.of(ask, state(r.known()).acts())), CALL_MS));
+            return told(put(r, change(act.of(ask, state(r.decidedValue()).controlVersion())), CALL_MS));
         });
     }
 
@@ -343,17 +346,21 @@
     private Call waiting(Semaphore free, Put put) {
         return ask -> {
             if (!free.tryAcquire()) {
-                return told(503, new CallRefused(CallRefused.Reason.TOO_MANY, "other calls wait for the fleet"));
+                return told(
+                        503,
+                        new CallRejectedException(
+                                CallRejectedException.Reason.TOO_MANY, "other calls wait for the fleet"));
             }
             try {
-                Register register = fleet.register();
+                ReplicatedRegister register = fleet.register();
                 if (register == null) {
-                    throw new CallRefused(CallRefused.Reason.NOT_JOINED, self + " is not in the group yet");
+                    throw new CallRejectedException(
+                            CallRejectedException.Reason.NOT_JOINED, self + " is not in the group yet");
                 }
                 return put.answer(register, ask);
-            } catch (CallRefused e) {
+            } catch (CallRejectedException e) {
                 return told(e.status, e);
-            } catch (FleetError e) {
+            } catch (FleetException e) {
                 return told(409, e);
             } finally {
                 free.release();
@@ -361,86 +368,88 @@
         };
     }
 
-    private static void need(Ask ask, String key) throws CallRefused {
+    private static void need(AdminRequest ask, String key) throws CallRejectedException {
         if (ask.query(key).isBlank()) {
-            throw new CallRefused(CallRefused.Reason.BAD_CALL, "the call lacks ?" + key + "=");
+            throw new CallRejectedException(CallRejectedException.Reason.BAD_CALL, "the call lacks ?" + key + "=");
         }
     }
 
-    private String by(Ask ask) {
+    private String by(AdminRequest ask) {
         return ask.query("by").isBlank() ? "operator at " + self : ask.query("by");
     }
 
-    private Reply told(Result r) {
-        return switch (r.kind()) {
+    private AdminResponse told(ChangeResult r) {
+        return switch (r.outcome()) {
             case DECIDED -> {
-                State now = state(r.value());
-                yield new Reply(
+                RolloutState now = state(r.value());
+                yield new AdminResponse(
                         200, now.phase() == null ? "no release" : now.phase().toString());
             }
-            case REFUSED -> told(409, r.why());
-            case NO_MAJORITY -> told(503, r.why());
+            case REJECTED -> told(409, r.error());
+            case NO_MAJORITY -> told(503, r.error());
         };
     }
 
-    private static Reply told(int status, Exception why) {
-        return new Reply(status, why.getMessage());
+    private static AdminResponse told(int status, Exception why) {
+        return new AdminResponse(status, why.getMessage());
     }
 
     /** A drain by call: with leave, which is asked for where no release is on, or by force with a word. */
-    private Reply quiesce(Ask ask) {
+    private AdminResponse quiesce(AdminRequest ask) {
         String word = ask.query("force");
         if (!word.isBlank()) {
             return force(word);
         }
         return waiting((register, a) -> {
                     long end = now() + CALL_MS;
-                    Result r = put(register, Change.READ, CALL_MS);
-                    if (r.kind() != Result.Kind.DECIDED) {
-                        return told(409, r.why()); // what is agreed cannot be known
+                    ChangeResult r = put(register, Mutation.READ, CALL_MS);
+                    if (r.outcome() != ChangeResult.Outcome.DECIDED) {
+                        return told(409, r.error()); // what is agreed cannot be known
                     }
-                    State known = state(r.value());
-                    State.Leave held = known.leaves().get(self);
-                    boolean bound = known.on() || !known.inForce().isEmpty() || known.halt() != null;
-                    if (bound && (held == null || held.run() != fleet.run())) {
-                        if (known.on()) {
-                            Commands.checkDrain(known, self);
+                    RolloutState known = state(r.value());
+                    RolloutState.PlannedOutage held = known.plannedOutages().get(self);
+                    boolean bound = known.inProgress() || !known.limitsInForce().isEmpty() || known.halt() != null;
+                    if (bound && (held == null || held.incarnation() != fleet.incarnation())) {
+                        if (known.inProgress()) {
+                            OperatorCommands.requireDrainPermitted(known, self);
                         }
                         r = put(
                                 register,
-                                change(Commands.leaveByHand(by(a), self, known.calm(), fleet.view(), a.query("why"))),
+                                change(OperatorCommands.grantManualOutage(
+                                        by(a), self, known.stabilityVersion(), fleet.view(), a.query("why"))),
                                 Math.max(1, end - now()));
-                        if (r.kind() != Result.Kind.DECIDED) {
-                            return told(409, r.why());
+                        if (r.outcome() != ChangeResult.Outcome.DECIDED) {
+                            return told(409, r.error());
                         }
-                        held = state(r.value()).leaves().get(self);
+                        held = state(r.value()).plannedOutages().get(self);
                     } else if (held != null) {
-                        Commands.checkDrain(known, self); // its leave may be called back
+                        OperatorCommands.requireDrainPermitted(known, self); // its leave may be called back
                     }
                     synchronized (turn) {
                         if (bound && (held == null || held.number() <= recalled)) {
-                            return new Reply(409, "the leave has been given back meanwhile");
+                            return new AdminResponse(409, "the leave has been given back meanwhile");
                         }
                         return fleet.quiesce()
-                                ? new Reply(200, "drains; resume ends it")
-                                : new Reply(409, "not in service");
+                                ? new AdminResponse(200, "drains; resume ends it")
+                                : new AdminResponse(409, "not in service");
                     }
                 })
                 .answer(ask);
     }
 
     /** An operator's word goes before all that is agreed, also without a majority; it is logged at least. */
-    private Reply force(String word) {
+    private AdminResponse force(String word) {
         Event.of("release.forced", "member", self, "word", word).warn();
         synchronized (turn) {
             if (!fleet.quiesce()) {
-                return new Reply(409, "not in service");
+                return new AdminResponse(409, "not in service");
             }
             forced = true;
         }
-        Reply told = waiting((r, ask) -> told(put(r, change(Commands.force(self, self, word)), CALL_MS)))
+        AdminResponse told = waiting(
+                        (r, ask) -> told(put(r, change(OperatorCommands.forceDrain(self, self, word)), CALL_MS)))
                 .answer(null);
-        return new Reply(
+        return new AdminResponse(
                 200,
                 "drains without leave"
                         + (told.status() == 200
@@ -448,34 +457,34 @@
                                 : "; the fleet could not be told: " + told.text()));
     }
 
-    private Reply resume(Ask ask) {
+    private AdminResponse resume(AdminRequest ask) {
         synchronized (turn) {
             forced = false;
             if (!fleet.resume()) {
-                return new Reply(409, "not in service");
+                return new AdminResponse(409, "not in service");
             }
-            State.Leave held = state.leaves().get(self);
-            if (held != null && held.run() == fleet.run()) {
+            RolloutState.PlannedOutage held = state.plannedOutages().get(self);
+            if (held != null && held.incarnation() == fleet.incarnation()) {
                 takeBack(held.number());
             }
-            return new Reply(200, "at work");
+            return new AdminResponse(200, "at work");
         }
     }
 
     private String shown() {
-        Register register = fleet.register();
-        Value value = register == null ? null : register.known();
-        State now = state(value);
+        ReplicatedRegister register = fleet.register();
+        VersionedValue value = register == null ? null : register.decidedValue();
+        RolloutState now = state(value);
         JsonObject all = new JsonObject();
         all.addProperty("instance", self);
         all.addProperty("joined", register != null);
         all.addProperty("majority", majority);
         all.addProperty("version", value == null ? "" : value.epoch() + "." + value.version());
         all.addProperty("phase", now.phase() == null ? "" : now.phase().name());
-        all.addProperty("step", now.step());
+        all.addProperty("step", now.currentStep());
         all.addProperty("waits", waits);
         JsonArray out = new JsonArray();
-        now.out().forEach(out::add);
+        now.unavailableMembers().forEach(out::add);
         all.add("out", out);
         JsonObject hand = new JsonObject();
         synchronized (wanted) {
--- a/src/main/java/maplespread/release/client/Workers.java
+++ b/src/main/java/maplespread/release/client/WorkerDrainer.java
@@ -11,14 +11,14 @@
 import maplespread.log.Event;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.client.RegistryAdmin;
-import maplespread.release.Order;
+import maplespread.release.RolloutAction;
 
 /**
  * Workers are drained, and taken back, at the registry that the routes come from, where it holds keys that
  * can be changed. One order after the other, on a thread of its own: a slow registry must not hold up the
  * release.
  */
-public final class Workers implements Closeable {
+public final class WorkerDrainer implements Closeable {
     private static final long STACK = 144 * 1024;
     private static final int WAITING = 64;
     private static final long AGAIN_MS = 2_000;
@@ -27,7 +27,7 @@
     private final ThreadPoolExecutor work;
 
     /** {@code registry}: null where there is none. */
-    public Workers(RegistrySettings registry) {
+    public WorkerDrainer(RegistrySettings registry) {
         boolean keys = registry != null && registry.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH;
         this.registry = keys ? registry : null;
         work = new ThreadPoolExecutor(0, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(WAITING), task -> {
@@ -42,20 +42,20 @@
     }
 
     /** {@code stands}: asked just before. */
-    void drain(Order order, BooleanSupplier stands) {
+    void drain(RolloutAction order, BooleanSupplier stands) {
         once("drain ", order, admin -> {
-            if (stands.getAsBoolean() && admin.drain(order.member(), order.run(), order.leave())) {
-                Event.of("release.worker_drained", "worker", order.member(), "leave", order.leave())
+            if (stands.getAsBoolean() && admin.drain(order.member(), order.incarnation(), order.outageNumber())) {
+                Event.of("release.worker_drained", "worker", order.member(), "leave", order.outageNumber())
                         .info();
             }
         });
     }
 
     /** {@code sure}: told when no later drain by this leave can be made. */
-    void recall(Order order, Runnable sure) {
+    void recall(RolloutAction order, Runnable sure) {
         once("recall ", order, admin -> {
-            if (admin.recall(order.member(), order.run(), order.leave())) {
-                Event.of("release.worker_taken_back", "worker", order.member(), "leave", order.leave())
+            if (admin.cancelDrain(order.member(), order.incarnation(), order.outageNumber())) {
+                Event.of("release.worker_taken_back", "worker", order.member(), "leave", order.outageNumber())
                         .info();
                 sure.run();
             }
@@ -63,21 +63,21 @@
     }
 
     private interface Task {
-        void run(RegistryAdmin admin) throws RegistryAdmin.NotDone;
+        void run(RegistryAdmin admin) throws RegistryAdmin.RegistryAdminException;
     }
 
     /** Orders come again and again; each is tried every other second. */
-    private void once(String what, Order order, Task task) {
+    private void once(String what, RolloutAction order, Task task) {
         long now = System.nanoTime() / 1_000_000;
         triedAt.values().removeIf(at -> now - at > AGAIN_MS);
-        if (triedAt.putIfAbsent(what + order.leave(), now) != null) {
+        if (triedAt.putIfAbsent(what + order.outageNumber(), now) != null) {
             return;
         }
         try {
             work.execute(() -> {
                 try (RegistryAdmin admin = new RegistryAdmin(registry)) {
                     task.run(admin);
-                } catch (RegistryAdmin.NotDone e) {
+                } catch (RegistryAdmin.RegistryAdminException e) {
                     Event.of("release.worker_not_done", "worker", order.member(), "why", e.getMessage())
                             .warn();
                 } catch (RuntimeException e) {
--- a/src/main/java/maplespread/drill/WireAdapter.java
+++ b/src/main/java/maplespread/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package maplespread.drill;
+package maplespread.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,15 +12,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import maplespread.config.Facts;
-import maplespread.decision.Dispatch;
-import maplespread.decision.Logic;
+import maplespread.config.SettingsPathReader;
+import maplespread.policy.Dispatch;
+import maplespread.policy.DispatchPolicy;
 
 /**
- * Translates the simulator's wire to {@link Dispatch} and back: one {@link Logic} per node. It decides
+ * Translates the simulator's wire to {@link Dispatch} and back: one {@link DispatchPolicy} per node. It decides
  * nothing.
  */
-public final class WireAdapter {
+public final class SimulatorAdapter {
     /** A line that cannot be read. */
     public static final class Malformed extends RuntimeException {
         private static final long serialVersionUID = 1;
@@ -34,7 +34,7 @@
     private final PrintStream out;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, Node> nodes = new HashMap<>();
-    private final Map<Integer, List<Dispatch.Entry>> sheets = new HashMap<>();
+    private final Map<Integer, List<Dispatch.EndpointEntry>> sheets = new HashMap<>();
     private long lineNo;
     private String line = "";
     private final int[] ends = new int[512]; // where the parts of the line end
@@ -42,11 +42,11 @@
     private String name = "";
 
     private static final class Node {
-        Logic logic;
+        DispatchPolicy logic;
         String[] reportFields = {};
     }
 
-    public WireAdapter(InputStream in, PrintStream out) {
+    public SimulatorAdapter(InputStream in, PrintStream out) {
         var decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT);
         this.in = new BufferedReader(new InputStreamReader(in, decoder), 1 << 16);
         this.out = out;
@@ -103,14 +103,14 @@
         if (node == null) {
             throw bad("node " + text("node") + " was never enlisted");
         }
-        Logic logic = node.logic;
+        DispatchPolicy logic = node.logic;
         try {
             switch (name()) {
                 case "directory_update" -> directory(now, logic);
                 case "arrival" ->
-                    logic.request(
+                    logic.requestAccepted(
                             now,
-                            new Dispatch.Request(
+                            new Dispatch.PolicyRequest(
                                     id(),
                                     integer("priority"),
                                     (int) opt("tenant", 0),
@@ -119,15 +119,16 @@
                                     opt("coresNeeded", 1),
                                     opt("ramUnits", 0),
                                     find("targetKey")));
-                case "opened" -> logic.opened(now, id(), integer("roundNo"), text("executor"));
+                case "opened" -> logic.responseStarted(now, id(), integer("roundNo"), text("executor"));
                 case "note" -> {
                     int topic = integer("topic");
                     if (topic == 1 || topic == 2) {
-                        logic.progress(now, id(), integer("roundNo"), text("executor"), topic == 1, opt("value", 0));
+                        logic.attemptProgressed(
+                                now, id(), integer("roundNo"), text("executor"), topic == 1, opt("value", 0));
                     }
                 }
                 case "finished" ->
-                    logic.outcome(
+                    logic.attemptEnded(
                             now,
                             id(),
                             integer("roundNo"),
@@ -136,9 +137,9 @@
                             num("lagMs"),
                             bool("terminal"),
                             report(node));
-                case "lapsed" -> logic.gone(now, id());
-                case "timer" -> logic.timer(now, id("label"));
-                case "health" -> logic.probed(now, text("executor"), verdict(), num("lagMs"), report(node));
+                case "lapsed" -> logic.requestAbandoned(now, id());
+                case "timer" -> logic.timerExpired(now, id("label"));
+                case "health" -> logic.probeEnded(now, text("executor"), verdict(), num("lagMs"), report(node));
                 default -> {} // other nodes' words are passed over
             }
         } catch (IllegalArgumentException | IllegalStateException e) {
@@ -146,27 +147,27 @@
         }
     }
 
-    private void directory(long now, Logic logic) {
+    private void directory(long now, DispatchPolicy logic) {
         String scope = text("scope");
         if (scope.equals("X")) {
-            logic.listFailed(now, Dispatch.ListLoss.ENDED, 0);
+            logic.endpointWatchFailed(now, Dispatch.EndpointWatchFailure.ENDED, 0);
             return;
         }
-        Dispatch.ListKind kind =
+        Dispatch.EndpointListKind kind =
                 switch (scope) {
-                    case "D" -> Dispatch.ListKind.CHANGES;
-                    case "F" -> Dispatch.ListKind.FULL;
-                    case "C" -> Dispatch.ListKind.HELD;
+                    case "D" -> Dispatch.EndpointListKind.DELTA;
+                    case "F" -> Dispatch.EndpointListKind.FULL_SNAPSHOT;
+                    case "C" -> Dispatch.EndpointListKind.CACHED_SNAPSHOT;
                     default -> throw bad("unknown scope " + scope);
                 };
-        List<Dispatch.Entry> entries = sheets.get(integer("setId"));
+        List<Dispatch.EndpointEntry> entries = sheets.get(integer("setId"));
         if (entries == null) {
             throw bad("no sheet " + text("setId"));
         }
-        logic.list(now, kind, (long) num("epoch"), entries);
+        logic.endpointListReceived(now, kind, (long) num("epoch"), entries);
         // The simulator has no rule by which a change counts whether or not it arrived: there a list, the held one too,
         // stands for rules.askWithinMs, and the module asks sooner.
-        logic.listConfirmed(now);
+        logic.endpointListConfirmed(now);
     }
 
     private void sheet() throws IOException {
@@ -175,19 +176,19 @@
         if (count < 0) {
             throw bad("items must not be negative");
         }
-        List<Dispatch.Entry> entries = new ArrayList<>();
+        List<Dispatch.EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             if (!next() || !name().equals("row")) {
                 throw bad("expected row " + (i + 1) + " of " + count);
             }
-            Dispatch.Health health =
+            Dispatch.EndpointLifecycle health =
                     switch (text("health")) {
-                        case "active" -> Dispatch.Health.ACTIVE;
-                        case "leaving" -> Dispatch.Health.LEAVING;
-                        case "left" -> Dispatch.Health.LEFT;
+                        case "active" -> Dispatch.EndpointLifecycle.ACTIVE;
+                        case "leaving" -> Dispatch.EndpointLifecycle.DRAINING;
+                        case "left" -> Dispatch.EndpointLifecycle.REMOVED;
                         default -> throw bad("unknown health " + text("health"));
                     };
-            entries.add(new Dispatch.Entry(
+            entries.add(new Dispatch.EndpointEntry(
                     text("executor"),
                     health,
                     opt("rating", 1),
@@ -214,14 +215,14 @@
         String fields = f.getOrDefault("reporting.fields", "");
         node.reportFields = fields.isEmpty() ? new String[0] : fields.split(",");
         try {
-            node.logic = new Logic(Facts.read(f), seed, new Wire(number));
+            node.logic = new DispatchPolicy(SettingsPathReader.read(f), seed, new Wire(number));
         } catch (IllegalArgumentException e) {
             throw bad(e.getMessage());
         }
         nodes.put(number, node);
     }
 
-    private Dispatch.Report report(Node node) {
+    private Dispatch.LoadReport report(Node node) {
         String usage = find("usage");
         if (usage == null || usage.isEmpty()) {
             return null;
@@ -241,11 +242,11 @@
                 default -> {}
             }
         }
-        return new Dispatch.Report(active, waiting, util, service, x0, x1);
+        return new Dispatch.LoadReport(active, waiting, util, service, x0, x1);
     }
 
     /** Writes one node's actions to the reply. */
-    private final class Wire implements Dispatch.Actions {
+    private final class Wire implements Dispatch.PolicyActions {
         private final int node;
 
         Wire(int node) {
@@ -257,7 +258,7 @@
         }
 
         @Override
-        public void send(long id, String worker) {
+        public void sendAttempt(long id, String worker) {
             act("assign")
                     .append(" call=")
                     .append(id)
@@ -267,7 +268,7 @@
         }
 
         @Override
-        public void refuse(long id, double pauseMs, Dispatch.Refusal why) {
+        public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
             act("refuse").append(" call=").append(id);
             if (pauseMs > 0) {
                 reply.append(" pauseMs=").append(plain(pauseMs));
@@ -276,12 +277,12 @@
         }
 
         @Override
-        public void fail(long id, Dispatch.Refusal why) {
+        public void fail(long id, Dispatch.RejectionReason why) {
             act("report_failure").append(" call=").append(id).append('\n');
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             act("call_off")
                     .append(" call=")
                     .append(id)
@@ -296,12 +297,12 @@
         }
 
         @Override
-        public void watch() {
+        public void watchEndpointList() {
             act("observe").append(" enable=1\n");
         }
 
         @Override
-        public void timer(double delayMs, long label) {
+        public void scheduleTimer(double delayMs, long label) {
             act("remind")
                     .append(" fromNowMs=")
                     .append(plain(delayMs))
@@ -311,7 +312,7 @@
         }
 
         @Override
-        public void listState(Dispatch.ListState from, Dispatch.ListState to, double ageMs) {}
+        public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {}
 
         @Override
         public void log(String text) {
@@ -408,16 +409,16 @@
         return true;
     }
 
-    private Dispatch.Verdict verdict() {
+    private Dispatch.AttemptOutcome verdict() {
         return switch (integer("verdict")) {
-            case 0 -> Dispatch.Verdict.OK;
-            case 5 -> Dispatch.Verdict.ERROR;
-            case 11 -> Dispatch.Verdict.FULL;
-            case 110 -> Dispatch.Verdict.TIMEOUT;
-            case 111 -> Dispatch.Verdict.NO_CONNECTION;
-            case 104 -> Dispatch.Verdict.RESET;
-            case 125 -> Dispatch.Verdict.CANCELLED;
-            case 114 -> Dispatch.Verdict.MOOT;
+            case 0 -> Dispatch.AttemptOutcome.SERVED;
+            case 5 -> Dispatch.AttemptOutcome.ERROR;
+            case 11 -> Dispatch.AttemptOutcome.REJECTED;
+            case 110 -> Dispatch.AttemptOutcome.TIMED_OUT;
+            case 111 -> Dispatch.AttemptOutcome.CONNECT_FAILED;
+            case 104 -> Dispatch.AttemptOutcome.RESET;
+            case 125 -> Dispatch.AttemptOutcome.CANCELLED;
+            case 114 -> Dispatch.AttemptOutcome.NEVER_SENT;
             default -> throw bad("unknown verdict " + text("verdict"));
         };
     }
@@ -443,7 +444,7 @@
     static String exchange(String input) throws IOException {
         var bytes = new java.io.ByteArrayOutputStream();
         try (PrintStream out = new PrintStream(bytes, false, StandardCharsets.UTF_8)) {
-            new WireAdapter(new java.io.ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+            new SimulatorAdapter(new java.io.ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         }
         return StandardCharsets.UTF_8
                 .decode(ByteBuffer.wrap(bytes.toByteArray()))
--- a/src/main/java/maplespread/starvation/Code.java
+++ b/src/main/java/maplespread/starvation/CellCode.java
@@ -7,16 +7,16 @@
  * the wait was seen to its end, and the histogram's bin. Sorted numbers lie close to each other, so their
  * differences are short on the wire.
  */
-final class Code {
-    static final int MOST_TENANTS = 1 << 16, MOST_CLASSES = 1 << 6, MOST_PLACES = 1 << 16;
+final class CellCode {
+    static final int MAX_TENANTS = 1 << 16, MAX_CLASSES = 1 << 6, MAX_PLACES = 1 << 16;
     private static final int BIN_BITS = 13, BAND_BITS = 4, PLACE_BITS = 16, CLASS_BITS = 6;
     private static final int BANDS = 1 << BAND_BITS;
     /** No code is above it. */
-    static final long HIGHEST = (1L << BIN_BITS + 1 + BAND_BITS + PLACE_BITS + CLASS_BITS + 16) - 1;
+    static final long MAX_CODE = (1L << BIN_BITS + 1 + BAND_BITS + PLACE_BITS + CLASS_BITS + 16) - 1;
     /** Where the bins begin, ms; the last one holds all above an hour. */
-    static final int[] BINS = bins();
+    static final int[] BIN_LOWER_MS = bins();
 
-    private Code() {}
+    private CellCode() {}
 
     private static int[] bins() {
         IntCountsHistogram shape = new IntCountsHistogram(3_600_000, 1);
@@ -25,8 +25,9 @@
                 .toArray();
     }
 
-    static int binOf(double ms) {
-        int at = java.util.Arrays.binarySearch(BINS, (int) Math.min(BINS[BINS.length - 1], Math.max(0, ms)));
+    static int binFor(double ms) {
+        int at = java.util.Arrays.binarySearch(
+                BIN_LOWER_MS, (int) Math.min(BIN_LOWER_MS[BIN_LOWER_MS.length - 1], Math.max(0, ms)));
         return at >= 0 ? at : -at - 2;
     }
 
@@ -44,7 +45,7 @@
         return code >>> BIN_BITS + 1;
     }
 
-    static boolean held(long code) {
+    static boolean censored(long code) {
         return (code >>> BIN_BITS & 1) == 1;
     }
 
@@ -56,12 +57,12 @@
         return (int) (cell >>> BAND_BITS + PLACE_BITS + CLASS_BITS);
     }
 
-    static int cls(long cell) {
-        return (int) (cell >>> BAND_BITS + PLACE_BITS) & MOST_CLASSES - 1;
+    static int requestClass(long cell) {
+        return (int) (cell >>> BAND_BITS + PLACE_BITS) & MAX_CLASSES - 1;
     }
 
     static int place(long cell) {
-        return (int) (cell >>> BAND_BITS) & MOST_PLACES - 1;
+        return (int) (cell >>> BAND_BITS) & MAX_PLACES - 1;
     }
 
     static int band(long cell) {
@@ -69,13 +70,13 @@
     }
 
     /** Jobs of a band have work within a factor of four; 0: nobody said how much. */
-    static int bandOf(double workMs) {
+    static int bandFor(double workMs) {
         int octave = 31 - Integer.numberOfLeadingZeros((int) Math.max(1, workMs));
         return Double.isNaN(workMs) ? 0 : 1 + Math.min(BANDS - 2, octave / 2);
     }
 
     /** The middle of a band, ms. */
-    static double work(int band) {
+    static double bandMiddleMs(int band) {
         return band == 0 ? 0 : 2.0 * Math.pow(4, band - 1);
     }
 }
--- a/src/main/java/maplespread/starvation/Site.java
+++ b/src/main/java/maplespread/starvation/FleetLayout.java
@@ -7,30 +7,30 @@
  * allowancesPerS}: by tenant, over the whole fleet, 0: none is set; {@code processes}: dispatchers there are;
  * {@code kinds}: a place is zone * kinds + kind.
  */
-public record Site(double[] deadlinesMs, double[] allowancesPerS, int processes, int kinds) {
-    public Site {
+public record FleetLayout(double[] deadlinesMs, double[] allowancesPerS, int processes, int kinds) {
+    public FleetLayout {
         deadlinesMs = deadlinesMs.clone();
         allowancesPerS = allowancesPerS.clone();
         processes = Math.max(1, processes);
     }
 
     /** All places of the place's zone, as one. */
-    int zone(int place) {
+    int allOfZone(int place) {
         return -2 - 2 * (place / kinds);
     }
 
     /** All places of the place's kind, as one. */
-    int kind(int place) {
+    int allOfKind(int place) {
         return -3 - 2 * (place % kinds);
     }
 
     /** Whether a part (a place, a zone, a kind or all) has the place in it. */
-    public boolean has(int part, int place) {
-        return part == Verdict.ALL || part == place || part == zone(place) || part == kind(place);
+    public boolean contains(int part, int place) {
+        return part == Verdict.ALL || part == place || part == allOfZone(place) || part == allOfKind(place);
     }
 
     /** The part in words. */
-    public String words(
+    public String describe(
             int part, java.util.function.IntFunction<String> zones, java.util.function.IntFunction<String> kindNames) {
         if (part >= 0) {
             return zones.apply(part / kinds) + "/" + kindNames.apply(part % kinds);
--- a/src/main/java/maplespread/starvation/Comparison.java
+++ b/src/main/java/maplespread/starvation/LogRankComparison.java
@@ -13,20 +13,20 @@
  * its tail is Poisson's, not the normal one: of few jobs the two are orders of magnitude apart just where
  * many comparisons have to be corrected for.
  */
-public final class Comparison {
+public final class LogRankComparison {
     /** A stratum's waits with what is made once for all groups in it. */
-    static final class Table {
-        final int n, held;
-        final double tauMs, meanMs; // the deadline; the restricted mean
-        private final double[] hazard = new double[Code.BINS.length]; // Nelson and Aalen's, by bin's end
-        private final double[] within = new double[Code.BINS.length]; // for one served in the bin
-
-        Table(Sample all, double tauMs) {
-            this.tauMs = tauMs;
-            n = all.n();
-            held = all.held();
-            meanMs = mean(all, all.n(), tauMs);
-            double at = n;
+    static final class Stratum {
+        final int total, censored;
+        final double deadlineMs, meanMs; // the deadline; the restricted mean
+        private final double[] hazard = new double[CellCode.BIN_LOWER_MS.length]; // Nelson and Aalen's, by bin's end
+        private final double[] within = new double[CellCode.BIN_LOWER_MS.length]; // for one served in the bin
+
+        Stratum(WaitHistogram all, double tauMs) {
+            this.deadlineMs = tauMs;
+            total = all.total();
+            censored = all.held();
+            meanMs = mean(all, all.total(), tauMs);
+            double at = total;
             double sum = 0;
             int bin = 0;
             for (int i = 0; i < all.size(); i++) {
@@ -51,89 +51,89 @@
 
     /** What was found, added up over strata. */
     static final class Sum {
-        int n, held, others, othersHeld;
+        int total, censored, others, othersCensored;
         double observed, expected;
-        double own, beside, deadlines; // each times the jobs
-        private double toCut; // jobs not taken out yet, below one
+        double ownWaitSum, othersWaitSum, deadlineSum; // each times the jobs
+        private double removalCarry; // jobs not taken out yet, below one
 
         /** Adds another so many times; below 0: takes it out. */
         void add(Sum o, int times) {
-            n += times * o.n;
-            held += times * o.held;
+            total += times * o.total;
+            censored += times * o.censored;
             others += times * o.others;
-            othersHeld += times * o.othersHeld;
+            othersCensored += times * o.othersCensored;
             observed += times * o.observed;
             expected += times * o.expected;
-            own += times * o.own;
-            beside += times * o.beside;
-            deadlines += times * o.deadlines;
+            ownWaitSum += times * o.ownWaitSum;
+            othersWaitSum += times * o.othersWaitSum;
+            deadlineSum += times * o.deadlineSum;
         }
 
         /** By how much it waits longer, ms; below 0: shorter. */
-        double moreMs() {
-            return n == 0 ? 0 : (own - beside) / n;
+        double excessWaitMs() {
+            return total == 0 ? 0 : (ownWaitSum - othersWaitSum) / total;
         }
 
         double ownMs() {
-            return n == 0 ? 0 : own / n;
+            return total == 0 ? 0 : ownWaitSum / total;
         }
 
         double othersMs() {
-            return n == 0 ? 0 : beside / n;
+            return total == 0 ? 0 : othersWaitSum / total;
         }
 
         /** The same as a share of the deadline. */
         double effect() {
-            return deadlines == 0 ? 0 : (own - beside) / deadlines;
+            return deadlineSum == 0 ? 0 : (ownWaitSum - othersWaitSum) / deadlineSum;
         }
 
         /** In standard deviations; above 0: waits longer. */
-        double z() {
+        double zScore() {
             return expected <= 0 ? 0 : (expected - observed) / Math.sqrt(expected);
         }
 
         /** How likely it is by chance to wait so much longer, where all spread wider by a factor. */
-        double chance(double wider) {
+        double pValue(double wider) {
             return expected <= observed
                     ? 1
                     : GammaDistribution.of(observed / wider + 1, 1).survivalProbability(expected / wider);
         }
     }
 
-    private Comparison() {}
+    private LogRankComparison() {}
 
     /**
      * Adds to the sum what a group's jobs in a stratum tell against the others. {@code kept}: what share of
      * them counts; the rest, the worst, are taken out as what it asked beyond its share.
      */
-    static void add(Sum sum, Table all, Sample own, double kept) {
-        int others = all.n - own.n();
+    static void add(Sum sum, Stratum all, WaitHistogram own, double kept) {
+        int others = all.total - own.total();
         if (others <= 0) {
             return; // nobody beside it
         }
-        sum.toCut += own.n() * (1 - kept);
-        int out = Math.min(own.n(), (int) sum.toCut);
-        sum.toCut -= out;
-        int n = own.n() - out;
+        sum.removalCarry += own.total() * (1 - kept);
+        int out = Math.min(own.total(), (int) sum.removalCarry);
+        sum.removalCarry -= out;
+        int n = own.total() - out;
         int[] counts = new int[own.size()];
         out = worst(own, counts, true, out); // held the longest, then served the latest
         worst(own, counts, false, out);
-        double beside = (all.n * all.meanMs - own.n() * mean(own, own.n(), all.tauMs)) / others;
+        double beside = (all.total * all.meanMs - own.total() * mean(own, own.total(), all.deadlineMs)) / others;
         for (int i = 0; i < counts.length; i++) {
             sum.expected += counts[i] * (own.held(i) ? all.hazard : all.within)[own.bin(i)];
             sum.observed += own.held(i) ? 0 : counts[i];
-            sum.held += own.held(i) ? counts[i] : 0;
+            sum.censored += own.held(i) ? counts[i] : 0;
         }
-        sum.n += n;
+        sum.total += n;
         sum.others += others;
-        sum.othersHeld += all.held - own.held();
-        sum.own += n == 0 ? 0 : n * mean(own, counts, n, all.tauMs);
-        sum.beside += n * beside;
-        sum.deadlines += n * all.tauMs;
+        sum.othersCensored += all.censored - own.held();
+        sum.ownWaitSum += n == 0 ? 0 : n * mean(own, counts, n, all.deadlineMs);
+        sum.othersWaitSum += n * beside;
+        sum.deadlineSum += n * all.deadlineMs;
     }
 
     /** Fills in the counts that stay after so many were taken out from above; how many are still to go. */
-    private static int worst(Sample own, int[] counts, boolean held, int out) {
+    private static int worst(WaitHistogram own, int[] counts, boolean held, int out) {
         for (int i = own.size() - 1; i >= 0; i--) {
             if (own.held(i) == held) {
                 int x = Math.min(out, own.count(i));
@@ -144,20 +144,20 @@
         return out;
     }
 
-    private static double mean(Sample s, int n, double tauMs) {
+    private static double mean(WaitHistogram s, int n, double tauMs) {
         int[] counts = new int[s.size()];
         java.util.Arrays.setAll(counts, s::count);
         return mean(s, counts, n, tauMs);
     }
 
     /** The mean wait of these, cut at the deadline; those held wait on as the others do. */
-    static double mean(Sample s, int[] counts, int n, double tauMs) {
+    static double mean(WaitHistogram s, int[] counts, int n, double tauMs) {
         double at = n;
         double alive = 1;
         double area = 0;
         double from = 0;
         for (int i = 0; i < counts.length && at > 0; i++) {
-            double ms = Math.min(Code.BINS[s.bin(i)], tauMs);
+            double ms = Math.min(CellCode.BIN_LOWER_MS[s.bin(i)], tauMs);
             area += alive * (ms - from);
             from = ms;
             alive *= s.held(i) ? 1 : 1 - counts[i] / at;
--- a/src/main/java/maplespread/starvation/NotAWindow.java
+++ b/src/main/java/maplespread/starvation/MalformedWindowException.java
@@ -1,12 +1,12 @@
 package maplespread.starvation;
 
-import maplespread.faults.FleetError;
+import maplespread.errors.FleetException;
 
 /** Bytes on the waits' channel that are no window of this version. */
-public final class NotAWindow extends FleetError {
+public final class MalformedWindowException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    NotAWindow(String why) {
+    MalformedWindowException(String why) {
         super(
                 "what another dispatcher sent of its waits cannot be read: " + why,
                 "all else; its waits are missing in the verdicts, which say so",
--- a/src/main/java/maplespread/starvation/Relief.java
+++ b/src/main/java/maplespread/starvation/PriorityBoost.java
@@ -20,18 +20,18 @@
  * whole view has seen no relief, it is so in its own right: the others may rise again as before, and it is
  * relieved as they are. It is nobody's victim from then on, until it was well and not relieved for long.
  *
- * <p>Bounded whatever the verdicts are: no weight is below 1 or above {@link Limits#most}, and all that is
- * above 1 is together at most {@link Limits#total}.
+ * <p>Bounded whatever the verdicts are: no weight is below 1 or above {@link Limits#maxWeight}, and all that is
+ * above 1 is together at most {@link Limits#maxTotalBoost}.
  */
-public final class Relief {
+public final class PriorityBoost {
     /**
      * {@code most}: a weight; {@code step}: it rises by a round; {@code total}: all weights together above 1;
      * {@code guarded}: false only to show what tenants do that chase each other.
      */
-    public record Limits(double most, double step, double total, boolean guarded) {}
+    public record Limits(double maxWeight, double step, double maxTotalBoost, boolean chaseGuard) {}
 
     /** What has changed: a relief began, was lowered for another tenant's sake, or is over. */
-    public record Change(What what, int tenant, double weight, int victim) {
+    public record Change(What kind, int tenant, double weight, int victim) {
         public enum What {
             BEGUN,
             LOWERED,
@@ -50,7 +50,7 @@
     private static final double LEAST = 1e-9;
 
     /** What is remembered of a tenant. Times are rounds. */
-    private static final class Ward {
+    private static final class TenantBoost {
         double extra, ceiling;
         int begun, over = Integer.MIN_VALUE / 2; // of the relief; over: or what it was for
         int since, well; // starved since; not any more for so long
@@ -61,11 +61,11 @@
 
     private final Limits limits;
     private final int settle; // until nothing of before is seen any more
-    private final Map<Integer, Ward> wards = new TreeMap<>();
+    private final Map<Integer, TenantBoost> wards = new TreeMap<>();
     private int now;
 
     /** {@code windows}: that a view holds. */
-    public Relief(Limits limits, int windows) {
+    public PriorityBoost(Limits limits, int windows) {
         this.limits = limits;
         settle = windows + HOLD;
     }
@@ -74,7 +74,7 @@
      * One round. {@code standing}: all verdicts that stand in one view; {@code known}: enough was heard for
      * it to be believed; if not, nobody is starved.
      */
-    public List<Change> round(List<Verdict> standing, boolean known) {
+    public List<Change> update(List<Verdict> standing, boolean known) {
         now++;
         Set<Integer> starved = new HashSet<>();
         Set<Integer> lowered = new HashSet<>();
@@ -84,11 +84,11 @@
             }
         }
         starved.removeAll(lowered); // its own doing, in part at least
-        starved.forEach(t -> wards.computeIfAbsent(t, k -> new Ward()));
+        starved.forEach(t -> wards.computeIfAbsent(t, k -> new TenantBoost()));
         wards.forEach((t, w) -> seen(w, starved.contains(t)));
         List<Change> changes = new ArrayList<>();
         Set<Integer> waiting = new HashSet<>(); // victims, and whom they wait for
-        if (limits.guarded) {
+        if (limits.chaseGuard) {
             wards.forEach((t, w) -> {
                 if (w.starved && !w.own && victim(t, w, lowered, waiting, changes)) {
                     waiting.add(t);
@@ -96,15 +96,15 @@
             });
         }
         double sum = wards.values().stream().mapToDouble(w -> w.extra).sum();
-        for (Map.Entry<Integer, Ward> e : wards.entrySet()) {
-            Ward w = e.getValue();
+        for (Map.Entry<Integer, TenantBoost> e : wards.entrySet()) {
+            TenantBoost w = e.getValue();
             double before = w.extra;
             if (lowered.contains(e.getKey())) {
                 w.extra = Math.max(0, w.extra - limits.step);
             } else if (w.extra > w.ceiling + LEAST) {
                 w.extra = Math.max(w.ceiling, w.extra - limits.step);
             } else if (w.starved && !waiting.contains(e.getKey())) {
-                double room = Math.min(w.ceiling - w.extra, limits.total - sum);
+                double room = Math.min(w.ceiling - w.extra, limits.maxTotalBoost - sum);
                 w.extra += Math.max(0, Math.min(limits.step, room));
             } else if (!w.starved && (!known || w.well > w.hold)) {
                 w.extra = Math.max(0, w.extra - limits.step / SLOWER);
@@ -123,11 +123,11 @@
         return changes;
     }
 
-    private void seen(Ward w, boolean starved) {
+    private void seen(TenantBoost w, boolean starved) {
         if (starved && !w.starved) {
             if (w.since == 0) { // new here
-                w.ceiling = limits.most - 1;
-            } else if (limits.guarded && w.extra > 0 && w.well > w.hold) {
+                w.ceiling = limits.maxWeight - 1;
+            } else if (limits.chaseGuard && w.extra > 0 && w.well > w.hold) {
                 w.hold = Math.min(MOST_HOLD, 2 * w.hold); // it fell too early
             }
             w.since = now;
@@ -138,10 +138,11 @@
     }
 
     /** Whether it may be starved by another's relief, which is lowered for it then. */
-    private boolean victim(int tenant, Ward w, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
+    private boolean victim(
+            int tenant, TenantBoost w, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
         boolean waits = false;
-        for (Map.Entry<Integer, Ward> e : wards.entrySet()) {
-            Ward o = e.getValue();
+        for (Map.Entry<Integer, TenantBoost> e : wards.entrySet()) {
+            TenantBoost o = e.getValue();
             boolean before = e.getKey() != tenant && o.begun > 0 && o.begun + GRACE < w.since;
             if (before && o.extra > 0) {
                 lowered.add(e.getKey());
@@ -158,7 +159,7 @@
         if (!waits) { // none is up, and it is starved all the same
             w.own = true;
             w.blamed.forEach((t, ceiling) -> {
-                Ward o = wards.get(t);
+                TenantBoost o = wards.get(t);
                 if (o != null) {
                     o.ceiling = Math.max(o.ceiling, ceiling);
                 }
@@ -169,12 +170,12 @@
 
     /** What the tenant's jobs count for: from 1 to the most. */
     public double weight(int tenant) {
-        Ward w = wards.get(tenant);
+        TenantBoost w = wards.get(tenant);
         return w == null ? 1 : 1 + w.extra;
     }
 
     /** All weights above 1. */
-    public List<Weight> weights() {
+    public List<Weight> activeWeights() {
         return wards.entrySet().stream()
                 .filter(e -> e.getValue().extra > 0)
                 .map(e -> new Weight(e.getKey(), 1 + e.getValue().extra))
--- a/src/main/java/maplespread/starvation/Judge.java
+++ b/src/main/java/maplespread/starvation/StarvationDetector.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import maplespread.starvation.Comparison.Sum;
-import maplespread.starvation.Comparison.Table;
-import maplespread.starvation.Verdict.Figures;
+import maplespread.starvation.LogRankComparison.Stratum;
+import maplespread.starvation.LogRankComparison.Sum;
 import maplespread.starvation.Verdict.Kind;
+import maplespread.starvation.Verdict.Statistics;
 
 /**
  * Verdicts over one view, a round each window. A tenant is compared with the others in each place and class,
@@ -23,7 +23,7 @@
  *
  * <p>A verdict stands after two rounds in a row and falls after three in which not even half of it was seen.
  */
-public final class Judge {
+public final class StarvationDetector {
     /** Jobs of a tenant in a place below which nothing is said. */
     static final int FEW = 5;
 
@@ -45,22 +45,22 @@
     private record Subject(int tenant, int cls, int place) {}
 
     /** What this round says of a subject: a kind if it is clear, and one if it is half seen. */
-    private record Seen(Kind clear, Kind half, Figures figures) {}
+    private record Seen(Kind clear, Kind half, Statistics figures) {}
 
     private static final class Standing {
         Kind kind = Kind.FINE;
         Kind coming = Kind.FINE;
         int rounds, gone;
         long sinceMs, comingMs;
-        Figures figures = Figures.NONE;
+        Statistics figures = Statistics.NONE;
     }
 
     /** A class at a place. */
     private static final class Group {
         final int cls, place;
-        final Table[] tables = new Table[BANDS];
-        final Sample[] totals = new Sample[BANDS];
-        final Map<Integer, Sample[]> tenants = new HashMap<>();
+        final Stratum[] tables = new Stratum[BANDS];
+        final WaitHistogram[] totals = new WaitHistogram[BANDS];
+        final Map<Integer, WaitHistogram[]> tenants = new HashMap<>();
 
         Group(int cls, int place) {
             this.cls = cls;
@@ -80,29 +80,29 @@
         }
     }
 
-    private final Site site;
-    private final double matters;
-    private final Map<Subject, Standing> standing = new HashMap<>();
+    private final FleetLayout site;
+    private final double minEffect;
+    private final Map<Subject, Standing> activeVerdicts = new HashMap<>();
     private Set<Subject> known = new HashSet<>();
     private Map<Integer, Double> excess = new HashMap<>();
     private Map<Integer, Double> sure = new HashMap<>(); // that cannot be a deadline's jobs at once
-    private int heard;
+    private int reportingProcesses;
     private boolean enough;
-    private double spread = 1;
+    private double varianceInflation = 1;
     private List<Test> tests = List.of();
-    private final boolean alone;
-    private final Judge fleet; // knows who asks too much; null: nobody does
+    private final boolean singleDispatcher;
+    private final StarvationDetector fleet; // knows who asks too much; null: nobody does
     private final double limit; // of what is called chance, a round
 
     /** {@code matters}: what share of the deadline a wait must be longer by to be worth a word. */
-    public Judge(Site site, double matters) {
+    public StarvationDetector(FleetLayout site, double matters) {
         this(site, matters, false, null);
     }
 
-    private Judge(Site site, double matters, boolean alone, Judge fleet) {
+    private StarvationDetector(FleetLayout site, double matters, boolean alone, StarvationDetector fleet) {
         this.site = site;
-        this.matters = matters;
-        this.alone = alone;
+        this.minEffect = matters;
+        this.singleDispatcher = alone;
         this.fleet = fleet;
         // Each dispatcher that judges itself is a family of comparisons of its own: together they are one.
         limit = alone ? ALPHA / site.processes() : ALPHA;
@@ -112,36 +112,36 @@
      * For a view of one process. {@code fleet}: has judged the same round over all of them, and so knows who
      * asks more than its share; null: nobody does, and what is due to a tenant here is a guess.
      */
-    public static Judge alone(Site site, double matters, Judge fleet) {
-        return new Judge(site, matters, true, fleet);
+    public static StarvationDetector singleDispatcher(FleetLayout site, double matters, StarvationDetector fleet) {
+        return new StarvationDetector(site, matters, true, fleet);
     }
 
     /** Judges the view as it is now; verdicts that have changed, ends too. */
-    public List<Verdict> round(long nowMs, View view) {
-        heard = view.heard(nowMs);
+    public List<Verdict> evaluate(long nowMs, FleetWindow view) {
+        reportingProcesses = view.reportingProcesses(nowMs);
         Map<Subject, Seen> seen = new HashMap<>();
         known = new HashSet<>();
-        enough = heard >= Math.min(site.processes(), Math.max(1, LEAST_HEARD * processes()));
+        enough = reportingProcesses >= Math.min(site.processes(), Math.max(1, LEAST_HEARD * processes()));
         Subject all = new Subject(Verdict.ALL, Verdict.ALL, Verdict.ALL);
         if (enough) {
             known.add(all);
             look(view, seen);
         } else {
-            seen.put(all, new Seen(Kind.NOT_KNOWN, Kind.NOT_KNOWN, Figures.NONE));
+            seen.put(all, new Seen(Kind.NOT_KNOWN, Kind.NOT_KNOWN, Statistics.NONE));
         }
         return settle(nowMs, seen);
     }
 
     /** Whose waits are to be in the view: one where it is of this process alone. */
     private int processes() {
-        return alone ? 1 : site.processes();
+        return singleDispatcher ? 1 : site.processes();
     }
 
     // ------------------------------------------------------------ a round's figures
 
-    private void look(View view, Map<Subject, Seen> seen) {
+    private void look(FleetWindow view, Map<Subject, Seen> seen) {
         Map<Long, Group> groups = groups(view);
-        boolean guess = alone && site.processes() > 1;
+        boolean guess = singleDispatcher && site.processes() > 1;
         boolean told = fleet != null && fleet.enough;
         sure = told
                 ? fleet.sure
@@ -149,36 +149,36 @@
         excess = told ? fleet.excess : guess ? sure : excess(view, 1000);
         Map<Subject, Test> pooled = new HashMap<>();
         List<Test> all = new ArrayList<>();
-        int[] parts = view.places() ? new int[] {0, 1, 2} : new int[] {0};
+        int[] parts = view.separatesPlaces() ? new int[] {0, 1, 2} : new int[] {0};
         for (Group g : groups.values()) {
             g.tenants.forEach((tenant, bands) -> {
                 Test here = new Test(new Subject(tenant, g.cls, g.place));
                 double kept = 1 - Math.min(1, TAKEN_OUT * excess.getOrDefault(tenant, 0.0));
                 for (int b = 0; b < BANDS; b++) {
                     if (bands[b] != null) {
-                        Comparison.add(here.sum, g.tables[b], bands[b], 1);
+                        LogRankComparison.add(here.sum, g.tables[b], bands[b], 1);
                         if (kept < 1) {
-                            Comparison.add(here.trimmed, g.tables[b], bands[b], kept);
+                            LogRankComparison.add(here.trimmed, g.tables[b], bands[b], kept);
                         }
                     }
                 }
                 for (int part : parts) {
-                    int wide = part == 0 ? Verdict.ALL : part == 1 ? site.zone(g.place) : site.kind(g.place);
+                    int wide = part == 0 ? Verdict.ALL : part == 1 ? site.allOfZone(g.place) : site.allOfKind(g.place);
                     Test p = pooled.computeIfAbsent(new Subject(tenant, g.cls, wide), Test::new);
                     p.sum.add(here.sum, 1);
                     p.trimmed.add(here.trimmed, 1);
                 }
-                if (view.places() && here.sum.n >= FEW && here.sum.others >= FEW_OTHERS) {
+                if (view.separatesPlaces() && here.sum.total >= FEW && here.sum.others >= FEW_OTHERS) {
                     all.add(here);
                 }
             });
         }
         for (Test p : pooled.values()) {
-            if (p.sum.n >= FEW && p.sum.others >= FEW_OTHERS) {
+            if (p.sum.total >= FEW && p.sum.others >= FEW_OTHERS) {
                 all.add(p);
             }
         }
-        spread = spread(all);
+        varianceInflation = varianceInflation(all);
         tests = all;
         holm(all);
         Map<Subject, Test> clear = new HashMap<>();
@@ -200,27 +200,28 @@
         lengths(groups, seen);
     }
 
-    private Map<Long, Group> groups(View view) {
+    private Map<Long, Group> groups(FleetWindow view) {
         Map<Long, Group> groups = new TreeMap<>();
         view.strata().forEach((s, sample) -> {
-            if (Code.cls(s) >= site.deadlinesMs().length) {
+            if (CellCode.requestClass(s) >= site.deadlinesMs().length) {
                 return; // of a dispatcher with other settings
             }
-            Group g = groups.computeIfAbsent(key(s), k -> new Group(Code.cls(s), Code.place(s)));
-            g.totals[Code.band(s)] = sample;
-            g.tables[Code.band(s)] = new Table(sample, tau(g.cls));
+            Group g = groups.computeIfAbsent(key(s), k -> new Group(CellCode.requestClass(s), CellCode.place(s)));
+            g.totals[CellCode.band(s)] = sample;
+            g.tables[CellCode.band(s)] = new Stratum(sample, tau(g.cls));
         });
         view.cells().forEach((cell, sample) -> {
             Group g = groups.get(key(cell));
             if (g != null) {
-                g.tenants.computeIfAbsent(Code.tenant(cell), t -> new Sample[BANDS])[Code.band(cell)] = sample;
+                g.tenants.computeIfAbsent(CellCode.tenant(cell), t -> new WaitHistogram[BANDS])[CellCode.band(cell)] =
+                        sample;
             }
         });
         return groups;
     }
 
     private static long key(long cell) {
-        return (long) Code.cls(cell) << 32 | Code.place(cell);
+        return (long) CellCode.requestClass(cell) << 32 | CellCode.place(cell);
     }
 
     private double tau(int cls) {
@@ -231,9 +232,9 @@
      * What share of each tenant's jobs is beyond its allowance. A view of some of the fleet has the larger of
      * the plain part of it, and what the others' traffic in it is of their allowances.
      */
-    private Map<Integer, Double> excess(View view, double slackMs) {
+    private Map<Integer, Double> excess(FleetWindow view, double slackMs) {
         Map<Integer, Double> all = new HashMap<>();
-        double seconds = view.seconds(heard);
+        double seconds = view.seconds(reportingProcesses);
         int tenants = site.allowancesPerS().length;
         double rates = 0;
         for (int t = 0; t < tenants; t++) {
@@ -242,10 +243,11 @@
         for (int t = 0; t < tenants && seconds > 0; t++) {
             double rate = view.jobs(t) / seconds;
             double others = site.allowances() - site.allowance(t);
-            double part =
-                    Math.max((double) heard / site.processes(), others > 0 ? Math.min(1, (rates - rate) / others) : 0);
+            double part = Math.max(
+                    (double) reportingProcesses / site.processes(),
+                    others > 0 ? Math.min(1, (rates - rate) / others) : 0);
             double due = site.allowance(t) * part;
-            double beyond = due > 0 ? view.beyond(t, due, slackMs) : 0;
+            double beyond = due > 0 ? view.maxOveruse(t, due, slackMs) : 0;
             if (beyond > 0) {
                 all.put(t, beyond / view.jobs(t));
             }
@@ -254,18 +256,20 @@
     }
 
     /** How much wider than by chance the comparisons spread. */
-    private static double spread(List<Test> all) {
+    private static double varianceInflation(List<Test> all) {
         if (all.size() < FOR_SPREAD) {
             return 1;
         }
-        double[] z =
-                all.stream().mapToDouble(t -> t.sum.z() * t.sum.z()).sorted().toArray();
+        double[] z = all.stream()
+                .mapToDouble(t -> t.sum.zScore() * t.sum.zScore())
+                .sorted()
+                .toArray();
         return Math.max(1, z[z.length / 2] / MEDIAN);
     }
 
     /** Which of them cannot be chance, all taken together. */
     private void holm(List<Test> all) {
-        all.forEach(t -> t.chance = t.sum.chance(spread));
+        all.forEach(t -> t.chance = t.sum.pValue(varianceInflation));
         Test[] order = all.toArray(new Test[0]);
         Arrays.sort(order, (a, b) -> Double.compare(a.chance, b.chance));
         for (int i = 0; i < order.length && order[i].chance <= limit / (order.length - i); i++) {
@@ -276,26 +280,26 @@
     // ------------------------------------------------------------ what it is
 
     private void tenant(Test t, Map<Subject, Test> tests, Map<Long, List<Group>> places, Map<Subject, Seen> seen) {
-        boolean half = t.chance < WEAK && t.sum.effect() >= matters / 2;
+        boolean half = t.chance < WEAK && t.sum.effect() >= minEffect / 2;
         if (!half) {
             return;
         }
-        boolean clear = t.clear && t.sum.effect() >= matters;
+        boolean clear = t.clear && t.sum.effect() >= minEffect;
         double beyond = excess.getOrDefault(t.of.tenant, 0.0);
         // What is beyond its share may wait: what is left, its best jobs, must be worse off, too.
-        boolean within =
-                beyond == 0 || t.trimmed.chance(spread) <= limit / tests.size() && t.trimmed.effect() >= matters;
+        boolean within = beyond == 0
+                || t.trimmed.pValue(varianceInflation) <= limit / tests.size() && t.trimmed.effect() >= minEffect;
         double elsewhere = Double.NaN;
         if (t.of.place >= 0) {
             Sum own = elsewhere(t.of, places.get((long) t.of.tenant << 32 | t.of.cls));
-            elsewhere = own.n == 0 ? Double.NaN : own.othersMs();
+            elsewhere = own.total == 0 ? Double.NaN : own.othersMs();
             Test everywhere = tests.get(new Subject(t.of.tenant, t.of.cls, Verdict.ALL));
-            boolean same = own.others >= FEW && own.effect() < matters / 2;
-            if (same && (everywhere == null || everywhere.sum.effect() < matters / 2)) {
+            boolean same = own.others >= FEW && own.effect() < minEffect / 2;
+            if (same && (everywhere == null || everywhere.sum.effect() < minEffect / 2)) {
                 return; // as long as its own elsewhere
             }
         }
-        boolean guess = alone && site.processes() > 1;
+        boolean guess = singleDispatcher && site.processes() > 1;
         if (guess && fleet != null && fleet.enough) {
             within = beyond < GREEDY / 2;
         } else if (guess && beyond > 0 && (within || beyond < 2 * GREEDY)) {
@@ -333,12 +337,12 @@
                 continue;
             }
             List<Subject> in = narrow.getOrDefault((long) w.tenant << 32 | w.cls, List.of()).stream()
-                    .filter(s -> site.has(w.place, s.place))
+                    .filter(s -> site.contains(w.place, s.place))
                     .toList();
             Sum rest = new Sum();
             rest.add(tests.get(w).sum, 1);
             in.forEach(s -> rest.add(tests.get(s).sum, -1));
-            if (rest.n >= FEW ? rest.effect() >= matters / 2 : in.size() != 1) {
+            if (rest.total >= FEW ? rest.effect() >= minEffect / 2 : in.size() != 1) {
                 if (seen.get(w).clear != null) {
                     in.forEach(seen::remove);
                 }
@@ -348,15 +352,15 @@
         }
     }
 
-    private static Figures figures(Sum s, double elsewhere, double chance, double beyond) {
-        return new Figures(
-                s.n,
-                s.held,
+    private static Statistics figures(Sum s, double elsewhere, double chance, double beyond) {
+        return new Statistics(
+                s.total,
+                s.censored,
                 s.others,
-                s.othersHeld,
+                s.othersCensored,
                 s.ownMs(),
                 s.othersMs(),
-                s.moreMs(),
+                s.excessWaitMs(),
                 s.effect(),
                 elsewhere,
                 chance,
@@ -367,17 +371,17 @@
     private Sum elsewhere(Subject of, List<Group> groups) {
         Sum sum = new Sum();
         for (int b = 0; b < BANDS; b++) {
-            Sample all = new Sample();
-            Sample here = null;
+            WaitHistogram all = new WaitHistogram();
+            WaitHistogram here = null;
             for (Group g : groups) {
-                Sample s = g.tenants.get(of.tenant)[b];
+                WaitHistogram s = g.tenants.get(of.tenant)[b];
                 if (s != null) {
                     all.add(s, 1);
                     here = g.place == of.place ? s : here;
                 }
             }
             if (here != null) {
-                Comparison.add(sum, new Table(all, tau(of.cls)), here, 1);
+                LogRankComparison.add(sum, new Stratum(all, tau(of.cls)), here, 1);
             }
         }
         return sum;
@@ -390,15 +394,15 @@
                 .forEach(g ->
                         classes.computeIfAbsent(g.cls, c -> new ArrayList<>()).add(g));
         classes.forEach((cls, all) -> {
-            Table[] total = new Table[BANDS];
+            Stratum[] total = new Stratum[BANDS];
             for (int b = 0; b < BANDS; b++) {
-                Sample of = new Sample();
+                WaitHistogram of = new WaitHistogram();
                 for (Group g : all) {
                     if (g.totals[b] != null) {
                         of.add(g.totals[b], 1);
                     }
                 }
-                total[b] = of.n() == 0 ? null : new Table(of, tau(cls));
+                total[b] = of.total() == 0 ? null : new Stratum(of, tau(cls));
             }
             for (Group g : all) {
                 crowd(g, total, seen);
@@ -406,7 +410,7 @@
         });
     }
 
-    private void crowd(Group g, Table[] total, Map<Subject, Seen> seen) {
+    private void crowd(Group g, Stratum[] total, Map<Subject, Seen> seen) {
         Sum sum = new Sum();
         double area = 0;
         int jobs = 0;
@@ -414,41 +418,42 @@
             if (g.totals[b] == null) {
                 continue;
             }
-            Sample rest = new Sample();
+            WaitHistogram rest = new WaitHistogram();
             rest.add(g.totals[b], 1);
-            for (Map.Entry<Integer, Sample[]> t : g.tenants.entrySet()) {
+            for (Map.Entry<Integer, WaitHistogram[]> t : g.tenants.entrySet()) {
                 Seen s = seen.get(new Subject(t.getKey(), g.cls, g.place));
                 if (t.getValue()[b] != null && s != null && s.half == Kind.STARVED) {
                     rest.add(t.getValue()[b], -1);
                 }
             }
-            Comparison.add(sum, total[b], rest, 1);
-            area += rest.n() * new Table(rest, tau(g.cls)).meanMs;
-            jobs += rest.n();
+            LogRankComparison.add(sum, total[b], rest, 1);
+            area += rest.total() * new Stratum(rest, tau(g.cls)).meanMs;
+            jobs += rest.total();
         }
         int seenJobs = jobs;
         if (seenJobs < FEW_OTHERS) {
             return;
         }
         double full = area / jobs / tau(g.cls);
-        boolean clear = sum.effect() >= matters && sum.chance(spread) <= limit || full >= FULL;
-        boolean half = sum.effect() >= matters / 2 && sum.chance(spread) <= WEAK || full >= FULL / 2 && clear;
+        boolean clear = sum.effect() >= minEffect && sum.pValue(varianceInflation) <= limit || full >= FULL;
+        boolean half =
+                sum.effect() >= minEffect / 2 && sum.pValue(varianceInflation) <= WEAK || full >= FULL / 2 && clear;
         Subject of = new Subject(Verdict.ALL, g.cls, g.place);
         known.add(of);
         if (!half) {
             return;
         }
-        Figures f = new Figures(
+        Statistics f = new Statistics(
                 jobs,
-                sum.held,
+                sum.censored,
                 sum.others,
-                sum.othersHeld,
+                sum.othersCensored,
                 area / jobs,
                 sum.othersMs(),
-                sum.moreMs(),
+                sum.excessWaitMs(),
                 Math.max(sum.effect(), full),
                 Double.NaN,
-                sum.chance(spread),
+                sum.pValue(varianceInflation),
                 0);
         seen.put(of, new Seen(clear ? Kind.CROWDED : null, Kind.CROWDED, f));
         g.tenants.forEach((tenant, bands) -> { // whoever asks too much has its own word
@@ -456,14 +461,14 @@
             double beyond = sure.getOrDefault(tenant, 0.0);
             if (beyond >= GREEDY && known.contains(s) && !seen.containsKey(s)) {
                 int n = Arrays.stream(bands)
-                        .mapToInt(x -> x == null ? 0 : x.n())
+                        .mapToInt(x -> x == null ? 0 : x.total())
                         .sum();
                 seen.put(
                         s,
                         new Seen(
                                 clear ? Kind.BEYOND_SHARE : null,
                                 Kind.BEYOND_SHARE,
-                                new Figures(
+                                new Statistics(
                                         n,
                                         0,
                                         seenJobs - n,
@@ -487,10 +492,10 @@
                 double[] of = classes.computeIfAbsent(g.cls, c -> new HashMap<>())
                         .computeIfAbsent(tenant, t -> new double[3]);
                 for (int b = 1; b < BANDS; b++) {
-                    int n = bands[b] == null ? 0 : bands[b].n();
+                    int n = bands[b] == null ? 0 : bands[b].total();
                     of[0] += n;
-                    of[1] += n * Code.work(b);
-                    of[2] += n * Code.work(b) * Code.work(b);
+                    of[1] += n * CellCode.bandMiddleMs(b);
+                    of[2] += n * CellCode.bandMiddleMs(b) * CellCode.bandMiddleMs(b);
                 }
             });
         }
@@ -510,14 +515,14 @@
         double mean = (all[1] - of[1]) / others;
         double variance = Math.max(0, (all[2] - of[2]) / others - mean * mean);
         double more = own - mean;
-        if (more >= matters / 2 * tau(s.cls) && more / Math.sqrt(variance / of[0]) >= LONG_Z) {
+        if (more >= minEffect / 2 * tau(s.cls) && more / Math.sqrt(variance / of[0]) >= LONG_Z) {
             Kind kind = Kind.LONG_JOBS;
             seen.put(
                     s,
                     new Seen(
-                            more >= matters * tau(s.cls) ? kind : null,
+                            more >= minEffect * tau(s.cls) ? kind : null,
                             kind,
-                            new Figures(
+                            new Statistics(
                                     (int) of[0],
                                     0,
                                     (int) others,
@@ -536,10 +541,10 @@
 
     private List<Verdict> settle(long nowMs, Map<Subject, Seen> seen) {
         List<Verdict> changes = new ArrayList<>();
-        Set<Subject> subjects = new HashSet<>(standing.keySet());
+        Set<Subject> subjects = new HashSet<>(activeVerdicts.keySet());
         subjects.addAll(seen.keySet());
         for (Subject of : subjects) {
-            Standing s = standing.computeIfAbsent(of, k -> new Standing());
+            Standing s = activeVerdicts.computeIfAbsent(of, k -> new Standing());
             Seen now = seen.get(of);
             Kind clear = now == null ? null : now.clear;
             boolean holds = now != null && (now.half == s.kind || now.clear == s.kind);
@@ -569,18 +574,19 @@
                 changes.add(verdict(of, s));
             }
         }
-        standing.values().removeIf(s -> s.kind == Kind.FINE && s.rounds == 0);
+        activeVerdicts.values().removeIf(s -> s.kind == Kind.FINE && s.rounds == 0);
         return changes;
     }
 
     private Verdict verdict(Subject of, Standing s) {
-        return new Verdict(s.kind, of.tenant, of.cls, of.place, s.sinceMs, s.figures, heard, site.processes());
+        return new Verdict(
+                s.kind, of.tenant, of.cls, of.place, s.sinceMs, s.figures, reportingProcesses, site.processes());
     }
 
     /** All that stand. */
-    public List<Verdict> standing() {
+    public List<Verdict> activeVerdicts() {
         List<Verdict> all = new ArrayList<>();
-        standing.forEach((of, s) -> {
+        activeVerdicts.forEach((of, s) -> {
             if (s.kind != Kind.FINE) {
                 all.add(verdict(of, s));
             }
@@ -589,17 +595,17 @@
     }
 
     /** What stands of a tenant's class in a place: its own word, else that of all its places, else of all. */
-    public Kind of(int tenant, int cls, int place) {
+    public Kind verdictOf(int tenant, int cls, int place) {
         if (!known.contains(new Subject(Verdict.ALL, Verdict.ALL, Verdict.ALL))) {
             return Kind.NOT_KNOWN;
         }
         for (Subject s : List.of(
                 new Subject(tenant, cls, place),
-                new Subject(tenant, cls, site.zone(place)),
-                new Subject(tenant, cls, site.kind(place)),
+                new Subject(tenant, cls, site.allOfZone(place)),
+                new Subject(tenant, cls, site.allOfKind(place)),
                 new Subject(tenant, cls, Verdict.ALL),
                 new Subject(Verdict.ALL, cls, place))) {
-            Standing at = standing.get(s);
+            Standing at = activeVerdicts.get(s);
             if (at != null && at.kind != Kind.FINE) {
                 return at.kind;
             }
@@ -608,17 +614,17 @@
     }
 
     /** Whether enough was heard in the last round for its verdicts to be believed. */
-    public boolean heardEnough() {
+    public boolean enoughReported() {
         return enough;
     }
 
     /** How much wider than by chance the last round's comparisons spread. */
-    public double spread() {
-        return spread;
+    public double varianceInflation() {
+        return varianceInflation;
     }
 
     /** How many comparisons the last round made. */
-    public int comparisons() {
+    public int comparisonCount() {
         return tests.size();
     }
 }
--- a/src/main/java/maplespread/starvation/Verdict.java
+++ b/src/main/java/maplespread/starvation/Verdict.java
@@ -6,7 +6,7 @@
  * passed in; {@code heard} of {@code processes} told of their waits.
  */
 public record Verdict(
-        Kind kind, int tenant, int cls, int place, long sinceMs, Figures figures, int heard, int processes) {
+        Kind kind, int tenant, int cls, int place, long sinceMs, Statistics figures, int heard, int processes) {
     /** Of all tenants, classes or places. */
     public static final int ALL = -1;
 
@@ -38,7 +38,7 @@
      * elsewhereMs}: its own wait in other places, NaN where it has none; {@code chance}: how likely it is by
      * chance, before the correction; {@code excess}: share of what it asks that is beyond its allowance.
      */
-    public record Figures(
+    public record Statistics(
             int jobs,
             int held,
             int others,
@@ -50,7 +50,7 @@
             double elsewhereMs,
             double chance,
             double excess) {
-        static final Figures NONE = new Figures(0, 0, 0, 0, 0, 0, 0, 0, Double.NaN, 1, 0);
+        static final Statistics NONE = new Statistics(0, 0, 0, 0, 0, 0, 0, 0, Double.NaN, 1, 0);
     }
 
     /** Whether not all dispatchers' waits are in it. */
--- a/src/main/java/maplespread/starvation/Sample.java
+++ b/src/main/java/maplespread/starvation/WaitHistogram.java
@@ -7,10 +7,10 @@
  * they were at least so long. The bins are HdrHistogram's, the same in every process, so samples add up
  * exactly whatever the order; only bins in use are kept, as most samples are of a few jobs.
  */
-final class Sample {
+final class WaitHistogram {
     private int[] keys = new int[4]; // a bin and whether held, ascending
     private int[] counts = new int[4];
-    private int size, n, heldN;
+    private int size, total, heldN;
 
     void add(boolean held, int bin, int count) {
         int key = bin << 1 | (held ? 1 : 0);
@@ -28,7 +28,7 @@
             size++;
         }
         counts[at] += count;
-        n += count;
+        total += count;
         heldN += held ? count : 0;
         if (counts[at] == 0) {
             size--;
@@ -38,14 +38,14 @@
     }
 
     /** Adds another's counts so many times; below 0: takes them out. */
-    void add(Sample o, int times) {
+    void add(WaitHistogram o, int times) {
         for (int i = 0; i < o.size; i++) {
             add(o.held(i), o.bin(i), times * o.counts[i]);
         }
     }
 
-    int n() {
-        return n;
+    int total() {
+        return total;
     }
 
     int held() {
--- a/src/main/java/maplespread/starvation/Waits.java
+++ b/src/main/java/maplespread/starvation/WaitRecorder.java
@@ -15,20 +15,20 @@
  * <p>Guards against a process that stood still and then takes its own pause for a place that is slow; and
  * against growth: beyond so many cells and open jobs, jobs are counted and no more.
  */
-public final class Waits {
+public final class WaitRecorder {
     /** How a job ended. */
-    public enum End {
+    public enum Completion {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED,
-        LEFT
+        CLIENT_LEFT
     }
 
     /** A job that was taken. {@code workMs}: NaN where nobody said. */
     private record Open(int tenant, int cls, int place, double workMs, long takenMs) {}
 
     /** The job ended where it was to be. */
-    public static final int WHERE_TAKEN = -1;
+    public static final int SAME_PLACE = -1;
 
     private static final int MOST_CELLS = 4096;
     private static final int MOST_OPEN = 8192;
@@ -37,14 +37,14 @@
     private final long run;
     private final int lengthMs;
     private final double[] deadlinesMs;
-    private Map<Long, Sample> cells = new HashMap<>();
+    private Map<Long, WaitHistogram> cells = new HashMap<>();
     private final Map<Long, Open> open = new HashMap<>();
     private long number;
     private long closedMs = Long.MIN_VALUE;
     private int left;
 
     /** {@code deadlinesMs}: by class; {@code lengthMs}: of a window. */
-    public Waits(String process, long run, int lengthMs, double[] deadlinesMs) {
+    public WaitRecorder(String process, long run, int lengthMs, double[] deadlinesMs) {
         this.process = process;
         this.run = run;
         this.lengthMs = lengthMs;
@@ -52,55 +52,55 @@
     }
 
     /** A job was taken; {@code place}: where it would be, as far as is known. */
-    public void taken(long nowMs, long id, int tenant, int cls, int place, double workMs) {
+    public void requestAccepted(long nowMs, long id, int tenant, int cls, int place, double workMs) {
         if (open.size() < MOST_OPEN
-                && tenant < Code.MOST_TENANTS
-                && cls < Code.MOST_CLASSES
-                && place < Code.MOST_PLACES) {
+                && tenant < CellCode.MAX_TENANTS
+                && cls < CellCode.MAX_CLASSES
+                && place < CellCode.MAX_PLACES) {
             open.put(id, new Open(tenant, cls, place, workMs, nowMs));
         }
     }
 
     /** It ended: its last byte was sent, or nobody waits for it; {@code place}: or WHERE_TAKEN. */
-    public void ended(long nowMs, long id, int place, End end) {
+    public void requestCompleted(long nowMs, long id, int place, Completion end) {
         Open job = open.remove(id);
         if (job == null) {
             left++;
             return;
         }
         double waitMs = nowMs - job.takenMs;
-        boolean held = end != End.SERVED;
-        if (end == End.REFUSED || end == End.FAILED) {
+        boolean held = end != Completion.SERVED;
+        if (end == Completion.REJECTED || end == Completion.FAILED) {
             waitMs = Math.max(waitMs, deadlinesMs[job.cls]);
         }
-        long cell = cell(job, place == WHERE_TAKEN ? job.place : place);
-        Sample s = cells.get(cell);
+        long cell = cell(job, place == SAME_PLACE ? job.place : place);
+        WaitHistogram s = cells.get(cell);
         if (s == null) {
             if (cells.size() >= MOST_CELLS) {
                 left++;
                 return;
             }
-            s = new Sample();
+            s = new WaitHistogram();
             cells.put(cell, s);
         }
         s.add(held, bin(job, waitMs), 1);
     }
 
     private static long cell(Open job, int place) {
-        return Code.cell(job.tenant, job.cls, place, Code.bandOf(job.workMs));
+        return CellCode.cell(job.tenant, job.cls, place, CellCode.bandFor(job.workMs));
     }
 
     private static int bin(Open job, double waitMs) {
-        return Code.binOf(waitMs - (Double.isNaN(job.workMs) ? 0 : job.workMs));
+        return CellCode.binFor(waitMs - (Double.isNaN(job.workMs) ? 0 : job.workMs));
     }
 
     /**
      * Ends the window and begins the next one. Where that comes far too late, this process stood still, and
      * its jobs waited for it and for nobody else: what ended, and what is open, counts as left out.
      */
-    public Window close(long nowMs) {
+    public WaitWindow closeWindow(long nowMs) {
         if (closedMs != Long.MIN_VALUE && nowMs - closedMs > STILL * lengthMs) {
-            cells.values().forEach(s -> left += s.n());
+            cells.values().forEach(s -> left += s.total());
             cells.clear();
             open.clear();
         }
@@ -108,16 +108,16 @@
         TreeMap<Long, Integer> ended = new TreeMap<>();
         cells.forEach((cell, s) -> {
             for (int i = 0; i < s.size(); i++) {
-                ended.put(Code.of(cell, s.held(i), s.bin(i)), s.count(i));
+                ended.put(CellCode.of(cell, s.held(i), s.bin(i)), s.count(i));
             }
         });
         TreeMap<Long, Integer> waiting = new TreeMap<>();
         for (Open job : open.values()) {
             if (nowMs - job.takenMs > lengthMs) {
-                waiting.merge(Code.of(cell(job, job.place), true, bin(job, nowMs - job.takenMs)), 1, Integer::sum);
+                waiting.merge(CellCode.of(cell(job, job.place), true, bin(job, nowMs - job.takenMs)), 1, Integer::sum);
             }
         }
-        Window w = new Window(
+        WaitWindow w = new WaitWindow(
                 process, run, number++, lengthMs, left, codes(ended), counts(ended), codes(waiting), counts(waiting));
         cells = new HashMap<>();
         left = 0;
--- a/src/main/java/maplespread/starvation/Window.java
+++ b/src/main/java/maplespread/starvation/WaitWindow.java
@@ -6,19 +6,19 @@
  * open}: jobs that were in work for longer than a window when this one was closed; they count only until the
  * process's next window. {@code left}: jobs that had no room here, or none on the wire.
  */
-public record Window(
+public record WaitWindow(
         String process,
-        long run,
-        long number,
+        long incarnation,
+        long sequence,
         int lengthMs,
-        int left,
+        int omitted,
         long[] codes,
         int[] counts,
-        long[] open,
-        int[] openCounts) {
+        long[] ongoingCodes,
+        int[] ongoingCounts) {
     /** How many jobs ended in it, those without room too. */
-    public int jobs() {
-        int n = left;
+    public int requestCount() {
+        int n = omitted;
         for (int c : counts) {
             n += c;
         }
--- a/src/main/java/maplespread/starvation/Exchange.java
+++ b/src/main/java/maplespread/starvation/WindowCodec.java
@@ -12,19 +12,19 @@
  *
  * <p>Guards against bytes that are not a window: whatever is out of range or order is no window at all.
  */
-public final class Exchange {
+public final class WindowCodec {
     private static final int VERSION = 1;
     private static final int MOST = 1 << 20; // entries, and jobs of one
 
-    private Exchange() {}
+    private WindowCodec() {}
 
     /** What is sent to each of the others so that all of it stays within so many bytes a second. */
-    public static int bytesEach(long bytesPerS, int windowMs, int others) {
+    public static int bytesPerPeer(long bytesPerS, int windowMs, int others) {
         return (int) Math.min(48 * 1024, Math.max(64, bytesPerS * windowMs / 1000 / Math.max(1, others)));
     }
 
     /** The window in at most so many bytes, thinned where needed. */
-    public static byte[] encode(Window w, int most) {
+    public static byte[] encode(WaitWindow w, int most) {
         byte[] whole = bytes(w);
         for (double part = 0.9 * most / whole.length; whole.length > most && part > 1e-3; part *= 0.8) {
             whole = bytes(thin(w, part));
@@ -32,22 +32,31 @@
         return whole;
     }
 
-    private static Window thin(Window w, double part) {
+    private static WaitWindow thin(WaitWindow w, double part) {
         int[] counts = w.counts().clone();
-        int left = w.left();
+        int left = w.omitted();
         for (int i = 0; i < counts.length; i++) {
             int kept = 0;
             for (int job = 0; job < counts[i]; job++) {
-                kept += hash(w.codes()[i] * 31 + w.number(), job) < part ? 1 : 0;
+                kept += hash(w.codes()[i] * 31 + w.sequence(), job) < part ? 1 : 0;
             }
             left += counts[i] - kept;
             counts[i] = kept;
         }
-        int[] open = w.openCounts().clone();
+        int[] open = w.ongoingCounts().clone();
         for (int i = 0; i < open.length; i++) {
-            open[i] = hash(w.open()[i], i) < part ? open[i] : 0;
+            open[i] = hash(w.ongoingCodes()[i], i) < part ? open[i] : 0;
         }
-        return new Window(w.process(), w.run(), w.number(), w.lengthMs(), left, w.codes(), counts, w.open(), open);
+        return new WaitWindow(
+                w.process(),
+                w.incarnation(),
+                w.sequence(),
+                w.lengthMs(),
+                left,
+                w.codes(),
+                counts,
+                w.ongoingCodes(),
+                open);
     }
 
     /** From 0 to 1. */
@@ -55,18 +64,18 @@
         return new java.util.SplittableRandom(code ^ (long) job << 56).nextDouble();
     }
 
-    private static byte[] bytes(Window w) {
+    private static byte[] bytes(WaitWindow w) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         put(out, VERSION);
         byte[] name = w.process().getBytes(StandardCharsets.UTF_8);
         put(out, name.length);
         out.write(name, 0, name.length);
-        put(out, w.run());
-        put(out, w.number());
+        put(out, w.incarnation());
+        put(out, w.sequence());
         put(out, w.lengthMs());
-        put(out, w.left());
+        put(out, w.omitted());
         put(out, w.codes(), w.counts());
-        put(out, w.open(), w.openCounts());
+        put(out, w.ongoingCodes(), w.ongoingCounts());
         return out.toByteArray();
     }
 
@@ -99,11 +108,11 @@
             this.bytes = bytes;
         }
 
-        long next(long most) throws NotAWindow {
+        long next(long most) throws MalformedWindowException {
             long v = 0;
             for (int shift = 0; shift < 63; shift += 7) {
                 if (at >= bytes.length) {
-                    throw new NotAWindow("cut off");
+                    throw new MalformedWindowException("cut off");
                 }
                 byte b = bytes[at++];
                 v |= (long) (b & 0x7f) << shift;
@@ -114,22 +123,22 @@
                     return v;
                 }
             }
-            throw new NotAWindow("out of range");
+            throw new MalformedWindowException("out of range");
         }
 
-        int small(int most) throws NotAWindow {
+        int small(int most) throws MalformedWindowException {
             return (int) next(most);
         }
     }
 
-    public static Window decode(byte[] bytes) throws NotAWindow {
+    public static WaitWindow decode(byte[] bytes) throws MalformedWindowException {
         In in = new In(bytes);
         if (in.small(127) != VERSION) {
-            throw new NotAWindow("of another version");
+            throw new MalformedWindowException("of another version");
         }
         int length = in.small(255);
         if (in.at + length > bytes.length) {
-            throw new NotAWindow("cut off");
+            throw new MalformedWindowException("cut off");
         }
         String process = new String(bytes, in.at, length, StandardCharsets.UTF_8);
         in.at += length;
@@ -140,20 +149,22 @@
         long[][] ended = entries(in);
         long[][] open = entries(in);
         if (in.at != bytes.length) {
-            throw new NotAWindow("goes on beyond its end");
+            throw new MalformedWindowException("goes on beyond its end");
         }
-        return new Window(process, run, number, lengthMs, left, ended[0], ints(ended[1]), open[0], ints(open[1]));
+        return new WaitWindow(process, run, number, lengthMs, left, ended[0], ints(ended[1]), open[0], ints(open[1]));
     }
 
-    private static long[][] entries(In in) throws NotAWindow {
+    private static long[][] entries(In in) throws MalformedWindowException {
         int n = in.small(Math.min(MOST, (in.bytes.length - in.at) / 2));
         long[] codes = new long[n];
         long[] counts = new long[n];
         long before = 0;
         for (int i = 0; i < n; i++) {
-            codes[i] = before + in.next(Code.HIGHEST);
-            if (codes[i] > Code.HIGHEST || i > 0 && codes[i] == before || Code.bin(codes[i]) >= Code.BINS.length) {
-                throw new NotAWindow("out of range or order");
+            codes[i] = before + in.next(CellCode.MAX_CODE);
+            if (codes[i] > CellCode.MAX_CODE
+                    || i > 0 && codes[i] == before
+                    || CellCode.bin(codes[i]) >= CellCode.BIN_LOWER_MS.length) {
+                throw new MalformedWindowException("out of range or order");
             }
             counts[i] = in.next(MOST);
             before = codes[i];
--- a/src/main/java/maplespread/starvation/client/Watch.java
+++ b/src/main/java/maplespread/starvation/client/StarvationMonitor.java
@@ -9,109 +9,114 @@
 import java.util.function.IntFunction;
 import maplespread.config.Config;
 import maplespread.config.StarvationSettings;
-import maplespread.decision.Dispatch;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Ends;
-import maplespread.facade.Route;
-import maplespread.facade.Transaction;
+import maplespread.facade.InFlightRequest;
+import maplespread.facade.RequestListener;
 import maplespread.log.Event;
-import maplespread.starvation.Exchange;
-import maplespread.starvation.Judge;
-import maplespread.starvation.NotAWindow;
-import maplespread.starvation.Relief;
-import maplespread.starvation.Site;
+import maplespread.policy.Dispatch;
+import maplespread.starvation.FleetLayout;
+import maplespread.starvation.FleetWindow;
+import maplespread.starvation.MalformedWindowException;
+import maplespread.starvation.PriorityBoost;
+import maplespread.starvation.StarvationDetector;
 import maplespread.starvation.Verdict;
-import maplespread.starvation.View;
-import maplespread.starvation.Waits;
-import maplespread.starvation.Window;
+import maplespread.starvation.WaitRecorder;
+import maplespread.starvation.WaitWindow;
+import maplespread.starvation.WindowCodec;
 
 /**
  * This process's waits, the others' windows where they come, and what is told of both. Legs report under one
- * lock that is held for a map's entry; judging is done on the caller of {@link #round} outside of it.
+ * lock that is held for a map's entry; judging is done on the caller of {@link #evaluate} outside of it.
  *
  * <p>A job's place is the zone and kind of the worker that was tried last; of a job that no worker was tried
  * for, this dispatcher's zone and its class's kind.
  */
-public final class Watch implements Ends {
+public final class StarvationMonitor implements RequestListener {
     private static final int MOST_WAITING = 4096; // windows of others that wait for a round
     private static final int MOST_TOLD = 100; // verdicts a round
     private static final int FEW_PLACES = 8; // so many, one dispatcher tells apart
 
     /** One that tells nothing of the others where this one has all there is. */
-    private record Scope(String name, View view, Judge judge) {}
+    private record Scope(String name, FleetWindow view, StarvationDetector judge) {}
 
     private final StarvationSettings set;
     private final String name;
-    private final ArrayDeque<Window> heard = new ArrayDeque<>();
-    private Config config;
-    private Waits waits;
-    private Site site;
+    private final ArrayDeque<WaitWindow> windowReceived = new ArrayDeque<>();
+    private Config configure;
+    private WaitRecorder waits;
+    private FleetLayout site;
     private List<Scope> scopes; // the fleet, then this dispatcher
     private final boolean talks;
     private final Consumer<double[]> weights;
-    private Relief relief; // null: nobody is relieved
+    private PriorityBoost relief; // null: nobody is relieved
     private long run, jobs;
     private volatile Map<String, Integer> places = Map.of(); // by worker
-    private volatile Told standing = new Told(List.of(), List.of());
+    private volatile Report report = new Report(List.of(), List.of());
 
     /** A verdict and whose view it is from. */
-    public record Shown(String scope, Verdict verdict) {}
+    public record ScopedVerdict(String scope, Verdict verdict) {}
 
     /** All that stands: verdicts, and what the jobs of tenants that are relieved count for. */
-    public record Told(List<Shown> verdicts, List<Relief.Weight> relief) {}
+    public record Report(List<ScopedVerdict> verdicts, List<PriorityBoost.Weight> relief) {}
 
     /**
      * {@code talks}: other dispatchers' windows are to come; {@code weights}: hears what a tenant's requests
      * count for, whenever that changes.
      */
-    public Watch(StarvationSettings set, Config config, boolean talks, long run, Consumer<double[]> weights) {
+    public StarvationMonitor(
+            StarvationSettings set, Config config, boolean talks, long run, Consumer<double[]> weights) {
         this.set = set;
         this.talks = talks;
         this.weights = weights;
         this.run = run;
         name = config.name();
-        config(config);
+        configure(config);
     }
 
     /** Other classes, tenants or dispatchers: begins anew, as a later run. */
-    public synchronized void config(Config next) {
-        Dispatch.Settings s = next.settings();
-        if (config != null
-                && next.names().equals(config.names())
-                && s.classes().equals(config.settings().classes())
-                && s.tenants().equals(config.settings().tenants())
-                && s.balancers() == config.settings().balancers()) {
+    public synchronized void configure(Config next) {
+        Dispatch.PolicySettings s = next.settings();
+        if (configure != null
+                && next.names().equals(configure.names())
+                && s.classes().equals(configure.settings().classes())
+                && s.tenants().equals(configure.settings().tenants())
+                && s.dispatcherCount() == configure.settings().dispatcherCount()) {
             return;
         }
-        Site then = site(next);
-        config = next;
+        FleetLayout then = site(next);
+        configure = next;
         site = then;
         run++;
-        waits = new Waits(name, run, set.windowMs(), then.deadlinesMs());
+        waits = new WaitRecorder(name, run, set.windowMs(), then.deadlinesMs());
         long keep = (long) set.windowMs() * set.windows();
         boolean one = then.processes() == 1;
-        Judge fleet = talks && !one ? new Judge(then, set.matters()) : null;
+        StarvationDetector fleet = talks && !one ? new StarvationDetector(then, set.matters()) : null;
         int all = Math.max(1, next.names().zones().size()) * then.kinds();
         if (set.relief() != null) {
-            relief = new Relief(set.relief(), set.windows());
+            relief = new PriorityBoost(set.relief(), set.windows());
             weights.accept(new double[0]);
         }
         scopes = new ArrayList<>();
         if (fleet != null) {
-            scopes.add(new Scope("fleet", new View(keep, true), fleet));
+            scopes.add(new Scope("fleet", new FleetWindow(keep, true), fleet));
         }
         scopes.add(new Scope(
                 one ? "fleet" : "dispatcher",
-                new View(keep, one || all <= FEW_PLACES),
-                Judge.alone(then, set.matters(), fleet)));
+                new FleetWindow(keep, one || all <= FEW_PLACES),
+                StarvationDetector.singleDispatcher(then, set.matters(), fleet)));
     }
 
-    private static Site site(Config c) {
-        Dispatch.Settings s = c.settings();
-        return new Site(
-                s.classes().stream().mapToDouble(Dispatch.ClassSpec::deadlineMs).toArray(),
-                s.tenants().stream().mapToDouble(Dispatch.Tenant::allowancePerS).toArray(),
-                s.balancers(),
+    private static FleetLayout site(Config c) {
+        Dispatch.PolicySettings s = c.settings();
+        return new FleetLayout(
+                s.classes().stream()
+                        .mapToDouble(Dispatch.RequestClass::deadlineMs)
+                        .toArray(),
+                s.tenants().stream()
+                        .mapToDouble(Dispatch.Tenant::quotaPerSecond)
+                        .toArray(),
+                s.dispatcherCount(),
                 Math.max(1, c.names().kinds().size()));
     }
 
@@ -120,11 +125,10 @@
     }
 
     /** What is known of the workers: where they stand. */
-    public void news(EndpointUpdate news) {
-        Map<String, Integer> next =
-                news.kind() == EndpointUpdate.Kind.CHANGES ? new HashMap<>(places) : new HashMap<>();
-        for (Route r : news.routes()) {
-            if (r.state() == Route.State.DELETED) {
+    public void endpointsChanged(EndpointUpdate news) {
+        Map<String, Integer> next = news.kind() == EndpointUpdate.Kind.DELTA ? new HashMap<>(places) : new HashMap<>();
+        for (Endpoint r : news.endpoints()) {
+            if (r.state() == Endpoint.State.DELETED) {
                 next.remove(r.worker());
             } else {
                 next.put(r.worker(), place(r.zone(), r.kind()));
@@ -140,98 +144,104 @@
     // ------------------------------------------------------------ from the legs
 
     @Override
-    public synchronized long taken(Transaction t) {
-        if (t.cls() >= site.deadlinesMs().length) {
+    public synchronized long requestAccepted(InFlightRequest t) {
+        if (t.requestClass() >= site.deadlinesMs().length) {
             return -1; // of a class that was added this moment
         }
-        int kind = config.settings().classes().get(t.cls()).kind();
-        waits.taken(now(), ++jobs, t.tenant(), t.cls(), place(config.settings().zone(), kind), t.workMs());
+        int kind = configure.settings().classes().get(t.requestClass()).requiredWorkerKind();
+        waits.requestAccepted(
+                now(),
+                ++jobs,
+                t.tenant(),
+                t.requestClass(),
+                place(configure.settings().zone(), kind),
+                t.workMs());
         return jobs;
     }
 
     @Override
-    public synchronized void ended(long job, How how, String worker) {
-        Waits.End end =
+    public synchronized void requestCompleted(long job, Result how, String worker) {
+        WaitRecorder.Completion end =
                 switch (how) {
-                    case SERVED -> Waits.End.SERVED;
-                    case BUSY -> Waits.End.REFUSED;
-                    case FAILED -> Waits.End.FAILED;
-                    case LEFT -> Waits.End.LEFT;
+                    case SERVED -> WaitRecorder.Completion.SERVED;
+                    case REJECTED -> WaitRecorder.Completion.REJECTED;
+                    case FAILED -> WaitRecorder.Completion.FAILED;
+                    case CLIENT_LEFT -> WaitRecorder.Completion.CLIENT_LEFT;
                 };
         Integer at = worker == null ? null : places.get(worker);
-        waits.ended(now(), job, at == null ? Waits.WHERE_TAKEN : at, end);
+        waits.requestCompleted(now(), job, at == null ? WaitRecorder.SAME_PLACE : at, end);
     }
 
     // ------------------------------------------------------------ rounds
 
     /** What came of another one's waits, {@code from} a member of the group. */
-    public void heard(String from, byte[] bytes) {
+    public void windowReceived(String from, byte[] bytes) {
         try {
-            Window w = Exchange.decode(bytes);
-            synchronized (heard) {
-                if (w.process().equals(from) && heard.size() < MOST_WAITING) {
-                    heard.add(w);
+            WaitWindow w = WindowCodec.decode(bytes);
+            synchronized (windowReceived) {
+                if (w.process().equals(from) && windowReceived.size() < MOST_WAITING) {
+                    windowReceived.add(w);
                 }
             }
-        } catch (NotAWindow e) {
+        } catch (MalformedWindowException e) {
             Event.of("starvation.unread", "from", from, "why", e.getMessage()).warn();
         }
     }
 
     /** Ends a window, has the others told, and judges; {@code others}: how many there are to be told. */
-    public void round(int others, Consumer<byte[]> send) {
+    public void evaluate(int others, Consumer<byte[]> send) {
         long now = now();
-        Window own;
+        WaitWindow own;
         List<Scope> scopes;
         IntFunction<String> tenants, classes, zones, kinds;
-        Site site;
-        Relief relief;
+        FleetLayout site;
+        PriorityBoost relief;
         synchronized (this) {
             relief = this.relief;
-            own = waits.close(now);
+            own = waits.closeWindow(now);
             scopes = this.scopes;
             site = this.site;
-            tenants = named(config.names().tenants());
-            classes = named(config.names().classes());
-            zones = named(config.names().zones());
-            kinds = named(config.names().kinds());
+            tenants = named(configure.names().tenants());
+            classes = named(configure.names().classes());
+            zones = named(configure.names().zones());
+            kinds = named(configure.names().kinds());
         }
         if (others > 0) {
-            send.accept(Exchange.encode(own, Exchange.bytesEach(set.bytesPerS(), set.windowMs(), others)));
+            send.accept(WindowCodec.encode(own, WindowCodec.bytesPerPeer(set.bytesPerS(), set.windowMs(), others)));
         }
-        List<Window> all = new ArrayList<>(List.of(own));
-        synchronized (heard) {
-            all.addAll(heard);
-            heard.clear();
+        List<WaitWindow> all = new ArrayList<>(List.of(own));
+        synchronized (windowReceived) {
+            all.addAll(windowReceived);
+            windowReceived.clear();
         }
-        List<Shown> stand = new ArrayList<>();
+        List<ScopedVerdict> stand = new ArrayList<>();
         int told = 0;
         for (Scope scope : scopes) {
-            scope.view.age(now);
+            scope.view.evictExpired(now);
             boolean alone = scope == scopes.get(scopes.size() - 1);
             all.stream().filter(w -> !alone || w == own).forEach(w -> scope.view.add(now, w));
-            for (Verdict v : scope.judge.round(now, scope.view)) {
+            for (Verdict v : scope.judge.evaluate(now, scope.view)) {
                 if (set.log() && told++ < MOST_TOLD) {
                     log(scope.name, v, site, now, tenants, classes, zones, kinds);
                 }
             }
-            scope.judge.standing().forEach(v -> stand.add(new Shown(scope.name, v)));
+            scope.judge.activeVerdicts().forEach(v -> stand.add(new ScopedVerdict(scope.name, v)));
         }
         if (relief != null) {
             relieve(relief, scopes.get(0), site.allowancesPerS().length, tenants);
         }
-        standing = new Told(List.copyOf(stand), relief == null ? List.of() : relief.weights());
+        report = new Report(List.copyOf(stand), relief == null ? List.of() : relief.activeWeights());
     }
 
     /** By the fleet's view, or by this dispatcher's where it is alone: all others see the same. */
-    private void relieve(Relief relief, Scope scope, int count, IntFunction<String> tenants) {
-        List<Relief.Change> changes = relief.round(scope.judge.standing(), scope.judge.heardEnough());
-        for (Relief.Change c : changes) {
+    private void relieve(PriorityBoost relief, Scope scope, int count, IntFunction<String> tenants) {
+        List<PriorityBoost.Change> changes = relief.update(scope.judge.activeVerdicts(), scope.judge.enoughReported());
+        for (PriorityBoost.Change c : changes) {
             Event.write(
-                    c.what() != Relief.Change.What.ENDED,
+                    c.kind() != PriorityBoost.Change.What.ENDED,
                     "starvation.relief",
                     "relief",
-                    c.what().name().toLowerCase(java.util.Locale.ROOT),
+                    c.kind().name().toLowerCase(java.util.Locale.ROOT),
                     "tenant",
                     tenants.apply(c.tenant()),
                     "weight",
@@ -245,8 +255,8 @@
     }
 
     /** All that stands. */
-    public Told standing() {
-        return standing;
+    public Report report() {
+        return report;
     }
 
     private static IntFunction<String> named(List<String> names) {
@@ -256,13 +266,13 @@
     private static void log(
             String scope,
             Verdict v,
-            Site site,
+            FleetLayout site,
             long now,
             IntFunction<String> tenants,
             IntFunction<String> classes,
             IntFunction<String> zones,
             IntFunction<String> kinds) {
-        Verdict.Figures f = v.figures();
+        Verdict.Statistics f = v.figures();
         Event.write(
                 v.kind() != Verdict.Kind.FINE,
                 "starvation.verdict",
@@ -273,7 +283,7 @@
                 "class",
                 classes.apply(v.cls()),
                 "place",
-                site.words(v.place(), zones, kinds),
+                site.describe(v.place(), zones, kinds),
                 "scope",
                 scope,
                 "for_ms",
--- a/src/main/java/maplespread/subset/Cover.java
+++ b/src/main/java/maplespread/subset/CoverageStatistics.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /** Figures of a fleet's subsets: how evenly they cover the workers and how much moves on a change. */
-public final class Cover {
-    private Cover() {}
+public final class CoverageStatistics {
+    private CoverageStatistics() {}
 
     /** Each worker's load: the sum of its weights over all dispatchers. */
     public static Map<String, Double> loads(int dispatchers, double width, List<String> workers, long seed) {
         Map<String, Double> load = new HashMap<>();
         workers.forEach(w -> load.put(w, 0.0));
-        String[] order = Aperture.ordered(workers, seed);
+        String[] order = DeterministicAperture.ordered(workers, seed);
         for (int i = 0; i < dispatchers; i++) {
-            Aperture.of(i, width, order).forEach((w, x) -> load.merge(w, x, Double::sum));
+            DeterministicAperture.of(i, width, order).forEach((w, x) -> load.merge(w, x, Double::sum));
         }
         return load;
     }
@@ -31,11 +31,11 @@
             int before, List<String> workersBefore, int after, List<String> workersAfter, double width, long seed) {
         double changed = 0;
         double total = 0;
-        String[] orderBefore = Aperture.ordered(workersBefore, seed);
-        String[] orderAfter = Aperture.ordered(workersAfter, seed);
+        String[] orderBefore = DeterministicAperture.ordered(workersBefore, seed);
+        String[] orderAfter = DeterministicAperture.ordered(workersAfter, seed);
         for (int i = 0; i < Math.max(before, after); i++) {
-            Map<String, Double> a = i < before ? Aperture.of(i, width, orderBefore) : Map.of();
-            Map<String, Double> b = i < after ? Aperture.of(i, width, orderAfter) : Map.of();
+            Map<String, Double> a = i < before ? DeterministicAperture.of(i, width, orderBefore) : Map.of();
+            Map<String, Double> b = i < after ? DeterministicAperture.of(i, width, orderAfter) : Map.of();
             for (var e : a.entrySet()) {
                 changed += Math.max(0, e.getValue() - b.getOrDefault(e.getKey(), 0.0));
                 total += e.getValue();
--- a/src/main/java/maplespread/subset/Aperture.java
+++ b/src/main/java/maplespread/subset/DeterministicAperture.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import maplespread.decision.Numbers;
+import maplespread.policy.StableHash;
 
 /**
  * A deterministic aperture on a ring. Workers stand in an order that every dispatcher draws alike from the
@@ -15,10 +15,10 @@
  * choices share (the order is one for all, the starts differ); a dispatcher that joins moving others (the
  * positions of indices below it never change); a worker that joins moving more than the edges of arcs.
  */
-public final class Aperture {
+public final class DeterministicAperture {
     private static final double LEAST = 1e-9; // a weight below this is no connection
 
-    private Aperture() {}
+    private DeterministicAperture() {}
 
     /**
      * The subset of dispatcher {@code index} (0 to {@code dispatchers - 1}): worker to weight. {@code width}:
@@ -42,15 +42,15 @@
     }
 
     /** Takes a place on the ring and how much of its worker's arc is covered. */
-    interface Covered {
-        void at(int place, double part);
+    interface ArcVisitor {
+        void visit(int place, double part);
     }
 
     /** The places, of {@code m}, that the arc of {@code width} workers of a dispatcher covers. */
-    static void arc(int index, double width, int m, Covered to) {
+    static void arc(int index, double width, int m, ArcVisitor to) {
         if (width >= m) {
             for (int j = 0; j < m; j++) {
-                to.at(j, 1);
+                to.visit(j, 1);
             }
             return;
         }
@@ -59,7 +59,7 @@
         for (long j = (long) Math.floor(from); j < Math.ceil(end); j++) {
             double covered = Math.min(end, j + 1) - Math.max(from, j);
             if (covered > LEAST) {
-                to.at((int) (j % m), covered);
+                to.visit((int) (j % m), covered);
             }
         }
     }
@@ -78,7 +78,7 @@
         String[] all = workers.stream().distinct().toArray(String[]::new);
         Arrays.sort(
                 all,
-                Comparator.comparingLong((String w) -> Numbers.hash(seed + "/" + w))
+                Comparator.comparingLong((String w) -> StableHash.hash(seed + "/" + w))
                         .thenComparing(w -> w));
         return all;
     }
--- a/src/main/java/maplespread/subset/Cut.java
+++ b/src/main/java/maplespread/subset/SubsetAssignment.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import maplespread.decision.Numbers;
+import maplespread.policy.StableHash;
 
 /**
  * Which workers of the list one dispatcher uses, and among how many dispatchers each of these is shared.
@@ -16,14 +16,14 @@
  *
  * <p>Guards against a cold budget, or any other limit that dispatchers share by their count, that is split
  * among all of them while only some use the worker (too little), or among too few (the sum overruns it):
- * {@link #sharers} is the most that can meet at one worker of this cut, as all of them compute it. A
+ * {@link #maxDispatchersPerWorker} is the most that can meet at one worker of this cut, as all of them compute it. A
  * dispatcher keeps the index it has started with: where indices are given out anew because one has gone, only
  * the gap it leaves is felt, and nobody's arc moves.
  */
-public final class Cut {
-    private record Spot(long hash, String worker) implements Comparable<Spot> {
+public final class SubsetAssignment {
+    private record RingPosition(long hash, String worker) implements Comparable<RingPosition> {
         @Override
-        public int compareTo(Spot o) {
+        public int compareTo(RingPosition o) {
             return hash != o.hash ? Long.compare(hash, o.hash) : worker.compareTo(o.worker);
         }
     }
@@ -32,11 +32,11 @@
      * {@code sharers}: how many dispatchers are to meet at a worker, 0: all of them; {@code least}: workers
      * that a dispatcher uses at the least, as far as there are so many.
      */
-    public record Wish(double sharers, double least) {
-        public static final Wish ALL = new Wish(0, 1);
+    public record SubsetSettings(double dispatchersPerWorker, double minWorkers) {
+        public static final SubsetSettings ALL = new SubsetSettings(0, 1);
 
-        public Wish {
-            if (!(sharers >= 0) || !(least >= 1)) {
+        public SubsetSettings {
+            if (!(dispatchersPerWorker >= 0) || !(minWorkers >= 1)) {
                 throw new IllegalArgumentException("sharers must be 0 or more, least 1 or more");
             }
         }
@@ -44,34 +44,34 @@
 
     private final int index;
     private final long seed;
-    private Wish wish;
+    private SubsetSettings wish;
     private int dispatchers;
-    private final TreeMap<Integer, TreeMap<Spot, String>> zones = new TreeMap<>();
+    private final TreeMap<Integer, TreeMap<RingPosition, String>> zones = new TreeMap<>();
     private final Map<String, Integer> zoneOf = new HashMap<>();
-    private int sharers;
+    private int maxDispatchersPerWorker;
 
     /** {@code seed}: of the order in which workers stand, the same at all dispatchers. */
-    public Cut(int index, int dispatchers, Wish wish, long seed) {
+    public SubsetAssignment(int index, int dispatchers, SubsetSettings wish, long seed) {
         if (index < 0) {
             throw new IllegalArgumentException("index must not be negative");
         }
         this.index = index;
         this.seed = seed;
-        fleet(dispatchers, wish);
+        resize(dispatchers, wish);
     }
 
     /** So many dispatchers there are from now on, and so they share the workers. */
-    public void fleet(int count, Wish now) {
+    public void resize(int count, SubsetSettings now) {
         wish = now;
         dispatchers = Math.max(count, index + 1);
-        sharers = dispatchers;
+        maxDispatchersPerWorker = dispatchers;
     }
 
     /** How many workers a dispatcher uses, over all zones. */
     public double width() {
         int all = zoneOf.size();
-        double wanted = Math.max(wish.least, wish.sharers * all / dispatchers);
-        return wish.sharers == 0 ? all : Math.min(all, wanted);
+        double wanted = Math.max(wish.minWorkers, wish.dispatchersPerWorker * all / dispatchers);
+        return wish.dispatchersPerWorker == 0 ? all : Math.min(all, wanted);
     }
 
     /** The worker is on the list, there. */
@@ -98,25 +98,25 @@
     }
 
     private void take(String worker, int zone) {
-        TreeMap<Spot, String> here = zones.get(zone);
+        TreeMap<RingPosition, String> here = zones.get(zone);
         here.remove(spot(worker));
         if (here.isEmpty()) {
             zones.remove(zone);
         }
     }
 
-    /** A worker's place among the others, the same for all dispatchers; see {@link Aperture#ordered}. */
-    private Spot spot(String worker) {
-        return new Spot(Numbers.hash(seed + "/" + worker), worker);
+    /** A worker's place among the others, the same for all dispatchers; see {@link DeterministicAperture#ordered}. */
+    private RingPosition spot(String worker) {
+        return new RingPosition(StableHash.hash(seed + "/" + worker), worker);
     }
 
     /** The workers that this dispatcher uses. */
     public Set<String> workers() {
         Set<String> mine = new LinkedHashSet<>();
-        sharers = 0;
+        maxDispatchersPerWorker = 0;
         double width = width();
         double all = zoneOf.size();
-        for (TreeMap<Spot, String> zone : zones.values()) {
+        for (TreeMap<RingPosition, String> zone : zones.values()) {
             List<String> order = new ArrayList<>(zone.values());
             int m = order.size();
             double part = Math.max(1, width * m / all);
@@ -130,12 +130,12 @@
                 count += edges[j];
                 met[j] = count;
             }
-            Aperture.arc(index, part, m, (place, covered) -> {
+            DeterministicAperture.arc(index, part, m, (place, covered) -> {
                 mine.add(order.get(place));
-                sharers = Math.max(sharers, met[place]);
+                maxDispatchersPerWorker = Math.max(maxDispatchersPerWorker, met[place]);
             });
         }
-        sharers = Math.max(1, sharers);
+        maxDispatchersPerWorker = Math.max(1, maxDispatchersPerWorker);
         return mine;
     }
 
@@ -143,8 +143,8 @@
      * Adds one dispatcher's arc to the sums: +1 where it begins, -1 behind its end, in one turn of the ring.
      */
     private static void meet(int index, double part, int m, int[] edges) {
-        int from = (int) Math.floor(Aperture.position(index) * m);
-        int to = (int) Math.ceil(Aperture.position(index) * m + part);
+        int from = (int) Math.floor(DeterministicAperture.position(index) * m);
+        int to = (int) Math.ceil(DeterministicAperture.position(index) * m + part);
         if (part >= m || to - from >= m) {
             edges[0]++;
         } else if (to <= m) {
@@ -158,7 +158,7 @@
     }
 
     /** The most dispatchers that use one worker of the last cut, this one among them; at least 1. */
-    public int sharers() {
-        return sharers;
+    public int maxDispatchersPerWorker() {
+        return maxDispatchersPerWorker;
     }
 }
--- a/src/main/java/maplespread/upgrade/Presence.java
+++ b/src/main/java/maplespread/upgrade/InstanceLock.java
@@ -19,7 +19,7 @@
  * that is held for as long as the process lives. The kernel lets go of a dead process's lock, so what it left
  * behind is told from a live one for sure; a process number would come again.
  */
-public final class Presence implements Closeable {
+public final class InstanceLock implements Closeable {
     private static final String PREFIX = "maplespread-";
     private static final String LOCK = ".lock";
     private static final String NOTE = ".note";
@@ -29,7 +29,7 @@
     private final FileChannel channel;
     private final RateLimitedLogger seldom = new RateLimitedLogger();
 
-    private Presence(Path dir, String me, String listen, FileChannel channel) {
+    private InstanceLock(Path dir, String me, String listen, FileChannel channel) {
         this.dir = dir;
         this.me = me;
         this.listen = listen;
@@ -40,7 +40,7 @@
      * Makes this process known as starting. Empty where the directory will not do: then it is taken to be
      * alone.
      */
-    public static Optional<Presence> join(Path dir, String listen) {
+    public static Optional<InstanceLock> acquire(Path dir, String listen) {
         FileChannel channel = null;
         try {
             String me = PREFIX + ProcessHandle.current().pid() + '-' + Long.toHexString(System.nanoTime());
@@ -51,8 +51,8 @@
             }
             // Locked before it has its name: else another could take it for a dead one's and clear it away.
             Files.move(begin, dir.resolve(me + LOCK), StandardCopyOption.ATOMIC_MOVE);
-            Presence presence = new Presence(dir, me, listen, channel);
-            presence.write(Note.State.STARTING);
+            InstanceLock presence = new InstanceLock(dir, me, listen, channel);
+            presence.write(InstanceRecord.Phase.STARTING);
             return Optional.of(presence);
         } catch (IOException | RuntimeException e) {
             Logger.warn("no word with other processes of this dispatcher: {}", e.toString());
@@ -62,7 +62,7 @@
     }
 
     /** Tells the others; a note that cannot be written is logged, and the one before it stands. */
-    public void say(Note.State state) {
+    public void publish(InstanceRecord.Phase state) {
         try {
             write(state);
         } catch (IOException e) {
@@ -70,23 +70,23 @@
         }
     }
 
-    private void write(Note.State state) throws IOException {
+    private void write(InstanceRecord.Phase state) throws IOException {
         Path next = dir.resolve(me + ".next");
-        Files.writeString(next, new Note(listen, state).text());
+        Files.writeString(next, new InstanceRecord(listen, state).encode());
         Files.move(next, dir.resolve(me + NOTE), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Whether any other process of this dispatcher lives. */
-    public boolean shared() {
+    public boolean hasPeer() {
         return any(null);
     }
 
     /** Whether another one lives and takes clients. */
-    public boolean relieved() {
-        return any(Note.State.SERVING);
+    public boolean hasServingPeer() {
+        return any(InstanceRecord.Phase.SERVING);
     }
 
-    private boolean any(Note.State wanted) {
+    private boolean any(InstanceRecord.Phase wanted) {
         boolean found = false;
         try (DirectoryStream<Path> all = Files.newDirectoryStream(dir, PREFIX + '*' + LOCK)) {
             for (Path lock : all) {
@@ -100,7 +100,7 @@
         return found;
     }
 
-    private boolean is(String who, Note.State wanted) throws IOException {
+    private boolean is(String who, InstanceRecord.Phase wanted) throws IOException {
         Path lock = dir.resolve(who + LOCK);
         Path note = dir.resolve(who + NOTE);
         if (!held(lock)) { // of a process that has ended: cleared away
@@ -111,13 +111,13 @@
         if (!Files.exists(note)) {
             return false; // it has only just begun, or is ending
         }
-        Optional<Note> says = Note.read(Files.readString(note));
+        Optional<InstanceRecord> says = InstanceRecord.parse(Files.readString(note));
         if (says.isEmpty()) {
             seldom.warn(note.getFileName() + " is no note of this version: passed over");
         }
         return says.isPresent()
-                && says.get().listen().equals(listen)
-                && (wanted == null || says.get().state() == wanted);
+                && says.get().listenAddress().equals(listen)
+                && (wanted == null || says.get().phase() == wanted);
     }
 
     private static boolean held(Path lock) throws IOException {
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -6,21 +6,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 import maplespread.config.Config;
-import maplespread.decision.Dispatch;
 import maplespread.facade.Attempt;
-import maplespread.facade.Dispatcher;
-import maplespread.facade.Load;
+import maplespread.facade.DecisionService;
 import maplespread.facade.Outcome;
 import maplespread.facade.SendCheck;
-import maplespread.figures.Figures;
+import maplespread.facade.WorkerLoad;
 import maplespread.http.HttpConnection;
-import maplespread.http.HttpError;
+import maplespread.http.HttpException;
 import maplespread.http.HttpHead;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
-import maplespread.http.Lines;
+import maplespread.http.LineSplitter;
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
+import maplespread.metrics.Metrics;
+import maplespread.policy.Dispatch;
 
 /** Runs branches: one request to one worker each, sent once and never again by itself. */
 public final class AttemptRunner {
@@ -59,14 +59,19 @@
     }
 
     /** How a branch ended; {@link #finish} is to be called once its outcome has been passed on. */
-    public final class Ended {
+    public final class AttemptResult {
         public final Outcome outcome;
         public final byte[] result;
-        public final Load load;
-        private final Links.Link link; // null where it cannot carry another request
+        public final WorkerLoad load;
+        private final ConnectionPool.PooledConnection link; // null where it cannot carry another request
         private final HttpParser parser;
 
-        private Ended(Outcome outcome, byte[] result, Load load, Links.Link link, HttpParser parser) {
+        private AttemptResult(
+                Outcome outcome,
+                byte[] result,
+                WorkerLoad load,
+                ConnectionPool.PooledConnection link,
+                HttpParser parser) {
             this.outcome = outcome;
             this.result = result;
             this.load = load;
@@ -95,15 +100,15 @@
     }
 
     private final Supplier<Config> config;
-    private final Links links;
-    private final Dispatcher dispatcher;
-    private final Figures figures;
+    private final ConnectionPool links;
+    private final DecisionService dispatcher;
+    private final Metrics figures;
     private final RateLimitedLogger seldom = new RateLimitedLogger();
     private final RateLimitedLogger notSent = new RateLimitedLogger();
     private final RateLimitedLogger unconfirmed = new RateLimitedLogger();
     private final Map<Attempt, Running> running = new ConcurrentHashMap<>();
 
-    public AttemptRunner(Supplier<Config> config, Links links, Dispatcher dispatcher, Figures figures) {
+    public AttemptRunner(Supplier<Config> config, ConnectionPool links, DecisionService dispatcher, Metrics figures) {
         this.config = config;
         this.links = links;
         this.dispatcher = dispatcher;
@@ -128,7 +133,7 @@
     }
 
     /** Sends the message and waits for the branch's end, at most until its transaction's deadline. */
-    public Ended run(Attempt branch, Message message) {
+    public AttemptResult run(Attempt branch, WorkerRequest message) {
         Running me = new Running();
         running.put(branch, me);
         try {
@@ -138,17 +143,17 @@
         }
     }
 
-    private Ended run(Attempt branch, Message message, Running me) {
-        Links.Link link;
+    private AttemptResult run(Attempt branch, WorkerRequest message, Running me) {
+        ConnectionPool.PooledConnection link;
         try {
-            link = links.get(branch.address(), Math.max(1, leftMs(branch)), !dispatcher.repeatable(branch));
+            link = links.acquire(branch.address(), Math.max(1, leftMs(branch)), !dispatcher.isIdempotent(branch));
         } catch (IOException | IllegalArgumentException e) {
-            return ended(me.cancelled() ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED);
+            return ended(me.cancelled() ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
         me.over(link.connection);
         // A drain may have been told while the connection came up: nothing new goes there after that.
         long left = leftMs(branch);
-        SendCheck check = dispatcher.check(branch);
+        SendCheck check = dispatcher.checkSend(branch);
         if (check != SendCheck.ALLOWED || me.cancelled() || left <= 0) {
             links.release(link);
             notSent.info(() -> Event.of(
@@ -168,8 +173,8 @@
         try {
             link.connection.send(request.body(message.body()));
             figures.attempt();
-            Dispatch.ListState list = dispatcher.listState();
-            if (list != Dispatch.ListState.CONFIRMED) {
+            Dispatch.EndpointListState list = dispatcher.listState();
+            if (list != Dispatch.EndpointListState.CONFIRMED) {
                 unconfirmed.info(() -> Event.of(
                         "attempt.sent_by_unconfirmed_list",
                         "transaction",
@@ -184,8 +189,8 @@
             if (me.cancelled()) { // cut off here: no word against the worker
                 return ended(Outcome.NEVER_SENT);
             }
-            links.used(link, true);
-            return ended(link.kept ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED);
+            links.recordUse(link, true);
+            return ended(link.reused ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
         try {
             return answer(branch, message, me, link);
@@ -195,22 +200,24 @@
         }
     }
 
-    private Ended answer(Attempt branch, Message message, Running me, Links.Link link) {
-        JobLines lines = new JobLines(message.id(), (started, share) -> dispatcher.report(branch, started, share));
-        HttpParser parser = HttpParser.response(MOST_BYTES, new Lines(LONGEST_LINE, lines::line));
+    private AttemptResult answer(
+            Attempt branch, WorkerRequest message, Running me, ConnectionPool.PooledConnection link) {
+        WorkerStreamReader lines =
+                new WorkerStreamReader(message.id(), (started, share) -> dispatcher.report(branch, started, share));
+        HttpParser parser = HttpParser.response(MOST_BYTES, new LineSplitter(LONGEST_LINE, lines::line));
         // A worker's head comes when it has taken the job, long before the job's end: without it, the
         // connection or the worker is silent. Only what may be repeated can be given up for that.
         long firstByteBy =
-                dispatcher.repeatable(branch) ? now() + config.get().times().firstByteMs() : Long.MAX_VALUE;
+                dispatcher.isIdempotent(branch) ? now() + config.get().times().firstByteMs() : Long.MAX_VALUE;
         boolean heard = false;
         try {
             while (lines.outcome == null) {
                 boolean whole = parser.feed(link.connection.buffer());
                 if (parser.headDone() && parser.head().status() != 200) {
-                    return new Ended(
+                    return new AttemptResult(
                             refused(parser.head()),
                             null,
-                            JobLines.load(parser.head().get("X-Pressure")),
+                            WorkerStreamReader.load(parser.head().get("X-Pressure")),
                             link,
                             parser);
                 }
@@ -230,10 +237,10 @@
                 }
                 if (!heard) {
                     heard = true;
-                    links.used(link, false);
+                    links.recordUse(link, false);
                 }
             }
-            return new Ended(lines.outcome, lines.result, lines.load, link, parser);
+            return new AttemptResult(lines.outcome, lines.result, lines.load, link, parser);
         } catch (SocketTimeoutException e) {
             links.close(link);
             return ended(Outcome.TIMED_OUT);
@@ -242,9 +249,9 @@
             if (me.cancelled()) {
                 return ended(Outcome.CANCELLED);
             }
-            if (e instanceof HttpError) {
-                if (link.kept) {
-                    links.strayed(); // it may belong to an answer before it
+            if (e instanceof HttpException) {
+                if (link.reused) {
+                    links.recordUnexpectedBytes(); // it may belong to an answer before it
                 }
                 seldom.warn("malformed answer of worker " + branch.worker() + ": " + e.getMessage());
                 return ended(Outcome.RESET);
@@ -253,18 +260,18 @@
         }
     }
 
-    private Ended broke(Links.Link link, boolean heard) {
+    private AttemptResult broke(ConnectionPool.PooledConnection link, boolean heard) {
         links.close(link);
         if (!heard) {
-            links.used(link, true);
+            links.recordUse(link, true);
         }
-        return ended(link.kept && !heard ? Outcome.CUT : Outcome.RESET);
+        return ended(link.reused && !heard ? Outcome.STALE_CONNECTION_RESET : Outcome.RESET);
     }
 
     /** Only a marked 503 or 504 proves that the job never ran. */
     private static Outcome refused(HttpHead head) {
         boolean away = "1".equals(head.get("X-Turned-Away"));
-        return away && (head.status() == 503 || head.status() == 504) ? Outcome.TURNED_AWAY : Outcome.ERROR;
+        return away && (head.status() == 503 || head.status() == 504) ? Outcome.REJECTED : Outcome.ERROR;
     }
 
     private static long now() {
@@ -272,10 +279,10 @@
     }
 
     private long leftMs(Attempt branch) {
-        return (branch.transaction().deadlineUs() - dispatcher.nowUs()) / 1000;
+        return (branch.request().deadlineUs() - dispatcher.nowUs()) / 1000;
     }
 
-    private Ended ended(Outcome outcome) {
-        return new Ended(outcome, null, null, null, null);
+    private AttemptResult ended(Outcome outcome) {
+        return new AttemptResult(outcome, null, null, null, null);
     }
 }
--- a/src/main/java/maplespread/worker/Links.java
+++ b/src/main/java/maplespread/worker/ConnectionPool.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import maplespread.config.Config;
+import maplespread.discovery.EndpointParser;
 import maplespread.http.HttpConnection;
-import maplespread.routes.RouteReader;
 
 /**
  * The connections to workers: each carries one request at a time; idle ones wait here for the next. Idle
@@ -18,17 +18,17 @@
  * would hold, nearly each job would pay a handshake, at the worker too. A new connection beyond that ends the
  * longest idle.
  */
-public final class Links {
+public final class ConnectionPool {
     /** One connection, and whether it has carried a request before. */
-    static final class Link {
+    static final class PooledConnection {
         final HttpConnection connection;
         final String address;
-        boolean kept; // it has carried a request before
+        boolean reused; // it has carried a request before
         boolean inUse = true; // counted in out
         long idleSince;
         long idled; // for how long, before this use
 
-        Link(HttpConnection connection, String address) {
+        PooledConnection(HttpConnection connection, String address) {
             this.connection = connection;
             this.address = address;
         }
@@ -39,61 +39,61 @@
         HttpConnection dial(InetSocketAddress to, long limitMs) throws IOException;
     }
 
-    private static final long LEAST_IDLE_NANOS = 100_000_000L;
+    private static final long MIN_TRUSTED_IDLE_NANOS = 100_000_000L;
     private final Supplier<Config> config;
-    private final Supplier<Config.Sizes> sizes;
+    private final Supplier<Config.Limits> sizes;
     private final Dialer dialer;
-    private final Map<String, ArrayDeque<Link>> idle = new HashMap<>();
+    private final Map<String, ArrayDeque<PooledConnection>> idle = new HashMap<>();
     private int idleCount;
     private int out; // in use, or being connected
     private long idleNanos; // how long an idle one is trusted
     private double broken; // share of kept ones that broke, of late
 
     /** {@code sizes}: how much may be held at present. */
-    public Links(Supplier<Config> config, Supplier<Config.Sizes> sizes) {
+    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> sizes) {
         this(config, sizes, HttpConnection::dial);
     }
 
     /** With another way to make connections. */
-    public Links(Supplier<Config> config, Supplier<Config.Sizes> sizes, Dialer dialer) {
+    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> sizes, Dialer dialer) {
         this.config = config;
         this.sizes = sizes;
         this.dialer = dialer;
-        idleNanos = config.get().times().linkIdleMs() * 1_000_000;
+        idleNanos = config.get().times().workerIdleMs() * 1_000_000;
     }
 
     /**
      * An idle connection to the address, the one used last, or a new one; connects within the limit. {@code
      * once}: what it is for must not run twice, so a kept one will not do while such break under requests.
      */
-    Link get(String address, long limitMs, boolean once) throws IOException {
-        Link link;
+    PooledConnection acquire(String address, long limitMs, boolean once) throws IOException {
+        PooledConnection link;
         while (!(once && distrusted()) && (link = takeIdle(address)) != null) {
             link.idled = System.nanoTime() - link.idleSince;
             if (link.idled < trustedNanos() && !link.connection.stale()) {
                 return link;
             }
             if (link.connection.buffer().hasRemaining()) {
-                strayed();
+                recordUnexpectedBytes();
             }
             close(link);
         }
-        InetSocketAddress to = RouteReader.address(address);
-        Link oldest = begin();
+        InetSocketAddress to = EndpointParser.parseAddress(address);
+        PooledConnection oldest = begin();
         if (oldest != null) {
             oldest.connection.close();
         }
         try {
             long dialMs = Math.min(limitMs, config.get().times().dialMs());
-            return new Link(dialer.dial(to, dialMs), address);
+            return new PooledConnection(dialer.dial(to, dialMs), address);
         } catch (IOException | RuntimeException | Error e) {
             notMade();
             throw e;
         }
     }
 
-    private synchronized Link takeIdle(String address) {
-        Link link = poll(address, false);
+    private synchronized PooledConnection takeIdle(String address) {
+        PooledConnection link = poll(address, false);
         if (link != null) {
             link.inUse = true;
             out++;
@@ -101,9 +101,9 @@
         return link;
     }
 
-    private Link poll(String address, boolean oldest) {
-        ArrayDeque<Link> links = idle.get(address);
-        Link link = links == null ? null : oldest ? links.pollFirst() : links.pollLast();
+    private PooledConnection poll(String address, boolean oldest) {
+        ArrayDeque<PooledConnection> links = idle.get(address);
+        PooledConnection link = links == null ? null : oldest ? links.pollFirst() : links.pollLast();
         idleCount -= link == null ? 0 : 1;
         if (link != null && links.isEmpty()) {
             idle.remove(address);
@@ -112,11 +112,11 @@
     }
 
     /** Counts a new connection; the longest idle one where there would be too many, to be closed for it. */
-    private synchronized Link begin() {
+    private synchronized PooledConnection begin() {
         out++;
         String longest = null;
-        for (Map.Entry<String, ArrayDeque<Link>> e : idle.entrySet()) {
-            if (idleCount > room()
+        for (Map.Entry<String, ArrayDeque<PooledConnection>> e : idle.entrySet()) {
+            if (idleCount > idleCapacity()
                     && (longest == null
                             || e.getValue().peekFirst().idleSince
                                     < idle.get(longest).peekFirst().idleSince)) {
@@ -127,17 +127,17 @@
     }
 
     /** How many may be idle beside those in use. */
-    private int room() {
-        Config.Sizes now = sizes.get();
-        return Math.max(now.idleLinks(), now.links() - out);
+    private int idleCapacity() {
+        Config.Limits now = sizes.get();
+        return Math.max(now.idleWorkerConnections(), now.workerConnections() - out);
     }
 
     private synchronized void notMade() {
         out--;
     }
 
-    /** Closes a connection that {@link #get} gave and that carries no more; again, it does nothing. */
-    void close(Link link) {
+    /** Closes a connection that {@link #acquire} gave and that carries no more; again, it does nothing. */
+    void close(PooledConnection link) {
         link.connection.close();
         synchronized (this) {
             out -= link.inUse ? 1 : 0;
@@ -158,12 +158,12 @@
      * peers, and machines between, that drop idle connections sooner than the settings say, without
      * a word: such a request may have run. About thirty uses count; the trusted idle time grows back slowly.
      */
-    synchronized void used(Link link, boolean broke) {
-        if (link.kept) {
+    synchronized void recordUse(PooledConnection link, boolean broke) {
+        if (link.reused) {
             broken = 0.97 * broken + (broke ? 0.03 : 0);
             idleNanos = broke
-                    ? Math.max(LEAST_IDLE_NANOS, Math.min(idleNanos, link.idled / 2))
-                    : Math.min(config.get().times().linkIdleMs() * 1_000_000, idleNanos + idleNanos / 50);
+                    ? Math.max(MIN_TRUSTED_IDLE_NANOS, Math.min(idleNanos, link.idled / 2))
+                    : Math.min(config.get().times().workerIdleMs() * 1_000_000, idleNanos + idleNanos / 50);
         }
     }
 
@@ -172,18 +172,18 @@
      * another answer, and comes a moment later, would prove of the next job that it never ran. So what must
      * not run twice gets new connections for a while, as where kept ones break.
      */
-    synchronized void strayed() {
+    synchronized void recordUnexpectedBytes() {
         broken = 0.97 * broken + 0.03;
     }
 
     /** Takes a connection back after a whole answer. */
-    void release(Link link) {
+    void release(PooledConnection link) {
         synchronized (this) {
             out -= link.inUse ? 1 : 0;
             link.inUse = false;
-            if (idleCount < room()) {
+            if (idleCount < idleCapacity()) {
                 link.idleSince = System.nanoTime();
-                link.kept = true;
+                link.reused = true;
                 idle.computeIfAbsent(link.address, a -> new ArrayDeque<>()).addLast(link);
                 idleCount++;
                 return;
@@ -196,16 +196,16 @@
      * Closes what has idled for two thirds of the time after which a worker's machine closes it (a request
      * written after that ends as a reset that may have run), and what leads to a worker no longer listed.
      */
-    public void sweep(Collection<String> listed) {
-        ArrayDeque<Link> old = new ArrayDeque<>();
-        long limit = config.get().times().linkIdleMs() * 1_000_000;
+    public void closeExpired(Collection<String> listed) {
+        ArrayDeque<PooledConnection> old = new ArrayDeque<>();
+        long limit = config.get().times().workerIdleMs() * 1_000_000;
         synchronized (this) {
-            for (Iterator<Map.Entry<String, ArrayDeque<Link>>> i =
+            for (Iterator<Map.Entry<String, ArrayDeque<PooledConnection>>> i =
                             idle.entrySet().iterator();
                     i.hasNext(); ) {
-                Map.Entry<String, ArrayDeque<Link>> e = i.next();
+                Map.Entry<String, ArrayDeque<PooledConnection>> e = i.next();
                 boolean gone = !listed.contains(e.getKey());
-                ArrayDeque<Link> links = e.getValue();
+                ArrayDeque<PooledConnection> links = e.getValue();
                 while (!links.isEmpty() && (gone || System.nanoTime() - links.peekFirst().idleSince > limit)) {
                     old.add(links.removeFirst());
                     idleCount--;
--- a/src/main/java/maplespread/worker/Prober.java
+++ b/src/main/java/maplespread/worker/Prober.java
@@ -7,20 +7,20 @@
 import java.util.function.Supplier;
 import maplespread.config.Config;
 import maplespread.facade.Action;
-import maplespread.facade.Dispatcher;
-import maplespread.facade.Load;
+import maplespread.facade.DecisionService;
 import maplespread.facade.Outcome;
+import maplespread.facade.WorkerLoad;
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 
 /** Asks a worker for its load and reports what came of it. */
 public final class Prober {
-    private static final int MOST_BYTES = 16 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024;
     private final Supplier<Config> config;
-    private final Links links;
-    private final Dispatcher dispatcher;
+    private final ConnectionPool links;
+    private final DecisionService dispatcher;
 
-    public Prober(Supplier<Config> config, Links links, Dispatcher dispatcher) {
+    public Prober(Supplier<Config> config, ConnectionPool links, DecisionService dispatcher) {
         this.config = config;
         this.links = links;
         this.dispatcher = dispatcher;
@@ -28,28 +28,28 @@
 
     public void probe(Action.Probe probe) {
         long start = System.nanoTime();
-        Load load = null;
+        WorkerLoad load = null;
         Outcome outcome;
-        Links.Link link = null;
+        ConnectionPool.PooledConnection link = null;
         try {
-            link = links.get(probe.address(), config.get().times().dialMs(), true);
+            link = links.acquire(probe.address(), config.get().times().dialMs(), true);
             outcome = Outcome.RESET;
             link.connection.send(
                     HttpWriter.request("GET", "/status/load", probe.address()).bytes());
             ByteArrayOutputStream body = new ByteArrayOutputStream();
-            HttpParser parser = HttpParser.response(MOST_BYTES, body::write);
+            HttpParser parser = HttpParser.response(MAX_RESPONSE_BYTES, body::write);
             link.connection.receive(parser, config.get().times().probeMs());
             outcome = parser.head().status() == 200 ? Outcome.SERVED : Outcome.ERROR;
-            load = JobLines.load(body.toString(StandardCharsets.UTF_8));
-            load = load == null ? JobLines.load(parser.head().get("X-Pressure")) : load;
+            load = WorkerStreamReader.load(body.toString(StandardCharsets.UTF_8));
+            load = load == null ? WorkerStreamReader.load(parser.head().get("X-Pressure")) : load;
             if (parser.done() && parser.head().keepsAlive()) {
                 links.release(link);
                 link = null;
             }
         } catch (SocketTimeoutException e) {
-            outcome = link == null ? Outcome.NOT_CONNECTED : Outcome.TIMED_OUT;
+            outcome = link == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
         } catch (IOException | RuntimeException | Error e) { // unreported, the module would wait for ever
-            outcome = link == null ? Outcome.NOT_CONNECTED : Outcome.RESET;
+            outcome = link == null ? Outcome.CONNECT_FAILED : Outcome.RESET;
         }
         if (link != null) {
             links.close(link);
--- a/src/main/java/maplespread/worker/JobLines.java
+++ b/src/main/java/maplespread/worker/WorkerStreamReader.java
@@ -6,12 +6,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import maplespread.facade.Load;
 import maplespread.facade.Outcome;
-import maplespread.http.HttpError;
+import maplespread.facade.WorkerLoad;
+import maplespread.http.HttpException;
 
 /** Reads the lines in which a worker tells of a job, and the load reports. */
-final class JobLines {
+final class WorkerStreamReader {
     /** What tells of a start (share 0) or of progress. */
     interface Progress {
         void told(boolean started, double share);
@@ -21,21 +21,21 @@
     private final Progress progress;
     Outcome outcome; // null until the final line
     byte[] result;
-    Load load;
+    WorkerLoad load;
 
-    JobLines(String id, Progress progress) {
+    WorkerStreamReader(String id, Progress progress) {
         this.id = id;
         this.progress = progress;
     }
 
-    void line(String text) throws HttpError {
+    void line(String text) throws HttpException {
         if (text.isEmpty() || outcome != null) {
             return;
         }
         try {
             JsonObject o = JsonParser.parseString(text).getAsJsonObject();
             if (!o.get("id").getAsString().equals(id)) {
-                throw new HttpError(502, "a line of another job");
+                throw new HttpException(502, "a line of another job");
             }
             switch (o.get("state").getAsString()) {
                 case "started" -> progress.told(true, 0);
@@ -46,20 +46,20 @@
                     outcome = Outcome.SERVED;
                 }
                 case "failed" -> outcome = Outcome.ERROR;
-                case "returned" -> outcome = Outcome.TURNED_AWAY;
+                case "returned" -> outcome = Outcome.REJECTED;
                 case "lost" -> outcome = Outcome.RESET;
-                default -> throw new HttpError(502, "an unknown state");
+                default -> throw new HttpException(502, "an unknown state");
             }
             if (outcome != null && o.has("load") && o.get("load").isJsonObject()) {
                 load = figures(o.getAsJsonObject("load"));
             }
         } catch (RuntimeException e) { // Gson has several for what is malformed
-            throw new HttpError(502, "malformed line");
+            throw new HttpException(502, "malformed line");
         }
     }
 
     /** A report as a body or a header: an object, or TEXT name=value, ...; null where it is neither. */
-    static Load load(String text) {
+    static WorkerLoad load(String text) {
         if (text == null || text.isBlank()) {
             return null;
         }
@@ -82,7 +82,7 @@
         }
     }
 
-    private static Load figures(JsonObject o) {
+    private static WorkerLoad figures(JsonObject o) {
         Map<String, Double> figures = new HashMap<>();
         for (Map.Entry<String, JsonElement> e : o.entrySet()) {
             if (e.getValue().isJsonPrimitive()) {
@@ -93,7 +93,7 @@
     }
 
     /** Sockets and settings name some figures apart; the settings' names count. */
-    private static Load named(Map<String, Double> figures) {
+    private static WorkerLoad named(Map<String, Double> figures) {
         Map<String, Double> all = new HashMap<>(figures);
         Map.of("inflight", "active", "queue", "waiting", "util", "cpu", "latency_ms", "avg_ms", "eps", "err_rps")
                 .forEach((socket, setting) -> {
@@ -101,6 +101,6 @@
                         all.put(setting, figures.get(socket));
                     }
                 });
-        return new Load(all);
+        return new WorkerLoad(all);
     }
 }
--- a/src/test/java/maplespread/LayersTest.java
+++ b/src/test/java/maplespread/LayersTest.java
@@ -56,17 +56,17 @@
     void thePartsAreNamedInOnePlaceAndKnowNoServer() {
         noClasses()
                 .that()
-                .resideOutsideOfPackage("maplespread.parts")
+                .resideOutsideOfPackage("maplespread.feature")
                 .should()
                 .dependOnClassesThat()
-                .haveNameMatching("maplespread\\.parts\\..+Part(\\$.*)?")
+                .haveNameMatching("maplespread\\.feature\\..+Feature(\\$.*)?")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("maplespread.parts")
+                .resideInAPackage("maplespread.feature")
                 .should()
                 .dependOnClassesThat()
-                .haveSimpleName("Server")
+                .haveSimpleName("DispatcherServer")
                 .check(ALL);
     }
 
@@ -74,16 +74,16 @@
     @Test
     void whatDecidesDoesNoInputOrOutput() {
         String[] pure = {
-            "maplespread.decision",
+            "maplespread.policy",
             "maplespread.registry",
             "maplespread.registry.wire",
             "maplespread.membership",
             "maplespread.address",
             "maplespread.announce",
             "maplespread.subset",
-            "maplespread.fair",
-            "maplespread.agreement",
-            "maplespread.faults",
+            "maplespread.quota",
+            "maplespread.consensus",
+            "maplespread.errors",
             "maplespread.release",
             "maplespread.partition",
             "maplespread.starvation"
@@ -132,17 +132,17 @@
     void theModuleKnowsNoHostAndTheFacadeNoProtocol() {
         classes()
                 .that()
-                .resideInAPackage("maplespread.decision")
+                .resideInAPackage("maplespread.policy")
                 .should()
                 .onlyDependOnClassesThat()
-                .resideInAnyPackage("maplespread.decision", "java..")
+                .resideInAnyPackage("maplespread.policy", "java..")
                 .check(ALL);
         noClasses()
                 .that()
                 .resideInAPackage("maplespread.facade")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("maplespread.http..", "maplespread.routes..", "maplespread.registry..")
+                .resideInAnyPackage("maplespread.http..", "maplespread.discovery..", "maplespread.registry..")
                 .check(ALL);
     }
 
@@ -163,17 +163,14 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "maplespread.caller..",
-                        "maplespread.worker..",
-                        "maplespread.facade..",
-                        "maplespread.decision..")
+                        "maplespread.caller..", "maplespread.worker..", "maplespread.facade..", "maplespread.policy..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("maplespread.partition..", "maplespread.group..", "maplespread.agreement..")
+                .resideInAnyPackage("maplespread.partition..", "maplespread.cluster..", "maplespread.consensus..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideOutsideOfPackages("maplespread.partition.client", "maplespread.parts", "maplespread.lab..")
+                .resideOutsideOfPackages("maplespread.partition.client", "maplespread.feature", "maplespread.lab..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("maplespread.partition.client")
@@ -188,7 +185,7 @@
                 "registry",
                 "registry/wire",
                 "registry/client",
-                "routes",
+                "discovery",
                 "cli",
                 "lab",
                 "lab/registry",
@@ -198,19 +195,19 @@
                 "membership/client",
                 "address",
                 "announce",
-                "console",
-                "figures",
+                "admin",
+                "metrics",
                 "upgrade",
                 "subset",
-                "fair",
-                "faults",
-                "parts",
-                "group",
+                "quota",
+                "errors",
+                "feature",
+                "cluster",
                 "release",
                 "release/client",
                 "lab/fleet",
-                "agreement",
-                "agreement/client",
+                "consensus",
+                "consensus/client",
                 "lab/agreement",
                 "partition",
                 "partition/client",
--- a/src/test/java/maplespread/PlainStartTest.java
+++ b/src/test/java/maplespread/PlainStartTest.java
@@ -28,11 +28,11 @@
         }
         assertEquals(0, process.exitValue(), Files.readString(dir.resolve("log")));
         List<String> all = Files.readAllLines(loaded);
-        assertTrue(all.stream().anyMatch(l -> l.contains(" maplespread.parts.Parts ")), "it is written down");
+        assertTrue(all.stream().anyMatch(l -> l.contains(" maplespread.feature.Features ")), "it is written down");
         List<String> off = all.stream()
                 .filter(l -> l.matches(".* (picocli|org[.]HdrHistogram|org[.]apache|"
-                        + "maplespread[.](agreement|partition|starvation|group|release|membership|faults|subset|fair|"
-                        + "registry|console|upgrade|cli|lab|parts[.]\\w+Part\\b|config[.](Group|Partition)Settings))\\b"
+                        + "maplespread[.](consensus|partition|starvation|cluster|release|membership|errors|subset|quota|"
+                        + "registry|admin|upgrade|cli|lab|feature[.]\\w+Feature\\b|config[.](Group|Partition)Settings))\\b"
                         + ".*"))
                 .toList();
         assertEquals(List.of(), off);
--- a/src/test/java/maplespread/address/AddressGoldenTest.java
+++ b/src/test/java/maplespread/address/AddressGoldenTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import maplespread.address.Claims.Verdict;
+import maplespread.address.ClaimClient.Verdict;
 import maplespread.testing.GoldenFile;
 import maplespread.testing.Transcript;
 import org.junit.jupiter.api.Test;
@@ -67,8 +67,8 @@
     }
 
     /** Three electors and five candidates. */
-    private static final class Elections extends History<Ballot> {
-        final Map<String, Election> nodes = new TreeMap<>();
+    private static final class Elections extends History<ElectionMessage> {
+        final Map<String, LeaderElection> nodes = new TreeMap<>();
 
         Elections(long seed) {
             super(seed);
@@ -77,24 +77,24 @@
         @Override
         void start(String name) {
             ElectionSettings settings = ElectionSettings.of(name, NAMES.subList(0, 3), NAMES);
-            nodes.put(name, new Election(settings, ++boots, boots, now, new ElectionSink() {
+            nodes.put(name, new LeaderElection(settings, ++boots, boots, now, new ElectionTransport() {
                 @Override
-                public void send(String to, Ballot b) {
+                public void send(String to, ElectionMessage b) {
                     transcript.add(
                             "send" + b.kind().ordinal(),
                             name,
                             to,
-                            b.from(),
-                            b.boot(),
+                            b.sender(),
+                            b.incarnation(),
                             b.term(),
-                            b.seq(),
+                            b.sequence(),
                             b.holder(),
-                            b.leftMs());
+                            b.voteRemainingMs());
                     packets.add(new Packet<>(to, b));
                 }
 
                 @Override
-                public void owns(long term) {
+                public void acquired(long term) {
                     transcript.add("owns", now, name, term);
                 }
 
@@ -111,15 +111,15 @@
         }
 
         @Override
-        void receive(String name, Ballot message) {
+        void receive(String name, ElectionMessage message) {
             nodes.get(name).received(now, message);
         }
 
         @Override
         void tick(String name) {
-            Election node = nodes.get(name);
+            LeaderElection node = nodes.get(name);
             long next = node.tick(now, WALL_MS + now);
-            transcript.add("tick", name, next, node.role().ordinal(), node.mayAct(now), node.term(), node.owner());
+            transcript.add("tick", name, next, node.role().ordinal(), node.mayAct(now), node.term(), node.knownOwner());
         }
 
         @Override
@@ -135,10 +135,10 @@
     }
 
     /** Every member is an elector and a claimant; six order ids are claimed again and again. */
-    private static final class OrderClaims extends History<ClaimWord> {
-        final Map<String, Claims> claimants = new TreeMap<>();
+    private static final class OrderClaims extends History<ClaimMessage> {
+        final Map<String, ClaimClient> claimants = new TreeMap<>();
         final Map<String, ClaimTable> tables = new TreeMap<>();
-        final Map<String, Packet<ClaimWord>> produced = new TreeMap<>();
+        final Map<String, Packet<ClaimMessage>> produced = new TreeMap<>();
 
         OrderClaims(long seed) {
             super(seed);
@@ -155,14 +155,15 @@
             produced.clear();
         }
 
-        private void post(String name, String to, ClaimWord w) {
+        private void post(String name, String to, ClaimMessage w) {
             StringBuilder text = new StringBuilder("send" + w.kind().ordinal());
-            for (Object part :
-                    Arrays.asList(name, to, w.from(), w.boot(), w.id(), w.attempt(), w.term(), w.outcome(), w.last())) {
+            for (Object part : Arrays.asList(
+                    name, to, w.sender(), w.incarnation(), w.id(), w.attempt(), w.term(), w.outcome(), w.last())) {
                 text.append(' ').append(part);
             }
-            for (ClaimWord.Entry e : w.entries()) {
-                for (Object part : Arrays.asList(e.id(), e.claimant(), e.boot(), e.attempt(), e.outcome(), e.ageMs())) {
+            for (ClaimMessage.Entry e : w.entries()) {
+                for (Object part :
+                        Arrays.asList(e.id(), e.claimant(), e.incarnation(), e.attempt(), e.outcome(), e.ageMs())) {
                     text.append(' ').append(part);
                 }
             }
@@ -173,9 +174,9 @@
         void start(String name) {
             ClaimSettings settings = new ClaimSettings(name, NAMES, 400, 60, 30);
             tables.put(name, new ClaimTable(settings, ++boots, now, (to, word) -> post(name, to, word)));
-            claimants.put(name, new Claims(settings, boots, new Claims.Sink() {
+            claimants.put(name, new ClaimClient(settings, boots, new ClaimClient.Transport() {
                 @Override
-                public void send(String to, ClaimWord word) {
+                public void send(String to, ClaimMessage word) {
                     post(name, to, word);
                 }
 
@@ -193,7 +194,7 @@
         }
 
         @Override
-        void receive(String name, ClaimWord message) {
+        void receive(String name, ClaimMessage message) {
             tables.get(name).received(now, message);
             claimants.get(name).received(now, message);
             flush();
@@ -205,7 +206,10 @@
             claimants.get(name).tick(now);
             flush();
             transcript.add(
-                    "tick", name, tables.get(name).blind(), tables.get(name).size());
+                    "tick",
+                    name,
+                    tables.get(name).recovering(),
+                    tables.get(name).size());
         }
 
         @Override
--- a/src/test/java/maplespread/address/ClaimsTest.java
+++ b/src/test/java/maplespread/address/ClaimClientTest.java
@@ -11,14 +11,14 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import maplespread.address.Claims.Verdict;
+import maplespread.address.ClaimClient.Verdict;
 import org.junit.jupiter.api.Test;
 
 /** Claims over a network that loses, repeats, delays and cuts, among instances that restart with nothing. */
-class ClaimsTest {
+class ClaimClientTest {
     private static final long KEEP_MS = 3000;
 
-    private record Packet(long at, long order, String to, ClaimWord word) implements Comparable<Packet> {
+    private record Packet(long at, long order, String to, ClaimMessage word) implements Comparable<Packet> {
         @Override
         public int compareTo(Packet o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
@@ -31,7 +31,7 @@
         final int size;
         final List<String> names = new ArrayList<>();
         final ClaimTable[] tables;
-        final Claims[] claims;
+        final ClaimClient[] claims;
         final PriorityQueue<Packet> packets = new PriorityQueue<>();
         final Map<String, List<Long>> runs = new HashMap<>(); // by id: when a worker has run it
         final Map<String, Verdict> last = new HashMap<>();
@@ -45,7 +45,7 @@
             random = new SplittableRandom(seed);
             this.size = size;
             tables = new ClaimTable[size];
-            claims = new Claims[size];
+            claims = new ClaimClient[size];
             down = new boolean[size];
             for (int i = 0; i < size; i++) {
                 names.add("n" + i);
@@ -60,9 +60,9 @@
             down[i] = false;
             ClaimSettings set = new ClaimSettings(names.get(i), names, KEEP_MS, 60, 1000);
             tables[i] = new ClaimTable(set, now, now, this::post);
-            claims[i] = new Claims(set, now, new Claims.Sink() {
+            claims[i] = new ClaimClient(set, now, new ClaimClient.Transport() {
                 @Override
-                public void send(String to, ClaimWord word) {
+                public void send(String to, ClaimMessage word) {
                     post(to, word);
                 }
 
@@ -79,7 +79,7 @@
             });
         }
 
-        void post(String to, ClaimWord word) {
+        void post(String to, ClaimMessage word) {
             for (int copies = random.nextInt(5) == 0 ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= loss) {
                     packets.add(new Packet(now + 1 + random.nextInt(delayMs), ++order, to, word));
@@ -160,9 +160,9 @@
         w.delayMs = 1;
         ClaimSettings set = new ClaimSettings("x", w.names, KEEP_MS, 60, 1000);
         List<Verdict> verdicts = new ArrayList<>();
-        Claims slow = new Claims(set, 77, new Claims.Sink() {
+        ClaimClient slow = new ClaimClient(set, 77, new ClaimClient.Transport() {
             @Override
-            public void send(String to, ClaimWord word) {}
+            public void send(String to, ClaimMessage word) {}
 
             @Override
             public void decided(String id, Verdict verdict) {
@@ -170,14 +170,14 @@
             }
         });
         slow.claim(w.now, "a", 1);
-        ClaimWord yes = ClaimWord.of(ClaimWord.Kind.YES, "n1", 1, "a", 1, 77, null);
+        ClaimMessage yes = ClaimMessage.of(ClaimMessage.Kind.GRANTED, "n1", 1, "a", 1, 77, null);
         slow.received(w.now, yes); // then n1 restarts and reads n0 and n2
         w.begin(1);
         w.run(59);
-        assertTrue(w.tables[1].blind(), "others may yet vote for what it has forgotten");
+        assertTrue(w.tables[1].recovering(), "others may yet vote for what it has forgotten");
         w.run(200);
-        assertTrue(!w.tables[1].blind());
-        slow.received(w.now, ClaimWord.of(ClaimWord.Kind.YES, "n0", 1, "a", 1, 77, null));
+        assertTrue(!w.tables[1].recovering());
+        slow.received(w.now, ClaimMessage.of(ClaimMessage.Kind.GRANTED, "n0", 1, "a", 1, 77, null));
         assertEquals(1, verdicts.size());
         assertInstanceOf(Verdict.Unavailable.class, verdicts.get(0));
     }
@@ -186,20 +186,21 @@
     @Test
     void anAnswerToTheRunBeforeCountsForNothing() {
         List<Verdict> verdicts = new ArrayList<>();
-        Claims next = new Claims(new ClaimSettings("x", List.of("n0", "n1", "n2"), 1000, 60, 9), 2, new Claims.Sink() {
-            @Override
-            public void send(String to, ClaimWord word) {}
+        ClaimClient next = new ClaimClient(
+                new ClaimSettings("x", List.of("n0", "n1", "n2"), 1000, 60, 9), 2, new ClaimClient.Transport() {
+                    @Override
+                    public void send(String to, ClaimMessage word) {}
 
-            @Override
-            public void decided(String id, Verdict verdict) {
-                verdicts.add(verdict);
-            }
-        });
+                    @Override
+                    public void decided(String id, Verdict verdict) {
+                        verdicts.add(verdict);
+                    }
+                });
         next.claim(0, "a", 1);
         for (long boot : new long[] {1, 2}) {
             assertEquals(0, verdicts.size(), "granted by answers to another run");
             for (String from : List.of("n0", "n1")) {
-                next.received(1, ClaimWord.of(ClaimWord.Kind.YES, from, 1, "a", 1, boot, null));
+                next.received(1, ClaimMessage.of(ClaimMessage.Kind.GRANTED, from, 1, "a", 1, boot, null));
             }
         }
         assertInstanceOf(Verdict.Granted.class, verdicts.get(0));
@@ -213,14 +214,26 @@
         for (String source : List.of("n1", "n2")) {
             for (int part : new int[] {0, 2, 2}) {
                 t.received(
-                        50, new ClaimWord(ClaimWord.Kind.SYNC, source, 1, "" + part, 1, 3, null, List.of(), part == 2));
+                        50,
+                        new ClaimMessage(
+                                ClaimMessage.Kind.SYNC_RESPONSE,
+                                source,
+                                1,
+                                "" + part,
+                                1,
+                                3,
+                                null,
+                                List.of(),
+                                part == 2));
             }
         }
-        assertTrue(t.blind());
+        assertTrue(t.recovering());
         for (String source : List.of("n1", "n2")) {
-            t.received(60, new ClaimWord(ClaimWord.Kind.SYNC, source, 1, "1", 1, 3, null, List.of(), false));
+            t.received(
+                    60,
+                    new ClaimMessage(ClaimMessage.Kind.SYNC_RESPONSE, source, 1, "1", 1, 3, null, List.of(), false));
         }
-        assertTrue(!t.blind());
+        assertTrue(!t.recovering());
     }
 
     @Test
@@ -243,18 +256,24 @@
     @Test
     void aFullTableRefusesAndForgetsNobody() {
         ClaimSettings set = new ClaimSettings("n0", List.of("n0"), 1000, 10, 2);
-        List<ClaimWord.Kind> said = new ArrayList<>();
+        List<ClaimMessage.Kind> said = new ArrayList<>();
         ClaimTable t = new ClaimTable(set, 1, 0, (to, word) -> said.add(word.kind()));
         for (int i = 0; i < 3; i++) {
-            t.received(1001, ClaimWord.of(ClaimWord.Kind.CLAIM, "n0", 1, "id" + i, i, 1, null));
+            t.received(1001, ClaimMessage.of(ClaimMessage.Kind.CLAIM, "n0", 1, "id" + i, i, 1, null));
         }
-        t.received(1001, ClaimWord.of(ClaimWord.Kind.CLAIM, "n1", 1, "id0", 9, 1, null));
-        assertEquals(List.of(ClaimWord.Kind.YES, ClaimWord.Kind.YES, ClaimWord.Kind.BLIND, ClaimWord.Kind.HELD), said);
-        t.received(2100, ClaimWord.of(ClaimWord.Kind.CLAIM, "n1", 1, "id2", 1, 1, null));
+        t.received(1001, ClaimMessage.of(ClaimMessage.Kind.CLAIM, "n1", 1, "id0", 9, 1, null));
+        assertEquals(
+                List.of(
+                        ClaimMessage.Kind.GRANTED,
+                        ClaimMessage.Kind.GRANTED,
+                        ClaimMessage.Kind.RECOVERING,
+                        ClaimMessage.Kind.HELD),
+                said);
+        t.received(2100, ClaimMessage.of(ClaimMessage.Kind.CLAIM, "n1", 1, "id2", 1, 1, null));
         assertEquals(1, t.size(), "what is over is let go");
         t.term(5);
         said.clear();
-        t.received(2100, ClaimWord.of(ClaimWord.Kind.CLAIM, "n1", 1, "id3", 2, 4, null));
-        assertEquals(List.of(ClaimWord.Kind.BLIND), said, "an older lease's claim");
+        t.received(2100, ClaimMessage.of(ClaimMessage.Kind.CLAIM, "n1", 1, "id3", 2, 4, null));
+        assertEquals(List.of(ClaimMessage.Kind.RECOVERING), said, "an older lease's claim");
     }
 }
--- a/src/test/java/maplespread/address/ElectionTest.java
+++ b/src/test/java/maplespread/address/LeaderElectionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Elections by seeds on a hostile network; each failure names its seed. */
-class ElectionTest {
+class LeaderElectionTest {
     private static final int RUNS = Integer.getInteger("elections", 40_000);
 
     /** One short run of whatever may happen; then all is healed, and one must own the address soon. */
--- a/src/test/java/maplespread/announce/BgpTest.java
+++ b/src/test/java/maplespread/announce/BgpTest.java
@@ -35,7 +35,7 @@
                 public void send(byte[] bytes) {
                     try {
                         sent.addAll(router.feed(bytes, bytes.length));
-                    } catch (BgpError e) {
+                    } catch (BgpException e) {
                         throw new AssertionError(e);
                     }
                 }
@@ -158,7 +158,7 @@
             try {
                 codec.feed(bytes, bytes.length);
                 codec.feed(bytes, bytes.length);
-            } catch (BgpError e) {
+            } catch (BgpException e) {
                 assertTrue(e.code >= 1 && e.code <= 3, e.getMessage());
                 errors++;
             }
--- a/src/test/java/maplespread/cli/CommandsGoldenTest.java
+++ b/src/test/java/maplespread/cli/CommandsGoldenTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import maplespread.GoldenOutput;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
 import maplespread.config.OperatorReader;
 import org.junit.jupiter.api.Test;
@@ -77,7 +77,7 @@
     }
 
     private interface Reading {
-        Object read() throws ConfigError;
+        Object read() throws ConfigException;
     }
 
     private static void read(StringBuilder seen, String row, Reading reading) {
@@ -85,7 +85,7 @@
         try {
             reading.read();
             text = "accepted";
-        } catch (ConfigError e) {
+        } catch (ConfigException e) {
             text = e.getMessage();
         }
         seen.append(row).append("\n    ").append(text).append('\n');
--- a/src/test/java/maplespread/config/ConfigReaderTest.java
+++ b/src/test/java/maplespread/config/ConfigReaderTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.decision.Dispatch;
+import maplespread.policy.Dispatch;
 import org.junit.Test;
 
 /** The example's configuration is the pattern; each story spoils one key of it. */
@@ -27,24 +27,29 @@
         assertEquals("other", c.name());
         assertEquals(7070, c.listen().getPort());
         assertEquals(0x2a, c.seed());
-        assertEquals(Dispatch.Effect.UNSAFE, c.settings().classes().get(1).effect());
-        assertEquals(2.5, c.settings().classes().get(1).stretch(), 0);
+        assertEquals(
+                Dispatch.Idempotency.NON_IDEMPOTENT,
+                c.settings().classes().get(1).idempotency());
+        assertEquals(2.5, c.settings().classes().get(1).stretchFactor(), 0);
         assertEquals(
                 "clients are told when to come back",
                 2000,
-                c.settings().permissions().maxPauseMs(),
+                c.settings().permissions().maxRetryAfterMs(),
                 0);
-        assertTrue("idle links end well before the worker's limit", c.times().linkIdleMs() <= 20_000);
-        assertTrue("what cannot be read is closed within 3 s", c.times().legReadMs() < 3000);
+        assertTrue("idle links end well before the worker's limit", c.times().workerIdleMs() <= 20_000);
+        assertTrue("what cannot be read is closed within 3 s", c.times().clientReadMs() < 3000);
         String[][] limits = {{"192", "1024"}, {"144", "384"}, {"96", "256"}, {"32", "160"}};
         for (String[] l : limits) {
-            Config.Sizes z = ConfigReader.read(example().replace("192", l[0]).replace("1024", l[1]), Map.of())
-                    .sizes();
-            assertTrue("descriptors of " + l[1], z.legs() + z.links() + z.probes() < Integer.parseInt(l[1]) - 24);
+            Config.Limits z = ConfigReader.read(example().replace("192", l[0]).replace("1024", l[1]), Map.of())
+                    .limits();
+            assertTrue(
+                    "descriptors of " + l[1],
+                    z.clientConnections() + z.workerConnections() + z.probes() < Integer.parseInt(l[1]) - 24);
             assertTrue(
                     "threads in " + l[0],
-                    z.transactions() > 8
-                            && (z.legs() + z.transactions()) * 0.122 < Math.max(90, Integer.parseInt(l[0])) - 84);
+                    z.requestsInFlight() > 8
+                            && (z.clientConnections() + z.requestsInFlight()) * 0.122
+                                    < Math.max(90, Integer.parseInt(l[0])) - 84);
         }
     }
 
@@ -70,12 +75,12 @@
         for (String[] row : table) {
             String text = example();
             assertTrue(row[0], text.contains(row[0]));
-            ConfigError e = assertThrows(
-                    row[1], ConfigError.class, () -> ConfigReader.read(text.replace(row[0], row[1]), Map.of()));
+            ConfigException e = assertThrows(
+                    row[1], ConfigException.class, () -> ConfigReader.read(text.replace(row[0], row[1]), Map.of()));
             assertTrue(e.getMessage(), e.getMessage().startsWith(row[2] + ":"));
         }
-        assertThrows(ConfigError.class, () -> ConfigReader.read("[", Map.of()));
-        assertThrows(ConfigError.class, () -> ConfigReader.fromEnvironment(Map.of()));
+        assertThrows(ConfigException.class, () -> ConfigReader.read("[", Map.of()));
+        assertThrows(ConfigException.class, () -> ConfigReader.fromEnvironment(Map.of()));
     }
 
     /** Guards an end that would come after the process may be killed, where all deadlines are short. */
@@ -85,9 +90,11 @@
             Config.Times t = ConfigReader.read(
                             example().replace("6000", "" + ms).replace("5000", "" + ms), Map.of())
                     .times();
-            assertEquals(ms, t.longestMs());
-            assertTrue("killed at the longest deadline, 3 s at most, and 0.7 s", t.endMs() < Math.min(3000, ms) + 700);
-            assertTrue("what is open is finished after it is held", t.holdMs() + 300 < t.endMs());
+            assertEquals(ms, t.longestDeadlineMs());
+            assertTrue(
+                    "killed at the longest deadline, 3 s at most, and 0.7 s",
+                    t.shutdownMs() < Math.min(3000, ms) + 700);
+            assertTrue("what is open is finished after it is held", t.drainMs() + 300 < t.shutdownMs());
         }
     }
 
@@ -119,9 +126,9 @@
         for (String key : running.keys()) {
             JsonObject root = JsonParser.parseString(example()).getAsJsonObject();
             drop(root, key);
-            ConfigError e = assertThrows(
+            ConfigException e = assertThrows(
                     key,
-                    ConfigError.class,
+                    ConfigException.class,
                     () -> ConfigReader.read(root.toString(), Map.of()).after(running));
             String named = key.replace("[]", "");
             String said = e.getMessage().replaceAll("\\.[0-9]", "").replace("[]", "");
@@ -129,7 +136,7 @@
         }
         for (int cut = 0; cut < example().strip().length(); cut += 97) {
             String part = example().strip().substring(0, cut);
-            assertThrows("cut at " + cut, ConfigError.class, () -> ConfigReader.read(part, Map.of()));
+            assertThrows("cut at " + cut, ConfigException.class, () -> ConfigReader.read(part, Map.of()));
         }
         JsonObject root = JsonParser.parseString(example()).getAsJsonObject();
         root.remove("seed");
@@ -186,7 +193,7 @@
                         100 + name.length(),
                         at < 0
                                 ? 100 + name.length()
-                                : next.settings().classes().get(at).aimMs(),
+                                : next.settings().classes().get(at).latencyObjectiveMs(),
                         0);
             }
             c = next;
