--- a/src/test/java/maplespread/config/OperatorReaderTest.java
+++ b/src/test/java/maplespread/config/OperatorReaderTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import maplespread.registry.RegistrySettings;
 import maplespread.release.Limits;
-import maplespread.starvation.Relief;
-import maplespread.subset.Cut;
+import maplespread.starvation.PriorityBoost;
+import maplespread.subset.SubsetAssignment;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,30 +26,32 @@
     private static final String GROUP = "{'group':{'listen':'127.0.0.1:7946','electors':['n0'],"
             + "'key_files':['deploy/group.key']},'release':{}}";
 
-    private static Operator read(String text) throws ConfigError {
+    private static OperatorConfig read(String text) throws ConfigException {
         return OperatorReader.text(text.replace('\'', '"'));
     }
 
     @Test
     void defaultsAreThoseOfTheToolsAndAnEmptyFileTurnsNothingOn() throws Exception {
-        Operator o = read(GOOD);
+        OperatorConfig o = read(GOOD);
         assertTrue(o.jsonLog());
         assertEquals(
-                RegistrySettings.of(RegistrySettings.Dialect.ETCD, List.of("127.0.0.1:2379"), List.of("/a/")),
+                RegistrySettings.withDefaults(RegistrySettings.Dialect.ETCD, List.of("127.0.0.1:2379"), List.of("/a/")),
                 o.registry());
         assertNull(read("{}").registry());
         assertNull(read("{}").subset());
         assertTrue(read("{'shares':{'beyond':'give_way'}}").fair()
                 && !read("{'shares':{}}").fair());
-        assertEquals(new Cut.Wish(10, 20), read("{'subset':{}}").subset());
+        assertEquals(
+                new SubsetAssignment.SubsetSettings(10, 20),
+                read("{'subset':{}}").subset());
         assertEquals(
                 new StarvationSettings(1000, 10, 0.1, true, false, 200_000, null),
                 read("{'starvation':{}}").starvation());
         assertNull(read("{'starvation':{'verdicts':'off'}}").starvation());
         assertEquals(
-                new Relief.Limits(2, 0.1, 4, true),
+                new PriorityBoost.Limits(2, 0.1, 4, true),
                 read("{'starvation':{'relief':{}}}").starvation().relief());
-        assertEquals(Operator.NONE, OperatorReader.file(null));
+        assertEquals(OperatorConfig.NONE, OperatorReader.file(null));
     }
 
     /** Each fault is named by its key, and a mistyped key by the one that was meant. */
@@ -98,7 +100,7 @@
             })
     void faultsAreNamed(String part, String instead, String message) {
         String text = GOOD.replace(part.strip(), instead.strip());
-        ConfigError e = assertThrows(ConfigError.class, () -> read(text));
+        ConfigException e = assertThrows(ConfigException.class, () -> read(text));
         assertTrue(e.getMessage().startsWith(message.strip()), e.getMessage());
     }
 
@@ -133,9 +135,10 @@
                 "'release':{}             | 'partition':{'table':{}},'gruop':3 | gruop: is not known",
                 "'group'                  | 'gruop'              | release: needs a group"
             })
-    void faultsOfAGroupAreNamed(String part, String instead, String message) throws ConfigError {
+    void faultsOfAGroupAreNamed(String part, String instead, String message) throws ConfigException {
         assertEquals(Limits.DEFAULT, read(GROUP).release());
-        ConfigError e = assertThrows(ConfigError.class, () -> read(GROUP.replace(part.strip(), instead.strip())));
+        ConfigException e =
+                assertThrows(ConfigException.class, () -> read(GROUP.replace(part.strip(), instead.strip())));
         assertTrue(e.getMessage().startsWith(message.strip()), e.getMessage());
     }
 
@@ -145,12 +148,12 @@
         String secret = "ab".repeat(16);
         Files.writeString(dir.resolve("short"), "1 abcd");
         Files.writeString(dir.resolve("k7"), "7 " + secret + "\n");
-        Operator o = read(GROUP.replace("['deploy", "['" + dir.resolve("k7") + "','deploy"));
+        OperatorConfig o = read(GROUP.replace("['deploy", "['" + dir.resolve("k7") + "','deploy"));
         assertEquals(List.of(7, 1), List.copyOf(o.group().keys().byId().keySet()));
         assertEquals(16, o.group().keys().byId().get(7).length);
         assertTrue(o.toString().contains("keys [7, 1]") && !o.toString().contains(secret));
         assertTrue(assertThrows(
-                        ConfigError.class,
+                        ConfigException.class,
                         () -> read(GROUP.replace(
                                 "deploy/group.key", dir.resolve("short").toString())))
                 .getMessage()
@@ -167,18 +170,19 @@
 
     @Test
     void whatIsNoFileOrNoObjectIsSaid() {
-        assertTrue(assertThrows(ConfigError.class, () -> OperatorReader.file("/nowhere/at.all"))
+        assertTrue(assertThrows(ConfigException.class, () -> OperatorReader.file("/nowhere/at.all"))
                 .getMessage()
                 .startsWith("operator: cannot read"));
-        assertTrue(
-                assertThrows(ConfigError.class, () -> read("[]")).getMessage().contains("not a JSON object"));
+        assertTrue(assertThrows(ConfigException.class, () -> read("[]"))
+                .getMessage()
+                .contains("not a JSON object"));
     }
 
     /** The example and the operators' page may neither miss a key nor name one that is none. */
     @Test
     void theExampleAndThePageHaveEveryKey() throws Exception {
         String example = Files.readString(Path.of("deploy/operator.json"));
-        Operator o = OperatorReader.text(example);
+        OperatorConfig o = OperatorReader.text(example);
         JsonObject registry = JsonParser.parseString(example).getAsJsonObject().getAsJsonObject("registry");
         assertEquals(RegistrySettings.class.getRecordComponents().length, registry.size());
         String page = Files.readString(Path.of("docs/operators/registry.md"));
@@ -200,7 +204,8 @@
         assertEquals(Limits.DEFAULT, o.release(), "it shows the defaults");
         RegistrySettings r = o.registry();
         assertEquals(
-                RegistrySettings.of(r.dialect(), r.endpoints(), r.follow()).toString(),
+                RegistrySettings.withDefaults(r.dialect(), r.endpoints(), r.follow())
+                        .toString(),
                 r.toString().replace(r.tokenFile(), ""),
                 "it shows the defaults");
     }
--- a/src/test/java/maplespread/agreement/AgreementCostTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusCostTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What agreement sends, in exact counts: its cost must not grow with the fleet, nor with the value. */
-class AgreementCostTest {
+class ConsensusCostTest {
     private static final List<String> ELECTORS =
             IntStream.range(0, 6).mapToObj(i -> "n10" + i).toList();
     private static final long SETTLE_MS = 10_000;
@@ -24,21 +24,21 @@
         VirtualAgreement g = new VirtualAgreement(ELECTORS, seed);
         IntStream.range(0, members).forEach(i -> g.start("n" + (100 + i)));
         g.run(SETTLE_MS);
-        List<Result> results = new ArrayList<>();
+        List<ChangeResult> results = new ArrayList<>();
         g.node("n100").change("", v -> "x".repeat(textLength), 5000, results::add);
         g.run(SETTLE_MS);
-        assertEquals(Result.Kind.DECIDED, results.get(0).kind());
-        assertTrue(g.alive().stream().allMatch(n -> n.core.known().text().length() == textLength));
+        assertEquals(ChangeResult.Outcome.DECIDED, results.get(0).outcome());
+        assertTrue(g.alive().stream().allMatch(n -> n.core.decidedValue().text().length() == textLength));
         return g;
     }
 
     /** Bytes of all words while a member that is no elector reads, before anybody looks for news. */
     private static long readBytes(VirtualAgreement g, int reader) {
-        List<Result> results = new ArrayList<>();
+        List<ChangeResult> results = new ArrayList<>();
         long before = g.sentBytes();
-        g.node("n" + (100 + reader)).core.change(g.now(), Change.READ, g.now() + 900, results::add);
+        g.node("n" + (100 + reader)).core.change(g.now(), Mutation.READ, g.now() + 900, results::add);
         g.run(READ_MS);
-        assertEquals(Result.Kind.DECIDED, results.get(0).kind());
+        assertEquals(ChangeResult.Outcome.DECIDED, results.get(0).outcome());
         return g.sentBytes() - before;
     }
 
@@ -81,11 +81,11 @@
         for (int seed = 0; seed < 6; seed++) {
             VirtualAgreement g = settled(members, 10, seed);
             g.run(seed * 750L); // at any moment between two rounds
-            List<Result> results = new ArrayList<>();
+            List<ChangeResult> results = new ArrayList<>();
             IntStream.range(6, members).forEach(i -> ELECTORS.forEach(e -> g.cut(e, "n" + (100 + i))));
             g.node("n100").change("", v -> "later", 5000, results::add);
             g.run(300);
-            assertEquals(Result.Kind.DECIDED, results.get(0).kind());
+            assertEquals(ChangeResult.Outcome.DECIDED, results.get(0).outcome());
             g.heal();
             g.run(LOOKED_AFTER_MS);
             assertTrue(lacking(g) <= 3, "seed " + seed + ": " + lacking(g) + " lack it soon after");
@@ -96,7 +96,7 @@
 
     private static long lacking(VirtualAgreement g) {
         return g.alive().stream()
-                .filter(n -> !n.core.known().text().equals("later"))
+                .filter(n -> !n.core.decidedValue().text().equals("later"))
                 .count();
     }
 }
--- a/src/test/java/maplespread/agreement/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,10 +13,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import maplespread.agreement.Kept.Done;
-import maplespread.agreement.Kept.Held;
-import maplespread.agreement.Word.Kind;
-import maplespread.faults.FleetError;
+import maplespread.consensus.ConsensusMessage.Kind;
+import maplespread.consensus.RegisterState.AcceptedState;
+import maplespread.consensus.RegisterState.AppliedChange;
+import maplespread.errors.FleetException;
 import maplespread.testing.GoldenFile;
 import maplespread.testing.Transcript;
 import org.junit.jupiter.api.Test;
@@ -26,15 +26,15 @@
     private static final List<String> ELECTORS = List.of("a", "b", "caf\u00e9");
     private static final Ballot BALLOT = new Ballot(1_700_000_000_123L, 4, "b", 1_700_000_000_001L);
     private static final Ballot PROMISED = new Ballot(1_700_000_000_123L, 5, "a", 1_700_000_000_002L);
-    private static final Kept PLAIN =
-            new Kept(new Value(1_700_000_000_000L, 7, "{\"release\":\"\u20ac\"}", 2, ELECTORS), List.of(), List.of());
-    private static final Kept MOVING = new Kept(
-            new Value(1, 2, "", 3, List.of("a", "b", "d")),
+    private static final RegisterState PLAIN = new RegisterState(
+            new VersionedValue(1_700_000_000_000L, 7, "{\"release\":\"\u20ac\"}", 2, ELECTORS), List.of(), List.of());
+    private static final RegisterState MOVING = new RegisterState(
+            new VersionedValue(1, 2, "", 3, List.of("a", "b", "d")),
             ELECTORS,
-            List.of(new Done("p", 11, 12, 13), new Done("q", 21, 22, 23)));
+            List.of(new AppliedChange("p", 11, 12, 13), new AppliedChange("q", 21, 22, 23)));
 
-    private static Word word(Kind kind, boolean flag, Held held) {
-        return new Word(
+    private static ConsensusMessage word(Kind kind, boolean flag, AcceptedState held) {
+        return new ConsensusMessage(
                 kind,
                 "a",
                 1_700_000_000_003L,
@@ -56,35 +56,36 @@
     @Test
     void messagesOfEveryKindKeepTheirBytes() throws IOException {
         List<String> lines = new ArrayList<>();
-        Digest digest = Digest.of(Words.bytes(PLAIN));
+        Digest digest = Digest.of(MessageFormat.encode(PLAIN));
         for (Kind kind : Kind.values()) {
             int kindNumber = kind.ordinal();
-            for (Kept kept : Arrays.asList(null, PLAIN, MOVING)) {
-                Held held = kept == null ? null : new Held(BALLOT, kept);
-                Word sent = word(kind, kindNumber % 2 == 0, held);
-                byte[] bytes = Words.bytes(sent, null, List.of());
-                assertEquals(sent, Words.parse(bytes).word());
+            for (RegisterState kept : Arrays.asList(null, PLAIN, MOVING)) {
+                AcceptedState held = kept == null ? null : new AcceptedState(BALLOT, kept);
+                ConsensusMessage sent = word(kind, kindNumber % 2 == 0, held);
+                byte[] bytes = MessageFormat.encode(sent, null, List.of());
+                assertEquals(sent, MessageFormat.decode(bytes).message());
                 lines.add(kindNumber + " " + hex(bytes));
             }
-            Word sent = word(kind, true, new Held(BALLOT, PLAIN));
-            lines.add(kindNumber + " reference " + hex(Words.bytes(sent, digest, List.of(digest, new Digest(1, 2)))));
+            ConsensusMessage sent = word(kind, true, new AcceptedState(BALLOT, PLAIN));
+            lines.add(kindNumber + " reference "
+                    + hex(MessageFormat.encode(sent, digest, List.of(digest, new Digest(1, 2)))));
         }
-        lines.add("state " + hex(Words.bytes(PLAIN)));
-        lines.add("state " + hex(Words.bytes(MOVING)));
+        lines.add("state " + hex(MessageFormat.encode(PLAIN)));
+        lines.add("state " + hex(MessageFormat.encode(MOVING)));
         lines.add("digest " + digest.high() + " " + digest.low());
         GoldenFile.check("consensus/messages.txt", lines);
     }
 
     @Test
     void whatIsNoMessageIsNotRead() {
-        byte[] bytes = Words.bytes(word(Kind.PREPARE, true, null), null, List.of());
+        byte[] bytes = MessageFormat.encode(word(Kind.PREPARE, true, null), null, List.of());
         byte[] version = bytes.clone();
         version[0] = 3;
         byte[] kind = bytes.clone();
         kind[1] = (byte) Kind.values().length;
         for (byte[] broken : List.of(
                 new byte[0], version, kind, Arrays.copyOf(bytes, bytes.length - 1), Arrays.copyOf(bytes, 999))) {
-            assertNull(Words.parse(broken));
+            assertNull(MessageFormat.decode(broken));
         }
     }
 
@@ -92,8 +93,8 @@
     @Test
     void aConversationKeepsItsBytes() throws IOException {
         List<String> lines = new ArrayList<>();
-        WordCodec first = new WordCodec();
-        WordCodec second = new WordCodec();
+        MessageCodec first = new MessageCodec();
+        MessageCodec second = new MessageCodec();
         for (int round = 0; round < 3; round++) {
             byte[] there = first.encode("b", fromMember("a", 1));
             lines.add("there " + hex(there));
@@ -102,7 +103,7 @@
             lines.add("back " + hex(back));
             first.decode("b", back);
         }
-        WordCodec restarted = new WordCodec();
+        MessageCodec restarted = new MessageCodec();
         byte[] request =
                 restarted.decode("a", first.encode("b", fromMember("a", 1))).reply();
         lines.add("request " + hex(request));
@@ -111,9 +112,9 @@
         GoldenFile.check("consensus/conversation.txt", lines);
     }
 
-    private static Word fromMember(String name, long boot) {
+    private static ConsensusMessage fromMember(String name, long boot) {
         Ballot ballot = new Ballot(1, 2, "a", 3);
-        return new Word(
+        return new ConsensusMessage(
                 Kind.ACCEPT,
                 name,
                 boot,
@@ -125,7 +126,7 @@
                 7,
                 ELECTORS,
                 Map.of(),
-                new Held(ballot, PLAIN));
+                new AcceptedState(ballot, PLAIN));
     }
 
     @Test
@@ -133,12 +134,12 @@
         assertEquals(
                 "x; still works: what was decided before holds and is known; this change may yet be decided, or not;"
                         + " to do: read the value again; if most electors have restarted at once, found it anew by call",
-                new NoMajority("x").getMessage());
+                new QuorumLostException("x").getMessage());
         assertEquals(
                 "the value would have 50000 bytes, of 49152 at most; still works: the value stays as it was;"
                         + " to do: end or remove what is no longer needed in it",
-                new TooLarge(50_000, Agreement.MOST_TEXT).getMessage());
-        assertEquals("w; still works: k; to do: r", new Refused("w", "k", "r").getMessage());
+                new ValueTooLargeException(50_000, ConsensusNode.MAX_TEXT_BYTES).getMessage());
+        assertEquals("w; still works: k; to do: r", new ChangeRejectedException("w", "k", "r").getMessage());
     }
 
     // ------------------------------------------------------------ seeded histories
@@ -154,8 +155,8 @@
     private static final class History {
         final SplittableRandom random;
         final Transcript transcript = new Transcript();
-        final Map<String, Agreement> nodes = new TreeMap<>();
-        final Map<String, WordCodec> codecs = new TreeMap<>();
+        final Map<String, ConsensusNode> nodes = new TreeMap<>();
+        final Map<String, MessageCodec> codecs = new TreeMap<>();
         final List<Packet> packets = new ArrayList<>();
         final int lossPercent;
         long now = 1;
@@ -168,19 +169,19 @@
         }
 
         void start(String name) {
-            WordCodec codec = new WordCodec();
+            MessageCodec codec = new MessageCodec();
             codecs.put(name, codec);
-            AgreementSettings settings = new AgreementSettings(name, MEMBERS.subList(0, 3), 50, 500);
-            nodes.put(name, new Agreement(settings, ++boots, boots, now, new AgreementSink() {
+            ConsensusSettings settings = new ConsensusSettings(name, MEMBERS.subList(0, 3), 50, 500);
+            nodes.put(name, new ConsensusNode(settings, ++boots, boots, now, new ConsensusTransport() {
                 @Override
-                public void send(String to, Word word) {
+                public void send(String to, ConsensusMessage word) {
                     byte[] bytes = codec.encode(to, word);
                     transcript.add("send", now, name, to, bytes);
                     packets.add(new Packet(name, to, bytes));
                 }
 
                 @Override
-                public void learned(Value value) {
+                public void learned(VersionedValue value) {
                     transcript.add("learned", name, text(value));
                 }
 
@@ -192,33 +193,33 @@
             nodes.get(name).members(MEMBERS);
         }
 
-        static String text(Value value) {
+        static String text(VersionedValue value) {
             return value == null
                     ? "none"
-                    : value.epoch() + " " + value.version() + " " + value.text() + " " + value.electorsNumber() + " "
+                    : value.epoch() + " " + value.version() + " " + value.text() + " " + value.electorsVersion() + " "
                             + value.electors();
         }
 
-        Consumer<Result> done(String name) {
+        Consumer<ChangeResult> done(String name) {
             return result -> transcript.add(
-                    "result" + result.kind().ordinal(),
+                    "result" + result.outcome().ordinal(),
                     now,
                     name,
                     text(result.value()),
-                    result.why() == null ? "" : result.why().getMessage());
+                    result.error() == null ? "" : result.error().getMessage());
         }
 
         void arrive(Packet packet) {
             if (random.nextInt(100) < lossPercent) {
                 return;
             }
-            WordCodec.Received received = codecs.get(packet.to()).decode(packet.from(), packet.bytes());
+            MessageCodec.Received received = codecs.get(packet.to()).decode(packet.from(), packet.bytes());
             if (received.reply() != null) {
                 transcript.add("reply", packet.to(), received.reply());
                 packets.add(new Packet(packet.to(), packet.from(), received.reply()));
             }
-            if (received.word() != null) {
-                nodes.get(packet.to()).received(now, received.word());
+            if (received.message() != null) {
+                nodes.get(packet.to()).received(now, received.message());
             }
         }
 
@@ -228,23 +229,23 @@
         }
 
         void call(String name, int step) {
-            Agreement node = nodes.get(name);
+            ConsensusNode node = nodes.get(name);
             long giveUpAt = now + random.nextLong(GIVE_UP_MS);
             switch (random.nextInt(12)) {
-                case 0 -> node.change(now, Change.READ, giveUpAt, done(name));
+                case 0 -> node.change(now, Mutation.READ, giveUpAt, done(name));
                 case 1 -> node.change(now, value -> refuse(), giveUpAt, done(name));
-                case 2 -> node.change(now, value -> "x".repeat(Agreement.MOST_TEXT + 1), giveUpAt, done(name));
+                case 2 -> node.change(now, value -> "x".repeat(ConsensusNode.MAX_TEXT_BYTES + 1), giveUpAt, done(name));
                 case 3 -> {
                     int from = random.nextInt(3);
                     node.electors(now, MEMBERS.subList(from, from + 3), giveUpAt, done(name));
                 }
-                case 4 -> node.found(now, 1000 + now, MEMBERS.subList(0, 3), giveUpAt, done(name));
+                case 4 -> node.bootstrap(now, 1000 + now, MEMBERS.subList(0, 3), giveUpAt, done(name));
                 default -> node.change(now, value -> value.text() + step + ' ', giveUpAt, done(name));
             }
         }
 
-        private static String refuse() throws FleetError {
-            throw new Refused("not this value", "all", "wait");
+        private static String refuse() throws FleetException {
+            throw new ChangeRejectedException("not this value", "all", "wait");
         }
 
         String run() {
@@ -261,8 +262,13 @@
                     arrive(packets.remove(random.nextInt(Math.min(4, packets.size()))));
                 }
             }
-            nodes.forEach((name, node) ->
-                    transcript.add("end", name, text(node.known()), text(node.voted()), node.blind(), node.electors()));
+            nodes.forEach((name, node) -> transcript.add(
+                    "end",
+                    name,
+                    text(node.decidedValue()),
+                    text(node.acceptedValue()),
+                    node.recovering(),
+                    node.electors()));
             return transcript.summary();
         }
     }
--- a/src/test/java/maplespread/agreement/AgreementTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusNodeTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import maplespread.lab.agreement.AnyOrder;
-import maplespread.lab.agreement.EveryOrder;
+import maplespread.lab.agreement.ExhaustiveInterleavings;
+import maplespread.lab.agreement.RandomInterleavings;
 import maplespread.lab.agreement.VirtualAgreement;
 import maplespread.lab.agreement.VirtualAgreement.Node;
 import org.junit.jupiter.api.Test;
 
 /** Histories on a virtual network, by seeds that are printed where one fails. */
-class AgreementTest {
+class ConsensusNodeTest {
     private static final int HISTORIES = Integer.getInteger("histories", 120);
     private static final int FIRST = Integer.getInteger("first", 0);
     private static final List<String> THREE = List.of("n0", "n1", "n2");
@@ -36,7 +36,7 @@
     }
 
     private static boolean sighted(VirtualAgreement g) {
-        return g.alive().stream().noneMatch(n -> n.core.blind());
+        return g.alive().stream().noneMatch(n -> n.core.recovering());
     }
 
     /** One step of trouble: links, standstills, kills that spare a majority, and starts. */
@@ -81,13 +81,13 @@
                     }
                     String token = "t" + step + '.' + i;
                     switch (random.nextInt(8)) {
-                        case 0 -> n.change("", Change.READ, 1500, r -> {});
+                        case 0 -> n.change("", Mutation.READ, 1500, r -> {});
                         case 1 ->
                             n.change(
                                     token,
                                     v -> {
                                         if (v.version() % 2 == 0) {
-                                            throw new Refused("even", "all", "wait");
+                                            throw new ChangeRejectedException("even", "all", "wait");
                                         }
                                         return v.text() + token + ' ';
                                     },
@@ -98,7 +98,8 @@
                             for (int e = 3 + random.nextInt(2), from = random.nextInt(size); e > 0; e--) {
                                 next.add("n" + (from + e) % size);
                             }
-                            n.electors(next, 2500, r -> moves[0] += r.kind() == Result.Kind.DECIDED ? 1 : 0);
+                            n.electors(
+                                    next, 2500, r -> moves[0] += r.outcome() == ChangeResult.Outcome.DECIDED ? 1 : 0);
                         }
                         default -> n.append(token, 500 + random.nextInt(2500));
                     }
@@ -126,15 +127,15 @@
                     g,
                     2500,
                     "the last word to all, " + at,
-                    () -> g.alive().stream().allMatch(n -> g.last().equals(n.core.known())));
+                    () -> g.alive().stream().allMatch(n -> g.last().equals(n.core.decidedValue())));
             assertEquals(List.of(), g.faults(), at);
             long ends = g.told().stream()
-                    .filter(t -> t.result().kind() == Result.Kind.DECIDED)
+                    .filter(t -> t.result().outcome() == ChangeResult.Outcome.DECIDED)
                     .count();
             assertTrue(
                     g.told().stream()
                             .filter(t -> t.token().startsWith("end"))
-                            .allMatch(t -> t.result().kind() == Result.Kind.DECIDED),
+                            .allMatch(t -> t.result().outcome() == ChangeResult.Outcome.DECIDED),
                     at + g.told());
             decided += ends;
             moved += moves[0];
@@ -143,19 +144,19 @@
         assertTrue(decided > 10 * HISTORIES && moved > HISTORIES, decided + " decided, " + moved + " moves");
     }
 
-    private static Result.Kind told(VirtualAgreement g, String token) {
+    private static ChangeResult.Outcome told(VirtualAgreement g, String token) {
         return g.told().stream()
                 .filter(t -> t.token().equals(token))
                 .findFirst()
                 .orElseThrow()
                 .result()
-                .kind();
+                .outcome();
     }
 
     private static void decide(VirtualAgreement g, String by, String token) {
         g.node(by).append(token, 20_000);
         until(g, 21_000, token, () -> g.told().stream().anyMatch(t -> t.token().equals(token)));
-        assertEquals(Result.Kind.DECIDED, told(g, token));
+        assertEquals(ChangeResult.Outcome.DECIDED, told(g, token));
     }
 
     /** Guards the operator's way on: nothing goes by itself, the founded life has what anybody still knew. */
@@ -164,12 +165,12 @@
         for (int seed = 0; seed < 50; seed++) {
             VirtualAgreement g = group(5, seed);
             decide(g, "n4", "a");
-            until(g, 20, "the word", () -> g.node("n3").core.known() != null);
+            until(g, 20, "the word", () -> g.node("n3").core.decidedValue() != null);
             long epoch = g.last().epoch();
-            List<Result> refused = new ArrayList<>();
+            List<ChangeResult> refused = new ArrayList<>();
             g.node("n0").found(THREE, 3000, refused::add);
             until(g, 4000, "refused", () -> !refused.isEmpty());
-            assertEquals(Result.Kind.REFUSED, refused.get(0).kind(), "a majority is sighted");
+            assertEquals(ChangeResult.Outcome.REJECTED, refused.get(0).outcome(), "a majority is sighted");
             boolean all = seed % 2 == 0; // then those who are no electors know it
             for (String n : all ? THREE : THREE.subList(0, 2)) {
                 g.kill(n);
@@ -179,13 +180,13 @@
             }
             g.node("n3").append("b", 3000);
             g.run(5000);
-            assertEquals(Result.Kind.NO_MAJORITY, told(g, "b"), "seed " + seed);
-            assertTrue(g.node("n0").core.blind() && g.events("agreement.lost") > 0, "seed " + seed);
-            List<Result> founded = new ArrayList<>();
+            assertEquals(ChangeResult.Outcome.NO_MAJORITY, told(g, "b"), "seed " + seed);
+            assertTrue(g.node("n0").core.recovering() && g.events("agreement.lost") > 0, "seed " + seed);
+            List<ChangeResult> founded = new ArrayList<>();
             g.loss = 0.1;
             g.node("n" + (seed % 5)).found(THREE, 10_000, founded::add);
             until(g, 11_000, "founded", () -> !founded.isEmpty());
-            assertEquals(Result.Kind.DECIDED, founded.get(0).kind(), "seed " + seed);
+            assertEquals(ChangeResult.Outcome.DECIDED, founded.get(0).outcome(), "seed " + seed);
             assertTrue(founded.get(0).value().epoch() > epoch
                     && founded.get(0).value().text().contains("a"));
             g.loss = 0;
@@ -218,10 +219,10 @@
             }
             g.heal();
             g.run(4000);
-            List<Result> founded = new ArrayList<>();
+            List<ChangeResult> founded = new ArrayList<>();
             g.node("n1").found(THREE, 10_000, founded::add);
             until(g, 30_000, "founded or not needed", () -> !founded.isEmpty());
-            assertTrue(founded.get(0).kind() != Result.Kind.NO_MAJORITY, "seed " + seed);
+            assertTrue(founded.get(0).outcome() != ChangeResult.Outcome.NO_MAJORITY, "seed " + seed);
             decide(g, "n4", "end");
             assertEquals(List.of(), g.faults(), "seed " + seed);
         }
@@ -240,7 +241,7 @@
                         .electors(
                                 next,
                                 60_000,
-                                r -> ends.add(r.kind() + "" + r.value().electors()));
+                                r -> ends.add(r.outcome() + "" + r.value().electors()));
                 for (int i = 0, before = ends.size(); ends.size() == before; i++) {
                     trouble(g, random, 6, false);
                     g.node("n" + random.nextInt(6)).append("t" + next.size() + next.get(0) + i, 4000);
@@ -256,7 +257,7 @@
                     .electors(
                             List.of("n2", "n3", "n4", "n0"),
                             3000,
-                            r -> ends.add(r.kind().name()));
+                            r -> ends.add(r.outcome().name()));
             decide(g, "n5", "still");
             until(g, 5000, "the last move", () -> ends.size() == 5);
             assertEquals("NO_MAJORITY", ends.get(4), "one who is away is not let in");
@@ -289,7 +290,7 @@
     void inNoOrderOfWordsHasAVersionTwoValues() {
         int decided = 0;
         for (int seed = FIRST; seed < FIRST + 8 * HISTORIES; seed++) {
-            AnyOrder order = new AnyOrder(3 + seed % 3, 1 + seed % 4, 12, 8, seed % 6 > 2);
+            RandomInterleavings order = new RandomInterleavings(3 + seed % 3, 1 + seed % 4, 12, 8, seed % 6 > 2);
             decided += order.walk(seed, 150);
             assertEquals(null, order.fault(), "seed " + seed);
         }
@@ -302,7 +303,7 @@
     void inEveryOrderOfTheWordsOfTwoChangesAVersionHasOneValue() {
         int[][] table = {{0, 0, 10_000}, {1, 0, 2000}, {1, 1, Integer.getInteger("states", 2000)}};
         for (int[] row : table) {
-            EveryOrder all = new EveryOrder();
+            ExhaustiveInterleavings all = new ExhaustiveInterleavings();
             assertEquals(null, all.search(row[0], row[1], 100, row[2]));
             System.out.println(row[0] + " restarts, " + row[1] + " tries given up: every order to depth " + all.depth()
                     + ", " + all.states() + " states");
@@ -313,23 +314,25 @@
     @Test
     void whatIsTooLongIsRefusedAndTheLongestFitsIntoAPacket() {
         VirtualAgreement g = group(3, 1);
-        List<Result> results = new ArrayList<>();
-        String most = "\u00e9".repeat(Agreement.MOST_TEXT / 2);
+        List<ChangeResult> results = new ArrayList<>();
+        String most = "\u00e9".repeat(ConsensusNode.MAX_TEXT_BYTES / 2);
         g.node("n0").change("", v -> most + 'x', 5000, results::add);
         g.node("n0").change("", v -> most, 5000, results::add);
         until(g, 6000, "both", () -> results.size() == 2);
-        assertTrue(results.get(0).why() instanceof TooLarge, results.get(0).toString());
-        assertEquals(most, g.node("n0").core.known().text());
-        List<Kept.Done> done = new ArrayList<>();
+        assertTrue(
+                results.get(0).error() instanceof ValueTooLargeException,
+                results.get(0).toString());
+        assertEquals(most, g.node("n0").core.decidedValue().text());
+        List<RegisterState.AppliedChange> done = new ArrayList<>();
         java.util.Map<String, Long> runs = new java.util.TreeMap<>();
         for (int i = 0; i < 200; i++) {
             runs.put("dispatcher-" + i, 1L);
-            if (i < Kept.MOST_DONE) {
-                done.add(new Kept.Done("dispatcher-" + i, 1, 2, 3));
+            if (i < RegisterState.MAX_APPLIED_CHANGES) {
+                done.add(new RegisterState.AppliedChange("dispatcher-" + i, 1, 2, 3));
             }
         }
-        Word w = new Word(
-                Word.Kind.ACCEPT,
+        ConsensusMessage w = new ConsensusMessage(
+                ConsensusMessage.Kind.ACCEPT,
                 "dispatcher-1",
                 1,
                 runs,
@@ -340,17 +343,17 @@
                 0,
                 THREE,
                 java.util.Map.of("n0", 4L),
-                new Kept.Held(Ballot.NONE, new Kept(g.last(), THREE, done)));
-        byte[] bytes = Words.bytes(w, null, List.of());
+                new RegisterState.AcceptedState(Ballot.NONE, new RegisterState(g.last(), THREE, done)));
+        byte[] bytes = MessageFormat.encode(w, null, List.of());
         assertTrue(bytes.length <= 60 * 1024, bytes.length + " bytes");
-        assertEquals(w, Words.parse(bytes).word());
+        assertEquals(w, MessageFormat.decode(bytes).message());
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 5000; i++) { // whatever comes, reading ends
             byte[] broken = java.util.Arrays.copyOf(bytes, random.nextInt(6000));
             for (int n = random.nextInt(4); n > 0 && broken.length > 0; n--) {
                 broken[random.nextInt(broken.length)] ^= (byte) (1 + random.nextInt(255));
             }
-            assertEquals(null, Words.parse(broken));
+            assertEquals(null, MessageFormat.decode(broken));
         }
     }
 }
--- a/src/test/java/maplespread/agreement/RunsTest.java
+++ b/src/test/java/maplespread/consensus/CrashVectorTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,31 +8,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import maplespread.agreement.Word.Kind;
+import maplespread.consensus.ConsensusMessage.Kind;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Votes of a run that is over arrive after the next run has read what the others know: word by word. */
-class RunsTest {
-    private record Packet(String to, Word word) {}
+class CrashVectorTest {
+    private record Packet(String to, ConsensusMessage word) {}
 
     private static final List<String> ELECTORS = List.of("a", "b", "c");
     private static final List<String> ALL = List.of("a", "b", "c", "p", "q");
-    private final Map<String, Agreement> nodes = new TreeMap<>();
+    private final Map<String, ConsensusNode> nodes = new TreeMap<>();
     private final List<Packet> packets = new ArrayList<>();
     private final List<String> decided = new ArrayList<>();
     private long now, boots = 1000;
 
     private void start(String name) {
-        AgreementSettings set = new AgreementSettings(name, ELECTORS, 100_000, 100_000);
-        nodes.put(name, new Agreement(set, ++boots, 1, now, new AgreementSink() {
+        ConsensusSettings set = new ConsensusSettings(name, ELECTORS, 100_000, 100_000);
+        nodes.put(name, new ConsensusNode(set, ++boots, 1, now, new ConsensusTransport() {
             @Override
-            public void send(String to, Word word) {
+            public void send(String to, ConsensusMessage word) {
                 packets.add(new Packet(to, word));
             }
 
             @Override
-            public void learned(Value value) {}
+            public void learned(VersionedValue value) {}
 
             @Override
             public void event(boolean warning, String event, Object... pairs) {}
@@ -55,7 +55,7 @@
     }
 
     private void deliver(Kind kind, String from, String to) {
-        deliver(p -> p.word().kind() == kind && p.word().from().equals(from) && p.to().equals(to));
+        deliver(p -> p.word().kind() == kind && p.word().sender().equals(from) && p.to().equals(to));
     }
 
     private long under(Kind kind) {
@@ -69,9 +69,9 @@
     /** Only electors hear that it asks: a proposer must learn of the new run by their votes. */
     private void restart(String name) {
         start(name);
-        deliver(p -> p.word().kind() == Kind.ASK && ELECTORS.contains(p.to())
-                || p.word().kind() == Kind.STATE);
-        assertTrue(!nodes.get(name).blind());
+        deliver(p -> p.word().kind() == Kind.RECOVERY_REQUEST && ELECTORS.contains(p.to())
+                || p.word().kind() == Kind.RECOVERY_RESPONSE);
+        assertTrue(!nodes.get(name).recovering());
     }
 
     @BeforeEach
@@ -144,8 +144,9 @@
 
     @Test
     void aLaterLifeIsLaterWhateverItsVersion() {
-        Value old = new Value(1, 9, "", 0, ELECTORS), next = new Value(2, 1, "", 1, ELECTORS);
-        assertTrue(next.after(old) && !old.after(next) && !old.after(old));
+        VersionedValue old = new VersionedValue(1, 9, "", 0, ELECTORS),
+                next = new VersionedValue(2, 1, "", 1, ELECTORS);
+        assertTrue(next.isLaterThan(old) && !old.isLaterThan(next) && !old.isLaterThan(old));
     }
 
     @Test
@@ -153,7 +154,7 @@
         start("c");
         now += 300_000;
         nodes.get("c").tick(now);
-        assertTrue(nodes.get("c").blind());
+        assertTrue(nodes.get("c").recovering());
     }
 
     @Test
@@ -166,7 +167,7 @@
             ELECTORS.forEach(n -> nodes.get(n).tick(now));
             deliver(p -> !p.to().equals("p"));
         }
-        assertEquals("ap", nodes.get("b").known().text());
+        assertEquals("ap", nodes.get("b").decidedValue().text());
     }
 
     @Test
@@ -174,12 +175,12 @@
         append("p");
         deliver(p -> p.word().kind() == Kind.PREPARE || p.word().kind() == Kind.PROMISE);
         deliver(Kind.ACCEPT, "p", "a");
-        List<Result> results = new ArrayList<>();
+        List<ChangeResult> results = new ArrayList<>();
         nodes.get("q")
                 .change(
                         now,
                         v -> {
-                            throw new Refused("there: " + v.text(), "", "");
+                            throw new ChangeRejectedException("there: " + v.text(), "", "");
                         },
                         now + 1_000_000,
                         results::add);
--- a/src/test/java/maplespread/agreement/WordCodecTest.java
+++ b/src/test/java/maplespread/consensus/MessageCodecTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,27 +11,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import maplespread.agreement.Kept.Held;
-import maplespread.agreement.Word.Kind;
+import maplespread.consensus.ConsensusMessage.Kind;
+import maplespread.consensus.RegisterState.AcceptedState;
 import org.junit.jupiter.api.Test;
 
-class WordCodecTest {
+class MessageCodecTest {
     private static final String LONG = "x".repeat(2_000);
     private static final int SHORT = 600; // bytes: less than any word with the long text
 
-    private static Kept kept(long version, String text) {
-        return new Kept(new Value(1, version, text, 0, List.of("a", "b")), List.of(), List.of());
+    private static RegisterState kept(long version, String text) {
+        return new RegisterState(new VersionedValue(1, version, text, 0, List.of("a", "b")), List.of(), List.of());
     }
 
-    private static Word word(String from, long boot, Kept kept) {
+    private static ConsensusMessage word(String from, long boot, RegisterState kept) {
         Ballot at = new Ballot(1, 2, "a", 3);
-        Held held = kept == null ? null : new Held(at, kept);
-        return new Word(
+        AcceptedState held = kept == null ? null : new AcceptedState(at, kept);
+        return new ConsensusMessage(
                 Kind.ACCEPT, from, boot, Map.of(), at, Ballot.NONE, false, true, 7, List.of("a", "b"), Map.of(), held);
     }
 
     /** Both know each other, and each knows that the other holds the value. */
-    private static void acquainted(WordCodec a, WordCodec b, Kept kept) {
+    private static void acquainted(MessageCodec a, MessageCodec b, RegisterState kept) {
         for (int i = 0; i < 2; i++) {
             b.decode("a", a.encode("b", word("a", 1, kept)));
             a.decode("b", b.encode("a", word("b", 1, kept)));
@@ -40,69 +40,69 @@
 
     @Test
     void aValueGoesWholeUntilThePeerIsKnownToHoldIt() {
-        WordCodec a = new WordCodec();
-        WordCodec b = new WordCodec();
-        Word sent = word("a", 1, kept(1, LONG));
+        MessageCodec a = new MessageCodec();
+        MessageCodec b = new MessageCodec();
+        ConsensusMessage sent = word("a", 1, kept(1, LONG));
         for (int i = 0; i < 3; i++) { // no sign that any has arrived
             assertTrue(a.encode("b", sent).length > LONG.length());
         }
-        assertEquals(sent, b.decode("a", a.encode("b", sent)).word());
+        assertEquals(sent, b.decode("a", a.encode("b", sent)).message());
         assertNull(a.decode("b", b.encode("a", word("b", 1, null))).reply());
         byte[] reference = a.encode("b", sent);
         assertTrue(reference.length < SHORT, reference.length + " bytes");
-        assertEquals(sent, b.decode("a", reference).word());
+        assertEquals(sent, b.decode("a", reference).message());
     }
 
     /** Its run before held the value, this one does not: nothing wrong is read, and the value comes at once. */
     @Test
     void whoCannotResolveAReferenceRequestsTheValue() {
-        WordCodec a = new WordCodec();
-        Kept kept = kept(1, LONG);
-        acquainted(a, new WordCodec(), kept);
-        WordCodec again = new WordCodec();
-        Word sent = word("a", 1, kept);
-        WordCodec.Received received = again.decode("a", a.encode("b", sent));
-        assertNull(received.word());
+        MessageCodec a = new MessageCodec();
+        RegisterState kept = kept(1, LONG);
+        acquainted(a, new MessageCodec(), kept);
+        MessageCodec again = new MessageCodec();
+        ConsensusMessage sent = word("a", 1, kept);
+        MessageCodec.Received received = again.decode("a", a.encode("b", sent));
+        assertNull(received.message());
         assertNotNull(received.reply());
         byte[] whole = a.decode("b", received.reply()).reply();
-        assertEquals(sent, again.decode("a", whole).word());
+        assertEquals(sent, again.decode("a", whole).message());
         assertNull(a.decode("b", received.reply()).reply(), "a repeated request is answered once");
         assertTrue(a.encode("b", sent).length > LONG.length(), "it is known not to hold it");
     }
 
     @Test
     void aNewRunOfAPeerHoldsNothing() {
-        WordCodec a = new WordCodec();
-        Kept kept = kept(1, LONG);
-        acquainted(a, new WordCodec(), kept);
+        MessageCodec a = new MessageCodec();
+        RegisterState kept = kept(1, LONG);
+        acquainted(a, new MessageCodec(), kept);
         assertTrue(a.encode("b", word("a", 1, kept)).length < SHORT);
-        a.decode("b", new WordCodec().encode("a", word("b", 2, null)));
+        a.decode("b", new MessageCodec().encode("a", word("b", 2, null)));
         assertTrue(a.encode("b", word("a", 1, kept)).length > LONG.length());
-        a.decode("b", new WordCodec().encode("a", word("b", 1, kept))); // late, of the run that is over
+        a.decode("b", new MessageCodec().encode("a", word("b", 1, kept))); // late, of the run that is over
         assertTrue(a.encode("b", word("a", 1, kept)).length > LONG.length());
     }
 
     /** A member of the version before looks at the first three flags alone, and sets no other. */
     @Test
     void aMemberOfTheVersionBeforeIsSentWholeValuesWithoutHoldings() {
-        WordCodec a = new WordCodec();
-        Kept kept = kept(1, LONG);
-        byte[] blind = Words.bytes(word("b", 1, kept), null, List.of());
-        Word w = word("b", 1, kept);
-        byte[] other = Words.bytes(
-                new Word(
+        MessageCodec a = new MessageCodec();
+        RegisterState kept = kept(1, LONG);
+        byte[] blind = MessageFormat.encode(word("b", 1, kept), null, List.of());
+        ConsensusMessage w = word("b", 1, kept);
+        byte[] other = MessageFormat.encode(
+                new ConsensusMessage(
                         w.kind(),
                         "b",
                         1,
-                        w.runs(),
+                        w.crashVector(),
                         w.ballot(),
-                        w.promised(),
+                        w.promisedBallot(),
                         true,
                         true,
                         7,
-                        w.electors(),
-                        w.quorum(),
-                        w.held()),
+                        w.configuredElectors(),
+                        w.promiseQuorum(),
+                        w.accepted()),
                 null,
                 List.of());
         int flags = 0;
@@ -110,16 +110,16 @@
             flags++;
         }
         blind[flags] &= 7;
-        assertEquals(w, a.decode("b", blind).word());
+        assertEquals(w, a.decode("b", blind).message());
         byte[] answer = a.encode("b", word("a", 1, kept));
         assertTrue(answer.length > LONG.length());
-        assertTrue(Words.parse(answer).holdings().isEmpty());
-        assertNull(Words.parse(answer).reference());
+        assertTrue(MessageFormat.decode(answer).holdings().isEmpty());
+        assertNull(MessageFormat.decode(answer).reference());
     }
 
     @Test
     void whatIsNoWordIsNotReadable() {
-        WordCodec a = new WordCodec();
+        MessageCodec a = new MessageCodec();
         assertFalse(a.decode("b", new byte[0]).readable());
         assertFalse(a.decode("b", new byte[] {2, 1, 1}).readable(), "a request without its digest");
         assertFalse(a.decode("b", new byte[] {9}).readable());
@@ -128,9 +128,9 @@
         assertNull(a.decode("b", unknown).reply(), "a request of one who was sent nothing");
         assertEquals(
                 "a",
-                a.decode("b", new WordCodec().encode("b", word("a", 1, null)))
-                        .word()
-                        .from());
+                a.decode("b", new MessageCodec().encode("b", word("a", 1, null)))
+                        .message()
+                        .sender());
     }
 
     /**
@@ -143,23 +143,23 @@
         int references = 0;
         for (int seed = 0; seed < 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Map<String, WordCodec> codecs = new HashMap<>();
+            Map<String, MessageCodec> codecs = new HashMap<>();
             Map<String, Long> boots = new HashMap<>();
             for (String n : names) {
-                codecs.put(n, new WordCodec());
+                codecs.put(n, new MessageCodec());
                 boots.put(n, 1L);
             }
-            List<Word> sent = new ArrayList<>();
+            List<ConsensusMessage> sent = new ArrayList<>();
             List<Packet> open = new ArrayList<>();
             for (int step = 0; step < 200; step++) {
                 String from = names[random.nextInt(3)];
                 String to = names[(List.of(names).indexOf(from) + 1 + random.nextInt(2)) % 3];
                 if (random.nextInt(40) == 0) {
-                    codecs.put(from, new WordCodec());
+                    codecs.put(from, new MessageCodec());
                     boots.merge(from, 1L, Long::sum);
                 }
                 int version = random.nextInt(12);
-                Word w = word(from, boots.get(from), kept(version, LONG + version));
+                ConsensusMessage w = word(from, boots.get(from), kept(version, LONG + version));
                 sent.add(w);
                 byte[] bytes = codecs.get(from).encode(to, w);
                 references += bytes.length < SHORT ? 1 : 0;
@@ -172,13 +172,13 @@
                     }
                 }
             }
-            Word last = word("a", boots.get("a"), kept(99, LONG));
+            ConsensusMessage last = word("a", boots.get("a"), kept(99, LONG));
             sent.add(last);
             open.clear();
             open.add(new Packet("a", "b", codecs.get("a").encode("b", last)));
-            Word got = null;
+            ConsensusMessage got = null;
             while (!open.isEmpty()) {
-                Word w = deliver(codecs, open.remove(0), open, sent);
+                ConsensusMessage w = deliver(codecs, open.remove(0), open, sent);
                 got = w == null ? got : w;
             }
             assertEquals(last, got, "seed " + seed);
@@ -188,15 +188,16 @@
 
     private record Packet(String from, String to, byte[] bytes) {}
 
-    private static Word deliver(Map<String, WordCodec> codecs, Packet p, List<Packet> open, List<Word> sent) {
-        WordCodec.Received received = codecs.get(p.to).decode(p.from, p.bytes);
+    private static ConsensusMessage deliver(
+            Map<String, MessageCodec> codecs, Packet p, List<Packet> open, List<ConsensusMessage> sent) {
+        MessageCodec.Received received = codecs.get(p.to).decode(p.from, p.bytes);
         assertTrue(received.readable());
         if (received.reply() != null) {
             open.add(new Packet(p.to, p.from, received.reply()));
         }
-        if (received.word() != null) {
-            assertTrue(sent.contains(received.word()), "never sent: " + received.word());
+        if (received.message() != null) {
+            assertTrue(sent.contains(received.message()), "never sent: " + received.message());
         }
-        return received.word();
+        return received.message();
     }
 }
--- a/src/test/java/maplespread/agreement/ScriptsTest.java
+++ b/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement;
+package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import maplespread.agreement.Word.Kind;
-import maplespread.faults.FleetError;
-import maplespread.group.Sections;
+import maplespread.cluster.SharedState;
+import maplespread.consensus.ConsensusMessage.Kind;
+import maplespread.errors.FleetException;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -26,20 +26,20 @@
  * first 3} the oldest three; {@code freeze p}, {@code thaw p}, whose words wait; {@code peace}: all
  * arrives and time goes on until all are told.
  */
-class ScriptsTest {
+class ScriptedMessagesTest {
     private static final int EVERY = Integer.getInteger("every", 16);
     private static final long STEP = 100_000, FAR = 1_000_000_000_000L;
 
-    private record Packet(String to, Word word) {}
+    private record Packet(String to, ConsensusMessage word) {}
 
     /** One play of a script. */
     private static final class Play {
         final List<String> file;
-        final Map<String, Agreement> nodes = new TreeMap<>();
+        final Map<String, ConsensusNode> nodes = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
         final List<Packet> packets = new ArrayList<>();
         final Set<String> frozen = new HashSet<>();
-        final TreeMap<Long, TreeMap<Long, Value>> seen = new TreeMap<>();
+        final TreeMap<Long, TreeMap<Long, VersionedValue>> seen = new TreeMap<>();
         final List<String> told = new ArrayList<>(), faults = new ArrayList<>();
         long boots = 1000, wall = 1_000_000;
         final TreeMap<String, Integer> waiting = new TreeMap<>(); // for results, in runs that are up
@@ -73,10 +73,10 @@
                     }
                     case "freeze" -> each(s[1], frozen::add);
                     case "thaw" -> each(s[1], frozen::remove);
-                    case "among" -> all(p -> s[1].contains(p.to) && s[1].contains(p.word.from()));
+                    case "among" -> all(p -> s[1].contains(p.to) && s[1].contains(p.word.sender()));
                     case "ask" -> both(Kind.PREPARE, Kind.PROMISE, s);
                     case "put" -> both(Kind.ACCEPT, Kind.ACCEPTED, s);
-                    case "see" -> both(Kind.ASK, Kind.STATE, s);
+                    case "see" -> both(Kind.RECOVERY_REQUEST, Kind.RECOVERY_RESPONSE, s);
                     case "last", "copy" -> {
                         List<Packet> fit = packets.stream()
                                 .filter(p -> fits(p, s[1], s[2], s[3]))
@@ -105,7 +105,7 @@
         }
 
         private static boolean fits(Packet p, String kind, String from, String to) {
-            return p.word.kind().name().equals(kind) && from.contains(p.word.from()) && to.contains(p.to);
+            return p.word.kind().name().equals(kind) && from.contains(p.word.sender()) && to.contains(p.to);
         }
 
         private void both(Kind there, Kind back, String[] s) {
@@ -113,14 +113,14 @@
         }
 
         private void call(String step) {
-            Agreement node = nodes.get(step.substring(0, 1));
+            ConsensusNode node = nodes.get(step.substring(0, 1));
             String with = step.substring(2);
             long at = times.get(step.substring(0, 1));
             waiting.merge(step.substring(0, 1), 1, Integer::sum);
-            java.util.function.Consumer<Result> done = r -> {
-                told.add(step + ' ' + r.kind() + (r.why() instanceof FleetError e ? " " + e.wrong() : ""));
+            java.util.function.Consumer<ChangeResult> done = r -> {
+                told.add(step + ' ' + r.outcome() + (r.error() instanceof FleetException e ? " " + e.problem() : ""));
                 waiting.merge(step.substring(0, 1), -1, (a, b) -> a + b == 0 ? null : a + b);
-                if (r.kind() == Result.Kind.DECIDED) {
+                if (r.outcome() == ChangeResult.Outcome.DECIDED) {
                     saw(r.value());
                 }
             };
@@ -128,27 +128,27 @@
                 case '+' -> node.change(at, v -> v.text() + with, FAR, done);
                 case ':' -> {
                     String[] section = with.split("=");
-                    String text = section[1].equals("BIG") ? "x".repeat(Sections.MOST) : section[1];
-                    node.change(at, v -> Sections.write(v.text(), section[0], text), FAR, done);
+                    String text = section[1].equals("BIG") ? "x".repeat(SharedState.MAX_SECTION_BYTES) : section[1];
+                    node.change(at, v -> SharedState.write(v.text(), section[0], text), FAR, done);
                 }
                 case '=' -> node.electors(at, List.of(with.split("")), FAR, done);
-                case '!' -> node.found(at, wall, List.of(with.split("")), FAR, done);
+                case '!' -> node.bootstrap(at, wall, List.of(with.split("")), FAR, done);
                 default -> throw new IllegalArgumentException(step);
             }
         }
 
         private void start(String name) {
-            AgreementSettings set = new AgreementSettings(name, file, STEP, STEP);
+            ConsensusSettings set = new ConsensusSettings(name, file, STEP, STEP);
             times.putIfAbsent(name, 0L);
             waiting.remove(name);
-            nodes.put(name, new Agreement(set, ++boots, boots, times.get(name), new AgreementSink() {
+            nodes.put(name, new ConsensusNode(set, ++boots, boots, times.get(name), new ConsensusTransport() {
                 @Override
-                public void send(String to, Word word) {
+                public void send(String to, ConsensusMessage word) {
                     packets.add(new Packet(to, word));
                 }
 
                 @Override
-                public void learned(Value value) {
+                public void learned(VersionedValue value) {
                     saw(value);
                 }
 
@@ -172,7 +172,7 @@
         private void all(Predicate<Packet> which) {
             for (int i = 0; i < packets.size(); ) {
                 Packet p = packets.get(i);
-                if (which.test(p) && !frozen.contains(p.to) && !frozen.contains(p.word.from())) {
+                if (which.test(p) && !frozen.contains(p.to) && !frozen.contains(p.word.sender())) {
                     packets.remove(i);
                     arrive(p);
                     i = 0;
@@ -195,27 +195,27 @@
         }
 
         private boolean settled() {
-            List<Agreement> up = nodes.keySet().stream()
+            List<ConsensusNode> up = nodes.keySet().stream()
                     .filter(n -> !frozen.contains(n))
                     .map(nodes::get)
                     .toList();
             return frozen.containsAll(waiting.keySet())
                     && up.stream()
-                            .allMatch(n -> !n.blind()
-                                    && n.known() != null
-                                    && n.known().equals(last())
+                            .allMatch(n -> !n.recovering()
+                                    && n.decidedValue() != null
+                                    && n.decidedValue().equals(last())
                                     && n.electors().size() == 1);
         }
 
         /** Decided values of one life are one sequence, each text beginning with the one before. */
-        private void saw(Value v) {
-            TreeMap<Long, Value> life = seen.computeIfAbsent(v.epoch(), e -> new TreeMap<>());
-            Value other = life.putIfAbsent(v.version(), v);
+        private void saw(VersionedValue v) {
+            TreeMap<Long, VersionedValue> life = seen.computeIfAbsent(v.epoch(), e -> new TreeMap<>());
+            VersionedValue other = life.putIfAbsent(v.version(), v);
             if (other != null && !other.equals(v)) {
                 faults.add(other + " and " + v);
             }
-            Value before = null;
-            for (Value one : life.values()) {
+            VersionedValue before = null;
+            for (VersionedValue one : life.values()) {
                 if (before != null && !one.text().startsWith("{") && !one.text().startsWith(before.text())) {
                     faults.add(one + " does not follow " + before);
                 }
@@ -227,7 +227,7 @@
             return String.join("", new java.util.TreeSet<>(last().electors()));
         }
 
-        Value last() {
+        VersionedValue last() {
             return seen.lastEntry().getValue().lastEntry().getValue();
         }
     }
@@ -398,14 +398,14 @@
             assertEquals(
                     List.of("3", "2", "4"),
                     java.util.stream.Stream.of("release", "partition", "relief")
-                            .map(part -> Sections.read(text, part))
+                            .map(part -> SharedState.read(text, part))
                             .toList(),
                     words + " words");
             assertTrue(
                     play.faults.isEmpty()
                             && play.waiting.isEmpty()
                             && play.told.contains("q:relief=BIG "
-                                    + "REFUSED the section relief would have 15362 bytes, of 15360 at most"),
+                                    + "REJECTED the section relief would have 15362 bytes, of 15360 at most"),
                     play.told + "");
         }
         assertTrue(words > 30, words + " words");
--- a/src/test/java/maplespread/agreement/client/RegisterTest.java
+++ b/src/test/java/maplespread/consensus/client/RegisterTest.java
@@ -1,4 +1,4 @@
-package maplespread.agreement.client;
+package maplespread.consensus.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.BooleanSupplier;
-import maplespread.agreement.Agreement;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.Change;
-import maplespread.agreement.Refused;
-import maplespread.agreement.Result;
-import maplespread.agreement.Value;
+import maplespread.consensus.ChangeRejectedException;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusNode;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.VersionedValue;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
 import org.junit.jupiter.api.Test;
 
 /** Registers of four instances over UDP. */
@@ -26,8 +26,8 @@
     private static final long SOON = 60_000;
     private static final List<String> ELECTORS = List.of("g0", "g1", "g2");
     private final List<String> at = new ArrayList<>();
-    private final Group[] groups = new Group[4];
-    private final Register[] registers = new Register[4];
+    private final ClusterTransport[] groups = new ClusterTransport[4];
+    private final ReplicatedRegister[] registers = new ReplicatedRegister[4];
 
     private static LinkedHashMap<Integer, byte[]> keys() {
         LinkedHashMap<Integer, byte[]> keys = new LinkedHashMap<>();
@@ -36,8 +36,8 @@
     }
 
     private void start(int i) throws Exception {
-        groups[i] = new Group(MembershipSettings.of("g" + i, at.get(i), at.subList(0, 2)), keys(), i);
-        registers[i] = new Register(AgreementSettings.of("g" + i, ELECTORS), groups[i], i);
+        groups[i] = new ClusterTransport(MembershipSettings.of("g" + i, at.get(i), at.subList(0, 2)), keys(), i);
+        registers[i] = new ReplicatedRegister(ConsensusSettings.of("g" + i, ELECTORS), groups[i], i);
     }
 
     private void stop(int i) {
@@ -68,27 +68,27 @@
         for (int i = 0; i < 4; i++) {
             start(i);
         }
-        LinkedBlockingQueue<Value> heard = new LinkedBlockingQueue<>();
-        registers[2].listen(heard::add);
-        String most = "x".repeat(Agreement.MOST_TEXT - 1);
-        Result first = registers[3].change(v -> most, SOON); // of one that is no elector
-        assertEquals(Result.Kind.DECIDED, first.kind(), first.toString());
-        await("the word to all", () -> registers[0].known() != null && registers[1].known() != null);
+        LinkedBlockingQueue<VersionedValue> heard = new LinkedBlockingQueue<>();
+        registers[2].addListener(heard::add);
+        String most = "x".repeat(ConsensusNode.MAX_TEXT_BYTES - 1);
+        ChangeResult first = registers[3].change(v -> most, SOON); // of one that is no elector
+        assertEquals(ChangeResult.Outcome.DECIDED, first.outcome(), first.toString());
+        await("the word to all", () -> registers[0].decidedValue() != null && registers[1].decidedValue() != null);
         assertEquals(first.value(), heard.take());
-        Result refused = registers[0].change(
+        ChangeResult refused = registers[0].change(
                 v -> {
-                    throw new Refused("taken", "all else", "wait");
+                    throw new ChangeRejectedException("taken", "all else", "wait");
                 },
                 SOON);
-        assertEquals("taken", ((Refused) refused.why()).wrong());
+        assertEquals("taken", ((ChangeRejectedException) refused.error()).problem());
         assertEquals(first.value(), refused.value());
         stop(1);
         start(1); // under the same name, and empty
-        await("sight", () -> !registers[1].blind());
+        await("sight", () -> !registers[1].recovering());
         stop(0); // so that the new run's vote is needed
-        Result second = registers[2].change(v -> v.text() + "y", SOON);
+        ChangeResult second = registers[2].change(v -> v.text() + "y", SOON);
         assertEquals(most + "y", second.value().text());
-        assertEquals(second.value(), registers[1].change(Change.READ, SOON).value());
+        assertEquals(second.value(), registers[1].change(Mutation.READ, SOON).value());
         for (int i = 1; i < 4; i++) {
             stop(i);
         }
@@ -119,19 +119,19 @@
             forwards.start();
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
             MembershipSettings set = MembershipSettings.of("a", front, List.of());
-            try (Group a = new Group(set, "127.0.0.1:" + listen, keys(), 1);
+            try (ClusterTransport a = new ClusterTransport(set, "127.0.0.1:" + listen, keys(), 1);
                     DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
                 int port = other.getLocalPort();
                 other.close();
                 set = MembershipSettings.of("b", "127.0.0.1:" + port, List.of(front));
-                try (Group b = new Group(set, keys(), 2)) {
-                    a.channel(2, (from, bytes) -> heard.add(from + ' ' + bytes.length));
+                try (ClusterTransport b = new ClusterTransport(set, keys(), 2)) {
+                    a.registerChannel(2, (from, bytes) -> heard.add(from + ' ' + bytes.length));
                     await(
                             "the way there",
-                            () -> b.send(2, "a", new byte[Group.MOST_PAYLOAD])
+                            () -> b.send(2, "a", new byte[ClusterTransport.MAX_PAYLOAD_BYTES])
                                     && !heard.isEmpty()); // a packet may be lost, also here
-                    assertEquals("b " + Group.MOST_PAYLOAD, heard.take());
-                    assertTrue(!b.send(2, "a", new byte[Group.MOST_PAYLOAD + 1]), "too long");
+                    assertEquals("b " + ClusterTransport.MAX_PAYLOAD_BYTES, heard.take());
+                    assertTrue(!b.send(2, "a", new byte[ClusterTransport.MAX_PAYLOAD_BYTES + 1]), "too long");
                     assertTrue(!b.send(2, "c", new byte[1]), "not known");
                 }
             }
--- a/src/test/java/maplespread/routes/SubsetFilterTest.java
+++ b/src/test/java/maplespread/discovery/SubsetFilterTest.java
@@ -1,4 +1,4 @@
-package maplespread.routes;
+package maplespread.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,29 +11,31 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplespread.decision.Dispatch;
+import maplespread.facade.Endpoint;
+import maplespread.facade.Endpoint.State;
 import maplespread.facade.EndpointUpdate;
 import maplespread.facade.EndpointUpdate.Kind;
-import maplespread.facade.Route;
-import maplespread.facade.Route.State;
-import maplespread.subset.Cut;
+import maplespread.policy.Dispatch;
+import maplespread.subset.SubsetAssignment;
 import org.junit.jupiter.api.Test;
 
 /** The subset stage against a view that is kept as the facade keeps its own. */
 class SubsetFilterTest {
-    private final Map<String, Route> view = new HashMap<>();
+    private final Map<String, Endpoint> view = new HashMap<>();
     private EndpointUpdate last;
     private int sharers;
     private int lost;
-    private final SubsetFilter stage =
-            new SubsetFilter(new Cut(3, 10, new Cut.Wish(2, 4), 0), n -> sharers = n, new RouteSink() {
+    private final SubsetFilter stage = new SubsetFilter(
+            new SubsetAssignment(3, 10, new SubsetAssignment.SubsetSettings(2, 4), 0),
+            n -> sharers = n,
+            new EndpointListener() {
                 @Override
-                public void news(EndpointUpdate news) {
+                public void endpointsChanged(EndpointUpdate news) {
                     last = news;
-                    if (news.kind() != Kind.CHANGES) {
+                    if (news.kind() != Kind.DELTA) {
                         view.clear();
                     }
-                    for (Route r : news.routes()) {
+                    for (Endpoint r : news.endpoints()) {
                         if (r.state() == State.DELETED) {
                             assertTrue(view.remove(r.worker()) != null, "never told of " + r.worker());
                         } else {
@@ -43,16 +45,16 @@
                 }
 
                 @Override
-                public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+                public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
 
                 @Override
-                public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
+                public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
                     lost++;
                 }
             });
 
-    private static Route route(int w, State state, int cell) {
-        return new Route("w-" + w, "127.0.0.1:" + (1000 + w), state, 1, 0, cell, w % 2, 0);
+    private static Endpoint route(int w, State state, int cell) {
+        return new Endpoint("w-" + w, "127.0.0.1:" + (1000 + w), state, 1, 0, cell, w % 2, 0);
     }
 
     /** Whatever is told: what is used is as listed, a drain of one in use passes at once, nothing lingers. */
@@ -61,12 +63,12 @@
         for (long n = 1; n <= 30; n++) {
             long seed = n;
             SplittableRandom random = new SplittableRandom(seed);
-            Map<String, Route> list = new HashMap<>();
-            stage.news(new EndpointUpdate(Kind.WHOLE, 1, List.of()));
+            Map<String, Endpoint> list = new HashMap<>();
+            stage.endpointsChanged(new EndpointUpdate(Kind.FULL_SNAPSHOT, 1, List.of()));
             for (int step = 0; step < 200; step++) {
                 Set<String> inUse = new HashSet<>(view.keySet());
                 boolean whole = random.nextInt(20) == 0;
-                List<Route> said = new ArrayList<>();
+                List<Endpoint> said = new ArrayList<>();
                 if (whole) {
                     list.keySet().removeIf(w -> random.nextInt(4) == 0);
                     said.addAll(list.values());
@@ -77,7 +79,7 @@
                     if (whole && state == State.DELETED) {
                         continue;
                     }
-                    Route r = route(w, state, random.nextInt(9));
+                    Endpoint r = route(w, state, random.nextInt(9));
                     said.removeIf(x -> x.worker().equals(r.worker()));
                     said.add(r);
                     if (state == State.DELETED) {
@@ -86,11 +88,11 @@
                         list.put(r.worker(), r);
                     }
                 }
-                stage.news(new EndpointUpdate(whole ? Kind.WHOLE : Kind.CHANGES, step, said));
-                assertEquals(step, last.generation());
+                stage.endpointsChanged(new EndpointUpdate(whole ? Kind.FULL_SNAPSHOT : Kind.DELTA, step, said));
+                assertEquals(step, last.version());
                 assertEquals(list.size(), stage.listed());
                 view.forEach((w, r) -> assertEquals(list.get(w), r, "seed " + seed));
-                for (Route r : said) {
+                for (Endpoint r : said) {
                     if (r.state() == State.DRAINING && inUse.contains(r.worker())) {
                         assertEquals(State.DRAINING, view.get(r.worker()).state(), "seed " + seed);
                     }
@@ -108,25 +110,25 @@
 
     @Test
     void aDrainMakesRoomForAnother() {
-        List<Route> all = new ArrayList<>();
+        List<Endpoint> all = new ArrayList<>();
         for (int w = 0; w < 60; w++) {
             all.add(route(w, State.SERVING, 0));
         }
-        stage.news(new EndpointUpdate(Kind.HELD, 7, all));
+        stage.endpointsChanged(new EndpointUpdate(Kind.CACHED_SNAPSHOT, 7, all));
         assertTrue(sharers >= 2 && sharers < 10, "shared by " + sharers);
         int used = view.size();
-        Route one = view.values().iterator().next();
-        stage.news(new EndpointUpdate(
-                Kind.CHANGES,
+        Endpoint one = view.values().iterator().next();
+        stage.endpointsChanged(new EndpointUpdate(
+                Kind.DELTA,
                 8,
-                List.of(new Route(one.worker(), one.address(), State.DRAINING, 1, 0, 0, one.zone(), 0))));
+                List.of(new Endpoint(one.worker(), one.address(), State.DRAINING, 1, 0, 0, one.zone(), 0))));
         assertEquals(used + 1, view.size());
-        assertTrue(last.current(), "its source has spoken");
-        stage.fleet(10, Cut.Wish.ALL);
+        assertTrue(last.confirmed(), "its source has spoken");
+        stage.resize(10, SubsetAssignment.SubsetSettings.ALL);
         assertEquals(60, view.size());
-        assertFalse(last.current(), "another subset is no word of discovery");
+        assertFalse(last.confirmed(), "another subset is no word of discovery");
         assertEquals(10, sharers);
-        stage.watchLost(Dispatch.ListLoss.ENDED, 0);
+        stage.watchLost(Dispatch.EndpointWatchFailure.ENDED, 0);
         assertEquals(1, lost);
     }
 }
--- a/src/test/java/maplespread/faults/ErrorsTest.java
+++ b/src/test/java/maplespread/errors/ErrorCatalogTest.java
@@ -1,4 +1,4 @@
-package maplespread.faults;
+package maplespread.errors;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class ErrorsTest {
+class ErrorCatalogTest {
     /** The operators' list has every error and every kind of it, in the code's words, and no other. */
     @Test
     void theOperatorsListHasEveryError() throws Exception {
@@ -52,7 +52,7 @@
     }
 
     private static List<Class<?>> errors() throws Exception {
-        Path root = Path.of(FleetError.class
+        Path root = Path.of(FleetException.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
@@ -64,8 +64,8 @@
                         .toString()
                         .replaceAll("[.]class$", "")
                         .replace('/', '.');
-                Class<?> c = Class.forName(name, false, FleetError.class.getClassLoader());
-                if (FleetError.class.isAssignableFrom(c) && c != FleetError.class) {
+                Class<?> c = Class.forName(name, false, FleetException.class.getClassLoader());
+                if (FleetException.class.isAssignableFrom(c) && c != FleetException.class) {
                     all.add(c);
                 }
             }
--- a/src/test/java/maplespread/faults/ErrorsGoldenTest.java
+++ b/src/test/java/maplespread/errors/FleetExceptionGoldenTest.java
@@ -1,4 +1,4 @@
-package maplespread.faults;
+package maplespread.errors;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The words of every error of the fleet, without the names of the classes, which nobody outside sees. */
-class ErrorsGoldenTest {
-    private static final class Sample extends FleetError {
+class FleetExceptionGoldenTest {
+    private static final class Sample extends FleetException {
         private static final long serialVersionUID = 1;
 
         Sample() {
@@ -26,9 +26,9 @@
 
     @Test
     void aMessageHasAllThreeWords() {
-        FleetError error = new Sample();
+        FleetException error = new Sample();
         assertEquals("wrong; still works: works; to do: remedy", error.getMessage());
-        assertEquals(List.of("wrong", "works", "remedy"), List.of(error.wrong(), error.works(), error.remedy()));
+        assertEquals(List.of("wrong", "works", "remedy"), List.of(error.problem(), error.unaffected(), error.remedy()));
     }
 
     /** Each constructor called with plain arguments: once for each of its kinds, where it has some. */
@@ -42,7 +42,7 @@
                 Class<?> kinds =
                         Stream.of(types).filter(Class::isEnum).findFirst().orElse(null);
                 for (Object kind : kinds == null ? new Object[] {""} : kinds.getEnumConstants()) {
-                    found.add(kind + " -> " + told((FleetError) made.newInstance(arguments(types, kind)), kind));
+                    found.add(kind + " -> " + told((FleetException) made.newInstance(arguments(types, kind)), kind));
                 }
             }
         }
@@ -62,7 +62,7 @@
     }
 
     /** The message, and the status of an admin answer where the kind has one. */
-    private static String told(FleetError error, Object kind) throws ReflectiveOperationException {
+    private static String told(FleetException error, Object kind) throws ReflectiveOperationException {
         StringBuilder all = new StringBuilder(error.getMessage());
         for (Field field : kind instanceof Enum ? kind.getClass().getDeclaredFields() : new Field[0]) {
             if (field.getType() == int.class && !Modifier.isStatic(field.getModifiers())) {
@@ -74,7 +74,7 @@
     }
 
     private static List<Class<?>> errors() throws Exception {
-        Path root = Path.of(FleetError.class
+        Path root = Path.of(FleetException.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
@@ -86,8 +86,8 @@
                         .toString()
                         .replaceAll("[.]class$", "")
                         .replace('/', '.');
-                Class<?> found = Class.forName(name, false, FleetError.class.getClassLoader());
-                if (FleetError.class.isAssignableFrom(found) && !Modifier.isAbstract(found.getModifiers())) {
+                Class<?> found = Class.forName(name, false, FleetException.class.getClassLoader());
+                if (FleetException.class.isAssignableFrom(found) && !Modifier.isAbstract(found.getModifiers())) {
                     all.add(found);
                 }
             }
--- a/src/test/java/maplespread/facade/DispatcherTest.java
+++ b/src/test/java/maplespread/facade/DecisionServiceTest.java
@@ -11,28 +11,30 @@
 import java.util.Map;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.decision.Dispatch;
+import maplespread.policy.Dispatch;
 import org.junit.Test;
 
 /** The facade alone, with no socket: what it guards between the network code and the module. */
-public class DispatcherTest {
-    private static Route route(String worker, Route.State state) {
-        return new Route(worker, "127.0.0.1:" + worker.length(), state, 1, 0, 0, 0, 0);
+public class DecisionServiceTest {
+    private static Endpoint route(String worker, Endpoint.State state) {
+        return new Endpoint(worker, "127.0.0.1:" + worker.length(), state, 1, 0, 0, 0, 0);
     }
 
-    private static Dispatcher dispatcher(String... workers) throws Exception {
+    private static DecisionService dispatcher(String... workers) throws Exception {
         Config c = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        Dispatcher d = new Dispatcher(c.settings(), 7);
+        DecisionService d = new DecisionService(c.settings(), 7);
         d.report(new EndpointUpdate(
-                EndpointUpdate.Kind.HELD,
+                EndpointUpdate.Kind.CACHED_SNAPSHOT,
                 1,
-                Arrays.stream(workers).map(w -> route(w, Route.State.SERVING)).toList()));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 1, List.of()));
+                Arrays.stream(workers)
+                        .map(w -> route(w, Endpoint.State.SERVING))
+                        .toList()));
+        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
         return d;
     }
 
     /** The decision, while the dispatcher's timers run as they do in service. */
-    private static Decision decidedWithTimers(Dispatcher d, Transaction t) throws InterruptedException {
+    private static Decision decidedWithTimers(DecisionService d, InFlightRequest t) throws InterruptedException {
         Thread ticker = new Thread(() -> {
             try {
                 while (true) {
@@ -51,8 +53,8 @@
         }
     }
 
-    private static Transaction job(Dispatcher d, int cls, double waitMs) {
-        return new Transaction(cls, 0, d.nowUs() + Math.round(waitMs * 1000), 100, 1, 0, null);
+    private static InFlightRequest job(DecisionService d, int cls, double waitMs) {
+        return new InFlightRequest(cls, 0, d.nowUs() + Math.round(waitMs * 1000), 100, 1, 0, null);
     }
 
     /**
@@ -61,19 +63,26 @@
     @Test
     public void sharesGoByAllDispatchersAndNotByThoseOfASubset() throws Exception {
         Config c = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        var told = c.settings().among(10_000);
-        Dispatcher d = new Dispatcher(told.among(1), 7, true);
+        var told = c.settings().withDispatcherCount(10_000);
+        DecisionService d = new DecisionService(told.withDispatcherCount(1), 7, true);
         double whole = told.classes().get(0).deadlineMs();
-        Transaction[] jobs = new Transaction[20];
+        InFlightRequest[] jobs = new InFlightRequest[20];
         for (int i = 0; i < jobs.length; i++) { // no worker: turned away, those within too
             double waitMs = i == 0 ? 30 : whole + 500;
-            jobs[i] = new Transaction(
-                    0, 0, d.nowUs() + Math.round(waitMs * 1000), 100, 1, 0, null, i == 0 ? told.among(1) : told);
+            jobs[i] = new InFlightRequest(
+                    0,
+                    0,
+                    d.nowUs() + Math.round(waitMs * 1000),
+                    100,
+                    1,
+                    0,
+                    null,
+                    i == 0 ? told.withDispatcherCount(1) : told);
         }
         d.decide(jobs[0]);
         double least = 1;
-        for (Transaction t : jobs) {
-            least = Math.min(least, d.counts(t));
+        for (InFlightRequest t : jobs) {
+            least = Math.min(least, d.priorityWeight(t));
         }
         assertTrue("twenty at once are beyond a ten-thousandth, but count " + least, least < 0.1);
     }
@@ -81,13 +90,13 @@
     /** Guards drains told between the pick and the send. */
     @Test
     public void aDrainToldAfterThePickForbidsTheSend() throws Exception {
-        Dispatcher d = dispatcher("a", "bb");
+        DecisionService d = dispatcher("a", "bb");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        assertEquals(SendCheck.ALLOWED, d.check(b));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 2, List.of(route(b.worker(), Route.State.DRAINING))));
-        assertEquals(SendCheck.SERVER_NOT_LISTED, d.check(b));
+        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
+        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(route(b.worker(), Endpoint.State.DRAINING))));
+        assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
         d.report(b, Outcome.NEVER_SENT, null);
-        Attempt next = (Attempt) d.decide(b.transaction());
+        Attempt next = (Attempt) d.decide(b.request());
         assertEquals("it goes to the other", 1, next.number());
         assertFalse(next.worker().equals(b.worker()));
     }
@@ -95,57 +104,59 @@
     /** Guards clients that leave while the connection to the worker comes up: nobody waits for that work. */
     @Test
     public void aClientThatLeftAfterThePickForbidsTheSend() throws Exception {
-        Dispatcher d = dispatcher("a", "bb");
+        DecisionService d = dispatcher("a", "bb");
         Attempt b = (Attempt) d.decide(job(d, 1, 4000));
-        assertEquals(SendCheck.ALLOWED, d.check(b));
-        d.reportLeft(b.transaction());
-        assertEquals(SendCheck.REQUEST_ENDED, d.check(b));
+        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
+        d.reportClientLeft(b.request());
+        assertEquals(SendCheck.REQUEST_ENDED, d.checkSend(b));
     }
 
     /** Guards drains that were never told: the list may go stale while a connection comes up. */
     @Test
     public void aListThatWentStaleAfterThePickForbidsTheSend() throws Exception {
-        Dispatcher d = dispatcher("a", "bb");
+        DecisionService d = dispatcher("a", "bb");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.reportUnconfirmed(Dispatch.ListDoubt.SILENT, 3000);
-        assertEquals(SendCheck.ALLOWED, d.check(b));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 1, List.of()));
-        d.reportUnconfirmed(Dispatch.ListDoubt.SILENT, 6000);
-        assertEquals(SendCheck.LIST_NOT_CONFIRMED, d.check(b));
+        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.SILENT, 3000);
+        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
+        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.SILENT, 6000);
+        assertEquals(SendCheck.LIST_NOT_CONFIRMED, d.checkSend(b));
         d.report(b, Outcome.NEVER_SENT, null);
-        Decision decision = decidedWithTimers(d, b.transaction());
+        Decision decision = decidedWithTimers(d, b.request());
         assertTrue(
                 decision.toString(),
-                decision instanceof Decision.BusyAnswer busy && busy.why() == Dispatch.Refusal.LIST_NOT_CONFIRMED);
+                decision instanceof Decision.Rejected busy
+                        && busy.reason() == Dispatch.RejectionReason.LIST_NOT_CONFIRMED);
     }
 
     /** Guards the order of sources: what the address left behind says does not vouch for the one that counts now. */
     @Test
     public void newsOfASourceLeftBehindConfirmsNothing() throws Exception {
-        Dispatcher d = dispatcher("a");
-        d.reportUnconfirmed(Dispatch.ListDoubt.MOVED, 0);
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 2, List.of(), false));
-        assertEquals(Dispatch.ListState.RENEWING, d.listState());
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 2, List.of(), true));
-        assertEquals(Dispatch.ListState.CONFIRMED, d.listState());
+        DecisionService d = dispatcher("a");
+        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.MOVED, 0);
+        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
+        assertEquals(Dispatch.EndpointListState.RENEWING, d.listState());
+        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
+        assertEquals(Dispatch.EndpointListState.CONFIRMED, d.listState());
     }
 
     /** Guards the whole list: who is absent from it is gone. */
     @Test
     public void aWholeListDropsTheAbsent() throws Exception {
-        Dispatcher d = dispatcher("a");
+        DecisionService d = dispatcher("a");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.WHOLE, 2, List.of(route("bb", Route.State.SERVING))));
-        assertEquals(SendCheck.SERVER_NOT_LISTED, d.check(b));
-        assertEquals(List.of("127.0.0.1:2"), d.addresses());
+        d.report(
+                new EndpointUpdate(EndpointUpdate.Kind.FULL_SNAPSHOT, 2, List.of(route("bb", Endpoint.State.SERVING))));
+        assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
+        assertEquals(List.of("127.0.0.1:2"), d.endpointAddresses());
     }
 
     /** Guards orders: after an outcome that may have run there is an end, and no second branch. */
     @Test
     public void anOrderThatMayHaveRunEnds() throws Exception {
-        Dispatcher d = dispatcher("a", "bb");
+        DecisionService d = dispatcher("a", "bb");
         for (Outcome o : new Outcome[] {Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT}) {
-            Transaction t = job(d, 1, 4000);
+            InFlightRequest t = job(d, 1, 4000);
             d.report((Attempt) d.decide(t), o, null);
             assertTrue(o.toString(), d.decide(t) instanceof Decision.Failed);
         }
@@ -154,18 +165,18 @@
     /** Guards a client that leaves when its branch is picked and not yet sent: the branch gets its end. */
     @Test
     public void leavingEndsABranchThatNobodyWillSend() throws Exception {
-        Dispatcher d = dispatcher("a", "bb");
-        Transaction t = job(d, 0, 4000);
-        d.report((Attempt) d.decide(t), Outcome.TURNED_AWAY, null); // the next branch waits to be read
-        d.reportLeft(t);
-        assertEquals(0, t.out);
-        assertTrue(d.decide(t) instanceof Decision.Left);
+        DecisionService d = dispatcher("a", "bb");
+        InFlightRequest t = job(d, 0, 4000);
+        d.report((Attempt) d.decide(t), Outcome.REJECTED, null); // the next branch waits to be read
+        d.reportClientLeft(t);
+        assertEquals(0, t.attemptsInFlight);
+        assertTrue(d.decide(t) instanceof Decision.ClientLeft);
     }
 
     /** Guards the lock's owner: an event that the module rejects ends its transaction and nothing else. */
     @Test
     public void whatTheModuleRejectsIsFailed() throws Exception {
-        Dispatcher d = dispatcher("a");
+        DecisionService d = dispatcher("a");
         assertTrue(d.decide(job(d, 99, 4000)) instanceof Decision.Failed);
         assertTrue(d.decide(job(d, 0, 4000)) instanceof Attempt);
     }
@@ -173,8 +184,8 @@
     /** Guards the client: without a worker the module refuses in time, and says when to come back. */
     @Test
     public void withoutAWorkerTheAnswerComesInTimeWithAPause() throws Exception {
-        Dispatcher d = dispatcher();
-        Decision.BusyAnswer busy = (Decision.BusyAnswer) decidedWithTimers(d, job(d, 1, 4000));
-        assertTrue("pause " + busy.pauseMs(), busy.pauseMs() >= 100 && busy.pauseMs() <= 2000);
+        DecisionService d = dispatcher();
+        Decision.Rejected busy = (Decision.Rejected) decidedWithTimers(d, job(d, 1, 4000));
+        assertTrue("pause " + busy.retryAfterMs(), busy.retryAfterMs() >= 100 && busy.retryAfterMs() <= 2000);
     }
 }
--- a/src/test/java/maplespread/parts/GroupGoldenTest.java
+++ b/src/test/java/maplespread/feature/GroupFeatureGoldenTest.java
@@ -1,4 +1,4 @@
-package maplespread.parts;
+package maplespread.feature;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,30 +9,32 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.TreeSet;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
 import maplespread.config.GroupSettings;
 import maplespread.config.OperatorReader;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Reply;
-import maplespread.figures.Figures;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.Mutation;
+import maplespread.metrics.Metrics;
 import maplespread.release.GoldenFile;
 import org.junit.jupiter.api.Test;
 
 /** The admin calls about the group, before this dispatcher is in it and after; figures that vary are masked. */
-class GroupGoldenTest {
-    private static Host host(Config config) {
-        Map<Class<?>, Object> results = Map.of(Config.class, config, Figures.class, new Figures(), boolean.class, true);
-        return (Host) Proxy.newProxyInstance(
-                Host.class.getClassLoader(), new Class<?>[] {Host.class}, (proxy, method, arguments) -> {
+class GroupFeatureGoldenTest {
+    private static FeatureContext host(Config config) {
+        Map<Class<?>, Object> results = Map.of(Config.class, config, Metrics.class, new Metrics(), boolean.class, true);
+        return (FeatureContext) Proxy.newProxyInstance(
+                FeatureContext.class.getClassLoader(),
+                new Class<?>[] {FeatureContext.class},
+                (proxy, method, arguments) -> {
                     return results.get(method.getReturnType());
                 });
     }
 
-    private static String answer(GroupPart part, String call, Map<String, String> query) {
-        Reply reply = part.calls().get(call).answer(new Ask(query, ""));
+    private static String answer(GroupFeature part, String call, Map<String, String> query) {
+        AdminResponse reply = part.adminRoutes().get(call).answer(new AdminRequest(query, ""));
         return call + query + " -> " + reply.status() + ' ' + reply.text() + '\n';
     }
 
@@ -46,16 +48,16 @@
         GroupSettings settings = OperatorReader.text("{\"group\":{\"listen\":\"" + address
                         + "\",\"electors\":[\"toy\"],\"version\":\"1.5\",\"key_files\":[\"deploy/group.key\"]}}")
                 .group();
-        GroupPart part = new GroupPart(settings, config, host(config));
-        StringBuilder found = new StringBuilder(new TreeSet<>(part.calls().keySet()) + "\n");
+        GroupFeature part = new GroupFeature(settings, config, host(config));
+        StringBuilder found = new StringBuilder(new TreeSet<>(part.adminRoutes().keySet()) + "\n");
         found.append(answer(part, "GET /admin/group", Map.of()));
         found.append(answer(part, "POST /admin/group/found", Map.of()));
         found.append(answer(part, "POST /admin/group/found", Map.of("why", "all restarted")));
         try {
             part.start();
             while (part.joined() == null
-                    || part.joined().register().change(Change.READ, 1000).kind() != Result.Kind.DECIDED
-                    || part.joined().statuses().of("toy").isEmpty()) {
+                    || part.joined().register().change(Mutation.READ, 1000).outcome() != ChangeResult.Outcome.DECIDED
+                    || part.joined().statuses().find("toy").isEmpty()) {
                 Thread.yield(); // the address was taken, its time was over, or the first round is not
             }
             found.append(answer(part, "GET /admin/group", Map.of()).replaceAll("[0-9]+(?=[,\\n])", "N"));
--- a/src/test/java/maplespread/http/HttpParserTest.java
+++ b/src/test/java/maplespread/http/HttpParserTest.java
@@ -40,9 +40,9 @@
     public void chunksBeyondTheLimitAreRefusedBeforeTheyCome() {
         for (String size : new String[] {"10001", "ffffffff", "FFFFFFFFF", "-1", "0x1", ""}) {
             HttpParser parser = HttpParser.request((b, at, n) -> {});
-            HttpError e = assertThrows(
+            HttpException e = assertThrows(
                     size,
-                    HttpError.class,
+                    HttpException.class,
                     () -> parser.feed(bytes(
                             "POST / HTTP/1.1\r\n" + "Host: h\r\nTransfer-Encoding: chunked\r\n\r\n" + size + "\r\n")));
             assertEquals(size, size.length() > 4 && size.length() < 9 ? 413 : 400, e.status());
@@ -53,7 +53,7 @@
     @Test
     public void theBodyOfAnErrorIsPassedOver() throws Exception {
         HttpParser parser = HttpParser.response(100, (b, at, n) -> {
-            throw new HttpError(502, "read");
+            throw new HttpException(502, "read");
         });
         assertTrue(parser.feed(bytes("HTTP/1.1 503 S\r\nContent-Length: 4\r\n\r\npage")));
     }
@@ -68,11 +68,11 @@
     @Test
     public void linesAreCutWhereverTheBytesAre() throws Exception {
         List<String> got = new ArrayList<>();
-        Lines lines = new Lines(10, got::add);
+        LineSplitter lines = new LineSplitter(10, got::add);
         for (byte b : "one\n\ntwo\r\nthr".getBytes()) {
             lines.accept(new byte[] {b}, 0, 1);
         }
         assertEquals(List.of("one", "", "two"), got);
-        assertThrows(HttpError.class, () -> lines.accept(new byte[20], 0, 20));
+        assertThrows(HttpException.class, () -> lines.accept(new byte[20], 0, 20));
     }
 }
--- a/src/test/java/maplespread/lab/release/ReleaseHistoriesTest.java
+++ b/src/test/java/maplespread/lab/release/ReleaseHistoriesTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import maplespread.release.ReleaseRefused;
+import maplespread.release.ReleaseRejectedException;
 import org.junit.jupiter.api.Test;
 
 /** One release among faults; the models count who is out, not the program. */
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void everyOrderOfTwoAndTwoHoldsTheLimit() throws ReleaseRefused {
-        EveryOrder all = new EveryOrder();
+    void everyOrderOfTwoAndTwoHoldsTheLimit() throws ReleaseRejectedException {
+        ExhaustiveInterleavings all = new ExhaustiveInterleavings();
         assertEquals("", all.search(DEPTH));
         assertTrue(all.worlds() > 50_000, all.worlds() + " worlds");
     }
--- a/src/test/java/maplespread/lab/rig/GroupLinksTest.java
+++ b/src/test/java/maplespread/lab/rig/GroupLinksTest.java
@@ -19,9 +19,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import maplespread.lab.rig.GroupLinks.Trouble;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.Update;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
 import org.junit.jupiter.api.Test;
 
 /** The links by themselves, and real members over them. */
@@ -87,7 +87,7 @@
     @Test
     void membersSeeWhatIsTrueOverLinksThatFail() throws Exception {
         int n = 4;
-        List<Group> groups = new ArrayList<>();
+        List<ClusterTransport> groups = new ArrayList<>();
         Queue<String> dead = new ConcurrentLinkedQueue<>();
         try (GroupLinks links = new GroupLinks(n, 3)) {
             links.all(new Trouble(false, 0.1, 0.2, 0, 20));
@@ -106,9 +106,9 @@
                         500,
                         60_000,
                         1200);
-                groups.add(new Group(set, links.listen(i), new LinkedHashMap<>(Map.of(1, new byte[32])), i));
-                groups.get(i).listen((before, after) -> {
-                    if (after.state() == Update.State.DEAD) {
+                groups.add(new ClusterTransport(set, links.listen(i), new LinkedHashMap<>(Map.of(1, new byte[32])), i));
+                groups.get(i).addListener((before, after) -> {
+                    if (after.state() == MemberUpdate.State.DEAD) {
                         dead.add(after.name());
                     }
                 });
@@ -138,17 +138,17 @@
             links.all(Trouble.NONE);
             await(() -> agree(groups, Set.of(0, 1, 2, 3)));
         } finally {
-            groups.forEach(Group::close);
+            groups.forEach(ClusterTransport::close);
         }
     }
 
     /** Whether these groups take those members, and no others, for alive. */
-    private static boolean agree(List<Group> groups, Set<Integer> alive) {
+    private static boolean agree(List<ClusterTransport> groups, Set<Integer> alive) {
         Set<String> names = alive.stream().map(i -> "n" + i).collect(Collectors.toSet());
         return groups.stream()
                 .allMatch(g -> g.members().stream()
-                        .filter(m -> m.state() != Update.State.DEAD)
-                        .map(Update::name)
+                        .filter(m -> m.state() != MemberUpdate.State.DEAD)
+                        .map(MemberUpdate::name)
                         .collect(Collectors.toSet())
                         .equals(names));
     }
--- a/src/test/java/maplespread/lab/rig/KeyJudgeTest.java
+++ b/src/test/java/maplespread/lab/rig/OrderingCheckerTest.java
@@ -4,14 +4,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import maplespread.lab.rig.KeyJudge.Asked;
-import maplespread.lab.rig.KeyJudge.Got;
-import maplespread.lab.rig.KeyJudge.Ran;
+import maplespread.lab.rig.OrderingChecker.Asked;
+import maplespread.lab.rig.OrderingChecker.Got;
+import maplespread.lab.rig.OrderingChecker.Ran;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Made-up records: what must be told as wrong is, and what only looks so is not. */
-class KeyJudgeTest {
+class OrderingCheckerTest {
     /**
      * Runs as {@code id key start end}, jobs as {@code id key sent answered got}; an id that begins with o
      * may not be repeated. Wrongs: overlaps, inversions, twice, unanswered, done without a run.
@@ -51,7 +51,7 @@
             jobs.add(new Asked(
                     f[0], f[1], f[0].startsWith("o"), Long.parseLong(f[2]), Long.parseLong(f[3]), Got.valueOf(f[4])));
         }
-        KeyJudge.Verdict v = KeyJudge.judge(runs, jobs);
+        OrderingChecker.Verdict v = OrderingChecker.judge(runs, jobs);
         assertEquals(
                 wrongs,
                 v.overlaps() + " " + v.inversions() + " " + v.twice() + " " + v.unanswered() + " " + v.unrun(),
--- a/src/test/java/maplespread/lab/rig/PartitionProcessesTest.java
+++ b/src/test/java/maplespread/lab/rig/PartitionProcessesTest.java
@@ -20,7 +20,7 @@
     @Test
     void orderHoldsWhileThingsBreak() throws Exception {
         PartitionPlay play = new PartitionPlay(new PartitionPlay.Plan(3, 6, 30, 12, 60, 20, 3, true), RUNS_MS);
-        KeyJudge.Verdict seen;
+        OrderingChecker.Verdict seen;
         try (play) {
             play.awaitReady();
             play.rig.workers.forEach(w -> w.slow(SLOW));
@@ -28,9 +28,9 @@
             play.hotRan(5);
             play.rig.links.all(new Trouble(false, 0.1, 0.2, 0, 20));
             int owner = play.hotOwner();
-            play.rig.workers.forEach(w -> w.ways[owner].fault = Way.Fault.RESET); // outcomes nobody knows
+            play.rig.workers.forEach(w -> w.ways[owner].fault = FaultLink.Fault.RESET); // outcomes nobody knows
             play.await(() -> play.rig.ledger.cutOff.sum() >= 2, "orders that are cut off");
-            play.rig.workers.forEach(w -> w.ways[owner].fault = Way.Fault.NONE);
+            play.rig.workers.forEach(w -> w.ways[owner].fault = FaultLink.Fault.NONE);
             play.longJob(LONG_MS);
             play.change(2, RUNS_MS); // the hot key's order by its tenant's
             play.rig.links.set(owner, (owner + 1) % 3, Trouble.CUT);
--- a/src/test/java/maplespread/lab/rig/ProcessesTest.java
+++ b/src/test/java/maplespread/lab/rig/ProcessesTest.java
@@ -24,10 +24,10 @@
                 rig.restartWorker(w * 4 + 1);
             }
             // The hard case by name: an order that has come whole, and whose connection then ends.
-            rig.workers.forEach(w -> w.ways[0].fault = Way.Fault.RESET);
+            rig.workers.forEach(w -> w.ways[0].fault = FaultLink.Fault.RESET);
             await(rig, () -> rig.ledger.cutOff.sum() >= 8, "no order was cut off");
-            rig.workers.forEach(w -> w.ways[0].fault = Way.Fault.NONE);
-            thrown = new Storm(rig, 11).blow(18, 350);
+            rig.workers.forEach(w -> w.ways[0].fault = FaultLink.Fault.NONE);
+            thrown = new FaultSchedule(rig, 11).blow(18, 350);
             long served = rig.ledger.served.sum();
             await(rig, () -> rig.ledger.served.sum() >= served + 60, "no service after the storm");
         }
--- a/src/test/java/maplespread/membership/MembershipGoldenTest.java
+++ b/src/test/java/maplespread/membership/MembershipGoldenTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import maplespread.membership.Message.Kind;
-import maplespread.membership.Update.State;
+import maplespread.membership.MemberUpdate.State;
+import maplespread.membership.SwimMessage.Kind;
 import maplespread.testing.GoldenFile;
 import maplespread.testing.Transcript;
 import org.junit.jupiter.api.Test;
@@ -24,29 +24,29 @@
     private static final long WALL_MS = 1_700_000_000_000L;
     private static final long FRESH_MS = 30_000;
 
-    private static Sealed sealed(String name, long boot, int... keyIds) {
-        Sealed sealed = new Sealed(name, name + ":7946", boot, FRESH_MS);
+    private static PacketAuthenticator sealed(String name, long boot, int... keyIds) {
+        PacketAuthenticator sealed = new PacketAuthenticator(name, name + ":7946", boot, FRESH_MS);
         LinkedHashMap<Integer, byte[]> keys = new LinkedHashMap<>();
         for (int id : keyIds) {
             keys.put(id, ("secret " + id).getBytes(StandardCharsets.UTF_8));
         }
-        sealed.keys(keys);
+        sealed.setKeys(keys);
         return sealed;
     }
 
-    private static Message message(Kind kind) {
-        List<Update> updates = new ArrayList<>();
+    private static SwimMessage message(Kind kind) {
+        List<MemberUpdate> updates = new ArrayList<>();
         for (State state : State.values()) {
-            updates.add(new Update("m" + state.ordinal(), "h:1", state, 5 + state.ordinal(), 6, "caf\u00e9"));
+            updates.add(new MemberUpdate("m" + state.ordinal(), "h:1", state, 5 + state.ordinal(), 6, "caf\u00e9"));
         }
-        return new Message(kind, 7, "target", "h:2", updates);
+        return new SwimMessage(kind, 7, "target", "h:2", updates);
     }
 
     @Test
     void packetsOfEveryKindKeepTheirBytes() throws IOException {
         List<String> lines = new ArrayList<>();
-        Sealed sender = sealed("a", 9, 2, 1);
-        Sealed receiver = sealed("b", 9, 1, 2);
+        PacketAuthenticator sender = sealed("a", 9, 2, 1);
+        PacketAuthenticator receiver = sealed("b", 9, 1, 2);
         for (Kind kind : Kind.values()) {
             byte[] packet = sender.seal(message(kind), WALL_MS);
             lines.add(kind.ordinal() + " " + HexFormat.of().formatHex(packet));
@@ -55,21 +55,21 @@
         }
         byte[] packet = sender.seal(3, new byte[] {1, 2, 3}, WALL_MS);
         lines.add("channel " + HexFormat.of().formatHex(packet));
-        Sealed.Opened opened = receiver.open(packet, packet.length, WALL_MS);
+        PacketAuthenticator.OpenedPacket opened = receiver.open(packet, packet.length, WALL_MS);
         assertEquals("a a:7946 3 [1, 2, 3]", describe(opened));
         GoldenFile.check("membership/packets.txt", lines);
     }
 
-    private static String describe(Sealed.Opened opened) {
-        return opened.from() + " " + opened.address() + " " + opened.channel() + " "
+    private static String describe(PacketAuthenticator.OpenedPacket opened) {
+        return opened.sender() + " " + opened.address() + " " + opened.channel() + " "
                 + Arrays.toString(opened.payload());
     }
 
     /** The names of the reasons are members of an admin answer. */
     @Test
     void everyDroppedPacketIsCountedUnderItsReason() {
-        Sealed sender = sealed("a", 9, 1);
-        Sealed receiver = sealed("b", 9, 1);
+        PacketAuthenticator sender = sealed("a", 9, 1);
+        PacketAuthenticator receiver = sealed("b", 9, 1);
         byte[] good = sender.seal(3, new byte[] {1}, WALL_MS);
         byte[] version = good.clone();
         version[0]++;
@@ -89,17 +89,17 @@
 
     @Test
     void whatGossipIsTakenAndInWhichOrder() {
-        Gossip gossip = new Gossip();
-        Update self = new Update("self", "h:0", State.ALIVE, 1, 0, "");
+        GossipQueue gossip = new GossipQueue();
+        MemberUpdate self = new MemberUpdate("self", "h:0", State.ALIVE, 1, 0, "");
         for (int i = 0; i < 6; i++) {
-            gossip.add(new Update("m" + i, "h:" + i, State.ALIVE, 1, i, ""));
+            gossip.add(new MemberUpdate("m" + i, "h:" + i, State.ALIVE, 1, i, ""));
         }
         List<String> taken = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
             taken.add(String.join(
                     " ",
                     gossip.take(List.of(self), 250, 2).stream()
-                            .map(Update::name)
+                            .map(MemberUpdate::name)
                             .toList()));
         }
         assertEquals(
@@ -118,8 +118,8 @@
     private static final class History {
         final SplittableRandom random;
         final Transcript transcript = new Transcript();
-        final Map<String, Membership> nodes = new TreeMap<>();
-        final Map<String, Sealed> seals = new TreeMap<>();
+        final Map<String, SwimMembership> nodes = new TreeMap<>();
+        final Map<String, PacketAuthenticator> seals = new TreeMap<>();
         final List<Packet> packets = new ArrayList<>();
         final int size;
         final int lossPercent;
@@ -138,16 +138,16 @@
         void start(String name) {
             seals.put(name, sealed(name, ++boots, 1));
             MembershipSettings settings = MembershipSettings.of(name, name, List.of("m0", "m1"));
-            nodes.put(name, new Membership(settings, boots, boots, now, new MembershipSink() {
+            nodes.put(name, new SwimMembership(settings, boots, boots, now, new MembershipTransport() {
                 @Override
-                public void send(String to, Message message) {
+                public void send(String to, SwimMessage message) {
                     byte[] bytes = seals.get(name).seal(message, WALL_MS);
                     transcript.add("send", now, name, to, bytes);
                     packets.add(new Packet(name, to, bytes));
                 }
 
                 @Override
-                public void changed(Update before, Update after) {
+                public void changed(MemberUpdate before, MemberUpdate after) {
                     transcript.add("changed", now, name, text(before), text(after));
                 }
 
@@ -158,27 +158,28 @@
             }));
         }
 
-        static String text(Update update) {
+        static String text(MemberUpdate update) {
             return update == null
                     ? "none"
                     : update.name() + " " + update.address() + " "
-                            + update.state().ordinal() + " " + update.boot() + " " + update.incarnation() + " "
-                            + update.by();
+                            + update.state().ordinal() + " " + update.processIncarnation() + " " + update.incarnation()
+                            + " "
+                            + update.suspectedBy();
         }
 
         void tickAll(long elapsedMs) {
             now += elapsedMs;
-            nodes.forEach((name, node) -> transcript.add("tick", name, node.tick(now), node.doubt()));
+            nodes.forEach((name, node) -> transcript.add("tick", name, node.tick(now), node.localHealth()));
         }
 
         void arrive(Packet packet) {
-            Sealed seal = seals.get(packet.to());
+            PacketAuthenticator seal = seals.get(packet.to());
             if (seal == null || random.nextInt(100) < lossPercent) {
                 return;
             }
-            Sealed.Opened opened = seal.open(packet.bytes(), packet.bytes().length, WALL_MS);
+            PacketAuthenticator.OpenedPacket opened = seal.open(packet.bytes(), packet.bytes().length, WALL_MS);
             if (opened != null) {
-                nodes.get(packet.to()).received(now, opened.from(), packet.from(), opened.message());
+                nodes.get(packet.to()).received(now, opened.sender(), packet.from(), opened.message());
             }
         }
 
--- a/src/test/java/maplespread/membership/MembershipTest.java
+++ b/src/test/java/maplespread/membership/SwimMembershipTest.java
@@ -12,16 +12,16 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 import maplespread.lab.membership.VirtualGroup;
-import maplespread.membership.Message.Kind;
-import maplespread.membership.Sealed.Drop;
-import maplespread.membership.Update.State;
-import maplespread.membership.client.Group;
+import maplespread.membership.MemberUpdate.State;
+import maplespread.membership.PacketAuthenticator.DropReason;
+import maplespread.membership.SwimMessage.Kind;
+import maplespread.membership.client.ClusterTransport;
 import org.junit.jupiter.api.Test;
 
 /**
  * Groups on a virtual network, by seeds that are printed where one fails; then the seals, and real sockets.
  */
-class MembershipTest {
+class SwimMembershipTest {
     private static VirtualGroup group(int size, long seed) {
         VirtualGroup g = new VirtualGroup(n -> MembershipSettings.of(n, n, List.of("m0", "m1")), seed);
         for (int i = 0; i < size; i++) {
@@ -33,8 +33,8 @@
     /** What a node holds to be there, itself among them. */
     private static List<String> view(VirtualGroup.Node n) {
         List<String> names = n.core().members().stream()
-                .filter(m -> !m.gone())
-                .map(Update::name)
+                .filter(m -> !m.departed())
+                .map(MemberUpdate::name)
                 .collect(Collectors.toList());
         names.add(n.name);
         names.sort(null);
@@ -109,7 +109,7 @@
         g.kill("m3");
         until(g, 2000, "the good-bye");
         assertEquals(List.of(), g.deaths());
-        long boot = g.start("m3").core().self().boot();
+        long boot = g.start("m3").core().self().processIncarnation();
         until(g, 5000, "the next run");
         g.alive().stream()
                 .filter(n -> !n.name.equals("m3"))
@@ -119,7 +119,7 @@
                                 .filter(m -> m.name().equals("m3"))
                                 .findFirst()
                                 .orElseThrow()
-                                .boot()));
+                                .processIncarnation()));
     }
 
     /** Splits, kills, restarts, pauses and loss as they come: when all is well again, all agree. */
@@ -177,39 +177,39 @@
         return keys;
     }
 
-    private static Sealed sealed(String name, long boot, int... ids) {
-        Sealed s = new Sealed(name, name, boot, 30_000);
-        s.keys(keys(ids));
+    private static PacketAuthenticator sealed(String name, long boot, int... ids) {
+        PacketAuthenticator s = new PacketAuthenticator(name, name, boot, 30_000);
+        s.setKeys(keys(ids));
         return s;
     }
 
-    private static final Message PING =
-            new Message(Kind.PING, 7, "b", "", List.of(new Update("c", "c:1", State.SUSPECT, 5, 6, "a")));
+    private static final SwimMessage PING =
+            new SwimMessage(Kind.PING, 7, "b", "", List.of(new MemberUpdate("c", "c:1", State.SUSPECT, 5, 6, "a")));
 
     @Test
     void keysChangeWithoutAGapAndForgeriesAreRefused() {
-        Sealed a = sealed("a", 1, 1), b = sealed("b", 1, 1);
+        PacketAuthenticator a = sealed("a", 1, 1), b = sealed("b", 1, 1);
         assertEquals(PING, open(b, a.seal(PING, 0)).message());
-        b.keys(keys(1, 2)); // the new one is added everywhere,
-        a.keys(keys(2, 1)); // then seals,
+        b.setKeys(keys(1, 2)); // the new one is added everywhere,
+        a.setKeys(keys(2, 1)); // then seals,
         assertNotNull(open(b, a.seal(PING, 0)));
-        b.keys(keys(2)); // then the old one goes
+        b.setKeys(keys(2)); // then the old one goes
         assertNotNull(open(b, a.seal(PING, 0)));
         assertNull(open(b, sealed("a", 2, 1).seal(PING, 0)));
         byte[] forged = a.seal(PING, 0);
         forged[40] ^= 1;
         assertNull(open(b, forged));
-        assertEquals(1, b.dropped().get(Drop.KEY));
-        assertEquals(1, b.dropped().get(Drop.SEAL));
+        assertEquals(1, b.dropped().get(DropReason.KEY));
+        assertEquals(1, b.dropped().get(DropReason.SEAL));
     }
 
-    private static Sealed.Opened open(Sealed s, byte[] packet) {
+    private static PacketAuthenticator.OpenedPacket open(PacketAuthenticator s, byte[] packet) {
         return s.open(packet, packet.length, 0);
     }
 
     @Test
     void replaysAreRefusedAndLateOnesAreNot() {
-        Sealed a = sealed("a", 5, 1), b = sealed("b", 5, 1);
+        PacketAuthenticator a = sealed("a", 5, 1), b = sealed("b", 5, 1);
         List<byte[]> packets = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             packets.add(a.seal(PING, 0));
@@ -229,7 +229,7 @@
     /** Whatever comes, reading ends, and only what a holder of a key made is taken. */
     @Test
     void noBytesMakeReadingFail() {
-        Sealed a = sealed("a", 1, 1), b = sealed("b", 1, 1);
+        PacketAuthenticator a = sealed("a", 1, 1), b = sealed("b", 1, 1);
         Random random = new Random(4);
         byte[] good = a.seal(PING, 0);
         for (int i = 0; i < 200_000; i++) {
@@ -241,7 +241,7 @@
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 + random.nextInt(255));
             }
             int length = bytes.length == 0 ? 0 : bytes.length - random.nextInt(Math.min(bytes.length, 8));
-            Sealed.Opened o = b.open(bytes, length, 0);
+            PacketAuthenticator.OpenedPacket o = b.open(bytes, length, 0);
             assertTrue(o == null || o.message().equals(PING), "taken: " + o);
         }
     }
@@ -257,15 +257,15 @@
             at.add("127.0.0.1:" + free.get(i).getLocalPort());
         }
         free.forEach(java.net.DatagramSocket::close);
-        List<Group> groups = new ArrayList<>();
+        List<ClusterTransport> groups = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            groups.add(new Group(MembershipSettings.of("g" + i, at.get(i), at.subList(0, 1)), keys(1), i));
+            groups.add(new ClusterTransport(MembershipSettings.of("g" + i, at.get(i), at.subList(0, 1)), keys(1), i));
         }
         await(
                 "all know all",
                 () -> groups.stream()
-                        .allMatch(
-                                g -> g.members().stream().filter(m -> !m.gone()).count() == 3));
+                        .allMatch(g ->
+                                g.members().stream().filter(m -> !m.departed()).count() == 3));
         try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
             byte[] junk = new byte[100];
             stranger.send(new java.net.DatagramPacket(
@@ -274,7 +274,7 @@
                     java.net.InetAddress.getLoopbackAddress(),
                     Integer.parseInt(at.get(0).substring(10))));
         }
-        await("junk is counted", () -> groups.get(0).dropped().containsKey(Drop.VERSION));
+        await("junk is counted", () -> groups.get(0).dropped().containsKey(DropReason.VERSION));
         groups.get(2).close();
         await(
                 "the good-bye",
--- a/src/test/java/maplespread/membership/client/TrafficGoldenTest.java
+++ b/src/test/java/maplespread/membership/client/ChannelTrafficMeterGoldenTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /** The traffic figures are part of an admin answer, written by reflection. */
-class TrafficGoldenTest {
+class ChannelTrafficMeterGoldenTest {
     @Test
     void theAnswerKeepsItsMembers() {
-        Traffic traffic = new Traffic();
+        ChannelTrafficMeter traffic = new ChannelTrafficMeter();
         traffic.received(0, 100);
         traffic.sent(2, 50);
         traffic.dropped(7);
--- a/src/test/java/maplespread/net/CrossingsTest.java
+++ b/src/test/java/maplespread/net/CrossingsTest.java
@@ -24,24 +24,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import maplespread.caller.Listener;
-import maplespread.caller.Service;
+import maplespread.caller.ClientListener;
+import maplespread.caller.ServingContext;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
 import maplespread.facade.Attempt;
-import maplespread.facade.Dispatcher;
+import maplespread.facade.DecisionService;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
+import maplespread.facade.InFlightRequest;
 import maplespread.facade.Outcome;
-import maplespread.facade.Route;
-import maplespread.facade.Transaction;
-import maplespread.figures.Figures;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
+import maplespread.metrics.Metrics;
 import maplespread.net.Loopback.Peer;
 import maplespread.net.Loopback.Site;
 import maplespread.worker.AttemptRunner;
-import maplespread.worker.Links;
-import maplespread.worker.Message;
+import maplespread.worker.ConnectionPool;
+import maplespread.worker.WorkerRequest;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -125,32 +125,32 @@
 
     /** From the accepting to the workers, without discovery. */
     private final class Node implements Closeable {
-        final Dispatcher dispatcher;
-        final Listener listener;
+        final DecisionService dispatcher;
+        final ClientListener listener;
         final AttemptRunner branches;
         final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final AtomicInteger over = new AtomicInteger(); // transactions
         final Config config;
 
-        Node(String file, Consumer<Runnable> legs, Consumer<Runnable> transactions, Links.Dialer dialer)
+        Node(String file, Consumer<Runnable> legs, Consumer<Runnable> transactions, ConnectionPool.Dialer dialer)
                 throws Exception {
             config = ConfigReader.read(file, Map.of());
-            Figures figures = new Figures();
-            dispatcher = new Dispatcher(config.settings(), 1, false);
-            dispatcher.report(config.known());
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 1, List.of()));
-            Links links = new Links(() -> config, config::sizes, dialer);
+            Metrics figures = new Metrics();
+            dispatcher = new DecisionService(config.settings(), 1, false);
+            dispatcher.report(config.cachedEndpoints());
+            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+            ConnectionPool links = new ConnectionPool(() -> config, config::limits, dialer);
             branches = new AttemptRunner(() -> config, links, dispatcher, figures);
             Starts counted = new Starts(work -> transactions.accept(() -> {
                 work.run();
                 over.incrementAndGet();
             }));
-            Service service = new Service(
+            ServingContext service = new ServingContext(
                     () -> config,
                     dispatcher,
                     branches,
                     counted,
-                    config::sizes,
+                    config::limits,
                     figures,
                     () -> true,
                     () -> null,
@@ -158,7 +158,7 @@
                     () -> Long.MAX_VALUE,
                     null,
                     null);
-            listener = new Listener(door, service, new Starts(legs), new Starts(legs));
+            listener = new ClientListener(door, service, new Starts(legs), new Starts(legs));
             threads.execute(listener);
         }
 
@@ -170,11 +170,18 @@
         }
 
         void drained(Peer worker) {
-            Route r = dispatcher.addresses().contains(worker.address())
-                    ? new Route(
-                            "s-" + worker.socket.getLocalPort(), worker.address(), Route.State.DRAINING, 1, 0, 1, 0, 0)
+            Endpoint r = dispatcher.endpointAddresses().contains(worker.address())
+                    ? new Endpoint(
+                            "s-" + worker.socket.getLocalPort(),
+                            worker.address(),
+                            Endpoint.State.DRAINING,
+                            1,
+                            0,
+                            1,
+                            0,
+                            0)
                     : null;
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 2, List.of(r)));
+            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(r)));
         }
 
         @Override
@@ -299,9 +306,9 @@
                             held.connect(to);
                             return new HttpConnection(held);
                         })) {
-            Transaction t = new Transaction(0, 0, node.dispatcher.nowUs() + 60_000_000, 50, 1, 0, null);
+            InFlightRequest t = new InFlightRequest(0, 0, node.dispatcher.nowUs() + 60_000_000, 50, 1, 0, null);
             Attempt branch = (Attempt) node.dispatcher.decide(t);
-            Message message = new Message("POST", "/page/x", "a", "page", List.of(), new byte[4]);
+            WorkerRequest message = new WorkerRequest("POST", "/page/x", "a", "page", List.of(), new byte[4]);
             Future<Outcome> outcome = threads.submit(() -> node.branches.run(branch, message).outcome);
             gate.reached();
             node.branches.cancel(branch);
--- a/src/test/java/maplespread/net/GroupStory.java
+++ b/src/test/java/maplespread/net/GroupStory.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpHead;
@@ -26,7 +26,7 @@
 
 /** The shared helper of stories of several dispatchers in a group on loopback, all of them electors. */
 final class GroupStory implements Closeable {
-    final Server[] servers;
+    final DispatcherServer[] servers;
     volatile String more; // of the operators' file, beside the group
     private final int[] ports;
     private final String key;
@@ -37,7 +37,7 @@
     GroupStory(Path dir, int n, String more, Peer worker) throws Exception {
         this.worker = worker;
         this.more = more;
-        servers = new Server[n];
+        servers = new DispatcherServer[n];
         ports = new int[n + 1];
         DatagramSocket[] taken = new DatagramSocket[n + 1];
         for (int i = 0; i <= n; i++) {
@@ -97,14 +97,14 @@
     /** A new process, as it were, under this one's name. */
     void begin(int i) throws Exception {
         Config config = Loopback.console(ConfigReader.read(config(i), Map.of()));
-        servers[i] = new Server(config, OperatorReader.text(file(i)), new Server.Source() {
+        servers[i] = new DispatcherServer(config, OperatorReader.text(file(i)), new DispatcherServer.ConfigSource() {
             @Override
             public Config read() {
                 return config;
             }
 
             @Override
-            public Operator operator() throws ConfigError {
+            public OperatorConfig operator() throws ConfigException {
                 return OperatorReader.text(file(i));
             }
         });
@@ -145,7 +145,7 @@
     @Override
     public void close() throws IOException {
         CountDownLatch over = new CountDownLatch(servers.length);
-        for (Server s : servers) {
+        for (DispatcherServer s : servers) {
             Loopback.daemon(() -> {
                 s.stop();
                 over.countDown();
--- a/src/test/java/maplespread/net/Loopback.java
+++ b/src/test/java/maplespread/net/Loopback.java
@@ -21,7 +21,7 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
 import maplespread.http.HttpConnection;
@@ -189,7 +189,7 @@
     }
 
     final Peer discovery;
-    Server server; // a story may replace it
+    DispatcherServer server; // a story may replace it
     volatile String file; // what a reload reads
     volatile Runnable beforeReading = () -> {};
 
@@ -226,7 +226,7 @@
             throws Exception {
         discovery = new Peer(asked);
         file = told.apply(config(site, discovery.address(), workers));
-        server = new Server(change.apply(swift(ConfigReader.read(file, Map.of()))), () -> {
+        server = new DispatcherServer(change.apply(swift(ConfigReader.read(file, Map.of()))), () -> {
             beforeReading.run();
             return ConfigReader.read(file, Map.of());
         });
@@ -381,7 +381,7 @@
 
     /** Ends soon: a story that is over has no clients to come. */
     static Config swift(Config c) {
-        return ending(c, 50, c.times().holdMs(), c.times().endMs());
+        return ending(c, 50, c.times().drainMs(), c.times().shutdownMs());
     }
 
     static Config ending(Config c, long acceptMs, long holdMs, long endMs) {
@@ -395,21 +395,21 @@
                 c.seed(),
                 c.settings(),
                 c.names(),
-                c.sizes(),
+                c.limits(),
                 new Config.Times(
                         t.dialMs(),
                         t.firstByteMs(),
                         t.probeMs(),
-                        t.linkIdleMs(),
-                        t.legIdleMs(),
-                        t.legReadMs(),
-                        t.list(),
-                        t.longestMs(),
+                        t.workerIdleMs(),
+                        t.clientIdleMs(),
+                        t.clientReadMs(),
+                        t.watchTimeouts(),
+                        t.longestDeadlineMs(),
                         acceptMs,
                         holdMs,
                         endMs,
                         FIRST_LIST_MS),
-                c.known(),
+                c.cachedEndpoints(),
                 c.keys());
     }
 
@@ -428,9 +428,9 @@
                 c.seed(),
                 c.settings(),
                 c.names(),
-                c.sizes(),
+                c.limits(),
                 c.times(),
-                c.known(),
+                c.cachedEndpoints(),
                 c.keys());
     }
 
@@ -454,7 +454,7 @@
         return dialConsole(server);
     }
 
-    static HttpConnection dialConsole(Server server) throws IOException {
+    static HttpConnection dialConsole(DispatcherServer server) throws IOException {
         return HttpConnection.dial(server.consoleAddress(), LIMIT_MS);
     }
 
--- a/src/test/java/maplespread/net/RegistryStoriesTest.java
+++ b/src/test/java/maplespread/net/RegistryStoriesTest.java
@@ -18,14 +18,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import maplespread.DispatcherServer;
 import maplespread.Lifecycle.Phase;
-import maplespread.Server;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
-import maplespread.facade.Route;
+import maplespread.facade.Endpoint;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
 import maplespread.lab.StandInWorker;
@@ -49,7 +49,7 @@
         final Store store = new Store();
         final List<StandInRegistry> members = new ArrayList<>();
         final List<StandInWorker> workers = new ArrayList<>();
-        final Map<String, Route> told = new ConcurrentHashMap<>();
+        final Map<String, Endpoint> told = new ConcurrentHashMap<>();
         final Map<String, Long> learned = new ConcurrentHashMap<>(); // draining or gone, since when
         final AtomicInteger lateSends = new AtomicInteger();
         final AtomicLong jobs = new AtomicLong();
@@ -57,9 +57,9 @@
         final AtomicLong awake = new AtomicLong(); // nanoseconds in which it ran
         final List<Thread> clients = new ArrayList<>();
         final Dialect dialect;
-        volatile Operator operator;
+        volatile OperatorConfig operator;
         volatile String bad; // the operators' file, while it is faulty
-        Server server;
+        DispatcherServer server;
 
         Town(Dialect dialect, int members, int workers) throws Exception {
             this.dialect = dialect;
@@ -106,34 +106,34 @@
                     1200);
         }
 
-        static Config config() throws ConfigError {
+        static Config config() throws ConfigException {
             return Loopback.swift(ConfigReader.read(Loopback.config("127.0.0.1:1"), Map.of()));
         }
 
         Town start() throws Exception {
-            return start(new Operator(false, settings("")));
+            return start(new OperatorConfig(false, settings("")));
         }
 
-        Town start(Operator first) throws Exception {
+        Town start(OperatorConfig first) throws Exception {
             operator = first;
-            server = new Server(config(), first, new Server.Source() {
+            server = new DispatcherServer(config(), first, new DispatcherServer.ConfigSource() {
                 @Override
-                public Config read() throws ConfigError {
+                public Config read() throws ConfigException {
                     return config();
                 }
 
                 @Override
-                public Operator operator() throws ConfigError {
+                public OperatorConfig operator() throws ConfigException {
                     return bad == null ? operator : OperatorReader.text(bad);
                 }
             });
-            server.onRoutes(news -> news.routes().forEach(r -> {
-                if (r.state() == Route.State.DELETED) {
+            server.onRoutes(news -> news.endpoints().forEach(r -> {
+                if (r.state() == Endpoint.State.DELETED) {
                     told.remove(r.worker());
                 } else {
                     told.put(r.worker(), r);
                 }
-                if (r.state() == Route.State.SERVING) {
+                if (r.state() == Endpoint.State.SERVING) {
                     learned.remove(r.worker());
                 } else {
                     learned.putIfAbsent(r.worker(), awake.get());
@@ -170,7 +170,7 @@
             return workers.get(i);
         }
 
-        void untilTold(StandInWorker w, Route.State state) {
+        void untilTold(StandInWorker w, Endpoint.State state) {
             until(
                     w.id() + " " + state,
                     () -> told.containsKey(w.id()) && told.get(w.id()).state() == state);
@@ -257,9 +257,9 @@
                 if (how == 1) {
                     town.store.compact(town.store.revision());
                 }
-                town.untilTold(w, Route.State.DRAINING);
+                town.untilTold(w, Endpoint.State.DRAINING);
                 town.put(w, "SERVING", 0);
-                town.untilTold(w, Route.State.SERVING);
+                town.untilTold(w, Endpoint.State.SERVING);
             }
             assertEquals(0, town.lateSends.get(), "first bytes 250 ms after a drain was learned");
         }
@@ -269,10 +269,10 @@
     @EnumSource(Dialect.class)
     void aMemberThatDiesOrFallsSilentIsReplacedByAnother(Dialect dialect) throws Exception {
         try (Town town = new Town(dialect, 2, 2).start()) {
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             town.members.get(0).down();
             town.put(town.worker(0), "DRAINING", 0);
-            town.untilTold(town.worker(0), Route.State.DRAINING);
+            town.untilTold(town.worker(0), Endpoint.State.DRAINING);
             town.members.get(0).up();
             town.members.get(0).faults.silent = true; // accepts, and says nothing
             long asked = town.members.get(0).requests.sum();
@@ -280,7 +280,7 @@
                     "the better endpoint is tried again",
                     () -> town.members.get(0).requests.sum() > asked);
             town.put(town.worker(0), "SERVING", 0);
-            town.untilTold(town.worker(0), Route.State.SERVING);
+            town.untilTold(town.worker(0), Endpoint.State.SERVING);
         }
     }
 
@@ -298,7 +298,7 @@
                 town.store.put(other, Town.value(town.worker(1), "SERVING", 0));
             }
             List<String> follow = dialect == Dialect.ETCD ? List.of(PREFIX, "/other/") : s.follow();
-            town.start(new Operator(
+            town.start(new OperatorConfig(
                     false,
                     new RegistrySettings(
                             dialect,
@@ -315,21 +315,21 @@
                             300,
                             600,
                             0)));
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             member.faults.muted = muted;
             long asked = member.requests.sum();
             town.put(town.worker(0), "DRAINING", 0);
             if (dialect == Dialect.ETCD) {
                 town.store.put(other, Town.value(town.worker(1), "DRAINING", 0));
-                town.untilTold(town.worker(1), Route.State.DRAINING);
+                town.untilTold(town.worker(1), Endpoint.State.DRAINING);
                 town.store.delete(PREFIX + town.worker(2).id());
                 until("gone", () -> !town.told.containsKey(town.worker(2).id()));
             }
-            town.untilTold(town.worker(0), Route.State.DRAINING);
+            town.untilTold(town.worker(0), Endpoint.State.DRAINING);
             assertTrue(member.requests.sum() > asked, "begun anew");
             member.faults.muted = 0;
             town.put(town.worker(0), "SERVING", 0);
-            town.untilTold(town.worker(0), Route.State.SERVING);
+            town.untilTold(town.worker(0), Endpoint.State.SERVING);
         }
     }
 
@@ -337,10 +337,10 @@
     @Test
     void aLineThatNeverEndsIsGivenUp() throws Exception {
         try (Town town = new Town(Dialect.ETCD, 1, 2).start()) {
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             town.members.get(0).faults.trickle = true;
             town.put(town.worker(0), "DRAINING", 0);
-            town.untilTold(town.worker(0), Route.State.DRAINING);
+            town.untilTold(town.worker(0), Endpoint.State.DRAINING);
         }
     }
 
@@ -351,7 +351,7 @@
             town.members.get(0).faults.wrongType = true;
             town.members.get(1).faults.errors = 2;
             town.start();
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             assertEquals(2, town.told.size());
         }
     }
@@ -360,7 +360,7 @@
     @EnumSource(Dialect.class)
     void theViewOutlivesTheRegistryAndItsAgeMakesUnready(Dialect dialect) throws Exception {
         try (Town town = new Town(dialect, 1, 2).start()) {
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             until("ready", () -> town.ready() == 200);
             town.members.get(0).down();
             assertEquals(200, town.status(job("page", "one", 4000)), "the view held goes on");
@@ -377,9 +377,9 @@
             names = {"ETCD", "CONSUL_KV"})
     void aRegistryThatLostItsDataCostsNoWorkerThatRegistersAnew(Dialect dialect) throws Exception {
         try (Town town = new Town(dialect, 1, 3).start()) {
-            town.untilTold(town.worker(2), Route.State.SERVING);
+            town.untilTold(town.worker(2), Endpoint.State.SERVING);
             town.put(town.worker(0), "DRAINING", 0);
-            town.untilTold(town.worker(0), Route.State.DRAINING);
+            town.untilTold(town.worker(0), Endpoint.State.DRAINING);
             town.members.get(0).down();
             town.store.wipe();
             town.put(town.worker(1), "SERVING", 0);
@@ -388,10 +388,11 @@
                     "the worker that did not is let go",
                     () -> !town.told.containsKey(town.worker(2).id()));
             town.put(town.worker(2), "SERVING", 0);
-            town.untilTold(town.worker(2), Route.State.SERVING);
-            assertEquals(Route.State.SERVING, town.told.get(town.worker(1).id()).state());
+            town.untilTold(town.worker(2), Endpoint.State.SERVING);
+            assertEquals(
+                    Endpoint.State.SERVING, town.told.get(town.worker(1).id()).state());
             town.put(town.worker(0), "SERVING", 0); // it has been let go; now it registers
-            town.untilTold(town.worker(0), Route.State.SERVING);
+            town.untilTold(town.worker(0), Endpoint.State.SERVING);
         }
     }
 
@@ -401,7 +402,7 @@
         Path token = Files.writeString(dir.resolve("token"), "wrong\n");
         try (Town town = new Town(dialect, 1, 1)) {
             town.members.get(0).faults.token = "right";
-            town.start(new Operator(false, town.settings(token.toString())));
+            town.start(new OperatorConfig(false, town.settings(token.toString())));
             until("it was refused", () -> town.members.get(0).requests.sum() > 0);
             long before = town.members.get(0).requests.sum(); // the start has waited for the list
             long begun = System.nanoTime();
@@ -412,7 +413,7 @@
             Files.writeString(token, "right\n");
             Files.setLastModifiedTime(
                     token, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5000));
-            town.untilTold(town.worker(0), Route.State.SERVING);
+            town.untilTold(town.worker(0), Endpoint.State.SERVING);
         }
     }
 
@@ -420,16 +421,16 @@
     void aReloadMovesToAnotherRegistryWithoutAMomentWithoutWorkers() throws Exception {
         try (Town old = new Town(Dialect.ETCD, 1, 2);
                 Town next = new Town(Dialect.CONSUL_KV, 1, 1)) {
-            next.operator = new Operator(false, next.settings(""));
+            next.operator = new OperatorConfig(false, next.settings(""));
             next.server = null;
             old.start();
-            old.untilTold(old.worker(1), Route.State.SERVING);
+            old.untilTold(old.worker(1), Endpoint.State.SERVING);
             next.members.get(0).faults.silent = true;
             old.operator = next.operator;
             old.server.reload();
             until("the new one is asked", () -> next.members.get(0).requests.sum() > 0);
             old.put(old.worker(0), "DRAINING", 0); // the old one is still obeyed
-            old.untilTold(old.worker(0), Route.State.DRAINING);
+            old.untilTold(old.worker(0), Endpoint.State.DRAINING);
             next.members.get(0).faults.silent = false;
             until(
                     "the new one has the word",
@@ -437,8 +438,9 @@
             old.put(old.worker(0), "SERVING", 0);
             assertEquals(200, old.status(job("page", "t", 4000)));
             next.put(next.worker(0), "DRAINING", 0);
-            old.untilTold(next.worker(0), Route.State.DRAINING);
-            assertEquals(Route.State.DRAINING, old.told.get(old.worker(0).id()).state(), "no longer heard");
+            old.untilTold(next.worker(0), Endpoint.State.DRAINING);
+            assertEquals(
+                    Endpoint.State.DRAINING, old.told.get(old.worker(0).id()).state(), "no longer heard");
             next.server = old.server;
         }
     }
@@ -446,15 +448,15 @@
     @Test
     void aFaultyFileAtAReloadChangesNothingAndTheNextOneCounts() throws Exception {
         try (Town town = new Town(Dialect.ETCD, 1, 2).start()) {
-            town.untilTold(town.worker(1), Route.State.SERVING);
+            town.untilTold(town.worker(1), Endpoint.State.SERVING);
             town.bad = "{\"registry\":{\"dialect\":\"etcd\",\"endpoints\":[\"nowhere\"]}}";
             town.server.reload();
             town.put(town.worker(0), "DRAINING", 0);
-            town.untilTold(town.worker(0), Route.State.DRAINING);
+            town.untilTold(town.worker(0), Endpoint.State.DRAINING);
             town.bad = "{}"; // no registry: discovery has the word again
             town.server.reload();
             town.put(town.worker(0), "SERVING", 0); // still obeyed: discovery is silent
-            town.untilTold(town.worker(0), Route.State.SERVING);
+            town.untilTold(town.worker(0), Endpoint.State.SERVING);
             assertEquals(200, town.status(job("page", "t", 4000)));
         }
     }
@@ -477,7 +479,7 @@
         try (Town town = new Town(Dialect.ETCD, 1, 3)) {
             town.members.get(0).fragmentAt = 2;
             town.start();
-            town.untilTold(town.worker(2), Route.State.SERVING);
+            town.untilTold(town.worker(2), Endpoint.State.SERVING);
             String pad = "x".repeat(64 * 1024);
             Map<String, String> all = new java.util.HashMap<>();
             for (StandInWorker w : town.workers) {
@@ -486,7 +488,7 @@
             all.put(PREFIX + "bad", "{\"hostPort\":\"nowhere\"}");
             town.store.change(all, 0);
             for (StandInWorker w : town.workers) {
-                town.untilTold(w, Route.State.DRAINING);
+                town.untilTold(w, Endpoint.State.DRAINING);
             }
             assertEquals(3, town.told.size(), "one that cannot be read costs no other");
         }
--- a/src/test/java/maplespread/net/ReleaseStoryTest.java
+++ b/src/test/java/maplespread/net/ReleaseStoryTest.java
@@ -17,11 +17,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
@@ -39,8 +39,8 @@
     Path dir;
 
     private final int[] ports = new int[N];
-    private final Server[] servers = new Server[N];
-    private final List<Server> all = new CopyOnWriteArrayList<>();
+    private final DispatcherServer[] servers = new DispatcherServer[N];
+    private final List<DispatcherServer> all = new CopyOnWriteArrayList<>();
     private Peer discovery;
     private Peer worker;
     private volatile String limits = "'dispatchers_out':1,'quiet_ms':100";
@@ -66,12 +66,12 @@
 
     @AfterEach
     void end() throws IOException {
-        all.parallelStream().forEach(Server::stop);
+        all.parallelStream().forEach(DispatcherServer::stop);
         discovery.close();
         worker.close();
     }
 
-    private Operator operator(int i) throws ConfigError {
+    private OperatorConfig operator(int i) throws ConfigException {
         return OperatorReader.text(("{'group':{'listen':'127.0.0.1:" + ports[i] + "','seeds':['127.0.0.1:"
                         + ports[0] + "','127.0.0.1:" + ports[1] + "'],'electors':[" + electors + "],'key_files':["
                         + keys
@@ -79,18 +79,18 @@
                 .replace('\'', '"'));
     }
 
-    private Server server(int i) throws Exception {
+    private DispatcherServer server(int i) throws Exception {
         Config config = Loopback.console(Loopback.swift(ConfigReader.read(
                 Loopback.config(discovery.address(), worker).replace("\"name\":\"n\"", "\"name\":\"n" + i + "\""),
                 Map.of())));
-        Server server = new Server(config, operator(i), new Server.Source() {
+        DispatcherServer server = new DispatcherServer(config, operator(i), new DispatcherServer.ConfigSource() {
             @Override
             public Config read() {
                 return config;
             }
 
             @Override
-            public Operator operator() throws ConfigError {
+            public OperatorConfig operator() throws ConfigException {
                 return ReleaseStoryTest.this.operator(i);
             }
         });
@@ -207,7 +207,7 @@
             assertEquals(400, post(third, "/admin/release/halt").status(), "without a why");
         }
         done(third, "/admin/release/halt?why=looks+bad", "");
-        Server old = servers[second];
+        DispatcherServer old = servers[second];
         servers[second] = server(second); // an upgrade in place: the address is held
         assertEquals("false", shown(second, "/admin/group").get("joined").toString());
         old.stop();
@@ -261,7 +261,7 @@
 
         keys = "'" + Files.writeString(dir.resolve("k2"), "2 " + "22".repeat(16)) + "'," + keys;
         limits = "'dispatchers_out':2,'quiet_ms':50";
-        for (Server s : servers) {
+        for (DispatcherServer s : servers) {
             s.reload();
         }
         until("the new limits count", () -> {
--- a/src/test/java/maplespread/net/ShutdownTest.java
+++ b/src/test/java/maplespread/net/ShutdownTest.java
@@ -19,20 +19,20 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
+import maplespread.DispatcherServer;
 import maplespread.Lifecycle;
-import maplespread.Server;
-import maplespread.caller.Listener;
-import maplespread.caller.Service;
+import maplespread.caller.ClientListener;
+import maplespread.caller.ServingContext;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.facade.Dispatcher;
+import maplespread.facade.DecisionService;
 import maplespread.facade.EndpointUpdate;
-import maplespread.figures.Figures;
 import maplespread.http.HttpConnection;
 import maplespread.http.HttpParser;
+import maplespread.metrics.Metrics;
 import maplespread.net.Loopback.Peer;
 import maplespread.worker.AttemptRunner;
-import maplespread.worker.Links;
+import maplespread.worker.ConnectionPool;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -68,11 +68,11 @@
         return t;
     });
     private volatile boolean parting;
-    private volatile Config.Sizes sizes;
+    private volatile Config.Limits sizes;
     private Runnable known; // has the dispatcher know its worker
     private Peer worker;
     private Door door;
-    private Listener listener;
+    private ClientListener listener;
 
     private void at(Step step) {
         if (step == Step.LOOKED && Thread.currentThread() != story) {
@@ -153,15 +153,15 @@
     void open() throws Exception {
         worker = new Peer(call -> {});
         Config config = ConfigReader.read(Loopback.config(worker.address(), worker), Map.of());
-        sizes = config.sizes();
-        Figures figures = new Figures();
-        Dispatcher dispatcher = new Dispatcher(config.settings(), 1, false);
+        sizes = config.limits();
+        Metrics figures = new Metrics();
+        DecisionService dispatcher = new DecisionService(config.settings(), 1, false);
         known = () -> {
-            dispatcher.report(config.known());
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.CHANGES, 1, List.of()));
+            dispatcher.report(config.cachedEndpoints());
+            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
         };
-        Links links = new Links(() -> config, config::sizes);
-        Service service = new Service(
+        ConnectionPool links = new ConnectionPool(() -> config, config::limits);
+        ServingContext service = new ServingContext(
                 () -> config,
                 dispatcher,
                 new AttemptRunner(() -> config, links, dispatcher, figures),
@@ -175,7 +175,7 @@
                 null,
                 null);
         door = new Door();
-        listener = new Listener(door, service, threads, threads);
+        listener = new ClientListener(door, service, threads, threads);
         threads.execute(listener);
     }
 
@@ -279,7 +279,7 @@
     }
 
     private void room(int legs, int kept) {
-        sizes = new Config.Sizes(8, legs, kept, 8, 8, 8);
+        sizes = new Config.Limits(8, legs, kept, 8, 8, 8);
     }
 
     /**
@@ -390,21 +390,21 @@
                 c.seed(),
                 c.settings(),
                 c.names(),
-                c.sizes(),
+                c.limits(),
                 new Config.Times(
                         t.dialMs(),
                         t.firstByteMs(),
                         t.probeMs(),
-                        t.linkIdleMs(),
-                        t.legIdleMs(),
+                        t.workerIdleMs(),
+                        t.clientIdleMs(),
                         Loopback.LIMIT_MS,
-                        t.list(),
-                        t.longestMs(),
+                        t.watchTimeouts(),
+                        t.longestDeadlineMs(),
                         50,
                         300,
                         Loopback.LIMIT_MS,
                         t.firstListMs()),
-                c.known(),
+                c.cachedEndpoints(),
                 c.keys());
     }
 
@@ -422,9 +422,9 @@
                     ConfigReader.read(here.file, Map.of()),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), here.server.port()),
                     dir));
-            here.server = new Server(config, () -> config);
+            here.server = new DispatcherServer(config, () -> config);
             here.server.start();
-            Server old = here.server;
+            DispatcherServer old = here.server;
             String job = Loopback.job("order", from, 4000);
             try (Loopback.Client client = here.new Client();
                     Loopback.Client fresh = here.new Client()) {
@@ -433,7 +433,7 @@
                 if (from.equals("drained")) {
                     assertTrue(old.lifecycle().quiesce());
                 } else if (from.equals("relieved")) {
-                    here.server = new Server(config, () -> config);
+                    here.server = new DispatcherServer(config, () -> config);
                     here.server.start();
                 }
                 fresh.send(job.replace(": " + from, ": fresh").substring(0, 1));
--- a/src/test/java/maplespread/net/StarvationStoryTest.java
+++ b/src/test/java/maplespread/net/StarvationStoryTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
+import maplespread.config.OperatorConfig;
 import maplespread.config.OperatorReader;
 import org.junit.jupiter.api.Test;
 
@@ -32,10 +32,10 @@
         String file = here.file.replace(
                 "{\"name\":\"acme\",\"allowancePerS\":100}",
                 "{\"name\":\"acme\",\"allowancePerS\":0},{\"name\":\"bolt\",\"allowancePerS\":0}");
-        Operator operator =
+        OperatorConfig operator =
                 OperatorReader.text("{\"starvation\":{\"window_ms\":200,\"windows\":60," + "\"verdicts\":\"both\"}}");
         Config config = Loopback.console(Loopback.swift(ConfigReader.read(file, Map.of())));
-        here.server = new Server(config, operator, () -> config);
+        here.server = new DispatcherServer(config, operator, () -> config);
         here.server.start();
         List<Loopback.Client> waiting = new ArrayList<>();
         try (Loopback.Client client = here.new Client()) {
--- a/src/test/java/maplespread/net/StoriesTest.java
+++ b/src/test/java/maplespread/net/StoriesTest.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import maplespread.Lifecycle.Phase;
 import maplespread.config.Config;
+import maplespread.discovery.WatchTimeouts;
 import maplespread.http.HttpConnection;
 import maplespread.net.Loopback.Call;
 import maplespread.net.Loopback.Client;
 import maplespread.net.Loopback.Peer;
-import maplespread.routes.ListClock;
 import org.junit.Test;
 
 /** Whole dispatchers over loopback: one story for each failure met or guarded against. */
@@ -574,9 +574,9 @@
                 c.seed(),
                 c.settings(),
                 c.names(),
-                new Config.Sizes(transactions, legs, legs - 1, transactions + 8, 8, 8),
+                new Config.Limits(transactions, legs, legs - 1, transactions + 8, 8, 8),
                 c.times(),
-                c.known(),
+                c.cachedEndpoints(),
                 c.keys());
     }
 
@@ -590,7 +590,7 @@
                 c.seed(),
                 c.settings(),
                 c.names(),
-                c.sizes(),
+                c.limits(),
                 new Config.Times(
                         250,
                         500,
@@ -598,13 +598,13 @@
                         9000,
                         9000,
                         legReadMs,
-                        new ListClock(silenceMs, silenceMs / 7, silenceMs),
+                        new WatchTimeouts(silenceMs, silenceMs / 7, silenceMs),
                         5000,
                         50,
                         holdMs,
                         endMs,
                         FIRST_LIST_MS),
-                c.known(),
+                c.cachedEndpoints(),
                 c.keys());
     }
 }
--- a/src/test/java/maplespread/net/SubsetStoryTest.java
+++ b/src/test/java/maplespread/net/SubsetStoryTest.java
@@ -6,17 +6,17 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import maplespread.Server;
+import maplespread.DispatcherServer;
 import maplespread.config.Config;
-import maplespread.config.ConfigError;
+import maplespread.config.ConfigException;
 import maplespread.config.ConfigReader;
-import maplespread.config.Operator;
-import maplespread.subset.Cut;
+import maplespread.config.OperatorConfig;
+import maplespread.subset.SubsetAssignment;
 import org.junit.jupiter.api.Test;
 
 /** One dispatcher of ten over sockets: it uses its subset alone, and the module is told who shares it. */
 class SubsetStoryTest {
-    private static final Cut.Wish WISH = new Cut.Wish(3, 1);
+    private static final SubsetAssignment.SubsetSettings WISH = new SubsetAssignment.SubsetSettings(3, 1);
     private volatile int dispatchers = 10;
     private Loopback.Peer discovery;
     private final Loopback.Peer[] workers = new Loopback.Peer[12];
@@ -26,8 +26,8 @@
                 .replace("\"balancers\":1,", "\"balancers\":" + dispatchers + ",");
     }
 
-    private Cut expected() {
-        Cut cut = new Cut(0, dispatchers, WISH, 0);
+    private SubsetAssignment expected() {
+        SubsetAssignment cut = new SubsetAssignment(0, dispatchers, WISH, 0);
         for (Loopback.Peer w : workers) {
             cut.put("s-" + w.socket.getLocalPort(), 0);
         }
@@ -45,18 +45,19 @@
         Loopback here = new Loopback(workers);
         here.server.stop(); // another one takes its place
         discovery = here.discovery;
-        Operator operator = new Operator(false, null, WISH, false);
-        Server server = new Server(ConfigReader.read(file(), Map.of()), operator, new Server.Source() {
-            @Override
-            public Config read() throws ConfigError {
-                return ConfigReader.read(file(), Map.of());
-            }
+        OperatorConfig operator = new OperatorConfig(false, null, WISH, false);
+        DispatcherServer server = new DispatcherServer(
+                ConfigReader.read(file(), Map.of()), operator, new DispatcherServer.ConfigSource() {
+                    @Override
+                    public Config read() throws ConfigException {
+                        return ConfigReader.read(file(), Map.of());
+                    }
 
-            @Override
-            public Operator operator() {
-                return operator;
-            }
-        });
+                    @Override
+                    public OperatorConfig operator() {
+                        return operator;
+                    }
+                });
         here.server = server;
         server.start();
         try (Loopback.Client client = here.new Client()) {
@@ -87,8 +88,8 @@
     }
 
     private int sharers() {
-        Cut cut = expected();
+        SubsetAssignment cut = expected();
         cut.workers();
-        return cut.sharers();
+        return cut.maxDispatchersPerWorker();
     }
 }
--- a/src/test/java/maplespread/net/ListClockTest.java
+++ b/src/test/java/maplespread/net/WatchTimeoutsTest.java
@@ -15,45 +15,45 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.DiscoveryClient;
+import maplespread.discovery.EndpointListener;
+import maplespread.discovery.EndpointParser;
+import maplespread.discovery.WatchTimeouts;
 import maplespread.facade.EndpointUpdate;
 import maplespread.net.Loopback.Call;
 import maplespread.net.Loopback.Peer;
-import maplespread.routes.DiscoveryClient;
-import maplespread.routes.ListClock;
-import maplespread.routes.RouteReader;
-import maplespread.routes.RouteSink;
+import maplespread.policy.Dispatch;
 import org.junit.jupiter.api.Test;
 
 /** One clock for discovery's list: silence is a break, and what the agent holds counts at once. */
-class ListClockTest {
+class WatchTimeoutsTest {
     private static final Loopback.Script MUTE = call -> {};
     private final List<EndpointUpdate> news = new CopyOnWriteArrayList<>();
     private final AtomicInteger lost = new AtomicInteger();
-    private final List<Dispatch.ListLoss> losses = new CopyOnWriteArrayList<>();
-    private final List<Dispatch.ListDoubt> doubts = new CopyOnWriteArrayList<>();
+    private final List<Dispatch.EndpointWatchFailure> losses = new CopyOnWriteArrayList<>();
+    private final List<Dispatch.EndpointListDoubt> doubts = new CopyOnWriteArrayList<>();
 
     private DiscoveryClient routes(Peer discovery, boolean pushed) {
         return new DiscoveryClient(
                 new InetSocketAddress("127.0.0.1", discovery.socket.getLocalPort()),
-                new RouteReader(List.of("a"), List.of("m")),
+                new EndpointParser(List.of("a"), List.of("m")),
                 1,
-                new ListClock(60, 10, 1500),
+                new WatchTimeouts(60, 10, 1500),
                 pushed,
                 7,
-                new RouteSink() {
+                new EndpointListener() {
                     @Override
-                    public void news(EndpointUpdate told) {
+                    public void endpointsChanged(EndpointUpdate told) {
                         news.add(told);
                     }
 
                     @Override
-                    public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {
+                    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
                         doubts.add(why);
                     }
 
                     @Override
-                    public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {
+                    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
                         lost.incrementAndGet();
                         losses.add(loss);
                     }
@@ -118,7 +118,7 @@
                 call.line(indented(list(2, true, "SERVING")));
             };
             until("the list", () -> !news.isEmpty());
-            assertEquals(EndpointUpdate.Kind.WHOLE, news.get(0).kind());
+            assertEquals(EndpointUpdate.Kind.FULL_SNAPSHOT, news.get(0).kind());
         }
     }
 
@@ -145,7 +145,7 @@
 
     @Test
     void theProtocolsClockLeavesTimeForACallAmongMany() {
-        ListClock clock = ListClock.ofProtocol();
+        WatchTimeouts clock = WatchTimeouts.ofProtocol();
         assertTrue(clock.silenceMs() > 2000, "a line is due every 2 s");
         assertTrue(clock.silenceMs() + clock.spreadMs() + clock.renewMs() <= 6000);
         assertTrue(clock.renewMs() >= 2000, "discovery answers a hundred callers one after another");
@@ -158,22 +158,24 @@
             call.open();
             call.line(list(2, false, "SERVING"));
         };
-        Map<Loopback.Script, Dispatch.ListLoss> ends = new LinkedHashMap<>();
+        Map<Loopback.Script, Dispatch.EndpointWatchFailure> ends = new LinkedHashMap<>();
         ends.put(
                 call -> {
                     speaks.answer(call);
                     call.link.close();
                 },
-                Dispatch.ListLoss.ENDED);
-        ends.put(call -> call.link.close(), Dispatch.ListLoss.NO_ANSWER);
-        ends.put(call -> call.raw("HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"), Dispatch.ListLoss.NO_ANSWER);
+                Dispatch.EndpointWatchFailure.ENDED);
+        ends.put(call -> call.link.close(), Dispatch.EndpointWatchFailure.NO_ANSWER);
+        ends.put(
+                call -> call.raw("HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"),
+                Dispatch.EndpointWatchFailure.NO_ANSWER);
         ends.put(
                 call -> {
                     speaks.answer(call);
                     call.line("no JSON"); // discovery is there, and what it says cannot be read
                 },
-                Dispatch.ListLoss.NO_ANSWER);
-        for (Map.Entry<Loopback.Script, Dispatch.ListLoss> end : ends.entrySet()) {
+                Dispatch.EndpointWatchFailure.NO_ANSWER);
+        for (Map.Entry<Loopback.Script, Dispatch.EndpointWatchFailure> end : ends.entrySet()) {
             losses.clear();
             try (Peer discovery = new Peer(end.getKey());
                     DiscoveryClient routes = routes(discovery, false)) {
@@ -190,7 +192,7 @@
             routes.start();
             routes.watch();
             until("the refusal", () -> !losses.isEmpty());
-            assertEquals(Dispatch.ListLoss.REFUSED, losses.get(0));
+            assertEquals(Dispatch.EndpointWatchFailure.REFUSED, losses.get(0));
         }
     }
 
@@ -210,18 +212,18 @@
                 DiscoveryClient routes = routes(first, false)) {
             routes.start();
             routes.watch();
-            until("the silence is told", () -> doubts.contains(Dispatch.ListDoubt.SILENT));
+            until("the silence is told", () -> doubts.contains(Dispatch.EndpointListDoubt.SILENT));
             until("it is begun anew", () -> watches.size() >= 2);
-            routes.move(new InetSocketAddress("127.0.0.1", second.socket.getLocalPort()));
-            until("the move is told", () -> doubts.contains(Dispatch.ListDoubt.MOVED));
+            routes.moveTo(new InetSocketAddress("127.0.0.1", second.socket.getLocalPort()));
+            until("the move is told", () -> doubts.contains(Dispatch.EndpointListDoubt.MOVED));
             first.script = call -> { // silent again and again, it is watched again and again
                 call.open();
                 call.line(list(3, false, "DRAINING"));
             };
             until(
                     "the old address is still obeyed",
-                    () -> !news.isEmpty() && news.get(news.size() - 1).generation() == 3);
-            assertFalse(news.get(news.size() - 1).current(), "but it vouches for nothing");
+                    () -> !news.isEmpty() && news.get(news.size() - 1).version() == 3);
+            assertFalse(news.get(news.size() - 1).confirmed(), "but it vouches for nothing");
         }
     }
 }
--- a/src/test/java/maplespread/partition/TableTest.java
+++ b/src/test/java/maplespread/partition/RoutingTableTest.java
@@ -18,7 +18,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import maplespread.partition.TableReader.Site;
+import maplespread.partition.RoutingTableParser.SiteNames;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Random tables against a plain reading of their text, and each error from the text that causes it. */
-class TableTest {
-    private static final Site SITE = new Site(
+class RoutingTableTest {
+    private static final SiteNames SITE = new SiteNames(
             List.of("stock", "price"),
             List.of("a", "b"),
             List.of("z1", "z2"),
@@ -35,7 +35,7 @@
             List.of(new Partition.Worker("w1", "z1", "big", 1)));
     private static final List<String> TEXTS = List.of("", "a", "ab", "abc", "b", "ba", "c");
 
-    private static boolean plainly(JsonObject when, Attributes job) {
+    private static boolean plainly(JsonObject when, RequestAttributes job) {
         for (String name : when.keySet()) {
             Object v = job.get(name);
             JsonElement e = when.get(name);
@@ -52,7 +52,7 @@
                     && (!o.has("from") || (Double) v >= o.get("from").getAsDouble())
                     && (!o.has("below") || (Double) v < o.get("below").getAsDouble())
                     && (!o.has("share")
-                            || Asks.Share.unit(v.toString()) < 0.5
+                            || AttributeMatcher.Share.unitHash(v.toString()) < 0.5
                                     == (o.getAsJsonArray("share").get(0).getAsDouble() == 0));
             if (!ok) {
                 return false;
@@ -96,8 +96,8 @@
         return "{" + String.join(",", all) + "}";
     }
 
-    private static List<Attributes> jobs() {
-        List<Attributes> all = new ArrayList<>();
+    private static List<RequestAttributes> jobs() {
+        List<RequestAttributes> all = new ArrayList<>();
         for (String cls : SITE.classes()) {
             for (String tenant : SITE.tenants()) {
                 for (String entity : new String[] {
@@ -108,7 +108,7 @@
                             "", "a", "a1", "ab", "ab1", "abc", "abc1", "b", "b1", "ba", "ba1", "c", "c1", "d")) {
                         for (double x = -0.5; x < 6; x += 0.5) {
                             Map<String, Double> labels = x < 0 ? Map.of() : Map.of("x", x);
-                            all.add(new Attributes(cls, tenant, entity, path, labels));
+                            all.add(new RequestAttributes(cls, tenant, entity, path, labels));
                         }
                     }
                 }
@@ -117,11 +117,11 @@
         return all;
     }
 
-    private static final List<Attributes> JOBS = jobs();
+    private static final List<RequestAttributes> JOBS = jobs();
 
     /** The first that matches, read rule by rule; a rule is refused as dead only if no job comes to it. */
     @Property(tries = 60, seed = "27")
-    void decidesAsThePlainReadingDoes(@ForAll long seed) throws TableError {
+    void decidesAsThePlainReadingDoes(@ForAll long seed) throws RoutingTableException {
         SplittableRandom r = new SplittableRandom(seed);
         List<String> whens = new ArrayList<>();
         for (int i = 0, n = 1 + r.nextInt(80); i < n; i++) {
@@ -129,8 +129,10 @@
         }
         whens.removeIf(w -> w.equals("{}"));
         whens.add("{}");
-        List<Attributes> some = r.ints(500, 0, JOBS.size()).mapToObj(JOBS::get).toList();
-        List<Attributes> most = r.ints(3000, 0, JOBS.size()).mapToObj(JOBS::get).toList();
+        List<RequestAttributes> some =
+                r.ints(500, 0, JOBS.size()).mapToObj(JOBS::get).toList();
+        List<RequestAttributes> most =
+                r.ints(3000, 0, JOBS.size()).mapToObj(JOBS::get).toList();
         while (true) {
             List<JsonObject> read = whens.stream()
                     .map(w -> JsonParser.parseString(w).getAsJsonObject())
@@ -139,8 +141,8 @@
                     .mapToObj(i -> "{\"name\":\"" + i + "\",\"when\":" + whens.get(i) + "}")
                     .collect(Collectors.joining(","));
             try {
-                Table table = TableReader.read("{\"rules\":[" + rows + "]}", SITE);
-                for (Attributes job : some) {
+                RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "]}", SITE);
+                for (RequestAttributes job : some) {
                     int plain = IntStream.range(0, read.size())
                             .filter(i -> plainly(read.get(i), job))
                             .findFirst()
@@ -148,8 +150,8 @@
                     assertEquals("" + plain, table.decide(job).name(), whens + " " + job);
                 }
                 return;
-            } catch (TableError e) {
-                assertEquals(TableError.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
+            } catch (RoutingTableException e) {
+                assertEquals(RoutingTableException.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
                 int dead = Integer.parseInt(e.where().substring(5));
                 assertTrue(
                         most.stream()
@@ -163,7 +165,7 @@
 
     /** Without shares every kind of value is among the jobs, so a rule that is let through meets one. */
     @Property(tries = 60, seed = "27")
-    void everyRuleThatIsLetThroughMeetsAJob(@ForAll long seed) throws TableError {
+    void everyRuleThatIsLetThroughMeetsAJob(@ForAll long seed) throws RoutingTableException {
         SplittableRandom r = new SplittableRandom(seed);
         List<String> whens = Stream.generate(() -> when(r))
                 .filter(w -> !w.equals("{}") && !w.contains("share"))
@@ -171,12 +173,12 @@
                 .toList();
         String rows = whens.stream().map(w -> "{\"when\":" + w + "},").collect(Collectors.joining());
         try {
-            Table table = TableReader.read("{\"rules\":[" + rows + "{}]}", SITE);
+            RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "{}]}", SITE);
             Set<String> came = JOBS.stream().map(j -> table.decide(j).name()).collect(Collectors.toSet());
             came.add("" + (whens.size() + 1));
             assertEquals(whens.size() + 1, came.size(), whens + " " + came);
-        } catch (TableError e) {
-            assertEquals(TableError.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
+        } catch (RoutingTableException e) {
+            assertEquals(RoutingTableException.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
         }
     }
 
@@ -213,32 +215,33 @@
                 "SPILL         | rule 2         | {'partitions':{'p':{},'q':{}},'rules':[{'when':{'class':'stock'},"
                         + "'to':'p','spill':['q']},{'to':'q','spill':['p']}]}"
             })
-    void eachErrorNamesItsPlaceAndWhatToDo(TableError.Kind kind, String where, String text) {
-        TableError e = assertThrows(TableError.class, () -> TableReader.read(text.replace('\'', '"'), SITE));
+    void eachErrorNamesItsPlaceAndWhatToDo(RoutingTableException.Kind kind, String where, String text) {
+        RoutingTableException e = assertThrows(
+                RoutingTableException.class, () -> RoutingTableParser.parse(text.replace('\'', '"'), SITE));
         assertEquals(kind + where, e.kind() + (e.where().isEmpty() ? null : e.where()), e.getMessage());
         assertTrue(
                 e.getMessage().endsWith("; to do: " + e.remedy()) && !e.remedy().isBlank());
     }
 
     @Test
-    void atAChangeOnlyJobsWhoseKeyChangesWait() throws TableError {
+    void atAChangeOnlyJobsWhoseKeyChangesWait() throws RoutingTableException {
         String text = "{\"rules\":[{\"when\":{\"class\":\"stock\"},\"order\":\"by_key\",\"key\":\"KEY\","
                 + "\"runs_ms\":7},{\"order\":\"by_key\"}]}";
-        Table old = TableReader.read(text.replace("KEY", "entity"), SITE);
-        Table next = TableReader.read(text.replace("KEY", "tenant"), SITE);
-        Tables tables = new Tables();
-        tables.learned(0, 5, next, old, 300);
-        tables.learned(200, 5, next, old, 300); // the same again
-        Attributes stock = new Attributes("stock", "a", "e", "/", Map.of());
-        Attributes price = new Attributes("price", "a", "e", "/", Map.of());
+        RoutingTable old = RoutingTableParser.parse(text.replace("KEY", "entity"), SITE);
+        RoutingTable next = RoutingTableParser.parse(text.replace("KEY", "tenant"), SITE);
+        RoutingTableTransition tables = new RoutingTableTransition();
+        tables.learn(0, 5, next, old, 300);
+        tables.learn(200, 5, next, old, 300); // the same again
+        RequestAttributes stock = new RequestAttributes("stock", "a", "e", "/", Map.of());
+        RequestAttributes price = new RequestAttributes("price", "a", "e", "/", Map.of());
         assertEquals(
                 "tenant=a from 300",
                 tables.decide(299, stock).key() + " from "
-                        + tables.decide(299, stock).from());
-        assertTrue(tables.decide(299, price).from() < 0
-                && tables.decide(300, stock).from() < 0);
+                        + tables.decide(299, stock).sendAllowedFrom());
+        assertTrue(tables.decide(299, price).sendAllowedFrom() < 0
+                && tables.decide(300, stock).sendAllowedFrom() < 0);
         assertTrue(!tables.mayChange(299) && tables.mayChange(300));
-        assertEquals(1000, Tables.longestRunMs(next, old));
+        assertEquals(1000, RoutingTableTransition.maxRunMs(next, old));
     }
 
     /** The operators' page shows a table that can be read. */
@@ -246,20 +249,20 @@
     void theExampleOfThePageIsRead() throws Exception {
         String page = Files.readString(Path.of("docs/operators/partition.md"));
         String example = page.substring(page.indexOf("    {\n"), page.indexOf("\n    }\n") + 7);
-        Site site = new Site(SITE.classes(), SITE.tenants(), SITE.zones(), SITE.kinds(), List.of());
+        SiteNames site = new SiteNames(SITE.classes(), SITE.tenants(), SITE.zones(), SITE.kinds(), List.of());
         assertEquals(
                 "sync",
-                TableReader.read(example, site)
-                        .decide(new Attributes("stock", "a", "e", "/", Map.of()))
+                RoutingTableParser.parse(example, site)
+                        .decide(new RequestAttributes("stock", "a", "e", "/", Map.of()))
                         .name());
-        for (TableError.Kind kind : TableError.Kind.values()) {
+        for (RoutingTableException.Kind kind : RoutingTableException.Kind.values()) {
             assertTrue(page.contains("| `" + kind + "` |"), kind + " stands on no page");
         }
     }
 
     /** 1,000 rules of all kinds, the worst of five rounds' best: jobs that fall through to the last rules. */
     @Test
-    void aThousandRulesAreDecidedInUnderTwoMicroseconds() throws TableError {
+    void aThousandRulesAreDecidedInUnderTwoMicroseconds() throws RoutingTableException {
         StringBuilder rows = new StringBuilder();
         for (int i = 0; i < 999; i++) {
             rows.append("{\"when\":{\"class\":\"stock\",")
@@ -273,11 +276,11 @@
                             })
                     .append("}},");
         }
-        Table table = TableReader.read("{\"rules\":[" + rows + "{}]}", SITE);
-        List<Attributes> jobs = new ArrayList<>();
+        RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "{}]}", SITE);
+        List<RequestAttributes> jobs = new ArrayList<>();
         Map<String, Integer> came = new TreeMap<>();
         for (int i = 0; i < 4096; i++) {
-            jobs.add(new Attributes(
+            jobs.add(new RequestAttributes(
                     "stock", i % 3 == 0 ? "a" : "b", "e" + i, "/p/" + i % 1500 + "/x", Map.of("x", (i % 2000) + 0.5)));
             came.merge(table.decide(jobs.get(i)).name(), 1, Integer::sum);
         }
@@ -287,8 +290,8 @@
         for (int round = 0; round < 100 || best >= 2000 && System.nanoTime() < end; round++) {
             long from = System.nanoTime();
             long sum = 0;
-            for (Attributes job : jobs) {
-                sum += table.decide(job).runsMs();
+            for (RequestAttributes job : jobs) {
+                sum += table.decide(job).maxRunMs();
             }
             best = Math.min(best, (System.nanoTime() - from) / 4096.0 + sum * 0);
         }
--- a/src/test/java/maplespread/partition/OwnersTest.java
+++ b/src/test/java/maplespread/partition/SlotAssignmentTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The map of slots: what moves, what is remembered, and what it says of leases. */
-class OwnersTest {
+class SlotAssignmentTest {
     private static Set<String> fleet(int n) {
         Set<String> all = new TreeSet<>();
         for (int i = 0; i < n; i++) {
@@ -21,35 +21,35 @@
 
     @Test
     void onlySlotsOfThoseThatComeOrGoMove() {
-        Owners ten = Owners.first(1024, "t").members(fleet(10));
-        Owners eleven = Owners.read(ten.members(fleet(11)).text());
+        SlotAssignment ten = SlotAssignment.initial(1024, "t").members(fleet(10));
+        SlotAssignment eleven = SlotAssignment.fromJson(ten.members(fleet(11)).toJson());
         int moved = 0;
         for (int i = 0; i < 1024; i++) {
-            Owners.Slot was = ten.slots().get(i);
-            Owners.Slot is = eleven.slots().get(i);
+            SlotAssignment.Slot was = ten.slots().get(i);
+            SlotAssignment.Slot is = eleven.slots().get(i);
             if (!was.owner().equals(is.owner())) {
                 assertEquals("n10#1", is.owner());
-                assertEquals(Set.of(was.owner()), is.leavers().keySet());
-                assertEquals(eleven.epoch(), is.since());
+                assertEquals(Set.of(was.owner()), is.previousOwners().keySet());
+                assertEquals(eleven.epoch(), is.ownedSinceEpoch());
                 moved++;
             } else {
                 assertEquals(was, is);
             }
         }
         assertTrue(moved > 1024 / 11 * 0.6 && moved < 1024 / 11 * 1.5, "moved " + moved);
-        Owners back = eleven.members(fleet(10));
+        SlotAssignment back = eleven.members(fleet(10));
         for (int i = 0; i < 1024; i++) {
             assertEquals(ten.slots().get(i).owner(), back.slots().get(i).owner());
         }
         Set<String> again = fleet(10);
         again.remove("n3#1");
         again.add("n3#2"); // restarted: the earlier run is a leaver
-        Owners run = ten.members(again);
+        SlotAssignment run = ten.members(again);
         for (int i = 0; i < 1024; i++) {
             boolean its = ten.slots().get(i).owner().equals("n3#1");
             assertEquals(
                     its ? Set.of("n3#1") : Set.of(),
-                    run.slots().get(i).leavers().keySet());
+                    run.slots().get(i).previousOwners().keySet());
         }
         again.add("n3#1");
         assertThrows(IllegalArgumentException.class, () -> ten.members(again));
@@ -58,26 +58,29 @@
     /** A value that is begun anew keeps what operators have said, and comes after all that was. */
     @Test
     void aValueBegunAnewHasNoOwners() {
-        Owners o = Owners.first(8, "t").members(fleet(2)).table("u", 1);
-        Owners again = o.stop(o.slots().get(o.slotOf("k")).owner(), "k").again(1000);
+        SlotAssignment o = SlotAssignment.initial(8, "t").members(fleet(2)).table("u", 1);
+        SlotAssignment again =
+                o.stopKey(o.slots().get(o.slotOf("k")).owner(), "k").reinitialized(1000);
         assertEquals(
-                Owners.first(8, "u", 1000).members(fleet(3)).slots(),
+                SlotAssignment.initial(8, "u", 1000).members(fleet(3)).slots(),
                 again.members(fleet(3)).slots());
-        assertEquals(Set.of("k"), again.stopped());
+        assertEquals(Set.of("k"), again.stoppedKeys());
         assertTrue(again.slots().stream()
-                .allMatch(s -> s.owner().isEmpty() && s.leavers().isEmpty()));
+                .allMatch(s -> s.owner().isEmpty() && s.previousOwners().isEmpty()));
         assertEquals(
                 "u u 1000 1000 1000",
-                again.table() + " " + again.before() + " " + again.version() + " " + again.epoch() + " "
-                        + again.tableSince());
+                again.table() + " " + again.previousTable() + " " + again.version() + " " + again.epoch() + " "
+                        + again.tableEpoch());
     }
 
     @Test
     void leasesGoToMembersThatAreHeardAndKnowTheEpoch() {
-        Owners o = Owners.first(8, "t").members(fleet(2));
-        assertTrue(o.grants("n0#1", o.epoch()) && !o.grants("n0#1", o.epoch() - 1) && !o.grants("n2#1", 99));
-        Owners quiet = o.silent(Set.of("n0#1"));
-        assertTrue(!quiet.grants("n0#1", 99) && quiet.grants("n1#1", quiet.epoch()));
+        SlotAssignment o = SlotAssignment.initial(8, "t").members(fleet(2));
+        assertTrue(o.grantsLease("n0#1", o.epoch())
+                && !o.grantsLease("n0#1", o.epoch() - 1)
+                && !o.grantsLease("n2#1", 99));
+        SlotAssignment quiet = o.silent(Set.of("n0#1"));
+        assertTrue(!quiet.grantsLease("n0#1", 99) && quiet.grantsLease("n1#1", quiet.epoch()));
         assertEquals(o.slots(), quiet.slots(), "nothing moves by silence");
         assertEquals(
                 quiet.silent(),
@@ -87,12 +90,12 @@
                 "silence goes on unbroken");
         assertNotEquals(
                 quiet.silent(), quiet.silent(Set.of()).silent(Set.of("n0#1")).silent());
-        Owners next = o.table("u", o.tableSince());
-        assertTrue(!next.grants("n0#1", o.epoch()), "a table ends the leases of before");
-        assertEquals(next, next.table("t", o.tableSince()), "who has not heard of it changes nothing");
+        SlotAssignment next = o.table("u", o.tableEpoch());
+        assertTrue(!next.grantsLease("n0#1", o.epoch()), "a table ends the leases of before");
+        assertEquals(next, next.table("t", o.tableEpoch()), "who has not heard of it changes nothing");
         String mine = "n0#1".equals(o.slots().get(o.slotOf("k")).owner()) ? "n0#1" : "n1#1";
-        assertEquals(Set.of("k"), o.stop(mine, "k").stopped());
-        assertEquals(o, o.stop(mine.equals("n0#1") ? "n1#1" : "n0#1", "k"), "only its owner stops a key");
-        assertEquals(Set.of(), o.stop(mine, "k").start("k").stopped());
+        assertEquals(Set.of("k"), o.stopKey(mine, "k").stoppedKeys());
+        assertEquals(o, o.stopKey(mine.equals("n0#1") ? "n1#1" : "n0#1", "k"), "only its owner stops a key");
+        assertEquals(Set.of(), o.stopKey(mine, "k").startKey("k").stoppedKeys());
     }
 }
