--- a/src/test/java/maplespread/partition/client/OrdersGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
@@ -23,27 +23,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import maplespread.caller.Turns;
+import maplespread.caller.RequestSequencer;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.decision.Dispatch;
+import maplespread.discovery.EndpointListener;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
+import maplespread.facade.InFlightRequest;
 import maplespread.facade.Outcome;
-import maplespread.facade.Route;
-import maplespread.facade.Transaction;
-import maplespread.partition.FenceSettings;
-import maplespread.partition.Owners;
-import maplespread.partition.Table;
-import maplespread.partition.TableReader;
-import maplespread.routes.RouteSink;
-import maplespread.worker.Links;
-import maplespread.worker.Message;
-import maplespread.worker.Relay;
+import maplespread.partition.LeaseSettings;
+import maplespread.partition.RoutingTable;
+import maplespread.partition.RoutingTableParser;
+import maplespread.partition.SlotAssignment;
+import maplespread.policy.Dispatch;
+import maplespread.worker.ConnectionPool;
+import maplespread.worker.PeerForwarder;
+import maplespread.worker.WorkerRequest;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What clients are answered with by this package, and what goes to a key's owner, byte by byte. */
-class OrdersGoldenTest {
+class OrderedDispatchGoldenTest {
     private static final String TABLE = ("{'rules':["
                     + "{'when':{'class':'stop'},'order':'by_key_stop','runs_ms':1},"
                     + "{'when':{'class':'skip'},'order':'by_key','failed':'skip','runs_ms':1},"
@@ -51,7 +51,7 @@
                     + "{'when':{'class':'aged'},'order':'by_key','each_key':{'age_ms':1}},"
                     + "{'when':{'class':'price'},'order':'by_key'},{}]}")
             .replace('\'', '"');
-    private static final Owners OWN = Owners.first(2, "t").members(Set.of("n0#1"));
+    private static final SlotAssignment OWN = SlotAssignment.initial(2, "t").members(Set.of("n0#1"));
     private static final long LONG_MS = 600_000;
 
     /** Another member's listener: notes what comes, and answers by the script; empty: it breaks off. */
@@ -122,9 +122,9 @@
     }
 
     private final StringBuilder seen = new StringBuilder();
-    private Fleet fleet;
-    private Orders orders;
-    private Table table;
+    private PartitionEndpoints fleet;
+    private OrderedDispatch orders;
+    private RoutingTable table;
     private int keys;
     private volatile String peer;
     private volatile boolean stores = true;
@@ -132,33 +132,33 @@
     @BeforeEach
     void begin() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        fleet = new Fleet(
-                new RouteSink() {
+        fleet = new PartitionEndpoints(
+                new EndpointListener() {
                     @Override
-                    public void news(EndpointUpdate news) {}
+                    public void endpointsChanged(EndpointUpdate news) {}
 
                     @Override
-                    public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+                    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
                     @Override
-                    public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+                    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
                 },
                 config.names());
-        table = TableReader.read(
+        table = RoutingTableParser.parse(
                 TABLE,
-                new TableReader.Site(
+                new RoutingTableParser.SiteNames(
                         List.of("stop", "skip", "full", "aged", "price", "page"),
                         List.of(),
                         List.of(),
                         List.of(),
                         List.of()));
-        orders = new Orders(
+        orders = new OrderedDispatch(
                 "n0",
-                new FenceSettings(1, LONG_MS, 0),
+                new LeaseSettings(1, LONG_MS, 0),
                 table,
                 fleet,
-                new Relay(new Links(() -> config, config::sizes)),
-                new Orders.Others() {
+                new PeerForwarder(new ConnectionPool(() -> config, config::limits)),
+                new OrderedDispatch.ClusterOperations() {
                     @Override
                     public String address(String member) {
                         return peer;
@@ -177,25 +177,27 @@
     }
 
     /** This one owns all slots by this value's word, and has a lease. */
-    private void owns(Owners owners) {
+    private void owns(SlotAssignment owners) {
         orders.joined("n0#1", 2);
         orders.learned(owners, table, table);
         orders.granted("e", orders.ask().number(), electors -> true);
     }
 
     private void worker() {
-        fleet.news(new EndpointUpdate(
-                EndpointUpdate.Kind.WHOLE,
+        fleet.endpointsChanged(new EndpointUpdate(
+                EndpointUpdate.Kind.FULL_SNAPSHOT,
                 1,
-                List.of(new Route("w", "127.0.0.1:1", Route.State.SERVING, 1, 0, 0, 0, 0))));
+                List.of(new Endpoint("w", "127.0.0.1:1", Endpoint.State.SERVING, 1, 0, 0, 0, 0))));
     }
 
-    private Turns.Turn take(String cls, String entity, String handedBy, double workMs, long leftMs) {
-        Message message = new Message("POST", "/x?y=1", "t1", cls, List.of(), "body".getBytes(StandardCharsets.UTF_8));
+    private RequestSequencer.SequencingResult take(
+            String cls, String entity, String handedBy, double workMs, long leftMs) {
+        WorkerRequest message =
+                new WorkerRequest("POST", "/x?y=1", "t1", cls, List.of(), "body".getBytes(StandardCharsets.UTF_8));
         try {
-            return orders.take(new Turns.Job(
+            return orders.acquire(new RequestSequencer.SequencedRequest(
                     message,
-                    new Transaction(0, 0, Long.MAX_VALUE, workMs, 1, 1, null),
+                    new InFlightRequest(0, 0, Long.MAX_VALUE, workMs, 1, 1, null),
                     "acme",
                     entity,
                     Map.of(),
@@ -207,8 +209,8 @@
         }
     }
 
-    private Turns.Go go(String cls, String entity) {
-        return assertInstanceOf(Turns.Go.class, take(cls, entity, null, 0, LONG_MS));
+    private RequestSequencer.Permit go(String cls, String entity) {
+        return assertInstanceOf(RequestSequencer.Permit.class, take(cls, entity, null, 0, LONG_MS));
     }
 
     private String taken(String cls, String entity, String handedBy, double workMs, long leftMs) {
@@ -225,14 +227,14 @@
         seen.append(line).append('\n');
     }
 
-    private static String text(Turns.Turn turn) {
-        if (turn instanceof Turns.Said said) {
+    private static String text(RequestSequencer.SequencingResult turn) {
+        if (turn instanceof RequestSequencer.FinalResponse said) {
             return said.status()
                     + said.fields().stream().map(f -> " " + f[0] + ": " + f[1]).collect(Collectors.joining())
-                    + (said.taken() ? " taken " : " not taken ")
+                    + (said.idConsumed() ? " taken " : " not taken ")
                     + new String(said.body(), StandardCharsets.UTF_8).replace("\n", "\\n");
         }
-        return turn instanceof Turns.Go ? "go" : "left";
+        return turn instanceof RequestSequencer.Permit ? "go" : "left";
     }
 
     @Test
@@ -256,9 +258,10 @@
         note("full", "1", null, 5, LONG_MS);
         note("price", "3", "n1 99", 0, 1000);
         note("price", "3", "n1 1", 0, 1000);
-        note("turn lost: " + text(go("price", "4").lost()));
-        Turns.Turn handed = take("price", "5", "n1 1", 0, LONG_MS);
-        note("turn lost: " + text(assertInstanceOf(Turns.Go.class, handed).lost()));
+        note("turn lost: " + text(go("price", "4").permitLostResponse()));
+        RequestSequencer.SequencingResult handed = take("price", "5", "n1 1", 0, LONG_MS);
+        note("turn lost: "
+                + text(assertInstanceOf(RequestSequencer.Permit.class, handed).permitLostResponse()));
         assertGolden("answers-of-the-owner.txt", seen.toString());
     }
 
@@ -268,13 +271,13 @@
         worker();
         daemon(orders::tick);
         for (String cls : List.of("skip", "aged")) {
-            Turns.Go head = go(cls, "1");
+            RequestSequencer.Permit head = go(cls, "1");
             CompletableFuture<String> behind = new CompletableFuture<>();
             daemon(() -> behind.complete(taken(cls, "1", null, 0, LONG_MS)));
             if (cls.equals("skip")) {
                 until("it waits", () -> orders.waiting() == 1);
-                head.tried(Outcome.ERROR);
-                assertEquals(Turns.End.ENDED, head.over(false));
+                head.attemptCompleted(Outcome.ERROR);
+                assertEquals(RequestSequencer.Completion.ENDED, head.release(false));
             }
             note(cls + ": " + behind.get(60, TimeUnit.SECONDS));
         }
@@ -287,23 +290,27 @@
         worker();
         for (boolean stored : new boolean[] {true, false}) {
             stores = stored;
-            Turns.Go head = go("stop", "of " + stored);
-            head.tried(Outcome.ERROR);
-            assertEquals(stored ? Turns.End.ENDED : Turns.End.DOUBT, head.over(false));
+            RequestSequencer.Permit head = go("stop", "of " + stored);
+            head.attemptCompleted(Outcome.ERROR);
+            assertEquals(
+                    stored ? RequestSequencer.Completion.ENDED : RequestSequencer.Completion.IN_DOUBT,
+                    head.release(false));
         }
         note("stop", "of true", null, 0, 1000);
         note("stop", "of false", null, 0, 1000);
-        orders.learned(OWN.stop("n0#1", "entity=7"), table, table);
+        orders.learned(OWN.stopKey("n0#1", "entity=7"), table, table);
         note("price", "7", null, 0, 1000);
         assertGolden("answers-of-stopped-keys.txt", seen.toString());
     }
 
     private void ended(boolean served, Outcome... attempts) {
-        Turns.Go job = go("price", "k" + ++keys);
-        List.of(attempts).forEach(job::tried);
-        Turns.End end = job.over(served);
+        RequestSequencer.Permit job = go("price", "k" + ++keys);
+        List.of(attempts).forEach(job::attemptCompleted);
+        RequestSequencer.Completion end = job.release(served);
         note("k" + keys + (served ? " served: " : " not served: ")
-                + (end == Turns.End.ENDED ? "ended" : end == Turns.End.DOUBT ? "in doubt" : "never ran"));
+                + (end == RequestSequencer.Completion.ENDED
+                        ? "ended"
+                        : end == RequestSequencer.Completion.IN_DOUBT ? "in doubt" : "never ran"));
     }
 
     /** Outcomes of a job's attempts, whether it was served, and how it has ended. */
@@ -323,7 +330,7 @@
 
     @Test
     void ofAKeyThatAnotherMemberOwns() throws Exception {
-        owns(Owners.first(2, "t").members(Set.of("n1#5")));
+        owns(SlotAssignment.initial(2, "t").members(Set.of("n1#5")));
         note("price", "1", null, 0, 0);
         note("price", "1", "n2 1", 0, 1000);
         try (Peer owner = new Peer()) {
--- a/src/test/java/maplespread/partition/client/AdminGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/PartitionAdminGoldenTest.java
@@ -13,64 +13,66 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.client.Register;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.cluster.SharedState;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
 import maplespread.config.PartitionSettings;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Reply;
-import maplespread.decision.Dispatch;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.client.ReplicatedRegister;
+import maplespread.discovery.EndpointListener;
 import maplespread.facade.EndpointUpdate;
-import maplespread.group.Sections;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.client.Group;
-import maplespread.partition.Owners;
-import maplespread.routes.RouteSink;
-import maplespread.worker.Links;
-import maplespread.worker.Relay;
+import maplespread.membership.client.ClusterTransport;
+import maplespread.partition.SlotAssignment;
+import maplespread.policy.Dispatch;
+import maplespread.worker.ConnectionPool;
+import maplespread.worker.PeerForwarder;
 import org.junit.jupiter.api.Test;
 
 /** The console's answers, as recorded; numbers that begin with the time stand as {@code #}. */
-class AdminGoldenTest {
+class PartitionAdminGoldenTest {
     private static final String TABLE = ("{'rules':[{'when':{'class':'checkout','entity':{'prefix':''}},"
                     + "'order':'by_key_stop','runs_ms':RUNS},{}]}")
             .replace('\'', '"');
 
     private final StringBuilder seen = new StringBuilder();
-    private volatile Keeper.Ties ties;
-    private Keeper keeper;
+    private volatile PartitionService.ClusterHandle ties;
+    private PartitionService keeper;
 
     private void begin() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
         PartitionSettings set = new PartitionSettings(TABLE.replace("RUNS", "1"), "", 300, 20, 250, 5000, 0.01, 2);
-        RouteSink nobody = new RouteSink() {
+        EndpointListener nobody = new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {}
+            public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
         };
-        keeper = new Keeper(
+        keeper = new PartitionService(
                 set,
-                new Keeper.Ground(
+                new PartitionService.Dependencies(
                         () -> config,
                         () -> ties,
                         () -> true,
                         () -> "127.0.0.1:7070",
-                        new Relay(new Links(() -> config, config::sizes)),
-                        new Fleet(nobody, config.names())));
+                        new PeerForwarder(new ConnectionPool(() -> config, config::limits)),
+                        new PartitionEndpoints(nobody, config.names())));
     }
 
-    private Reply reply(String call, String key, String body) {
-        return keeper.calls().get(call).answer(new Ask(key == null ? Map.of() : Map.of("key", key), body));
+    private AdminResponse reply(String call, String key, String body) {
+        return keeper.adminCalls()
+                .get(call)
+                .answer(new AdminRequest(key == null ? Map.of() : Map.of("key", key), body));
     }
 
     private String call(String call, String key, String body) {
-        Reply reply = reply(call, key, body);
+        AdminResponse reply = reply(call, key, body);
         return reply.status() + " " + reply.text().replaceAll("[0-9]{10,}", "#");
     }
 
@@ -87,16 +89,17 @@
                 .getAsJsonObject();
     }
 
-    private static Keeper.Ties join(List<String> electors) throws Exception {
+    private static PartitionService.ClusterHandle join(List<String> electors) throws Exception {
         int port;
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        Group group = new Group(
+        ClusterTransport group = new ClusterTransport(
                 MembershipSettings.of("toy", "127.0.0.1:" + port, List.of()),
                 new LinkedHashMap<>(Map.of(1, new byte[32])),
                 1);
-        return new Keeper.Ties(group, new Register(AgreementSettings.of("toy", electors), group, 1));
+        return new PartitionService.ClusterHandle(
+                group, new ReplicatedRegister(ConsensusSettings.of("toy", electors), group, 1));
     }
 
     private void end() throws Exception {
@@ -141,12 +144,13 @@
             ties.register()
                     .change(
                             value -> {
-                                Owners owners = Owners.read(Sections.read(value.text(), "partition"));
+                                SlotAssignment owners =
+                                        SlotAssignment.fromJson(SharedState.read(value.text(), "partition"));
                                 String member = owners.members().iterator().next();
-                                return Sections.write(
+                                return SharedState.write(
                                         value.text(),
                                         "partition",
-                                        owners.stop(member, "entity=1").text());
+                                        owners.stopKey(member, "entity=1").toJson());
                             },
                             5000);
             until("the stop is known", () -> !now().getAsJsonArray("stopped").isEmpty());
--- a/src/test/java/maplespread/partition/client/MessagesGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/PartitionMessageGoldenTest.java
@@ -7,26 +7,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
-import maplespread.partition.Hearings;
+import maplespread.partition.HeartbeatTable;
 import org.junit.jupiter.api.Test;
 
 /** The bytes that members of other versions send and read, as they were recorded. */
-class MessagesGoldenTest {
+class PartitionMessageGoldenTest {
     @Test
     void eachMessageIsSentAsRecorded() throws Exception {
-        Hearings hearings = new Hearings(100);
-        hearings.heard(150, "n1", 22, 5, true);
-        Note[] notes = {
-            Note.ask(11, new Orders.Question(3, 9), 1000, 2, true),
-            Note.answer(11, 3, true),
-            Note.answer(11, 4, false),
-            Note.heard(11, hearings.report(190)),
-            Note.here(11, "127.0.0.1:7070")
+        HeartbeatTable hearings = new HeartbeatTable(100);
+        hearings.recordHeartbeat(150, "n1", 22, 5, true);
+        PartitionMessage[] notes = {
+            PartitionMessage.leaseRequest(11, new OrderedDispatch.LeaseQuestion(3, 9), 1000, 2, true),
+            PartitionMessage.leaseResponse(11, 3, true),
+            PartitionMessage.leaseResponse(11, 4, false),
+            PartitionMessage.heartbeatReport(11, hearings.report(190)),
+            PartitionMessage.advertisedAddress(11, "127.0.0.1:7070")
         };
         StringBuilder seen = new StringBuilder();
-        for (Note note : notes) {
-            seen.append(new String(note.bytes(), StandardCharsets.UTF_8)).append('\n');
-            assertEquals(note, Note.read(note.bytes()));
+        for (PartitionMessage note : notes) {
+            seen.append(new String(note.encode(), StandardCharsets.UTF_8)).append('\n');
+            assertEquals(note, PartitionMessage.decode(note.encode()));
         }
         assertGolden("messages.txt", seen.toString());
     }
@@ -42,15 +42,15 @@
                 "{\"kind\":\"HERE\",\"run\":1}",
                 "{\"kind\":\"HEARD\",\"run\":1}",
                 "{\"kind\":\"HEARD\",\"run\":1,\"report\":{\"listensMs\":1}}")) {
-            assertNull(Note.read(text.getBytes(StandardCharsets.UTF_8)), text);
+            assertNull(PartitionMessage.decode(text.getBytes(StandardCharsets.UTF_8)), text);
         }
         assertEquals(
-                Note.answer(5, 6, true),
-                Note.read("{\"kind\":\"ANSWER\",\"run\":5,\"number\":6,\"yes\":true,\"later\":[]}"
+                PartitionMessage.leaseResponse(5, 6, true),
+                PartitionMessage.decode("{\"kind\":\"ANSWER\",\"run\":5,\"number\":6,\"yes\":true,\"later\":[]}"
                         .getBytes(StandardCharsets.UTF_8)));
         assertEquals(
-                new Hearings.Report(7, Map.of("x", new Hearings.Heard(1, 2, 3, true))),
-                Note.read(("{\"kind\":\"HEARD\",\"run\":1,\"report\":{\"listensMs\":7,\"heard\":"
+                new HeartbeatTable.Report(7, Map.of("x", new HeartbeatTable.Heartbeat(1, 2, 3, true))),
+                PartitionMessage.decode(("{\"kind\":\"HEARD\",\"run\":1,\"report\":{\"listensMs\":7,\"heard\":"
                                         + "{\"x\":{\"run\":1,\"number\":2,\"quietMs\":3,\"serving\":true}}}}")
                                 .getBytes(StandardCharsets.UTF_8))
                         .report());
@@ -60,7 +60,7 @@
     @Test
     void aTableIsPackedAsRecorded() throws Exception {
         String table = "{\"rules\":[{\"order\":\"by_key\",\"runs_ms\":300},{}]}";
-        assertGolden("packed-table.txt", Packed.of(table) + "\n");
-        assertEquals(table, Packed.text(Packed.of(table)));
+        assertGolden("packed-table.txt", CompressedTable.compress(table) + "\n");
+        assertEquals(table, CompressedTable.decompress(CompressedTable.compress(table)));
     }
 }
--- a/src/test/java/maplespread/decision/DecisionReplayGoldenTest.java
+++ b/src/test/java/maplespread/policy/DecisionReplayGoldenTest.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -94,11 +94,11 @@
         double coldFrom = 0.2;
         double warmMs = 3000;
 
-        Dispatch.Settings settings() {
-            Dispatch.Permissions permissions =
-                    new Dispatch.Permissions(cancel, probing, false, tries, 100, maxPauseMs, 3000);
-            Dispatch.Rules rules = new Dispatch.Rules(500, 4000, coldFrom, warmMs, 4, 1500, 8);
-            return new Dispatch.Settings(
+        Dispatch.PolicySettings settings() {
+            Dispatch.SitePermissions permissions =
+                    new Dispatch.SitePermissions(cancel, probing, false, tries, 100, maxPauseMs, 3000);
+            Dispatch.PlatformRules rules = new Dispatch.PlatformRules(500, 4000, coldFrom, warmMs, 4, 1500, 8);
+            return new Dispatch.PolicySettings(
                     balancers,
                     index,
                     0,
@@ -116,28 +116,66 @@
                     rules);
         }
 
-        private static List<Dispatch.ClassSpec> classes() {
-            List<Dispatch.ClassSpec> classes = new ArrayList<>();
-            classes.add(spec(200, 2, 1500, 1, 0, Dispatch.Effect.READ_LIKE, Dispatch.Group.ALL, false, -1));
-            classes.add(spec(300, 0, 2500, 2, 0.3, Dispatch.Effect.KEYED, Dispatch.Group.ALL, false, -1));
-            classes.add(spec(250, 3, 2000, 0.5, 0, Dispatch.Effect.KEYED, Dispatch.Group.ZONE, false, 1));
-            classes.add(spec(250, 1, 2000, 4, 0.5, Dispatch.Effect.KEYED, Dispatch.Group.CELL, false, -1));
-            classes.add(spec(220, 2, 1800, 1, 0, Dispatch.Effect.UNSAFE, Dispatch.Group.ALL, false, 0));
-            classes.add(spec(400, 2, 3000, 1, 0, Dispatch.Effect.READ_LIKE, Dispatch.Group.ALL, true, -1));
+        private static List<Dispatch.RequestClass> classes() {
+            List<Dispatch.RequestClass> classes = new ArrayList<>();
+            classes.add(spec(
+                    200, 2, 1500, 1, 0, Dispatch.Idempotency.READ_LIKE, Dispatch.DeduplicationScope.ALL, false, -1));
+            classes.add(spec(
+                    300,
+                    0,
+                    2500,
+                    2,
+                    0.3,
+                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
+                    Dispatch.DeduplicationScope.ALL,
+                    false,
+                    -1));
+            classes.add(spec(
+                    250,
+                    3,
+                    2000,
+                    0.5,
+                    0,
+                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
+                    Dispatch.DeduplicationScope.ZONE,
+                    false,
+                    1));
+            classes.add(spec(
+                    250,
+                    1,
+                    2000,
+                    4,
+                    0.5,
+                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
+                    Dispatch.DeduplicationScope.CELL,
+                    false,
+                    -1));
+            classes.add(spec(
+                    220,
+                    2,
+                    1800,
+                    1,
+                    0,
+                    Dispatch.Idempotency.NON_IDEMPOTENT,
+                    Dispatch.DeduplicationScope.ALL,
+                    false,
+                    0));
+            classes.add(spec(
+                    400, 2, 3000, 1, 0, Dispatch.Idempotency.READ_LIKE, Dispatch.DeduplicationScope.ALL, true, -1));
             return classes;
         }
 
-        private static Dispatch.ClassSpec spec(
+        private static Dispatch.RequestClass spec(
                 double aimMs,
                 double stretch,
                 double deadlineMs,
                 double worth,
                 double lateShare,
-                Dispatch.Effect effect,
-                Dispatch.Group group,
+                Dispatch.Idempotency effect,
+                Dispatch.DeduplicationScope group,
                 boolean streaming,
                 int kind) {
-            return new Dispatch.ClassSpec(
+            return new Dispatch.RequestClass(
                     aimMs, stretch, deadlineMs, worth, lateShare, effect, group, 1200, streaming, kind);
         }
     }
--- a/src/test/java/maplespread/decision/DiscoveryCrowdTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +7,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.stream.IntStream;
-import maplespread.decision.Dispatch.*;
+import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -20,7 +20,7 @@
  * the dead of the first wave is cut once more, and in the round after that fewer call than are answered: 7.2 + 2 x 5.5
  * + 2 s.
  */
-class DiscoveryCrowdTest {
+class DiscoveryPollScheduleTest {
     private static final int NODES = 100;
     private static final int SERVERS = 90;
     private static final double STEP_MS = 10;
@@ -39,15 +39,15 @@
     }
 
     private static final class Fleet {
-        private final List<Host> nodes = new ArrayList<>();
+        private final List<RuleCheckingHost> nodes = new ArrayList<>();
         private final int[] asked = new int[NODES];
         private final Call[] out = new Call[NODES];
         private final boolean[] watching = new boolean[NODES];
         private final Deque<Call> queue = new ArrayDeque<>();
         private final double listMs;
-        private final Entry[] entries = IntStream.range(0, SERVERS)
-                .mapToObj(i -> Host.entry("s" + i, 0, 0))
-                .toArray(Entry[]::new);
+        private final EndpointEntry[] entries = IntStream.range(0, SERVERS)
+                .mapToObj(i -> RuleCheckingHost.entry("s" + i, 0, 0))
+                .toArray(EndpointEntry[]::new);
         private boolean up = true;
         private double now;
         private double freeAt;
@@ -56,10 +56,11 @@
         Fleet(double listsPerSecond, long seed) {
             listMs = 1000 / listsPerSecond;
             for (int i = 0; i < NODES; i++) {
-                Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, NODES, i));
-                h.node = new Logic(h.set, seed + i, h);
+                RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                        RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, NODES, i));
+                h.node = new DispatchPolicy(h.set, seed + i, h);
                 h.confirms = false;
-                h.list(ListKind.HELD, entries);
+                h.list(EndpointListKind.CACHED_SNAPSHOT, entries);
                 nodes.add(h);
             }
         }
@@ -75,7 +76,7 @@
         }
 
         private void step(int i) {
-            Host h = nodes.get(i);
+            RuleCheckingHost h = nodes.get(i);
             h.pass(STEP_MS);
             if (h.watches > asked[i]) {
                 asked[i] = h.watches;
@@ -89,7 +90,7 @@
             if (out[i] != null && now - out[i].at >= CALL_LIMIT_MS) {
                 out[i].dead = true;
                 out[i] = null;
-                h.listFailed(ListLoss.NO_ANSWER);
+                h.listFailed(EndpointWatchFailure.NO_ANSWER);
             }
         }
 
@@ -101,7 +102,7 @@
                     out[call.node] = null;
                     watching[call.node] = true;
                     answered++;
-                    nodes.get(call.node).list(ListKind.FULL, entries);
+                    nodes.get(call.node).list(EndpointListKind.FULL_SNAPSHOT, entries);
                 }
             }
         }
@@ -113,7 +114,7 @@
             for (int i = 0; i < NODES; i++) {
                 if (watching[i]) {
                     watching[i] = false;
-                    nodes.get(i).listFailed(ListLoss.ENDED);
+                    nodes.get(i).listFailed(EndpointWatchFailure.ENDED);
                 }
             }
         }
--- a/src/test/java/maplespread/decision/LogicTest.java
+++ b/src/test/java/maplespread/policy/DispatchPolicyTest.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -6,18 +6,23 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
-import maplespread.decision.Dispatch.*;
+import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 
-class LogicTest {
-    private static Host host(Effect effect, Group group, Entry... entries) {
-        Host h = new Host(Host.settings(Host.clazz(effect, group), false, 1));
-        h.list(ListKind.HELD, entries);
+class DispatchPolicyTest {
+    private static RuleCheckingHost host(Idempotency effect, DeduplicationScope group, EndpointEntry... entries) {
+        RuleCheckingHost h =
+                new RuleCheckingHost(RuleCheckingHost.settings(RuleCheckingHost.clazz(effect, group), false, 1));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, entries);
         return h;
     }
 
-    private static Host two() {
-        return host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+    private static RuleCheckingHost two() {
+        return host(
+                Idempotency.READ_LIKE,
+                DeduplicationScope.ALL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0));
     }
 
     @Test
@@ -28,7 +33,7 @@
             double exact = u > tau
                     ? lambda * (1 + lambda * tau) / (2 + lambda * tau) * (u - tau)
                     : lambda * lambda / (4 + 2 * lambda * tau) * (u * u - tau * tau);
-            assertEquals(exact, Logic.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
+            assertEquals(exact, DispatchPolicy.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
         }
     }
 
@@ -36,7 +41,7 @@
     void valueIsTheHeavyLoadLine() {
         double s = 2, tau = 3, lambda = 100;
         for (double u = 0; u < 9; u += 0.5) {
-            assertEquals((u - tau) / s, Logic.value(lambda, lambda - 1 / s, s, tau, u), 1e-9);
+            assertEquals((u - tau) / s, DispatchPolicy.value(lambda, lambda - 1 / s, s, tau, u), 1e-9);
         }
     }
 
@@ -47,7 +52,8 @@
             double lambda = random.nextDouble() * 3, r = lambda * random.nextDouble(), s = 0.1 + random.nextDouble();
             double tau = 0.1 + random.nextDouble() * 3, step = tau / 10, last = -1e-12;
             for (int i = 0; i < 30; i++) {
-                double up = Logic.value(lambda, r, s, tau, (i + 1) * step) - Logic.value(lambda, r, s, tau, i * step);
+                double up = DispatchPolicy.value(lambda, r, s, tau, (i + 1) * step)
+                        - DispatchPolicy.value(lambda, r, s, tau, i * step);
                 assertTrue(up >= last - 1e-9, "slope must not fall");
                 last = up;
             }
@@ -56,18 +62,18 @@
 
     @Test
     void argminTakesTheLeastBacklog() {
-        Host h = two();
+        RuleCheckingHost h = two();
         assertEquals("a", h.take(1, 500).tries.get(0).worker);
         assertEquals("b", h.take(2, 500).tries.get(0).worker);
-        h.settle(1, Verdict.OK);
+        h.settle(1, AttemptOutcome.SERVED);
         assertEquals("a", h.take(3, 500).tries.get(0).worker);
     }
 
     @Test
     void refusesEarlyWhenEveryBacklogIsPastTheAim() {
-        Host h = two();
+        RuleCheckingHost h = two();
         int served = 0;
-        Host.Call last = null;
+        RuleCheckingHost.TestRequest last = null;
         for (int i = 1; i <= 60; i++) {
             last = h.take(i, 500);
             served += last.tries.size();
@@ -82,7 +88,7 @@
      */
     @Test
     void whoRefusesAllTriesAgainNowAndThen() {
-        Host h = two();
+        RuleCheckingHost h = two();
         long id = 0;
         while (h.take(++id, 500).end.isEmpty()) {
             assertTrue(id < 60, "all are taken");
@@ -97,10 +103,10 @@
 
     /** How many are taken after a rush of jobs, each served at once, so that no backlog stands. */
     private static int takenAfterARush(double leftMs) {
-        Host h = two();
+        RuleCheckingHost h = two();
         for (int i = 1; i <= 900; i++) {
             if (!h.take(i, 0, 500, 0, leftMs).tries.isEmpty()) {
-                h.settle(i, Verdict.OK);
+                h.settle(i, AttemptOutcome.SERVED);
             }
             h.now += 30;
         }
@@ -120,17 +126,18 @@
 
     /** How many jobs a worker that nobody has tried takes, after another of its kind has run four. */
     private static int takenByANewOne(boolean cold, double runMs) {
-        Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, cold ? 1000 : 0));
+        RuleCheckingHost h =
+                host(Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, cold ? 1000 : 0));
         for (int i = 1; i <= 4; i++) {
-            Host.Call c = h.take(i, 500);
+            RuleCheckingHost.TestRequest c = h.take(i, 500);
             while (c.tries.isEmpty()) {
                 h.pass(100); // its share of the cold budget fills
             }
-            h.node.progress(h.us(), i, 0, "a", true, 0);
+            h.node.attemptProgressed(h.us(), i, 0, "a", true, 0);
             h.now += runMs;
-            h.settle(i, Verdict.OK);
+            h.settle(i, AttemptOutcome.SERVED);
         }
-        h.list(ListKind.FULL, Host.entry("b", 0, 0));
+        h.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("b", 0, 0));
         int taken = 0;
         while (h.take(1000 + taken, 500).end.isEmpty()) {
             taken++;
@@ -148,42 +155,50 @@
 
     @Test
     void aPausedWorkerKeepsItsBacklog() {
-        Host h = two();
+        RuleCheckingHost h = two();
         h.take(1, 800);
         h.take(2, 100);
-        h.settle(2, Verdict.OK);
+        h.settle(2, AttemptOutcome.SERVED);
         h.pass(800);
         assertEquals("b", h.take(3, 300).tries.get(0).worker);
     }
 
     @Test
     void failsAtItsOwnDeadlinesTimeOut() {
-        Host h = two();
-        Host.Call c = h.take(1, 500);
+        RuleCheckingHost h = two();
+        RuleCheckingHost.TestRequest c = h.take(1, 500);
         h.now = c.deadline;
-        h.settle(1, Verdict.TIMEOUT);
+        h.settle(1, AttemptOutcome.TIMED_OUT);
         assertNotEquals("", c.end);
     }
 
     @Test
     void unsafeIsNotSentAgainOnceItMayHaveRun() {
-        Host h = host(Effect.UNSAFE, Group.CELL, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
-        Host.Call c = h.take(1, 500);
-        h.settle(1, Verdict.ERROR);
+        RuleCheckingHost h = host(
+                Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0));
+        RuleCheckingHost.TestRequest c = h.take(1, 500);
+        h.settle(1, AttemptOutcome.ERROR);
         assertEquals(1, c.tries.size());
         assertEquals("failed", c.end, "nothing can be legal any more: at once, not after its aim");
-        Host.Call d = h.take(2, 500);
-        h.settle(2, Verdict.FULL);
+        RuleCheckingHost.TestRequest d = h.take(2, 500);
+        h.settle(2, AttemptOutcome.REJECTED);
         assertEquals(2, d.tries.size(), "an attempt that never ran may be repeated");
     }
 
     @Test
     void whoseAttemptsAreUsedUpIsAnsweredAtOnce() {
-        Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
-        Host.Call c = h.take(1, 500);
+        RuleCheckingHost h = host(
+                Idempotency.READ_LIKE,
+                DeduplicationScope.ALL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0));
+        RuleCheckingHost.TestRequest c = h.take(1, 500);
         while (c.end.isEmpty() && c.tries.size() <= 4) {
             assertTrue(c.tries.stream().filter(t -> !t.over).count() == 1, "out, or else answered");
-            h.settle(1, Verdict.ERROR);
+            h.settle(1, AttemptOutcome.ERROR);
             h.pass(c.end.isEmpty() && c.tries.get(c.tries.size() - 1).over ? 500 : 0); // all rest
         }
         assertEquals("refused", c.end);
@@ -191,39 +206,45 @@
 
     @Test
     void keyedIsRepeatedInItsCellOnly() {
-        Host h = host(Effect.KEYED, Group.CELL, Host.entry("a", 0, 0), Host.entry("b", 1, 0), Host.entry("c", 0, 0));
-        Host.Call c = h.take(1, 500);
+        RuleCheckingHost h = host(
+                Idempotency.IDEMPOTENCY_KEY,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 1, 0),
+                RuleCheckingHost.entry("c", 0, 0));
+        RuleCheckingHost.TestRequest c = h.take(1, 500);
         assertEquals("a", c.tries.get(0).worker);
-        h.settle(1, Verdict.RESET);
+        h.settle(1, AttemptOutcome.RESET);
         assertEquals("c", c.tries.get(1).worker);
     }
 
     @Test
     void nothingNewGoesToADrainingOrAbsentWorker() {
-        Host h = two();
-        h.list(ListKind.CHANGES, new Entry("a", Health.LEAVING, 1, 0, 0, 0, 0));
+        RuleCheckingHost h = two();
+        h.list(EndpointListKind.DELTA, new EndpointEntry("a", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
         for (int i = 1; i < 9; i++) {
-            for (Host.Try t : h.take(i, 300).tries) {
+            for (RuleCheckingHost.TestAttempt t : h.take(i, 300).tries) {
                 assertEquals("b", t.worker);
             }
         }
-        h.list(ListKind.FULL, Host.entry("a", 0, 0));
+        h.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0));
         assertEquals("a", h.take(20, 300).tries.get(0).worker, "listed again, and b is gone");
     }
 
     @Test
     void noWorkerAtAllStillGivesAnAnswer() {
-        Host h = host(Effect.UNSAFE, Group.CELL);
-        Host.Call c = h.take(1, 500);
+        RuleCheckingHost h = host(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL);
+        RuleCheckingHost.TestRequest c = h.take(1, 500);
         h.pass(1000);
         assertEquals("refused", c.end);
     }
 
     @Test
     void aColdWorkerGetsOnlyItsShareOfTheBudget() {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, 2));
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
         h.now = 50000;
-        h.list(ListKind.HELD, Host.entry("new", 0, 49999));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
         double sent = 0;
         for (int i = 1; i < 50; i++) {
             sent += h.take(i, 100).tries.size() * 100;
@@ -235,15 +256,17 @@
     /** Guards discovery against a whole fleet that starts in one instant: the first calls come one after another. */
     @Test
     void theFirstCallsOfALargeFleetComeInTurnAndThoseOfASmallOneAtOnce() {
-        Entry[] workers =
-                IntStream.range(0, 60).mapToObj(i -> Host.entry("w" + i, 0, 0)).toArray(Entry[]::new);
+        EndpointEntry[] workers = IntStream.range(0, 60)
+                .mapToObj(i -> RuleCheckingHost.entry("w" + i, 0, 0))
+                .toArray(EndpointEntry[]::new);
         double[] latest = new double[101];
         int[] inASecond = new int[6];
         for (int fleet : new int[] {4, 100}) {
             for (int index = 0; index < fleet; index++) {
-                Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, fleet, index));
+                RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                        RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, fleet, index));
                 h.confirms = false;
-                h.list(ListKind.HELD, workers);
+                h.list(EndpointListKind.CACHED_SNAPSHOT, workers);
                 double from = h.now;
                 while (h.watches == 0) {
                     h.pass(10);
@@ -263,8 +286,8 @@
      */
     @Test
     void nothingIsSentByAListHeldAtTheStartUntilDiscoveryHasSpoken() {
-        for (ListLoss loss : ListLoss.values()) {
-            Host h = unconfirmed(7);
+        for (EndpointWatchFailure loss : EndpointWatchFailure.values()) {
+            RuleCheckingHost h = unconfirmed(7);
             for (int i = 0; i < 20; i++) {
                 int asked = h.watches;
                 h.pass(1000);
@@ -274,27 +297,31 @@
                 }
             }
             assertEquals(List.of(), h.states, "no change of the state without a word");
-            h.list(ListKind.FULL, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
-            assertEquals(List.of(ListState.CONFIRMED), h.states);
+            h.list(
+                    EndpointListKind.FULL_SNAPSHOT,
+                    RuleCheckingHost.entry("a", 0, 0),
+                    RuleCheckingHost.entry("b", 0, 0));
+            assertEquals(List.of(EndpointListState.CONFIRMED), h.states);
             assertEquals(1, h.take(2, 20).tries.size(), "confirmed, it is trusted at once");
         }
     }
 
     /** Two workers, by a list held at the start that discovery has said nothing of yet. */
-    private static Host unconfirmed(long seed) {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), true, 1));
-        h.node = new Logic(h.set, seed, h);
+    private static RuleCheckingHost unconfirmed(long seed) {
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
+        h.node = new DispatchPolicy(h.set, seed, h);
         h.confirms = false;
-        h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         return h;
     }
 
     @Test
     void theListIsAskedForAgainAfterAFailure() {
-        Host h = unconfirmed(7);
+        RuleCheckingHost h = unconfirmed(7);
         h.pass(400);
         assertEquals(1, h.watches);
-        h.listFailed(ListLoss.ENDED);
+        h.listFailed(EndpointWatchFailure.ENDED);
         h.pass(5000);
         assertTrue(h.watches >= 2, "watches " + h.watches);
     }
@@ -305,11 +332,11 @@
      */
     @Test
     void noOutageMakesTheListWaitedForTooLong() {
-        Host h = unconfirmed(7);
+        RuleCheckingHost h = unconfirmed(7);
         h.pass(400);
         for (int i = 0; i < 40; i++) {
             int asked = h.watches;
-            h.listFailed(ListLoss.ENDED);
+            h.listFailed(EndpointWatchFailure.ENDED);
             h.pass(2700);
             assertTrue(h.watches > asked, "after " + i + " failures");
         }
@@ -323,10 +350,10 @@
     void aCallThatWaitedInVainIsFollowedLater() {
         double soonest = Double.MAX_VALUE, latest = 0;
         for (int i = 0; i < 40; i++) {
-            Host h = unconfirmed(i);
+            RuleCheckingHost h = unconfirmed(i);
             h.pass(400);
             h.pass(2000); // the call waits
-            h.listFailed(ListLoss.ENDED);
+            h.listFailed(EndpointWatchFailure.ENDED);
             int asked = h.watches;
             double since = h.now;
             while (h.watches == asked) {
@@ -340,7 +367,12 @@
 
     @Test
     void aSilentWorkerIsLeftAndItsWorkMoved() {
-        Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0), Host.entry("b", 0, 0), Host.entry("c", 0, 0));
+        RuleCheckingHost h = host(
+                Idempotency.READ_LIKE,
+                DeduplicationScope.ALL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0),
+                RuleCheckingHost.entry("c", 0, 0));
         for (int i = 1; i <= 3; i++) {
             h.take(i, 300);
         }
@@ -348,7 +380,7 @@
             h.pass(100);
             for (int i = 2; i <= 3; i++) {
                 if (step == 2) {
-                    h.settle(i, Verdict.OK);
+                    h.settle(i, AttemptOutcome.SERVED);
                 }
             }
         }
@@ -359,20 +391,25 @@
 
     @Test
     void whenAllLookSilentTheNodeServesOn() {
-        Host h = two();
+        RuleCheckingHost h = two();
         h.take(1, 300);
         h.take(2, 300);
         h.pass(6000);
-        Host.Call c = h.take(3, 300);
+        RuleCheckingHost.TestRequest c = h.take(3, 300);
         assertFalse(c.tries.isEmpty(), "all suspected at once: keep serving");
     }
 
     @Test
     void aWorkerThatAnswersIsTrustedAgain() {
-        Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0), Host.entry("b", 0, 0), Host.entry("c", 0, 0));
+        RuleCheckingHost h = host(
+                Idempotency.READ_LIKE,
+                DeduplicationScope.ALL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0),
+                RuleCheckingHost.entry("c", 0, 0));
         h.take(1, 300);
         h.pass(5000);
-        h.settle(1, 0, Verdict.OK);
+        h.settle(1, 0, AttemptOutcome.SERVED);
         boolean back = false;
         for (int i = 10; i < 16; i++) {
             back |= h.take(i, 300).tries.stream().anyMatch(t -> t.worker.equals("a"));
@@ -382,24 +419,24 @@
 
     @Test
     void anUnreachableWorkerRestsAndComesBackCold() {
-        Host h = two();
-        Host.Call c = h.take(1, 300);
+        RuleCheckingHost h = two();
+        RuleCheckingHost.TestRequest c = h.take(1, 300);
         h.mute.add("a");
-        h.settle(1, Verdict.NO_CONNECTION);
+        h.settle(1, AttemptOutcome.CONNECT_FAILED);
         assertEquals("b", c.tries.get(1).worker);
-        h.settle(1, Verdict.OK);
+        h.settle(1, AttemptOutcome.SERVED);
         assertEquals("b", h.take(2, 300).tries.get(0).worker);
         h.pass(100);
-        h.node.probed(h.us(), "a", Verdict.NO_CONNECTION, 1, null);
+        h.node.probeEnded(h.us(), "a", AttemptOutcome.CONNECT_FAILED, 1, null);
         h.mute.clear();
         h.pass(3000);
         h.take(3, 300);
-        h.settle(3, Verdict.OK);
+        h.settle(3, AttemptOutcome.SERVED);
         assertTrue(h.probes.contains("a"), "probed when the fleet is looked at again");
         h.pass(1500); // a window's budget after its answer
         double sent = 0;
         for (int i = 10; i < 60; i++) {
-            for (Host.Try t : h.take(i, 100).tries) {
+            for (RuleCheckingHost.TestAttempt t : h.take(i, 100).tries) {
                 sent += t.worker.equals("a") ? 100 : 0;
             }
         }
@@ -409,8 +446,10 @@
     /** Guards a healthy worker against one connection that breaks: a probe at once shows that it is well. */
     @Test
     void oneBrokenConnectionIsNoRestart() {
-        for (Verdict v : new Verdict[] {Verdict.RESET, Verdict.NO_CONNECTION, Verdict.CUT}) {
-            Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0));
+        for (AttemptOutcome v : new AttemptOutcome[] {
+            AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.STALE_CONNECTION_RESET
+        }) {
+            RuleCheckingHost h = host(Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, 0));
             h.take(1, 300);
             h.settle(1, v);
             h.answerProbes();
@@ -425,8 +464,8 @@
     /** Guards against connections that fall silent: a job that a later one has outrun tells of no queue. */
     @Test
     void anUnheardJobThatALaterOneOutranIsPlacedAnew() {
-        Host h = two();
-        Host.Call silent = h.take(1, 300);
+        RuleCheckingHost h = two();
+        RuleCheckingHost.TestRequest silent = h.take(1, 300);
         String at = silent.tries.get(0).worker;
         h.pass(250);
         long next = 2;
@@ -434,23 +473,23 @@
             next++;
         }
         assertEquals(0, h.cancels);
-        h.node.progress(h.us(), next, 0, at, true, 0);
+        h.node.attemptProgressed(h.us(), next, 0, at, true, 0);
         assertEquals(1, h.cancels, "its connection is dead, not the worker");
-        h.settle(1, 0, Verdict.CANCELLED);
+        h.settle(1, 0, AttemptOutcome.CANCELLED);
         assertEquals(2, silent.tries.size());
     }
 
     /** Guards the fading of speeds: a worker once slow must be tried again after its trouble has ended. */
     @Test
     void aWorkerOnceSlowIsTriedAgain() {
-        Host h = two();
+        RuleCheckingHost h = two();
         for (int i = 1; i <= 40; i++) { // each alone; a is ten times slower than b
-            Host.Call c = h.take(i, 300);
+            RuleCheckingHost.TestRequest c = h.take(i, 300);
             h.pass(c.tries.get(0).worker.equals("a") ? 3000 : 300);
-            h.settle(i, Verdict.OK);
+            h.settle(i, AttemptOutcome.SERVED);
         }
         assertEquals("b", h.take(100, 300).tries.get(0).worker, "while it is known to be slow");
-        h.settle(100, Verdict.OK);
+        h.settle(100, AttemptOutcome.SERVED);
         h.pass(120000); // some of the shortest deadline's multiples
         boolean again = false;
         for (int i = 101; i < 105; i++) {
@@ -462,12 +501,15 @@
     /** Others' load shown by reports counts as backlog. */
     @Test
     void reportedLoadOfOthersMovesWorkAway() {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, 2));
-        h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         h.take(1, 400);
-        h.settle(1, Verdict.OK);
-        h.node.probed(h.us(), "a", Verdict.OK, 1, new Report(9, Double.NaN, 1, Double.NaN, 0, Double.NaN));
-        h.node.probed(h.us(), "b", Verdict.OK, 1, new Report(0, Double.NaN, 0, Double.NaN, 2, Double.NaN));
+        h.settle(1, AttemptOutcome.SERVED);
+        h.node.probeEnded(
+                h.us(), "a", AttemptOutcome.SERVED, 1, new LoadReport(9, Double.NaN, 1, Double.NaN, 0, Double.NaN));
+        h.node.probeEnded(
+                h.us(), "b", AttemptOutcome.SERVED, 1, new LoadReport(0, Double.NaN, 0, Double.NaN, 2, Double.NaN));
         assertEquals("b", h.take(2, 400).tries.get(0).worker);
     }
 
@@ -477,13 +519,13 @@
      */
     @Test
     void aFullWorkerRests() {
-        Host h = two();
-        Host.Call c = h.take(1, 300);
-        h.settle(1, Verdict.FULL);
+        RuleCheckingHost h = two();
+        RuleCheckingHost.TestRequest c = h.take(1, 300);
+        h.settle(1, AttemptOutcome.REJECTED);
         assertEquals("b", c.tries.get(1).worker);
-        h.settle(1, Verdict.OK);
+        h.settle(1, AttemptOutcome.SERVED);
         assertEquals("b", h.take(2, 300).tries.get(0).worker);
-        h.settle(2, Verdict.OK);
+        h.settle(2, AttemptOutcome.SERVED);
         h.pass(1000);
         assertEquals("a", h.take(3, 300).tries.get(0).worker, "and serves again");
     }
@@ -491,13 +533,18 @@
     /** Pair: a silent worker while another drains. The second copy goes to the one worker that is left. */
     @Test
     void silenceAndADrainTogether() {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), true, 1));
-        h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0), Host.entry("c", 0, 0));
-        Host.Call c = h.take(1, 900);
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
+        h.list(
+                EndpointListKind.CACHED_SNAPSHOT,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0),
+                RuleCheckingHost.entry("c", 0, 0));
+        RuleCheckingHost.TestRequest c = h.take(1, 900);
         assertEquals("a", c.tries.get(0).worker);
-        h.list(ListKind.CHANGES, new Entry("b", Health.LEAVING, 1, 0, 0, 0, 0));
+        h.list(EndpointListKind.DELTA, new EndpointEntry("b", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
         h.pass(9000);
-        for (Host.Try t : c.tries.subList(1, c.tries.size())) {
+        for (RuleCheckingHost.TestAttempt t : c.tries.subList(1, c.tries.size())) {
             assertEquals("c", t.worker);
         }
         assertEquals("c", h.take(2, 300).tries.get(0).worker, "neither the silent nor the draining one");
@@ -506,19 +553,23 @@
     /** Pair: a broken connection while the list is stale. New requests go elsewhere, listed or not. */
     @Test
     void aResetUnderAStaleList() {
-        Host h = host(Effect.KEYED, Group.CELL, Host.entry("a", 0, 0), Host.entry("b", 1, 0));
-        Host.Call c = h.take(1, 300);
+        RuleCheckingHost h = host(
+                Idempotency.IDEMPOTENCY_KEY,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 1, 0));
+        RuleCheckingHost.TestRequest c = h.take(1, 300);
         h.mute.add("a");
-        h.settle(1, Verdict.RESET);
-        h.listFailed(ListLoss.ENDED);
+        h.settle(1, AttemptOutcome.RESET);
+        h.listFailed(EndpointWatchFailure.ENDED);
         for (int i = 2; i < 5; i++) {
-            for (Host.Try t : h.take(i, 300).tries) {
+            for (RuleCheckingHost.TestAttempt t : h.take(i, 300).tries) {
                 assertEquals("b", t.worker);
             }
         }
         // The keyed request itself has no other legal place: it tries there, within tryLimit, and then ends.
         for (int i = 0; i < 4 && !c.ended; i++) {
-            h.settle(1, c.tries.size() - 1, Verdict.NO_CONNECTION);
+            h.settle(1, c.tries.size() - 1, AttemptOutcome.CONNECT_FAILED);
             h.pass(600);
         }
         assertEquals("failed", c.end);
@@ -527,12 +578,12 @@
     /** Guards the learned trust in hints: without it the worker given small jobs would look ever slower. */
     @Test
     void uselessHintsAreShrunkTowardsTheMean() {
-        Host h = host(Effect.READ_LIKE, Group.ALL, Host.entry("a", 0, 0));
+        RuleCheckingHost h = host(Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, 0));
         for (int i = 1; i <= 900; i++) {
-            Host.Call c = h.take(i, i % 2 == 0 ? 100 : 1600); // hints say 1 : 16, runs are all alike
+            RuleCheckingHost.TestRequest c = h.take(i, i % 2 == 0 ? 100 : 1600); // hints say 1 : 16, runs are all alike
             assertEquals(1, c.tries.size(), "an idle worker takes job " + i);
             h.pass(400);
-            h.settle(i, Verdict.OK);
+            h.settle(i, AttemptOutcome.SERVED);
         }
         // Believed as told, 40 s of work could not be done in any aim; shrunk, it is an ordinary job.
         assertEquals(1, h.take(300, 6000).tries.size());
@@ -549,16 +600,17 @@
      */
     @Test
     void aShareBelowOneJobStillLetsOneThroughInTime() {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, 30));
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 30));
         h.now = 50000;
-        h.list(ListKind.HELD, Host.entry("new", 0, 49999));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
         for (int i = 1; i < 80; i++) {
             h.take(i, 500);
             h.pass(100);
             for (long id = 1; id <= i; id++) {
-                Host.Call c = h.calls.get(id);
+                RuleCheckingHost.TestRequest c = h.calls.get(id);
                 if (!c.ended && c.tries.size() > 0) {
-                    h.settle(id, Verdict.OK);
+                    h.settle(id, AttemptOutcome.SERVED);
                 }
             }
         }
@@ -566,32 +618,32 @@
         assertTrue(sent >= 1 && sent <= 12, "sent " + sent);
     }
 
-    private static Host eight() {
-        Entry[] entries = new Entry[8];
+    private static RuleCheckingHost eight() {
+        EndpointEntry[] entries = new EndpointEntry[8];
         for (int i = 0; i < 8; i++) {
-            entries[i] = Host.entry("w" + i, 0, 0);
+            entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
         }
-        return host(Effect.READ_LIKE, Group.ALL, entries);
+        return host(Idempotency.READ_LIKE, DeduplicationScope.ALL, entries);
     }
 
-    private static String sentTo(Host h, long id, String key) {
-        h.calls.put(id, new Host.Call());
+    private static String sentTo(RuleCheckingHost h, long id, String key) {
+        h.calls.put(id, new RuleCheckingHost.TestRequest());
         h.calls.get(id).spec = h.set.classes().get(0);
         h.calls.get(id).deadline = h.now + 9000;
-        h.node.request(h.us(), new Request(id, 0, 0, Math.round((h.now + 9000) * 1000), 100, 1, 0, key));
+        h.node.requestAccepted(h.us(), new PolicyRequest(id, 0, 0, Math.round((h.now + 9000) * 1000), 100, 1, 0, key));
         return h.calls.get(id).tries.get(0).worker;
     }
 
     /** Guards the shared store: jobs of a key stay together, and all nodes find the same place for it. */
     @Test
     void jobsOfAKeyGoWhereItIsKeptAndNodesAgree() {
-        Host one = eight(), other = eight();
+        RuleCheckingHost one = eight(), other = eight();
         java.util.Set<String> places = new java.util.HashSet<>();
         for (int i = 1; i <= 40; i++) {
             String key = "fn:" + i % 10, at = sentTo(one, i, key);
-            one.settle(i, Verdict.OK);
+            one.settle(i, AttemptOutcome.SERVED);
             assertEquals(at, sentTo(other, i, key), "another node, the same home");
-            other.settle(i, Verdict.OK);
+            other.settle(i, AttemptOutcome.SERVED);
             places.add(key + at);
         }
         assertEquals(10, places.size(), "one place for each key: " + places);
@@ -600,7 +652,7 @@
     /** Guards against a full worker: a key's home that is behind in its work is passed over. */
     @Test
     void aKeysHomeThatIsFullIsPassedOver() {
-        Host h = eight();
+        RuleCheckingHost h = eight();
         java.util.Set<String> places = new java.util.HashSet<>();
         for (int i = 1; i <= 40 && places.size() < 2; i++) {
             places.add(sentTo(h, i, "fn:hot"));
@@ -610,10 +662,10 @@
 
     /** How many jobs of one key its home is given before another worker gets one. */
     private static int staysAtHome(int jobsBefore) {
-        Host h = eight();
-        Settings s = h.set; // nothing is told of starts: none comes late
-        h.change(new Settings(
-                s.balancers(),
+        RuleCheckingHost h = eight();
+        PolicySettings s = h.set; // nothing is told of starts: none comes late
+        h.change(new PolicySettings(
+                s.dispatcherCount(),
                 0,
                 0,
                 true,
@@ -650,57 +702,58 @@
     /** Guards the queue of others, which no report shows: a job that starts late tells of it. */
     @Test
     void aLateStartTellsOfWorkThatNoReportShows() {
-        Host h = two();
+        RuleCheckingHost h = two();
         h.take(1, 300);
         String slow = h.calls.get(1L).tries.get(0).worker;
         h.pass(400);
-        h.node.progress(h.us(), 1, 0, slow, true, 0);
-        h.settle(1, Verdict.OK);
+        h.node.attemptProgressed(h.us(), 1, 0, slow, true, 0);
+        h.settle(1, AttemptOutcome.SERVED);
         for (int i = 2; i <= 4; i++) {
             assertNotEquals(slow, h.take(i, 300).tries.get(0).worker, "job " + i);
-            h.settle(i, Verdict.OK);
+            h.settle(i, AttemptOutcome.SERVED);
         }
     }
 
     /** Guards the backlog of wide jobs: one that takes two slots leaves no free one of two. */
     @Test
     void aWideJobFillsItsSlots() {
-        Host h = two();
-        Host.Call c = h.calls.computeIfAbsent(1L, k -> new Host.Call());
+        RuleCheckingHost h = two();
+        RuleCheckingHost.TestRequest c = h.calls.computeIfAbsent(1L, k -> new RuleCheckingHost.TestRequest());
         c.spec = h.set.classes().get(0);
         c.deadline = h.now + 9000;
-        h.node.request(h.us(), new Request(1, 0, 0, Math.round((h.now + 9000) * 1000), 100, 2, 0));
+        h.node.requestAccepted(h.us(), new PolicyRequest(1, 0, 0, Math.round((h.now + 9000) * 1000), 100, 2, 0));
         String wide = c.tries.get(0).worker;
         assertNotEquals(wide, h.take(2, 100).tries.get(0).worker);
         assertNotEquals(wide, h.take(3, 100).tries.get(0).worker, "the other has a slot left");
     }
 
-    private static Report report(double active, double free) {
-        return new Report(active, Double.NaN, Double.NaN, Double.NaN, free, Double.NaN);
+    private static LoadReport report(double active, double free) {
+        return new LoadReport(active, Double.NaN, Double.NaN, Double.NaN, free, Double.NaN);
     }
 
-    private static Host many(int nodes, Entry... entries) {
-        Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, nodes));
-        h.list(ListKind.HELD, entries);
+    private static RuleCheckingHost many(int nodes, EndpointEntry... entries) {
+        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, nodes));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, entries);
         return h;
     }
 
     /** Guards nodes with little traffic, which hear of few starts: a full worker's report hides its queue. */
     @Test
     void aFewLateStartsTellOfTheWholeFleet() {
-        Entry[] entries = new Entry[20];
+        EndpointEntry[] entries = new EndpointEntry[20];
         for (int i = 0; i < entries.length; i++) {
-            entries[i] = Host.entry("w" + i, 0, 0);
+            entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
         }
-        Host h = many(60, entries);
+        RuleCheckingHost h = many(60, entries);
         List.of(entries).forEach(e -> h.reports.put(e.worker(), report(Double.NaN, 0)));
         for (int i = 1; i <= 6; i++) {
-            Host.Call c = h.take(i, 300);
+            RuleCheckingHost.TestRequest c = h.take(i, 300);
             h.pass(2500);
-            for (Host.Try t : c.tries) {
-                h.node.progress(h.us(), i, 0, t.worker, true, 0);
+            for (RuleCheckingHost.TestAttempt t : c.tries) {
+                h.node.attemptProgressed(h.us(), i, 0, t.worker, true, 0);
                 h.pass(300);
-                h.settle(i, Verdict.OK);
+                h.settle(i, AttemptOutcome.SERVED);
             }
         }
         int sent = 0;
@@ -713,14 +766,18 @@
     /** Guards the look: with many nodes own pushes tell nothing, so workers are asked first. */
     @Test
     void amongManyNodesAWorkerIsLookedAtBeforeItIsChosen() {
-        Host h = many(100, Host.entry("a", 0, 0), Host.entry("b", 0, 0), Host.entry("c", 0, 0));
+        RuleCheckingHost h = many(
+                100,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0),
+                RuleCheckingHost.entry("c", 0, 0));
         h.reports.put("a", report(9, 0));
         h.reports.put("b", report(9, 0));
         h.reports.put("c", report(0, 2));
-        Host.Call c = h.take(1, 400);
+        RuleCheckingHost.TestRequest c = h.take(1, 400);
         assertEquals(3, h.probes.size(), "the three cheapest at once");
         assertEquals("c", c.tries.get(0).worker, "the one that was seen to be idle");
-        Host alone = many(1, Host.entry("a", 0, 0));
+        RuleCheckingHost alone = many(1, RuleCheckingHost.entry("a", 0, 0));
         alone.take(1, 400);
         assertTrue(alone.probes.isEmpty(), "where own pushes are the load there is no look");
     }
@@ -728,10 +785,10 @@
     /** Guards the rest of a worker that does not answer a look: hung, cut off, or slow to connect. */
     @Test
     void aWorkerThatDoesNotAnswerALookIsPassedOver() {
-        Host h = many(100, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        RuleCheckingHost h = many(100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         h.mute.add("a");
         h.reports.put("b", report(1, 1));
-        Host.Call c = h.take(1, 400);
+        RuleCheckingHost.TestRequest c = h.take(1, 400);
         assertTrue(c.tries.isEmpty(), "held while an answer is out");
         h.pass(60);
         assertEquals("b", c.tries.get(0).worker);
@@ -741,10 +798,10 @@
     /** False alarm: when no worker answers the look, the request is served all the same. */
     @Test
     void whenNoLookIsAnsweredTheRequestIsServedAllTheSame() {
-        Host h = many(100, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        RuleCheckingHost h = many(100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         h.mute.add("a");
         h.mute.add("b");
-        Host.Call c = h.take(1, 400);
+        RuleCheckingHost.TestRequest c = h.take(1, 400);
         h.pass(1000);
         assertEquals(1, c.tries.size());
     }
@@ -752,33 +809,33 @@
     /** Guards an own stall: the look's timer comes before the answers that stand behind it in the queue. */
     @Test
     void afterAnOwnStallAnswersAreAwaitedATickMore() {
-        Host h = many(100, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        RuleCheckingHost h = many(100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         h.mute.add("a");
         h.mute.add("b");
         h.pass(500);
-        Host.Call c = h.take(1, 400);
+        RuleCheckingHost.TestRequest c = h.take(1, 400);
         h.now += 700; // stands still: timers and answers pile up
         h.pass(1);
         assertTrue(c.tries.isEmpty(), "not judged by what it slept through");
-        h.node.probed(h.us(), "a", Verdict.OK, 700, report(0, 2));
-        h.node.probed(h.us(), "b", Verdict.OK, 700, report(9, 0));
+        h.node.probeEnded(h.us(), "a", AttemptOutcome.SERVED, 700, report(0, 2));
+        h.node.probeEnded(h.us(), "b", AttemptOutcome.SERVED, 700, report(9, 0));
         assertEquals("a", c.tries.get(0).worker);
     }
 
     /** Guards slow new connections: while they fail, a worker with an open one goes first, none is 'down'. */
     @Test
     void whileNewConnectionsFailSlowlyOpenOnesGoFirst() {
-        Entry[] entries = new Entry[12];
+        EndpointEntry[] entries = new EndpointEntry[12];
         for (int i = 0; i < 12; i++) {
-            entries[i] = Host.entry("w" + i, i, 0);
+            entries[i] = RuleCheckingHost.entry("w" + i, i, 0);
         }
-        Host h = many(1, entries);
-        Host.Call c = h.take(1, 100);
+        RuleCheckingHost h = many(1, entries);
+        RuleCheckingHost.TestRequest c = h.take(1, 100);
         String open = c.tries.get(0).worker;
-        h.settle(1, Verdict.OK);
+        h.settle(1, AttemptOutcome.SERVED);
         for (int i = 0; i < 12; i++) {
-            Verdict v = open.equals("w" + i) ? Verdict.OK : Verdict.NO_CONNECTION;
-            h.node.probed(h.us(), "w" + i, v, 250, null);
+            AttemptOutcome v = open.equals("w" + i) ? AttemptOutcome.SERVED : AttemptOutcome.CONNECT_FAILED;
+            h.node.probeEnded(h.us(), "w" + i, v, 250, null);
         }
         assertTrue(h.log.size() < 6, "only the first are taken for down: " + h.log);
         h.pass(2000);
@@ -788,9 +845,9 @@
     /** Guards a worker that fails one class and serves the other: judged by class. */
     @Test
     void aWorkerFailingOneClassKeepsTheOther() {
-        ClassSpec spec = Host.clazz(Effect.READ_LIKE, Group.ALL);
-        Settings one = Host.settings(spec, false, 1);
-        Host h = new Host(new Settings(
+        RequestClass spec = RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL);
+        PolicySettings one = RuleCheckingHost.settings(spec, false, 1);
+        RuleCheckingHost h = new RuleCheckingHost(new PolicySettings(
                 1,
                 0,
                 0,
@@ -806,17 +863,17 @@
                 List.of(),
                 one.permissions(),
                 one.rules()));
-        h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0));
+        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         int firstAtA = 0, secondAtA = 0;
         for (int i = 1; i <= 40; i++) {
-            Host.Call c = h.take(i, i % 2, 300, 0);
+            RuleCheckingHost.TestRequest c = h.take(i, i % 2, 300, 0);
             h.pass(300);
             boolean atA = c.tries.get(0).worker.equals("a");
             firstAtA += i > 20 && i % 2 == 0 && atA ? 1 : 0;
             secondAtA += i > 20 && i % 2 == 1 && atA ? 1 : 0;
-            h.settle(i, 0, i % 2 == 0 && atA ? Verdict.ERROR : Verdict.OK);
+            h.settle(i, 0, i % 2 == 0 && atA ? AttemptOutcome.ERROR : AttemptOutcome.SERVED);
             for (int n = 1; n < c.tries.size(); n++) {
-                h.settle(i, n, Verdict.OK);
+                h.settle(i, n, AttemptOutcome.SERVED);
             }
         }
         assertTrue(firstAtA <= 1, "the class that fails there is kept away: " + firstAtA);
@@ -826,10 +883,10 @@
     /** A worker without room for a job's memory is no place to start it; absurd needs are as if none. */
     @Test
     void memoryDecidesWhereAJobCanStart() {
-        Host h = two();
+        RuleCheckingHost h = two();
         assertEquals("a", h.take(1, 0, 500, 1.5).tries.get(0).worker);
         assertEquals("b", h.take(2, 0, 100, 1.5).tries.get(0).worker);
-        h.settle(2, Verdict.OK);
+        h.settle(2, AttemptOutcome.SERVED);
         assertEquals("b", h.take(3, 0, 100, 1).tries.get(0).worker, "a slot is free at a, but no memory");
         assertFalse(h.take(4, 0, 100, -3).tries.isEmpty());
         assertFalse(h.take(5, 0, 100, Double.NaN).tries.isEmpty());
@@ -841,10 +898,11 @@
     void savedColdBudgetLapses() {
         int sent = 0;
         for (int node = 0; node < 200; node++) {
-            Host h = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), false, 200));
-            h.node = new Logic(h.set, node, h);
+            RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                    RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 200));
+            h.node = new DispatchPolicy(h.set, node, h);
             h.now = 50000;
-            h.list(ListKind.HELD, Host.entry("new", 0, 49999));
+            h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
             h.pass(6000); // all idle, then all have a request at once
             sent += h.take(1, 500).tries.size();
         }
@@ -854,18 +912,23 @@
 
     @Test
     void contractBreaksAreRejectedPlainly() {
-        Host h = two();
+        RuleCheckingHost h = two();
         h.take(1, 300);
-        assertThrows(IllegalStateException.class, () -> h.node.request(h.us(), new Request(1, 0, 0, 9999999, 1, 1, 0)));
-        assertThrows(IllegalArgumentException.class, () -> h.node.timer(0, 1));
         assertThrows(
-                IllegalArgumentException.class, () -> h.node.request(h.us(), new Request(2, 9, 0, 9999999, 1, 1, 0)));
+                IllegalStateException.class,
+                () -> h.node.requestAccepted(h.us(), new PolicyRequest(1, 0, 0, 9999999, 1, 1, 0)));
+        assertThrows(IllegalArgumentException.class, () -> h.node.timerExpired(0, 1));
         assertThrows(
-                IllegalArgumentException.class, () -> Host.settings(Host.clazz(Effect.UNSAFE, Group.ALL), false, 0));
+                IllegalArgumentException.class,
+                () -> h.node.requestAccepted(h.us(), new PolicyRequest(2, 9, 0, 9999999, 1, 1, 0)));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> RuleCheckingHost.settings(
+                        RuleCheckingHost.clazz(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL), false, 0));
         assertThrows(IllegalArgumentException.class, () -> new Tenant(-1));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Settings(
+                () -> new PolicySettings(
                         1,
                         0,
                         0,
@@ -886,18 +949,19 @@
     @Test
     void absurdNumbersNeverReachTheValueFunction() {
         double[] odd = {Double.NaN, 0, -5, Double.POSITIVE_INFINITY, 1e300, Double.MIN_VALUE};
-        Host h = host(
-                Effect.READ_LIKE,
-                Group.ALL,
-                new Entry("a", Health.ACTIVE, Double.NaN, -7, 3, 9, Double.NaN),
-                new Entry("b", Health.ACTIVE, -1, 0, 0, 0, 1e18));
+        RuleCheckingHost h = host(
+                Idempotency.READ_LIKE,
+                DeduplicationScope.ALL,
+                new EndpointEntry("a", EndpointLifecycle.ACTIVE, Double.NaN, -7, 3, 9, Double.NaN),
+                new EndpointEntry("b", EndpointLifecycle.ACTIVE, -1, 0, 0, 0, 1e18));
         long id = 1;
         for (double x : odd) {
-            Host.Call c = h.take(id, x);
-            for (Host.Try t : List.copyOf(c.tries)) {
+            RuleCheckingHost.TestRequest c = h.take(id, x);
+            for (RuleCheckingHost.TestAttempt t : List.copyOf(c.tries)) {
                 t.over = true;
                 c.ended = true;
-                h.node.outcome(h.us(), id, 0, t.worker, Verdict.OK, x, true, new Report(x, x, x, x, x, x));
+                h.node.attemptEnded(
+                        h.us(), id, 0, t.worker, AttemptOutcome.SERVED, x, true, new LoadReport(x, x, x, x, x, x));
             }
             id++;
             h.pass(200);
@@ -914,23 +978,28 @@
     void rulesHoldOnLongRandomSequences() {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            Effect effect = Effect.values()[seed % 3];
-            Group group = Group.values()[seed / 3 % 3];
-            Host h = new Host(Host.settings(Host.clazz(effect, group), seed % 2 == 0, 1 + seed % 4));
+            Idempotency effect = Idempotency.values()[seed % 3];
+            DeduplicationScope group = DeduplicationScope.values()[seed / 3 % 3];
+            RuleCheckingHost h = new RuleCheckingHost(
+                    RuleCheckingHost.settings(RuleCheckingHost.clazz(effect, group), seed % 2 == 0, 1 + seed % 4));
             String[] ids = {"a", "b", "c", "d", "e"};
-            h.list(ListKind.HELD, Host.entry("a", 0, 0), Host.entry("b", 0, 0), Host.entry("c", 1, 0));
+            h.list(
+                    EndpointListKind.CACHED_SNAPSHOT,
+                    RuleCheckingHost.entry("a", 0, 0),
+                    RuleCheckingHost.entry("b", 0, 0),
+                    RuleCheckingHost.entry("c", 1, 0));
             long next = 1;
             for (int step = 0; step < 1500; step++) {
                 h.pass(random.nextInt(4) == 0 ? random.nextInt(300) : 0);
                 for (var e : h.calls.entrySet()) { // the deadline's own time-out and the client's leaving
-                    Host.Call c = e.getValue();
+                    RuleCheckingHost.TestRequest c = e.getValue();
                     if (!c.ended && h.now >= c.deadline) {
                         h.now = Math.max(h.now, c.deadline);
                         assertTrue(c.tries.stream().anyMatch(t -> !t.over), "held past the deadline: lost");
                         c.deadline = h.now;
                         for (int n = 0; n < c.tries.size(); n++) {
                             if (!c.tries.get(n).over) {
-                                h.settle(e.getKey(), n, Verdict.TIMEOUT);
+                                h.settle(e.getKey(), n, AttemptOutcome.TIMED_OUT);
                             }
                         }
                         assertTrue(c.ended, "no answer at the deadline");
@@ -941,31 +1010,31 @@
                     case 0, 1, 2 -> h.take(next++, random.nextInt(5) == 0 ? Double.NaN : random.nextInt(2000));
                     case 3, 4, 5 -> {
                         long id = 1 + random.nextLong(next);
-                        Host.Call c = h.calls.get(id);
+                        RuleCheckingHost.TestRequest c = h.calls.get(id);
                         if (c != null && !c.tries.isEmpty() && !c.tries.get(c.tries.size() - 1).over) {
-                            Verdict v = Verdict.values()[random.nextInt(Verdict.values().length)];
-                            h.settle(id, v == Verdict.TIMEOUT ? Verdict.ERROR : v);
+                            AttemptOutcome v = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+                            h.settle(id, v == AttemptOutcome.TIMED_OUT ? AttemptOutcome.ERROR : v);
                         } else {
                             // repeated or unknown
-                            h.node.outcome(h.us(), id, 0, w, Verdict.OK, 1, true, null);
+                            h.node.attemptEnded(h.us(), id, 0, w, AttemptOutcome.SERVED, 1, true, null);
                         }
                     }
                     case 6 ->
                         h.list(
-                                ListKind.CHANGES,
-                                new Entry(
+                                EndpointListKind.DELTA,
+                                new EndpointEntry(
                                         w,
-                                        Health.values()[random.nextInt(3)],
+                                        EndpointLifecycle.values()[random.nextInt(3)],
                                         1,
                                         0,
                                         w.charAt(0) % 2,
                                         0,
                                         random.nextInt(3) == 0 ? h.now : 0));
-                    case 7 -> h.node.probed(h.us(), w, Verdict.values()[random.nextInt(8)], 1, null);
+                    case 7 -> h.node.probeEnded(h.us(), w, AttemptOutcome.values()[random.nextInt(8)], 1, null);
                     default -> {
-                        h.node.progress(
+                        h.node.attemptProgressed(
                                 h.us(), 1 + random.nextLong(next), 0, w, random.nextBoolean(), random.nextDouble());
-                        h.listFailed(ListLoss.ENDED);
+                        h.listFailed(EndpointWatchFailure.ENDED);
                     }
                 }
             }
--- a/src/test/java/maplespread/decision/ListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import maplespread.decision.Dispatch.*;
+import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -16,7 +16,7 @@
  * and a move of discovery is played in virtual time against a judge that knows what discovery has. No request goes to
  * a drained server later than the rule's time, and service goes on through an outage in which nothing could be had.
  */
-class ListFreshnessTest {
+class EndpointListFreshnessTest {
     private static final double STEP_MS = 50;
     private static final double CALL_LIMIT_MS = 2000; // discovery cuts a call that has waited so long
     private static final double SILENCE_SEEN_MS = 3200;
@@ -45,7 +45,8 @@
     private static final class World {
         private final Play play;
         private final List<String> breaks = new ArrayList<>();
-        private Host host = new Host(Host.settings(Host.clazz(Effect.READ_LIKE, Group.ALL), true, 1));
+        private RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
         private final double start = host.now;
         private double deadUntil = -1;
         private boolean moved;
@@ -70,10 +71,13 @@
 
         private void boot() {
             double now = host.now;
-            host = new Host(host.set);
+            host = new RuleCheckingHost(host.set);
             host.now = now;
             host.confirms = false;
-            host.list(ListKind.HELD, Host.entry("stays", 0, 0), Host.entry("drains", 0, 0));
+            host.list(
+                    EndpointListKind.CACHED_SNAPSHOT,
+                    RuleCheckingHost.entry("stays", 0, 0),
+                    RuleCheckingHost.entry("drains", 0, 0));
             asked = 0;
             callAt = -1;
             watching = false;
@@ -132,7 +136,7 @@
                     notifiedAt = Math.min(notifiedAt, now() + MOVE_NOTIFIED_MS);
                 }
                 watching = false;
-                host.node.listUnconfirmed(host.us(), ListDoubt.MOVED, 0);
+                host.node.endpointListUnconfirmed(host.us(), EndpointListDoubt.MOVED, 0);
                 callAt = now();
             }
             if (crossed(5000)) {
@@ -151,7 +155,7 @@
                 }
                 case RESET, OUTAGE -> {
                     watching = false;
-                    host.node.listFailed(host.us(), ListLoss.ENDED, 0);
+                    host.node.endpointWatchFailed(host.us(), EndpointWatchFailure.ENDED, 0);
                 }
                 default -> {}
             }
@@ -160,7 +164,7 @@
         /** The host's part: a silent watch is begun anew, and what the node asks for is carried out. */
         private void conversation() {
             if (watching && silentSince >= 0 && now() - heardAt >= SILENCE_SEEN_MS) {
-                host.node.listUnconfirmed(host.us(), ListDoubt.SILENT, now() - heardAt);
+                host.node.endpointListUnconfirmed(host.us(), EndpointListDoubt.SILENT, now() - heardAt);
                 watching = false;
                 callAt = now();
             }
@@ -180,14 +184,17 @@
                 tell();
             } else if (now() - callAt >= CALL_LIMIT_MS) {
                 callAt = -1;
-                host.node.listFailed(host.us(), ListLoss.NO_ANSWER, CALL_LIMIT_MS);
+                host.node.endpointWatchFailed(host.us(), EndpointWatchFailure.NO_ANSWER, CALL_LIMIT_MS);
             }
         }
 
         private void tell() {
             boolean drains = play.drainAt >= 0 && now() >= play.drainAt;
-            Health health = drains ? Health.LEAVING : Health.ACTIVE;
-            host.list(ListKind.FULL, Host.entry("stays", 0, 0), new Entry("drains", health, 1, 0, 0, 0, 0));
+            EndpointLifecycle health = drains ? EndpointLifecycle.DRAINING : EndpointLifecycle.ACTIVE;
+            host.list(
+                    EndpointListKind.FULL_SNAPSHOT,
+                    RuleCheckingHost.entry("stays", 0, 0),
+                    new EndpointEntry("drains", health, 1, 0, 0, 0, 0));
             if (drains) {
                 notifiedAt = Math.min(notifiedAt, now());
             }
@@ -198,7 +205,7 @@
                 ids++;
                 return;
             }
-            Host.Call call = host.take(++ids, 20);
+            RuleCheckingHost.TestRequest call = host.take(++ids, 20);
             taken++;
             if (call.tries.isEmpty()) {
                 return;
@@ -207,7 +214,7 @@
             if (call.tries.get(0).worker.equals("drains") && now() > notifiedAt + GRACE_MS) {
                 breaks.add(Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + play);
             }
-            host.settle(ids, Verdict.OK);
+            host.settle(ids, AttemptOutcome.SERVED);
         }
     }
 
@@ -298,9 +305,9 @@
                 "ask  | 0:confirmed 1000:ended 3000:no_answer 7000:moved | STALE | false",
                 "ask  | 0:confirmed 1000:silent 7000:no_answer 9000:refused 10000:confirmed | CONFIRMED | true",
             })
-    void eachEventMovesTheStateAsItsTableSays(String mode, String events, ListState state, boolean usable) {
-        ListState[] now = {ListState.UNCONFIRMED};
-        ListFreshness freshness = new ListFreshness((from, to, age) -> now[0] = to);
+    void eachEventMovesTheStateAsItsTableSays(String mode, String events, EndpointListState state, boolean usable) {
+        EndpointListState[] now = {EndpointListState.UNCONFIRMED};
+        EndpointListFreshness freshness = new EndpointListFreshness((from, to, age) -> now[0] = to);
         freshness.settings(mode.equals("push"), 10_000);
         for (String event : events.split(" ")) {
             double at = Double.parseDouble(event.substring(0, event.indexOf(':')));
@@ -310,7 +317,7 @@
                 case "confirmed" -> freshness.confirmed(at);
                 case "silent" -> freshness.silent(at, 0);
                 case "moved" -> freshness.moved(at);
-                default -> freshness.failed(at, ListLoss.valueOf(what.toUpperCase(Locale.ROOT)), 0);
+                default -> freshness.failed(at, EndpointWatchFailure.valueOf(what.toUpperCase(Locale.ROOT)), 0);
             }
         }
         assertEquals(usable, freshness.usable(11_000));
--- a/src/test/java/maplespread/decision/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -1,4 +1,4 @@
-package maplespread.decision;
+package maplespread.policy;
 
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -18,11 +18,11 @@
 import java.util.function.Predicate;
 
 /**
- * A seeded virtual fleet around one {@link Logic}. Its clients, workers and discovery react to the node's actions, and
+ * A seeded virtual fleet around one {@link DispatchPolicy}. Its clients, workers and discovery react to the node's actions, and
  * every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an arithmetic
  * order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
  */
-final class ReplayFleet implements Dispatch.Actions {
+final class ReplayFleet implements Dispatch.PolicyActions {
     /** Which figures the workers' load reports have. */
     enum ReportFields {
         NONE,
@@ -34,7 +34,7 @@
     /** What one replay varies; {@code load}: offered work over the fleet's capacity, as a mean over time. */
     record Plan(
             String name,
-            Dispatch.Settings settings,
+            Dispatch.PolicySettings settings,
             int workers,
             int slots,
             double load,
@@ -58,7 +58,7 @@
         final double speed;
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         final List<Job> running = new ArrayList<>();
-        Dispatch.Health health = Dispatch.Health.ACTIVE;
+        Dispatch.EndpointLifecycle health = Dispatch.EndpointLifecycle.ACTIVE;
         boolean listed = true;
         boolean up = true;
         boolean unreachable;
@@ -92,11 +92,11 @@
         final double deadlineMs;
         final double slots;
         final double workMs;
-        final Dispatch.ClassSpec spec;
+        final Dispatch.RequestClass spec;
         final List<Job> jobs = new ArrayList<>(2);
         boolean ended;
 
-        Call(long id, int cls, double deadlineMs, double slots, double workMs, Dispatch.ClassSpec spec) {
+        Call(long id, int cls, double deadlineMs, double slots, double workMs, Dispatch.RequestClass spec) {
             this.id = id;
             this.cls = cls;
             this.deadlineMs = deadlineMs;
@@ -129,14 +129,14 @@
     private final SplittableRandom random;
     private final MessageDigest digest;
     private final DataOutputStream hashed;
-    private final Logic node;
+    private final DispatchPolicy node;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private final List<ModelWorker> workers = new ArrayList<>();
     private final Map<String, ModelWorker> byId = new HashMap<>();
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<String, Integer> counts = new java.util.TreeMap<>();
-    private Dispatch.Settings settings;
-    private Dispatch.Settings before;
+    private Dispatch.PolicySettings settings;
+    private Dispatch.PolicySettings before;
     private long nowUs = START_US;
     private long order;
     private long lastId;
@@ -156,7 +156,7 @@
         hashed = new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
         settings = plan.settings();
         before = settings;
-        node = new Logic(settings, seed, this);
+        node = new DispatchPolicy(settings, seed, this);
         for (int i = 0; i < plan.workers(); i++) {
             double speed = 0.5 + 1.5 * random.nextDouble();
             int kind = i % 3 == 0 ? 1 : 0;
@@ -172,9 +172,9 @@
 
     /** Plays the whole and returns what was counted and the hash of all actions, as one line. */
     String play() {
-        list(Dispatch.ListKind.HELD);
+        list(Dispatch.EndpointListKind.CACHED_SNAPSHOT);
         after(20 + random.nextInt(300), () -> {
-            list(Dispatch.ListKind.FULL);
+            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
             confirm();
         });
         after(1, this::arrival);
@@ -186,7 +186,7 @@
             nowUs = Math.max(nowUs, next.atUs());
             next.work().run();
             if (++events % 50 == 0) {
-                put('#', node.avoided(), node.listUsable(nowUs) ? 1 : 0);
+                put('#', node.avoidedWorkers(), node.endpointListUsable(nowUs) ? 1 : 0);
             }
         }
         StringBuilder line = new StringBuilder("events=" + events);
@@ -207,7 +207,7 @@
     }
 
     private void request(int cls, double leftMs, boolean mayRepeat) {
-        Dispatch.Settings under = chance(0.05) && cls < before.classes().size() ? before : null;
+        Dispatch.PolicySettings under = chance(0.05) && cls < before.classes().size() ? before : null;
         double work = MEAN_WORK_MS * -StrictMath.log(1 - random.nextDouble()) + 1;
         double hint = chance(0.1) ? Double.NaN : chance(0.01) ? 1e12 : work * (0.5 + random.nextDouble());
         double slots = chance(0.1) ? 2 : chance(0.01) ? 1e6 : 1;
@@ -215,12 +215,13 @@
         String key = plan.keyed() ? "key-" + random.nextInt(1 + random.nextInt(40)) : chance(0.02) ? "" : null;
         double counts = chance(0.8) ? 1 : 4 * random.nextDouble();
         Predicate<String> among = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
-        Dispatch.ClassSpec spec = (under == null ? settings : under).classes().get(cls);
+        Dispatch.RequestClass spec =
+                (under == null ? settings : under).classes().get(cls);
         Call call = new Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
         calls.put(call.id, call);
-        node.request(
+        node.requestAccepted(
                 nowUs,
-                new Dispatch.Request(
+                new Dispatch.PolicyRequest(
                         call.id,
                         cls,
                         random.nextInt(2),
@@ -248,7 +249,7 @@
     private void leave(Call call) {
         if (!call.ended) {
             call.ended = true;
-            node.gone(nowUs, call.id);
+            node.requestAbandoned(nowUs, call.id);
         }
         if (call.jobs.stream().allMatch(job -> job.over)) {
             calls.remove(call.id);
@@ -261,22 +262,23 @@
         ModelWorker worker = job.worker;
         double fate = random.nextDouble();
         if (worker.unreachable) {
-            after(settings.permissions().dialTimeoutMs(), () -> end(job, Dispatch.Verdict.NO_CONNECTION));
+            after(settings.permissions().connectTimeoutMs(), () -> end(job, Dispatch.AttemptOutcome.CONNECT_FAILED));
         } else if (!worker.up) {
-            end(job, Dispatch.Verdict.NO_CONNECTION);
+            end(job, Dispatch.AttemptOutcome.CONNECT_FAILED);
         } else if (worker.hanging || fate < 0.004) { // its connection is dead, or the worker
             double waitMs = Math.min(2500, Math.max(1, job.call.deadlineMs - ms()));
-            after(waitMs, () -> end(job, Dispatch.Verdict.TIMEOUT));
+            after(waitMs, () -> end(job, Dispatch.AttemptOutcome.TIMED_OUT));
         } else if (fate < 0.006) {
-            end(job, Dispatch.Verdict.MOOT);
+            end(job, Dispatch.AttemptOutcome.NEVER_SENT);
         } else if (fate < 0.008) {
-            end(job, Dispatch.Verdict.CUT);
+            end(job, Dispatch.AttemptOutcome.STALE_CONNECTION_RESET);
         } else if (fate < 0.010) {
-            end(job, Dispatch.Verdict.RESET);
+            end(job, Dispatch.AttemptOutcome.RESET);
         } else if (fate < 0.012 || worker.failingClass == job.call.cls) {
-            end(job, Dispatch.Verdict.ERROR);
-        } else if (worker.queue.size() > 6 * worker.slots || worker.health != Dispatch.Health.ACTIVE && chance(0.7)) {
-            end(job, Dispatch.Verdict.FULL);
+            end(job, Dispatch.AttemptOutcome.ERROR);
+        } else if (worker.queue.size() > 6 * worker.slots
+                || worker.health != Dispatch.EndpointLifecycle.ACTIVE && chance(0.7)) {
+            end(job, Dispatch.AttemptOutcome.REJECTED);
         } else {
             worker.queue.add(job);
             startNext(worker);
@@ -292,19 +294,19 @@
             }
             worker.running.add(job);
             double warm =
-                    clampWarmth((ms() - worker.startedAtMs) / settings.rules().warmWithinMs());
+                    clampWarmth((ms() - worker.startedAtMs) / settings.rules().slowStartMs());
             job.startedAtMs = ms();
             job.takesMs = job.call.workMs / worker.speed / warm * worker.slowness * (0.8 + 0.4 * random.nextDouble());
-            if (settings.tellsStart() && chance(0.97)) {
+            if (settings.workersReportStart() && chance(0.97)) {
                 after(0.2, () -> progress(job, true, 0));
             }
-            if (settings.progressMs() > 0) {
-                after(settings.progressMs(), () -> goOn(job));
+            if (settings.progressIntervalMs() > 0) {
+                after(settings.progressIntervalMs(), () -> goOn(job));
             }
             if (job.call.spec.streaming()) {
                 after(job.takesMs / 2, () -> {
                     if (!job.over) {
-                        node.opened(nowUs, job.call.id, job.attempt, worker.id);
+                        node.responseStarted(nowUs, job.call.id, job.attempt, worker.id);
                     }
                 });
             }
@@ -318,23 +320,23 @@
 
     private void progress(Job job, boolean started, double share) {
         if (!job.over) {
-            node.progress(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
+            node.attemptProgressed(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
         }
     }
 
     private void goOn(Job job) {
         if (!job.over) {
             progress(job, false, (ms() - job.startedAtMs) / job.takesMs * (chance(0.02) ? 0.5 : 1));
-            after(settings.progressMs(), () -> goOn(job));
+            after(settings.progressIntervalMs(), () -> goOn(job));
         }
     }
 
     private void finish(Job job) {
         job.worker.lastServiceMs = job.takesMs;
-        end(job, Dispatch.Verdict.OK);
+        end(job, Dispatch.AttemptOutcome.SERVED);
     }
 
-    private void end(Job job, Dispatch.Verdict verdict) {
+    private void end(Job job, Dispatch.AttemptOutcome verdict) {
         ModelWorker worker = job.worker;
         worker.running.remove(job);
         worker.queue.remove(job);
@@ -342,17 +344,17 @@
             return;
         }
         job.over = true;
-        job.call.ended |= verdict == Dispatch.Verdict.OK;
+        job.call.ended |= verdict == Dispatch.AttemptOutcome.SERVED;
         double lagMs = ms() - job.sentAtMs;
-        Dispatch.Report report = verdict == Dispatch.Verdict.OK || chance(0.3) ? report(worker) : null;
-        node.outcome(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
+        Dispatch.LoadReport report = verdict == Dispatch.AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
+        node.attemptEnded(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
         startNext(worker);
     }
 
-    private Dispatch.Report report(ModelWorker worker) {
+    private Dispatch.LoadReport report(ModelWorker worker) {
         double nan = Double.NaN;
         if (chance(0.003)) {
-            return new Dispatch.Report(1e7, 0, 0, 1, 1e7, 0); // absurd
+            return new Dispatch.LoadReport(1e7, 0, 0, 1, 1e7, 0); // absurd
         }
         int active = worker.running.size() + worker.queue.size();
         double free = Math.max(0, worker.slots - worker.usedSlots());
@@ -360,9 +362,9 @@
         return switch (plan.reports()) {
             case NONE -> null;
             case ACTIVE_AND_FREE_SLOTS ->
-                new Dispatch.Report(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
-            case FREE_SLOTS -> new Dispatch.Report(nan, nan, nan, worker.lastServiceMs, free, memory);
-            case SERVICE_TIME -> new Dispatch.Report(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
+                new Dispatch.LoadReport(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
+            case FREE_SLOTS -> new Dispatch.LoadReport(nan, nan, nan, worker.lastServiceMs, free, memory);
+            case SERVICE_TIME -> new Dispatch.LoadReport(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
         };
     }
 
@@ -373,7 +375,7 @@
         worker.running.clear();
         worker.queue.clear();
         for (Job job : lost) {
-            after(random.nextInt(5), () -> end(job, Dispatch.Verdict.RESET));
+            after(random.nextInt(5), () -> end(job, Dispatch.AttemptOutcome.RESET));
         }
         after(downMs, () -> {
             worker.up = true;
@@ -390,38 +392,42 @@
         return ms() < discoveryBackMs;
     }
 
-    private Dispatch.Entry entry(ModelWorker worker) {
-        return new Dispatch.Entry(
+    private Dispatch.EndpointEntry entry(ModelWorker worker) {
+        return new Dispatch.EndpointEntry(
                 worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
     }
 
-    private void list(Dispatch.ListKind kind) {
-        List<Dispatch.Entry> entries = new ArrayList<>();
+    private void list(Dispatch.EndpointListKind kind) {
+        List<Dispatch.EndpointEntry> entries = new ArrayList<>();
         for (ModelWorker worker : workers) {
             if (worker.listed) {
                 entries.add(entry(worker));
             }
         }
-        node.list(nowUs, kind, ++version, entries);
+        node.endpointListReceived(nowUs, kind, ++version, entries);
     }
 
     private void changed(ModelWorker worker) {
         if (!discoveryDown()) {
-            node.list(nowUs, Dispatch.ListKind.CHANGES, ++version, List.of(entry(worker)));
+            node.endpointListReceived(nowUs, Dispatch.EndpointListKind.DELTA, ++version, List.of(entry(worker)));
         }
     }
 
     private void confirm() {
-        node.listConfirmed(nowUs);
+        node.endpointListConfirmed(nowUs);
     }
 
     private void answerWatch() {
         if (discoveryDown()) {
-            Dispatch.ListLoss loss = chance(0.3) ? Dispatch.ListLoss.REFUSED : Dispatch.ListLoss.NO_ANSWER;
-            double tookMs = loss == Dispatch.ListLoss.REFUSED ? 1 : 400 + random.nextInt(1600);
-            after(tookMs, () -> node.listFailed(nowUs, chance(0.05) ? Dispatch.ListLoss.NOT_ASKED : loss, tookMs));
+            Dispatch.EndpointWatchFailure loss =
+                    chance(0.3) ? Dispatch.EndpointWatchFailure.REFUSED : Dispatch.EndpointWatchFailure.NO_ANSWER;
+            double tookMs = loss == Dispatch.EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
+            after(
+                    tookMs,
+                    () -> node.endpointWatchFailed(
+                            nowUs, chance(0.05) ? Dispatch.EndpointWatchFailure.NOT_ASKED : loss, tookMs));
         } else {
-            list(Dispatch.ListKind.FULL);
+            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
     }
@@ -429,18 +435,18 @@
     private void discoveryFault() {
         double outageMs = chance(0.3) ? 9000 * random.nextDouble() : 400 * random.nextDouble();
         discoveryBackMs = ms() + outageMs;
-        if (!settings.ask() || chance(0.3)) {
+        if (!settings.pollsDiscovery() || chance(0.3)) {
             after(outageMs + 50, this::answerWatch);
         }
         switch (random.nextInt(4)) {
-            case 0 -> node.listFailed(nowUs, Dispatch.ListLoss.ENDED, 0);
-            case 1 -> node.listFailed(nowUs, Dispatch.ListLoss.NO_ANSWER, 2000);
+            case 0 -> node.endpointWatchFailed(nowUs, Dispatch.EndpointWatchFailure.ENDED, 0);
+            case 1 -> node.endpointWatchFailed(nowUs, Dispatch.EndpointWatchFailure.NO_ANSWER, 2000);
             case 2 -> {
-                node.listUnconfirmed(nowUs, Dispatch.ListDoubt.SILENT, 3000);
+                node.endpointListUnconfirmed(nowUs, Dispatch.EndpointListDoubt.SILENT, 3000);
                 after(100, this::answerWatch);
             }
             default -> {
-                node.listUnconfirmed(nowUs, Dispatch.ListDoubt.MOVED, 0);
+                node.endpointListUnconfirmed(nowUs, Dispatch.EndpointListDoubt.MOVED, 0);
                 after(300, this::answerWatch);
             }
         }
@@ -484,14 +490,14 @@
     }
 
     private void drain(ModelWorker worker, double forMs) {
-        worker.health = Dispatch.Health.LEAVING;
+        worker.health = Dispatch.EndpointLifecycle.DRAINING;
         changed(worker);
         after(forMs, () -> {
-            worker.health = Dispatch.Health.LEFT;
+            worker.health = Dispatch.EndpointLifecycle.REMOVED;
             changed(worker);
         });
         after(2 * forMs, () -> {
-            worker.health = Dispatch.Health.ACTIVE;
+            worker.health = Dispatch.EndpointLifecycle.ACTIVE;
             worker.startedAtMs = ms();
             changed(worker);
         });
@@ -500,7 +506,7 @@
     private void removeByFullList(ModelWorker worker, double forMs) {
         worker.listed = false;
         if (!discoveryDown()) {
-            list(Dispatch.ListKind.FULL);
+            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
         after(forMs, () -> {
@@ -532,33 +538,33 @@
 
     private void changeSettings() {
         before = settings;
-        List<Dispatch.ClassSpec> classes = new ArrayList<>(settings.classes());
+        List<Dispatch.RequestClass> classes = new ArrayList<>(settings.classes());
         if (chance(0.3) && classes.size() < 8) {
             classes.add(classes.get(random.nextInt(classes.size())));
         } else {
             int at = random.nextInt(classes.size());
-            Dispatch.ClassSpec old = classes.get(at);
+            Dispatch.RequestClass old = classes.get(at);
             classes.set(
                     at,
-                    new Dispatch.ClassSpec(
-                            old.aimMs() * (0.8 + 0.4 * random.nextDouble()),
-                            old.stretch(),
+                    new Dispatch.RequestClass(
+                            old.latencyObjectiveMs() * (0.8 + 0.4 * random.nextDouble()),
+                            old.stretchFactor(),
                             old.deadlineMs(),
-                            old.worth(),
-                            old.lateShare(),
-                            old.effect(),
-                            old.group(),
-                            old.windowMs(),
+                            old.priorityWeight(),
+                            old.lateWeightShare(),
+                            old.idempotency(),
+                            old.deduplicationScope(),
+                            old.deduplicationWindowMs(),
                             old.streaming(),
-                            old.kind()));
+                            old.requiredWorkerKind()));
         }
-        settings = settings.with(classes);
+        settings = settings.withClasses(classes);
         if (chance(0.3)) {
             settings = chance(0.5)
-                    ? plan.settings().shared().with(classes)
-                    : plan.settings().with(classes);
+                    ? plan.settings().sharedByTwoProcesses().withClasses(classes)
+                    : plan.settings().withClasses(classes);
         }
-        node.settings(nowUs, settings);
+        node.settingsChanged(nowUs, settings);
     }
 
     /** Events that do not fit: they cost that event and no more. */
@@ -566,14 +572,18 @@
         after(700, this::strayEvent);
         long known = Math.max(1, lastId - random.nextInt(50));
         switch (random.nextInt(8)) {
-            case 0 -> node.outcome(nowUs, lastId + 99, 0, "10.0.0.1:9000", Dispatch.Verdict.OK, 1, true, null);
-            case 1 -> node.progress(nowUs, known, 7, "10.0.0.1:9000", true, 0);
-            case 2 -> node.progress(nowUs, known, -1, "10.0.0.1:9000", false, 3);
-            case 3 -> node.probed(nowUs, "10.9.9.9:1", Dispatch.Verdict.OK, 1, null);
-            case 4 -> node.gone(nowUs, lastId + 99);
-            case 5 -> node.timer(nowUs, 1 + 1 + known);
-            case 6 -> rejected(() -> node.request(nowUs, new Dispatch.Request(++lastId, -1, 0, nowUs, 1, 1, 0)));
-            default -> rejected(() -> node.opened(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
+            case 0 ->
+                node.attemptEnded(
+                        nowUs, lastId + 99, 0, "10.0.0.1:9000", Dispatch.AttemptOutcome.SERVED, 1, true, null);
+            case 1 -> node.attemptProgressed(nowUs, known, 7, "10.0.0.1:9000", true, 0);
+            case 2 -> node.attemptProgressed(nowUs, known, -1, "10.0.0.1:9000", false, 3);
+            case 3 -> node.probeEnded(nowUs, "10.9.9.9:1", Dispatch.AttemptOutcome.SERVED, 1, null);
+            case 4 -> node.requestAbandoned(nowUs, lastId + 99);
+            case 5 -> node.timerExpired(nowUs, 1 + 1 + known);
+            case 6 ->
+                rejected(
+                        () -> node.requestAccepted(nowUs, new Dispatch.PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
+            default -> rejected(() -> node.responseStarted(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
         }
     }
 
@@ -589,7 +599,7 @@
     // ------------------------------------------------------------ the node's actions
 
     @Override
-    public void send(long id, String worker) {
+    public void sendAttempt(long id, String worker) {
         count("send");
         put('S', id, worker.hashCode());
         Call call = calls.get(id);
@@ -599,7 +609,7 @@
     }
 
     @Override
-    public void refuse(long id, double pauseMs, Dispatch.Refusal why) {
+    public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
         count("reject." + why);
         put('R', id, Double.doubleToLongBits(pauseMs));
         put('r', why.ordinal(), 0);
@@ -607,18 +617,18 @@
     }
 
     @Override
-    public void fail(long id, Dispatch.Refusal why) {
+    public void fail(long id, Dispatch.RejectionReason why) {
         count("fail." + why);
         put('F', id, why.ordinal());
         calls.get(id).ended = true;
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         count("cancel");
         put('C', id, attempt);
         Job job = calls.get(id).jobs.get(attempt);
-        after(0.5, () -> end(job, Dispatch.Verdict.CANCELLED));
+        after(0.5, () -> end(job, Dispatch.AttemptOutcome.CANCELLED));
     }
 
     @Override
@@ -627,31 +637,31 @@
         put('P', worker.hashCode(), 0);
         ModelWorker probed = byId.get(worker);
         if (probed.hanging || chance(0.03)) {
-            after(1000, () -> node.probed(nowUs, worker, Dispatch.Verdict.TIMEOUT, 1000, null));
+            after(1000, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.TIMED_OUT, 1000, null));
         } else if (!probed.up || probed.unreachable) {
-            double lagMs = probed.up ? settings.permissions().dialTimeoutMs() : 0.5;
-            after(lagMs, () -> node.probed(nowUs, worker, Dispatch.Verdict.NO_CONNECTION, lagMs, null));
+            double lagMs = probed.up ? settings.permissions().connectTimeoutMs() : 0.5;
+            after(lagMs, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.CONNECT_FAILED, lagMs, null));
         } else {
             double lagMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
-            after(lagMs, () -> node.probed(nowUs, worker, Dispatch.Verdict.OK, lagMs, report(probed)));
+            after(lagMs, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.SERVED, lagMs, report(probed)));
         }
     }
 
     @Override
-    public void watch() {
+    public void watchEndpointList() {
         count("watch");
         put('W', 0, 0);
         after(5 + random.nextInt(50), this::answerWatch);
     }
 
     @Override
-    public void timer(double delayMs, long label) {
+    public void scheduleTimer(double delayMs, long label) {
         put('T', label, Double.doubleToLongBits(delayMs));
-        after(delayMs, () -> node.timer(nowUs, label));
+        after(delayMs, () -> node.timerExpired(nowUs, label));
     }
 
     @Override
-    public void listState(Dispatch.ListState from, Dispatch.ListState to, double ageMs) {
+    public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {
         count("list." + to);
         put('L', from.ordinal() * 10L + to.ordinal(), Double.doubleToLongBits(ageMs));
     }
--- a/src/test/java/maplespread/fair/SharesTest.java
+++ b/src/test/java/maplespread/quota/TenantQuotaTest.java
@@ -1,22 +1,22 @@
-package maplespread.fair;
+package maplespread.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import maplespread.decision.Dispatch.Tenant;
+import maplespread.policy.Dispatch.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** Who is taken for beyond its share at one of N dispatchers, with seeds. */
-class SharesTest {
+class TenantQuotaTest {
     private static final List<Tenant> TENANTS = List.of(new Tenant(60), new Tenant(30), new Tenant(10), new Tenant(0));
 
     /**
      * The share of each tenant's requests that count for less; {@code rates}: a second, at this dispatcher.
      */
     private static double[] beyond(double[] rates, int dispatchers, boolean enough, long seed) {
-        Shares shares = new Shares(TENANTS);
+        TenantQuota shares = new TenantQuota(TENANTS);
         SplittableRandom random = new SplittableRandom(seed);
         double[] next = new double[rates.length];
         double[] asked = new double[rates.length];
@@ -28,11 +28,11 @@
                         rates[t] > 0 && next[t] <= now;
                         next[t] += -Math.log(1 - random.nextDouble()) * 1000 / rates[t]) {
                     boolean counted = now > 10_000;
-                    double counts = shares.of(now, ++id, t, true, dispatchers);
+                    double counts = shares.weight(now, ++id, t, true, dispatchers);
                     assertTrue(counts > 0 && counts <= 1);
                     asked[t] += counted ? 1 : 0;
                     less[t] += counted && counts < 1 ? 1 : 0;
-                    shares.ended(id, !enough && random.nextInt(10) == 0);
+                    shares.requestCompleted(id, !enough && random.nextInt(10) == 0);
                 }
             }
         }
@@ -66,17 +66,17 @@
 
     @Test
     void aLaterTryIsJudgedAndNotCounted() {
-        Shares shares = new Shares(List.of(new Tenant(2)));
+        TenantQuota shares = new TenantQuota(List.of(new Tenant(2)));
         for (int id = 0; id < 50; id++) {
-            assertEquals(1, shares.of(0, id, 0, false, 1), "later tries take nothing");
+            assertEquals(1, shares.weight(0, id, 0, false, 1), "later tries take nothing");
         }
         for (int id = 50; id < 58; id++) {
-            assertEquals(1, shares.of(0, id, 0, true, 1));
+            assertEquals(1, shares.weight(0, id, 0, true, 1));
         }
-        shares.left(50);
-        shares.ended(51, true); // one within is turned away
-        assertTrue(shares.of(0, 60, 0, true, 1) < 0.1);
-        assertEquals(1, shares.of(2000, 61, 0, true, 1), "the bucket fills");
-        assertEquals(1, shares.of(2000, 62, 7, true, 1), "no such tenant");
+        shares.clientLeft(50);
+        shares.requestCompleted(51, true); // one within is turned away
+        assertTrue(shares.weight(0, 60, 0, true, 1) < 0.1);
+        assertEquals(1, shares.weight(2000, 61, 0, true, 1), "the bucket fills");
+        assertEquals(1, shares.weight(2000, 62, 7, true, 1), "no such tenant");
     }
 }
--- a/src/test/java/maplespread/registry/RegistryTraceGoldenTest.java
+++ b/src/test/java/maplespread/registry/RegistryTraceGoldenTest.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import maplespread.GoldenOutput;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.lab.registry.Store;
 import maplespread.lab.registry.VirtualRegistry;
 import maplespread.registry.RegistrySettings.Dialect;
@@ -29,7 +29,7 @@
         final Store store = new Store();
         final List<VirtualRegistry.Member> members = new ArrayList<>();
         final List<VirtualRegistry.Conversation> conversations = new ArrayList<>();
-        final List<RegistryCore> cores = new ArrayList<>();
+        final List<RegistryWatcher> cores = new ArrayList<>();
         final SplittableRandom random;
         Store.Backup backup;
         long now = 1;
@@ -55,11 +55,11 @@
                 members.add(new VirtualRegistry.Member(store));
             }
             VirtualRegistry registry = new VirtualRegistry(settings, members);
-            RegistrySink sink = new RegistrySink() {
+            RegistryListener sink = new RegistryListener() {
                 @Override
-                public void news(EndpointUpdate news) {
-                    trace.append(news.kind()).append(' ').append(news.generation());
-                    for (Route r : news.routes()) {
+                public void endpointsChanged(EndpointUpdate news) {
+                    trace.append(recordedName(news.kind())).append(' ').append(news.version());
+                    for (Endpoint r : news.endpoints()) {
                         trace.append(' ').append(r.worker()).append(' ').append(r.state());
                         trace.append(' ').append(r.cell()).append(' ').append(r.startedAtMs());
                     }
@@ -67,27 +67,36 @@
                 }
 
                 @Override
-                public void event(boolean warning, String name, Object... pairs) {
+                public void eventOccurred(boolean warning, String name, Object... pairs) {
                     events.merge(name, 1, Integer::sum);
                     trace.append(warning).append(' ').append(name).append(' ').append(Arrays.toString(pairs));
                     trace.append('\n');
                 }
             };
-            View view = new View(2, Play::claim, settings.forgetAfterMs(), sink);
-            int each = dialect.wholeAnswers() ? 1 : 2;
+            EndpointView view = new EndpointView(2, Play::claim, settings.forgetAfterMs(), sink);
+            int each = dialect.returnsFullSnapshots() ? 1 : 2;
             for (int first = 0; first < 2; first += each) {
-                RegistryCore core = new RegistryCore(settings, first, each, 3, view, seed + first, now, sink);
+                RegistryWatcher core = new RegistryWatcher(settings, first, each, 3, view, seed + first, now, sink);
                 cores.add(core);
                 conversations.add(registry.new Conversation(core, seed + 9 + first));
             }
         }
 
-        static Route claim(String key, String text) {
+        /** The names that the constants had when the hashes were recorded. */
+        private static String recordedName(EndpointUpdate.Kind kind) {
+            return switch (kind) {
+                case DELTA -> "CHANGES";
+                case FULL_SNAPSHOT -> "WHOLE";
+                case CACHED_SNAPSHOT -> "HELD";
+            };
+        }
+
+        static Endpoint claim(String key, String text) {
             String[] f = text.split(" ");
-            return new Route(
+            return new Endpoint(
                     f[0],
                     "127.0.0.1:1",
-                    Route.State.valueOf(f[1]),
+                    Endpoint.State.valueOf(f[1]),
                     1,
                     0,
                     Integer.parseInt(f[2]),
@@ -142,7 +151,7 @@
                     }
                 }
                 case 20 -> conversations.forEach(c -> c.cut(now, random.nextInt(2) == 0));
-                default -> cores.forEach(core -> core.tokenChanged(now));
+                default -> cores.forEach(core -> core.onTokenChanged(now));
             }
         }
 
@@ -150,9 +159,9 @@
             long next = Long.MAX_VALUE;
             for (int i = 0; i < cores.size(); i++) {
                 next = Math.min(next, conversations.get(i).step(now));
-                RegistryCore core = cores.get(i);
+                RegistryWatcher core = cores.get(i);
                 trace.append(now).append(' ').append(core.phase()).append(' ').append(core.revision());
-                trace.append(' ').append(core.heardAt()).append(' ').append(core.quietAt());
+                trace.append(' ').append(core.confirmedAtMs()).append(' ').append(core.callTimeoutAtMs());
                 trace.append(' ').append(core.denied()).append(' ').append(next).append('\n');
             }
             now = Math.max(now + 1, Math.min(next, now + 50));
--- a/src/test/java/maplespread/registry/RegistryModelTest.java
+++ b/src/test/java/maplespread/registry/RegistryWatcherModelTest.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.lab.registry.Store;
 import maplespread.lab.registry.VirtualRegistry;
 import maplespread.registry.RegistrySettings.Dialect;
@@ -27,7 +27,7 @@
  * Random histories of a registry and its faults against the plain truth. Each operation is one number: what
  * it is, and which worker it concerns.
  */
-class RegistryModelTest {
+class RegistryWatcherModelTest {
     private static final String[] PREFIXES = {"/a/", "/b/"};
     private static final int WORKERS = 6;
 
@@ -38,9 +38,9 @@
         final VirtualRegistry registry;
         final List<VirtualRegistry.Member> members = new ArrayList<>();
         final List<VirtualRegistry.Conversation> conversations = new ArrayList<>();
-        final List<RegistryCore> cores = new ArrayList<>();
-        final View view;
-        final Map<String, Route> told = new TreeMap<>();
+        final List<RegistryWatcher> cores = new ArrayList<>();
+        final EndpointView view;
+        final Map<String, Endpoint> told = new TreeMap<>();
         final Map<String, Double> drained = new HashMap<>(); // told as draining, and since when up
         final List<String> events = new ArrayList<>();
         long now = 1;
@@ -70,21 +70,21 @@
             members.add(new VirtualRegistry.Member(store));
             members.add(new VirtualRegistry.Member(store));
             registry = new VirtualRegistry(settings, members);
-            RegistrySink sink = new RegistrySink() {
+            RegistryListener sink = new RegistryListener() {
                 @Override
-                public void news(EndpointUpdate news) {
+                public void endpointsChanged(EndpointUpdate news) {
                     hear(news);
                 }
 
                 @Override
-                public void event(boolean warning, String name, Object... pairs) {
+                public void eventOccurred(boolean warning, String name, Object... pairs) {
                     events.add(name);
                 }
             };
-            view = new View(2, World::claim, settings.forgetAfterMs(), sink);
-            int each = dialect.wholeAnswers() ? 1 : 2;
+            view = new EndpointView(2, World::claim, settings.forgetAfterMs(), sink);
+            int each = dialect.returnsFullSnapshots() ? 1 : 2;
             for (int first = 0; first < 2; first += each) {
-                RegistryCore core = new RegistryCore(settings, first, each, 1, view, 5 + first, now, sink);
+                RegistryWatcher core = new RegistryWatcher(settings, first, each, 1, view, 5 + first, now, sink);
                 cores.add(core);
                 conversations.add(registry.new Conversation(core, 9 + first));
             }
@@ -94,12 +94,12 @@
             write(2, "SERVING", 0);
         }
 
-        static Route claim(String key, String text) {
+        static Endpoint claim(String key, String text) {
             String[] f = text.split(" ");
-            return new Route(
+            return new Endpoint(
                     f[0],
                     "127.0.0.1:" + f[4],
-                    Route.State.valueOf(f[1]),
+                    Endpoint.State.valueOf(f[1]),
                     1,
                     0,
                     Integer.parseInt(f[3]),
@@ -126,15 +126,15 @@
         }
 
         void hear(EndpointUpdate news) {
-            boolean whole = news.kind() == EndpointUpdate.Kind.WHOLE;
+            boolean whole = news.kind() == EndpointUpdate.Kind.FULL_SNAPSHOT;
             assertEquals(told.isEmpty() && !lost, whole && !lost, "whole once, and first");
-            for (Route r : news.routes()) {
-                if (r.state() == Route.State.DELETED) {
+            for (Endpoint r : news.endpoints()) {
+                if (r.state() == Endpoint.State.DELETED) {
                     assertTrue(told.remove(r.worker()) != null, "deleted what was never told " + r);
                     continue;
                 }
-                Route before = told.put(r.worker(), r);
-                if (r.state() == Route.State.DRAINING) {
+                Endpoint before = told.put(r.worker(), r);
+                if (r.state() == Endpoint.State.DRAINING) {
                     drained.put(r.worker(), r.startedAtMs());
                 } else {
                     Double since = drained.get(r.worker());
@@ -147,7 +147,7 @@
                         "back in time: " + before + " then " + r);
             }
             assertFalse(told.isEmpty() && !lost, "empty where the truth was not");
-            Route a = told.get("p0"), b = told.get("p1");
+            Endpoint a = told.get("p0"), b = told.get("p1");
             assertEquals(a == null ? -1 : a.cell(), b == null ? -1 : b.cell(), "half a revision");
         }
 
@@ -206,7 +206,7 @@
 
         private void restore(boolean sameCluster) {
             // Consul names no cluster: put back over lost data, a backup is like workers that register anew.
-            if (backup != null && !(lost && settings.dialect().wholeAnswers())) {
+            if (backup != null && !(lost && settings.dialect().returnsFullSnapshots())) {
                 conversations.forEach(c -> c.cut(now, false));
                 store.restore(backup, sameCluster);
                 restored = true;
@@ -235,12 +235,12 @@
             for (int i = 0; i < 4000 && !done; i++) {
                 run(1);
                 now += 35;
-                done = view.told()
+                done = view.published()
                         && view.orphans() == 0
                         && conversations.stream().allMatch(VirtualRegistry.Conversation::upToDate);
             }
             assertTrue(done, "not settled: " + cores + events);
-            Map<String, Route> truth = truth();
+            Map<String, Endpoint> truth = truth();
             Set<String> doubtful = new HashSet<>();
             for (int i = 0; i < WORKERS; i++) {
                 Store.Version v = store.get(key(i));
@@ -252,26 +252,26 @@
             all.addAll(told.keySet());
             all.removeAll(doubtful);
             for (String worker : all) {
-                Route is = told.get(worker), should = truth.get(worker);
+                Endpoint is = told.get(worker), should = truth.get(worker);
                 if (restored
                         && should != null
                         && is != null
                         && drained.containsKey(worker)
                         && drained.get(worker) == should.startedAtMs()) {
-                    assertEquals(Route.State.DRAINING, is.state(), "a restore undid a drain");
+                    assertEquals(Endpoint.State.DRAINING, is.state(), "a restore undid a drain");
                     continue;
                 }
                 assertEquals(should, is, "the view is not the store " + events);
             }
         }
 
-        Map<String, Route> truth() {
-            Map<String, List<Map.Entry<String, Route>>> claims = new TreeMap<>();
+        Map<String, Endpoint> truth() {
+            Map<String, List<Map.Entry<String, Endpoint>>> claims = new TreeMap<>();
             for (String prefix : PREFIXES) {
                 try {
                     for (Store.Version v : store.range(prefix, prefix + '\uffff', 0, 1000)) {
                         if (!v.value().equals("?")) {
-                            Route r = claim(v.key(), v.value());
+                            Endpoint r = claim(v.key(), v.value());
                             claims.computeIfAbsent(r.worker(), w -> new ArrayList<>())
                                     .add(Map.entry(v.key(), r));
                         }
@@ -280,13 +280,13 @@
                     throw new AssertionError(e);
                 }
             }
-            Map<String, Route> truth = new TreeMap<>();
+            Map<String, Endpoint> truth = new TreeMap<>();
             claims.forEach((worker, list) -> truth.put(
                     worker,
                     list.stream()
-                            .sorted(Comparator.<Map.Entry<String, Route>>comparingDouble(
+                            .sorted(Comparator.<Map.Entry<String, Endpoint>>comparingDouble(
                                             e -> -e.getValue().startedAtMs())
-                                    .thenComparing(e -> e.getValue().state() == Route.State.SERVING)
+                                    .thenComparing(e -> e.getValue().state() == Endpoint.State.SERVING)
                                     .thenComparing(Map.Entry::getKey))
                             .findFirst()
                             .orElseThrow()
--- a/src/test/java/maplespread/registry/RegistryClockTest.java
+++ b/src/test/java/maplespread/registry/StalenessLimitTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
 import maplespread.lab.registry.Store;
 import maplespread.lab.registry.VirtualRegistry;
 import maplespread.registry.RegistrySettings.Dialect;
@@ -21,7 +21,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** The clock: whatever falls silent, and whenever, what the registry says is known within the stated time. */
-class RegistryClockTest {
+class StalenessLimitTest {
     private static final int STEP_MS = 5, WORKERS = 10;
 
     /** So many dispatchers of one registry on a virtual clock, and what each was told, and when. */
@@ -47,27 +47,27 @@
             for (int d = 0; d < dispatchers; d++) {
                 Map<String, Long> mine = new HashMap<>();
                 told.add(mine);
-                RegistrySink sink = new RegistrySink() {
+                RegistryListener sink = new RegistryListener() {
                     @Override
-                    public void news(EndpointUpdate news) {
-                        news.routes().forEach(r -> mine.putIfAbsent(r.worker() + r.state(), now));
+                    public void endpointsChanged(EndpointUpdate news) {
+                        news.endpoints().forEach(r -> mine.putIfAbsent(r.worker() + r.state(), now));
                     }
 
                     @Override
-                    public void event(boolean warning, String name, Object... pairs) {
+                    public void eventOccurred(boolean warning, String name, Object... pairs) {
                         events.add(name);
                     }
                 };
-                View view = new View(
+                EndpointView view = new EndpointView(
                         2,
-                        (k, text) -> new Route(k, "127.0.0.1:1", Route.State.valueOf(text), 1, 0, 0, 0, 0),
+                        (k, text) -> new Endpoint(k, "127.0.0.1:1", Endpoint.State.valueOf(text), 1, 0, 0, 0, 0),
                         1000,
                         sink);
-                int each = settings.dialect().wholeAnswers() ? 1 : 2;
+                int each = settings.dialect().returnsFullSnapshots() ? 1 : 2;
                 for (int first = 0; first < 2; first += each) {
                     conversations.add(registry
                     .new Conversation(
-                            new RegistryCore(
+                            new RegistryWatcher(
                                     settings, first, each, dispatchers, view, seed + 100 * d + first, now, sink),
                             seed + d));
                 }
@@ -103,7 +103,7 @@
     }
 
     private static RegistrySettings settings(Dialect dialect, int endpoints) {
-        return RegistrySettings.of(
+        return RegistrySettings.withDefaults(
                 dialect,
                 IntStream.range(0, endpoints).mapToObj(i -> "m" + i + ":1").toList(),
                 List.of("/a/", "/b/"));
@@ -118,7 +118,7 @@
             @ForAll boolean consul, @ForAll @IntRange(min = 1, max = 5) int n, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RegistrySettings s = settings(consul ? Dialect.CONSUL_KV : Dialect.ETCD, n);
-        assertNull(s.tooLate());
+        assertNull(s.keyBreakingStalenessLimit());
         World world = new World(s, 1, seed);
         world.run(random.nextInt(3000));
         int good = random.nextInt(n);
@@ -136,13 +136,13 @@
             due.put(world.change(i, random.nextInt(4) == 0), world.now);
             world.run(random.nextInt(1, 2500));
         }
-        world.run(s.clockMs());
+        world.run(s.stalenessLimitMs());
         due.forEach((what, since) -> {
             Long at = world.told.get(0).get(what);
             assertTrue(
-                    at != null && at - since < s.clockMs(),
-                    () -> what + " after " + (at == null ? "never" : at - since) + " of " + s.clockMs() + " ms, "
-                            + world.events);
+                    at != null && at - since < s.stalenessLimitMs(),
+                    () -> what + " after " + (at == null ? "never" : at - since) + " of " + s.stalenessLimitMs()
+                            + " ms, " + world.events);
         });
     }
 
@@ -153,7 +153,7 @@
         world.members.get(0).muted = 3;
         String drain = world.change(0, false), gone = world.change(1, true);
         long begun = world.now, most = 0;
-        while (world.now < begun + world.settings.clockMs()) {
+        while (world.now < begun + world.settings.stalenessLimitMs()) {
             long before = world.registry.requests();
             world.run(100);
             most = Math.max(most, world.registry.requests() - before);
@@ -221,8 +221,8 @@
                         3000,
                         15_000,
                         60_000);
-                assertTrue(next > 1000 || "answer_ms".equals(looser.tooLate()), dialect + " " + n);
-                assertNull(s.tooLate(), dialect + " " + n);
+                assertTrue(next > 1000 || "answer_ms".equals(looser.keyBreakingStalenessLimit()), dialect + " " + n);
+                assertNull(s.keyBreakingStalenessLimit(), dialect + " " + n);
             }
         }
     }
--- a/src/test/java/maplespread/registry/client/RegistryAdminTest.java
+++ b/src/test/java/maplespread/registry/client/RegistryAdminTest.java
@@ -16,8 +16,8 @@
     @EnumSource(names = {"ETCD", "CONSUL_KV"})
     void aLeaveTakenBackDrainsNobody(RegistrySettings.Dialect dialect) throws Exception {
         try (StandInRegistry registry = new StandInRegistry(new Store(), 1);
-                RegistryAdmin admin =
-                        new RegistryAdmin(RegistrySettings.of(dialect, List.of(registry.address()), List.of("w/")))) {
+                RegistryAdmin admin = new RegistryAdmin(
+                        RegistrySettings.withDefaults(dialect, List.of(registry.address()), List.of("w/")))) {
             admin.put(
                     "w-1",
                     JsonParser.parseString("{\"instanceId\":\"w-1\",\"hostPort\":\"127.0.0.1:1\","
@@ -32,8 +32,8 @@
                     + "DRAINING true,SERVING true,SERVING false,DRAINING true,";
             StringBuilder was = new StringBuilder();
             for (long[] c : calls) {
-                boolean yes = c[0] == 1 ? admin.recall("w-1", c[1], c[2]) : admin.drain("w-1", c[1], c[2]);
-                was.append(JsonParser.parseString(admin.items().get(0).text())
+                boolean yes = c[0] == 1 ? admin.cancelDrain("w-1", c[1], c[2]) : admin.drain("w-1", c[1], c[2]);
+                was.append(JsonParser.parseString(admin.entries().get(0).value())
                                 .getAsJsonObject()
                                 .get("lifecycle")
                                 .getAsString())
--- a/src/test/java/maplespread/registry/client/RegistryCallsGoldenTest.java
+++ b/src/test/java/maplespread/registry/client/RegistryCallsGoldenTest.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import maplespread.GoldenOutput;
+import maplespread.discovery.EndpointParser;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
-import maplespread.routes.RouteReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -35,7 +35,7 @@
     }
 
     private static RegistrySettings settings(Dialect dialect, String endpoint, String tokenFile) {
-        RegistrySettings s = RegistrySettings.of(dialect, List.of(endpoint), List.of("w/"));
+        RegistrySettings s = RegistrySettings.withDefaults(dialect, List.of(endpoint), List.of("w/"));
         return new RegistrySettings(
                 dialect,
                 s.endpoints(),
@@ -59,7 +59,7 @@
         try (RegistryAdmin admin = new RegistryAdmin(settings)) {
             admin.put("w-1", value, "", 0);
             return "done";
-        } catch (RegistryAdmin.NotDone e) {
+        } catch (RegistryAdmin.RegistryAdminException e) {
             return e.getMessage();
         }
     }
@@ -143,8 +143,8 @@
         StringBuilder seen = new StringBuilder();
         for (String value : values) {
             try {
-                var route = RegistrySource.claims(new RouteReader(List.of("a", "b"), List.of("m")))
-                        .read("/w/key", value);
+                var route = RegistryEndpointSource.entryDecoder(new EndpointParser(List.of("a", "b"), List.of("m")))
+                        .decode("/w/key", value);
                 seen.append(route.worker()).append(' ').append(route.address()).append(' ');
                 seen.append(route.state()).append(' ').append(route.weight()).append(' ');
                 seen.append(route.kind()).append(' ').append(route.cell()).append(' ');
--- a/src/test/java/maplespread/release/ReleaseTest.java
+++ b/src/test/java/maplespread/release/ReleaseTest.java
@@ -10,20 +10,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import maplespread.release.Driver.Next;
-import maplespread.release.ReleaseRefused.Reason;
-import maplespread.release.State.Phase;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
-import maplespread.release.View.Status;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.FleetView.Status;
+import maplespread.release.ReleaseRejectedException.Reason;
+import maplespread.release.RolloutController.Decision;
+import maplespread.release.RolloutState.Phase;
 import org.junit.jupiter.api.Test;
 
 class ReleaseTest {
     private static final Limits LIMITS = new Limits(1, 2, 1, Limits.ANY, 0.5, 1_000, 20_000, 0.05, 0.02, 0.5);
     private final Map<String, Member> fleet = new TreeMap<>();
-    private Service service = new Service(0.01, 0, 10, 1_000);
-    private State state = State.EMPTY;
+    private ServiceLevel service = new ServiceLevel(0.01, 0, 10, 1_000);
+    private RolloutState state = RolloutState.EMPTY;
 
     ReleaseTest() {
         for (int i = 0; i < 3; i++) {
@@ -43,59 +43,68 @@
         put(id, m.role(), m.zone(), run, version, is, m.capacity(), true);
     }
 
-    private View view() {
-        return new View(new ArrayList<>(fleet.values()), service);
+    private FleetView view() {
+        return new FleetView(new ArrayList<>(fleet.values()), service);
     }
 
     /** Every state is read back from its text, so that nothing counts that is not written. */
-    private void does(Command c) throws ReleaseRefused {
-        state = State.read(c.apply(state).text());
+    private void does(ReleaseCommand c) throws ReleaseRejectedException {
+        state = RolloutState.parse(c.apply(state).toText());
     }
 
-    private void refused(Reason why, Command c) {
+    private void refused(Reason why, ReleaseCommand c) {
         assertEquals(
-                why, assertThrows(ReleaseRefused.class, () -> c.apply(state)).reason());
+                why,
+                assertThrows(ReleaseRejectedException.class, () -> c.apply(state))
+                        .reason());
     }
 
-    private static Plan plan(String id, String more) throws ReleaseRefused {
-        return Plan.read("{id:'" + id + "',from:'1',to:'2',workers:true,dispatchers:true,steps:[1,2]" + more + "}");
+    private static ReleasePlan plan(String id, String more) throws ReleaseRejectedException {
+        return ReleasePlan.read(
+                "{id:'" + id + "',from:'1',to:'2',workers:true,dispatchers:true,steps:[1,2]" + more + "}");
     }
 
-    private void begun() throws ReleaseRefused {
-        does(Commands.limits("op", LIMITS));
-        does(Commands.begin("op", plan("r", ""), view()));
+    private void begun() throws ReleaseRejectedException {
+        does(OperatorCommands.setLimits("op", LIMITS));
+        does(OperatorCommands.begin("op", plan("r", ""), view()));
     }
 
-    private void leave(String id) throws ReleaseRefused {
-        does(Commands.leave("d0", id, state.calm(), view()));
+    private void leave(String id) throws ReleaseRejectedException {
+        does(OperatorCommands.grantOutage("d0", id, state.stabilityVersion(), view()));
     }
 
-    private void back(String id, String version) throws ReleaseRefused {
-        set(id, fleet.get(id).run() + 1, version, Status.SERVING);
-        does(Commands.back("d0", state.leaves().get(id).number(), fleet.get(id)));
+    private void back(String id, String version) throws ReleaseRejectedException {
+        set(id, fleet.get(id).incarnation() + 1, version, Status.SERVING);
+        does(OperatorCommands.confirmReturn("d0", state.plannedOutages().get(id).number(), fleet.get(id)));
     }
 
     /** Five of nine may go by the limits; electors that restart know nothing, so their majority stays. */
     @Test
-    void aMajorityOfElectorsStays() throws ReleaseRefused {
+    void aMajorityOfElectorsStays() throws ReleaseRejectedException {
         for (int i = 3; i < 9; i++) {
             put("d" + i, Role.DISPATCHER, "z0", 1, "1", Status.SERVING, 0, true);
         }
-        does(Commands.limits("op", new Limits(5, 2, 1, Limits.ANY, 0.5, 0, 20_000, 0.05, 0.02, 0.5)));
-        does(Commands.changeMembers("d0", state.calm(), new ArrayList<>(fleet.values())));
+        does(OperatorCommands.setLimits("op", new Limits(5, 2, 1, Limits.ANY, 0.5, 0, 20_000, 0.05, 0.02, 0.5)));
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
         List<String> electors = List.of("d0", "d1", "d2", "d3", "d4");
         set("d4", 1, "1", Status.UNKNOWN); // an accident, seen by the proposer alone
-        does(Commands.leaveByHand("op", "d8", state.calm(), view().among(electors), "no elector"));
-        does(Commands.leaveByHand("op", "d0", state.calm(), view().among(electors), "three are left"));
-        refused(Reason.LIMIT, Commands.leaveByHand("op", "d1", state.calm(), view().among(electors), "two"));
-        does(Commands.leaveByHand("op", "d7", state.calm(), view().among(electors), "no elector"));
-        View other = view().among(List.of("d1", "d2", "d3"));
-        does(Commands.leaveByHand("op", "d1", state.calm(), other, "two of three are left"));
+        does(OperatorCommands.grantManualOutage(
+                "op", "d8", state.stabilityVersion(), view().withElectors(electors), "no elector"));
+        does(OperatorCommands.grantManualOutage(
+                "op", "d0", state.stabilityVersion(), view().withElectors(electors), "three are left"));
+        refused(
+                Reason.LIMIT,
+                OperatorCommands.grantManualOutage(
+                        "op", "d1", state.stabilityVersion(), view().withElectors(electors), "two"));
+        does(OperatorCommands.grantManualOutage(
+                "op", "d7", state.stabilityVersion(), view().withElectors(electors), "no elector"));
+        FleetView other = view().withElectors(List.of("d1", "d2", "d3"));
+        does(OperatorCommands.grantManualOutage("op", "d1", state.stabilityVersion(), other, "two of three are left"));
     }
 
     /** Where each call leads from each state; a reason where it is refused. */
     @Test
-    void everyCallIsDefinedFromEveryState() throws ReleaseRefused {
+    void everyCallIsDefinedFromEveryState() throws ReleaseRejectedException {
         String table = """
             from          begin       halt    goOn          rollBack      abandon
             none          RUNNING     null    null          NO_RELEASE    NO_RELEASE
@@ -110,18 +119,18 @@
             """;
         for (String line : table.lines().skip(1).toList()) {
             String[] cell = line.trim().split(" +");
-            State from = in(cell[0]);
-            List<Command> calls = List.of(
-                    Commands.begin("op", plan("q", ""), view()),
-                    Commands.halt("op", "x"),
-                    Commands.goOn("op", "x", from.acts()),
-                    Commands.rollBack("op", "x", from.acts()),
-                    Commands.abandon("op", "x", from.acts()));
+            RolloutState from = in(cell[0]);
+            List<ReleaseCommand> calls = List.of(
+                    OperatorCommands.begin("op", plan("q", ""), view()),
+                    OperatorCommands.halt("op", "x"),
+                    OperatorCommands.resume("op", "x", from.controlVersion()),
+                    OperatorCommands.rollBack("op", "x", from.controlVersion()),
+                    OperatorCommands.abandon("op", "x", from.controlVersion()));
             for (int i = 0; i < calls.size(); i++) {
                 String got;
                 try {
                     got = String.valueOf(calls.get(i).apply(from).phase());
-                } catch (ReleaseRefused e) {
+                } catch (ReleaseRejectedException e) {
                     got = e.reason().name();
                 }
                 assertEquals(cell[i + 1], got, cell[0] + ", call " + i);
@@ -129,59 +138,65 @@
         }
     }
 
-    private State in(String phase) throws ReleaseRefused {
-        state = State.EMPTY;
+    private RolloutState in(String phase) throws ReleaseRejectedException {
+        state = RolloutState.EMPTY;
         fleet.keySet().forEach(id -> set(id, 1, "1", Status.SERVING));
-        does(Commands.limits("op", LIMITS));
+        does(OperatorCommands.setLimits("op", LIMITS));
         if (phase.equals("none")) {
             return state;
         }
         begun();
         if (phase.equals("DONE")) {
             fleet.keySet().forEach(id -> set(id, 2, "2", Status.SERVING));
-            does(Commands.observe("d0", state.calm(), List.of(), fleet.values()));
-            does(Commands.finish("d0", view()));
+            does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), fleet.values()));
+            does(OperatorCommands.finish("d0", view()));
         } else if (phase.contains("BACK")) {
-            does(Commands.rollBack("op", "", state.acts()));
+            does(OperatorCommands.rollBack("op", "", state.controlVersion()));
         } else if (phase.startsWith("ABANDON")) {
-            does(Commands.abandon("op", "", state.acts()));
+            does(OperatorCommands.abandon("op", "", state.controlVersion()));
         }
         if (phase.startsWith("HALTED")) {
-            does(Commands.halt("op", "x"));
+            does(OperatorCommands.halt("op", "x"));
         } else if (phase.equals("ROLLED_BACK") || phase.equals("ABANDONED")) {
-            does(Commands.finish("d0", view()));
+            does(OperatorCommands.finish("d0", view()));
         }
         assertEquals(phase.replace("_BACK", ""), state.phase().name().replace("_BACK", ""));
         return state;
     }
 
     @Test
-    void leaveCountsAccidentsZonesSharesAndWorkThatIsCold() throws ReleaseRefused {
+    void leaveCountsAccidentsZonesSharesAndWorkThatIsCold() throws ReleaseRejectedException {
         begun();
         assertEquals(
                 "[[w0], [w1, w2], [w3], [d0, d1], [d2]]",
                 state.release().steps().toString());
-        refused(Reason.NOT_DUE, Commands.leave("d0", "w1", state.calm(), view()));
-        refused(Reason.NOT_QUIET, Commands.leave("d0", "w0", state.calm() - 1, view()));
-        does(Commands.observe("d0", state.calm(), List.of("w2"), List.of()));
-        refused(Reason.LIMIT, Commands.leave("d0", "w0", state.calm(), view())); // two of zone z0
-        does(Commands.observe("d0", state.calm(), List.of(), List.of(fleet.get("w2"))));
+        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
+        refused(Reason.NOT_QUIET, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
+        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of("w2"), List.of()));
+        refused(
+                Reason.LIMIT,
+                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // two of zone z0
+        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w2"))));
         set("w2", 1, "1", Status.UNKNOWN); // in the view alone
-        refused(Reason.LIMIT, Commands.leave("d0", "w0", state.calm(), view()));
+        refused(Reason.LIMIT, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         set("w2", 1, "1", Status.SERVING);
         for (String cold : List.of("w1", "w2", "w3")) {
             put(cold, Role.WORKER, fleet.get(cold).zone(), 1, "1", Status.SERVING, 6, false);
         }
-        refused(Reason.CAPACITY, Commands.leave("d0", "w0", state.calm(), view())); // 18 of 40 stays
+        refused(
+                Reason.CAPACITY,
+                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // 18 of 40 stays
         set("w3", 1, "1", Status.SERVING);
         put("w3", Role.WORKER, "z1", 1, "1", Status.SERVING, 8, true);
-        does(Commands.changeMembers("d0", state.calm(), fleet.values())); // hides no loss
-        refused(Reason.NOT_QUIET, Commands.leave("d0", "w0", state.calm() - 1, view()));
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), fleet.values())); // hides no loss
+        refused(Reason.NOT_QUIET, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
         leave("w0"); // 20 of 40
         back("w0", "2");
         assertEquals(
                 40,
-                state.members().values().stream().mapToDouble(State.Known::full).sum());
+                state.members().values().stream()
+                        .mapToDouble(RolloutState.KnownMember::warmCapacity)
+                        .sum());
         assertEquals(
                 "3 0 1 2",
                 Stream.of(
@@ -196,7 +211,7 @@
 
     /** Which members a plan names, in which steps; and which of two more that are out a limit refuses. */
     @Test
-    void plansNameAndOrderAndLimitsCountByZoneKindAndCell() throws ReleaseRefused {
+    void plansNameAndOrderAndLimitsCountByZoneKindAndCell() throws ReleaseRejectedException {
         for (int i = 0; i < 4; i++) {
             Member m = fleet.get("w" + i);
             fleet.put(
@@ -214,7 +229,7 @@
                             10,
                             true));
         }
-        does(Commands.limits("op", new Limits(2, 4, Limits.ANY, Limits.ANY, 0, 0, 9_000, 1, 1, 9)));
+        does(OperatorCommands.setLimits("op", new Limits(2, 4, Limits.ANY, Limits.ANY, 0, 0, 9_000, 1, 1, 9)));
         String table = """
             dispatchers:false,zones:['z1']                 [[w1], [w3]]
             dispatchers:false,kinds:['big']                [[w3]]
@@ -228,27 +243,27 @@
         for (String line : table.lines().toList()) {
             String[] cell = line.split(" {2,}| (?=\\[\\[)");
             String more = "{id:'p',workers:true,dispatchers:true," + cell[0] + "}";
-            Plan p = Plan.read(more.replace(cell[0].contains("workers:false") ? "workers:true," : "~", "")
+            ReleasePlan p = ReleasePlan.read(more.replace(cell[0].contains("workers:false") ? "workers:true," : "~", "")
                     .replace(cell[0].contains("dispatchers:false") ? "dispatchers:true," : "~", ""));
             assertEquals(
                     cell[1],
-                    Commands.begin("op", p, view())
+                    OperatorCommands.begin("op", p, view())
                             .apply(state)
                             .release()
                             .steps()
                             .toString(),
                     line);
         }
-        does(Commands.changeMembers("d0", state.calm(), new ArrayList<>(fleet.values())));
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
         // Limits of workers over all, of a zone, of a kind; whether w0 may go while w1 is out, and w2 is.
         double[][] limits = {
             {1, 9, 9, 0, 0}, {2, 9, 9, 1, 1}, {9, 1, 9, 1, 0}, {9, 0.5, 9, 1, 0}, {9, 9, 1, 0, 0}, {9, 9, 0.7, 1, 1}
         };
         for (double[] l : limits) {
-            does(Commands.limits("op", new Limits(9, l[0], l[1], l[2], 0, 0, 9_000, 1, 1, 9)));
+            does(OperatorCommands.setLimits("op", new Limits(9, l[0], l[1], l[2], 0, 0, 9_000, 1, 1, 9)));
             for (int other = 1; other <= 2; other++) {
                 set("w" + other, 1, "1", Status.DOWN);
-                Command c = Commands.leaveByHand("op", "w0", state.calm(), view(), "");
+                ReleaseCommand c = OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), "");
                 if (l[2 + other] == 0) {
                     refused(Reason.LIMIT, c);
                 } else {
@@ -260,13 +275,13 @@
     }
 
     @Test
-    void backIsALaterRunThatServesWarmAndAsWanted() throws ReleaseRefused {
+    void backIsALaterRunThatServesWarmAndAsWanted() throws ReleaseRejectedException {
         begun();
         leave("w0");
-        long n = state.leaves().get("w0").number();
-        refused(Reason.MEMBER, Commands.back("d0", n, fleet.get("w0"))); // the run that had it
+        long n = state.plannedOutages().get("w0").number();
+        refused(Reason.MEMBER, OperatorCommands.confirmReturn("d0", n, fleet.get("w0"))); // the run that had it
         put("w0", Role.WORKER, "z0", 2, "2", Status.SERVING, 4, false);
-        refused(Reason.MEMBER, Commands.back("d0", n, fleet.get("w0"))); // cold
+        refused(Reason.MEMBER, OperatorCommands.confirmReturn("d0", n, fleet.get("w0"))); // cold
         for (int tries = 1; tries <= 3; tries++) {
             back("w0", "1");
             assertEquals(tries < 3 ? Phase.RUNNING : Phase.HALTED, state.phase());
@@ -274,57 +289,66 @@
                 leave("w0");
             }
         }
-        does(Commands.goOn("op", "", state.acts()));
+        does(OperatorCommands.resume("op", "", state.controlVersion()));
         leave("w0");
-        State held = state;
+        RolloutState held = state;
         set("w0", 9, "2", Status.SERVING);
-        assertEquals(state, Commands.back("d1", 99, fleet.get("w0")).apply(state)); // of another leave
+        assertEquals(
+                state, OperatorCommands.confirmReturn("d1", 99, fleet.get("w0")).apply(state)); // of another leave
         back("w0", "2");
-        assertTrue(state.changed().contains("w0") && state.step() == 1);
-        assertEquals(state, Commands.back("d1", held.grants(), fleet.get("w0")).apply(state)); // told twice
+        assertTrue(state.updatedMembers().contains("w0") && state.currentStep() == 1);
+        assertEquals(
+                state,
+                OperatorCommands.confirmReturn("d1", held.lastOutageNumber(), fleet.get("w0"))
+                        .apply(state)); // told twice
     }
 
     @Test
-    void theWayBackIsInReverseUnderTheSameLimits() throws ReleaseRefused {
+    void theWayBackIsInReverseUnderTheSameLimits() throws ReleaseRejectedException {
         begun();
         for (String id : List.of("w0", "w1", "w2", "w3")) {
             leave(id);
             back(id, "2");
         }
         leave("d0");
-        does(Commands.rollBack("op", "", state.acts()));
+        does(OperatorCommands.rollBack("op", "", state.controlVersion()));
         back("d0", "1"); // never was at 2
-        refused(Reason.NOT_DUE, Commands.leave("d0", "w0", state.calm(), view()));
-        refused(Reason.NOT_DUE, Commands.leave("d0", "d0", state.calm(), view()));
+        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
         for (String id : List.of("w3", "w1", "w2", "w0")) {
-            refused(Reason.NOT_DUE, Commands.finish("d0", view()));
+            refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
             leave(id);
             back(id, "1");
         }
-        does(Commands.finish("d0", view()));
+        does(OperatorCommands.finish("d0", view()));
         assertEquals(Phase.ROLLED_BACK, state.phase());
     }
 
     @Test
-    void twoReleasesAndAWorkerThatBothName() throws ReleaseRefused {
+    void twoReleasesAndAWorkerThatBothName() throws ReleaseRejectedException {
         begun();
-        assertEquals(state, Commands.begin("op", plan("r", ""), view()).apply(state)); // the same once more
-        refused(Reason.RELEASE_ON, Commands.begin("op", plan("q", ",names:['w0']"), view()));
-        refused(Reason.RELEASE_ON, Commands.leaveByHand("op", "w3", state.calm(), view(), "disk"));
+        assertEquals(state, OperatorCommands.begin("op", plan("r", ""), view()).apply(state)); // the same once more
+        refused(Reason.RELEASE_ON, OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
+        refused(
+                Reason.RELEASE_ON,
+                OperatorCommands.grantManualOutage("op", "w3", state.stabilityVersion(), view(), "disk"));
         leave("w0");
-        does(Commands.abandon("op", "", state.acts()));
-        refused(Reason.NOT_DUE, Commands.finish("d0", view()));
-        refused(Reason.RELEASE_ON, Commands.begin("op", plan("q", ",names:['w0']"), view()));
-        does(Commands.returned("d0", state.leaves().get("w0").number()));
-        does(Commands.finish("d0", view()));
-        refused(Reason.NAME_USED, Commands.begin("op", plan("r", ""), view()));
-        does(Commands.leaveByHand("op", "w0", state.calm(), view(), "disk"));
-        does(Commands.begin("op", plan("q", ",names:['w0']"), view()));
-        refused(Reason.NOT_DUE, Commands.leave("d0", "w0", state.calm(), view())); // out by hand
+        does(OperatorCommands.abandon("op", "", state.controlVersion()));
+        refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
+        refused(Reason.RELEASE_ON, OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
+        does(OperatorCommands.relinquishOutage(
+                "d0", state.plannedOutages().get("w0").number()));
+        does(OperatorCommands.finish("d0", view()));
+        refused(Reason.NAME_USED, OperatorCommands.begin("op", plan("r", ""), view()));
+        does(OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), "disk"));
+        does(OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
+        refused(
+                Reason.NOT_DUE,
+                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // out by hand
         back("w0", "2");
-        does(Commands.finish("d0", view()));
+        does(OperatorCommands.finish("d0", view()));
         assertEquals(Phase.DONE, state.phase());
-        refused(Reason.NAME_USED, Commands.begin("op", plan("r", ""), view()));
+        refused(Reason.NAME_USED, OperatorCommands.begin("op", plan("r", ""), view()));
     }
 
     private static Member atW0(String id, long run, String version) {
@@ -332,39 +356,42 @@
     }
 
     @Test
-    void membersChangeUnderWay() throws ReleaseRefused {
+    void membersChangeUnderWay() throws ReleaseRejectedException {
         begun();
         leave("w0");
         // Another name at the address of the one that is out: its leave and its turn go on.
         fleet.remove("w0");
         fleet.put("w9", atW0("w9", 5, "2"));
-        State old = state;
-        does(Commands.changeMembers("d0", state.calm(), List.of(fleet.get("w9"))));
-        assertEquals(List.of("w9"), List.copyOf(state.leaves().keySet()));
+        RolloutState old = state;
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w9"))));
+        assertEquals(List.of("w9"), List.copyOf(state.plannedOutages().keySet()));
         assertEquals(List.of("w9"), state.release().steps().get(0));
-        refused(Reason.NOT_QUIET, Commands.changeMembers("d1", old.calm(), List.of(fleet.get("w9"))));
-        does(Commands.back("d0", 1, fleet.get("w9")));
+        refused(
+                Reason.NOT_QUIET,
+                OperatorCommands.updateMembers("d1", old.stabilityVersion(), List.of(fleet.get("w9"))));
+        does(OperatorCommands.confirmReturn("d0", 1, fleet.get("w9")));
         // An older sight does not bring the old one back.
-        does(Commands.changeMembers("d0", state.calm(), List.of(atW0("w0", 1, "1"))));
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(atW0("w0", 1, "1"))));
         assertFalse(state.members().containsKey("w0"));
         // Upgraded in place: another run, never out, no leave.
         set("w1", 2, "2", Status.SERVING);
-        refused(Reason.NOT_DUE, Commands.leave("d0", "w1", state.calm(), view()));
-        does(Commands.observe("d0", state.calm(), List.of(), List.of(fleet.get("w1"))));
-        assertTrue(state.changed().contains("w1") && state.out().isEmpty());
+        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
+        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
+        assertTrue(state.updatedMembers().contains("w1")
+                && state.unavailableMembers().isEmpty());
         // Scaled up, and down.
         put("w7", Role.WORKER, "z1", 6, "1", Status.SERVING, 10, true);
-        refused(Reason.NOT_DUE, Commands.finish("d0", view()));
-        does(Commands.changeMembers("d0", state.calm(), List.of(fleet.get("w7"))));
-        assertTrue(state.todo().contains("w7"));
+        refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
+        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w7"))));
+        assertTrue(state.pendingMembers().contains("w7"));
         leave("w2");
-        does(Commands.gone("op", "w2"));
-        assertTrue(state.leaves().isEmpty() && !state.todo().contains("w2"));
-        refused(Reason.MEMBER, Commands.gone("op", "w2"));
+        does(OperatorCommands.removeMember("op", "w2"));
+        assertTrue(state.plannedOutages().isEmpty() && !state.pendingMembers().contains("w2"));
+        refused(Reason.MEMBER, OperatorCommands.removeMember("op", "w2"));
     }
 
     @Test
-    void aLargeFleetFitsTheRegister() throws ReleaseRefused {
+    void aLargeFleetFitsTheRegister() throws ReleaseRejectedException {
         for (int i = 0; i < 600; i++) {
             Role role = i < 200 ? Role.DISPATCHER : Role.WORKER;
             fleet.put(
@@ -384,54 +411,58 @@
         }
         begun();
         assertEquals(607, state.members().size());
-        assertTrue(state.text().length() < 32 * 1024, state.text().length() + " bytes");
-        assertEquals(state, State.read(state.text()));
+        assertTrue(state.toText().length() < 32 * 1024, state.toText().length() + " bytes");
+        assertEquals(state, RolloutState.parse(state.toText()));
     }
 
-    private static Command drainOf(String member) {
+    private static ReleaseCommand drainOf(String member) {
         return now -> {
-            Commands.checkDrain(now, member);
+            OperatorCommands.requireDrainPermitted(now, member);
             return now;
         };
     }
 
     @Test
-    void whatIsLateIsRefusedAndADrainWithoutLeaveNeedsAWord() throws ReleaseRefused {
-        Commands.checkDrain(state, "d0"); // nothing is on
+    void whatIsLateIsRefusedAndADrainWithoutLeaveNeedsAWord() throws ReleaseRejectedException {
+        OperatorCommands.requireDrainPermitted(state, "d0"); // nothing is on
         begun();
         refused(Reason.NO_LEAVE, drainOf("d0"));
-        refused(Reason.NO_LEAVE, Commands.force("op", "d0", " "));
-        does(Commands.force("op", "d0", "fire"));
+        refused(Reason.NO_LEAVE, OperatorCommands.forceDrain("op", "d0", " "));
+        does(OperatorCommands.forceDrain("op", "d0", "fire"));
         assertEquals("fire", state.log().get(state.log().size() - 1).why());
-        assertTrue(state.out().contains("d0"));
-        long before = state.acts();
-        does(Commands.halt("op", "one"));
-        long one = state.acts();
-        refused(Reason.STALE, Commands.goOn("op", "", before));
-        does(Commands.halt("op", "two"));
-        for (Command late : List.of(
-                Commands.goOn("op", "", one), Commands.rollBack("op", "", one), Commands.abandon("op", "", one))) {
+        assertTrue(state.unavailableMembers().contains("d0"));
+        long before = state.controlVersion();
+        does(OperatorCommands.halt("op", "one"));
+        long one = state.controlVersion();
+        refused(Reason.STALE, OperatorCommands.resume("op", "", before));
+        does(OperatorCommands.halt("op", "two"));
+        for (ReleaseCommand late : List.of(
+                OperatorCommands.resume("op", "", one),
+                OperatorCommands.rollBack("op", "", one),
+                OperatorCommands.abandon("op", "", one))) {
             refused(Reason.STALE, late);
         }
-        refused(Reason.HALTED, Commands.leave("d0", "w0", state.calm(), view()));
-        does(Commands.goOn("op", "", state.acts()));
+        refused(Reason.HALTED, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        does(OperatorCommands.resume("op", "", state.controlVersion()));
         leave("w0");
-        Commands.checkDrain(state, "w0");
-        State rolls = Commands.rollBack("op", "", state.acts()).apply(state);
-        does(Commands.halt("op", "three"));
-        one = state.acts();
+        OperatorCommands.requireDrainPermitted(state, "w0");
+        RolloutState rolls =
+                OperatorCommands.rollBack("op", "", state.controlVersion()).apply(state);
+        does(OperatorCommands.halt("op", "three"));
+        one = state.controlVersion();
         refused(Reason.HALTED, drainOf("w0")); // leave from before is no leave to begin now
-        does(Commands.goOn("op", "", state.acts()));
-        State goesOn = state;
+        does(OperatorCommands.resume("op", "", state.controlVersion()));
+        RolloutState goesOn = state;
         state = rolls;
         refused(Reason.STALE, drainOf("w0"));
         state = goesOn;
-        assertEquals(state, Commands.haltByItself("d1", "late", one).apply(state));
+        assertEquals(
+                state, OperatorCommands.haltAutomatically("d1", "late", one).apply(state));
     }
 
     @Test
-    void plansThatCannotBe() throws ReleaseRefused {
-        does(Commands.limits("op", LIMITS));
+    void plansThatCannotBe() throws ReleaseRejectedException {
+        does(OperatorCommands.setLimits("op", LIMITS));
         for (String more : List.of(
                 ",order:['size']",
                 ",steps:[0]",
@@ -446,138 +477,140 @@
                 ",limits:{least_capacity:0.8}",
                 ",zones:['none']",
                 "],")) {
-            ReleaseRefused e = assertThrows(
-                    ReleaseRefused.class,
-                    () -> Commands.begin("op", plan("p", more), view()).apply(state),
+            ReleaseRejectedException e = assertThrows(
+                    ReleaseRejectedException.class,
+                    () -> OperatorCommands.begin("op", plan("p", more), view()).apply(state),
                     more);
             assertEquals(Reason.BAD_PLAN, e.reason(), more);
-            assertTrue(Stream.of(e.wrong(), e.works(), e.remedy()).noneMatch(String::isEmpty));
+            assertTrue(Stream.of(e.problem(), e.unaffected(), e.remedy()).noneMatch(String::isEmpty));
         }
-        refused(Reason.MEMBER, Commands.begin("op", plan("p", ",names:['w8']"), view()));
-        does(Commands.limits("op", null));
-        refused(Reason.BAD_PLAN, Commands.begin("op", plan("p", ""), view()));
+        refused(Reason.MEMBER, OperatorCommands.begin("op", plan("p", ",names:['w8']"), view()));
+        does(OperatorCommands.setLimits("op", null));
+        refused(Reason.BAD_PLAN, OperatorCommands.begin("op", plan("p", ""), view()));
     }
 
     // ------------------------------------------------------------ what depends on time
 
     /** Looks every 100 ms, and has decided what is proposed. Returns the orders of the last look. */
-    private List<Order> drive(Driver d, long from, long to, boolean majority) {
-        List<Order> orders = List.of();
+    private List<RolloutAction> drive(RolloutController d, long from, long to, boolean majority) {
+        List<RolloutAction> orders = List.of();
         for (long t = from; t <= to; t += 100) {
-            Next next = d.look(t, state, view(), majority);
-            for (Command c : next.propose()) {
+            Decision next = d.evaluate(t, state, view(), majority);
+            for (ReleaseCommand c : next.proposals()) {
                 try {
                     does(c);
-                } catch (ReleaseRefused e) {
+                } catch (ReleaseRejectedException e) {
                     assertTrue(majority);
                 }
             }
-            orders = next.orders();
+            orders = next.actions();
         }
         return orders;
     }
 
-    private static Driver driver(long now) {
-        return new Driver(Driver.Settings.DEFAULT, "d0", now);
+    private static RolloutController driver(long now) {
+        return new RolloutController(RolloutController.Settings.DEFAULT, "d0", now);
     }
 
     @Test
-    void quietIsWaitedWholeAndAnewByANewDriverAndOneThatStoodStill() throws ReleaseRefused {
+    void quietIsWaitedWholeAndAnewByANewDriverAndOneThatStoodStill() throws ReleaseRejectedException {
         begun();
-        Driver d = driver(0);
+        RolloutController d = driver(0);
         drive(d, 0, 900, true);
-        Driver other = driver(900);
+        RolloutController other = driver(900);
         drive(other, 900, 1_800, true);
         drive(d, 3_900, 4_800, true); // stood still from 900 to 3900
-        assertEquals(0, state.grants());
+        assertEquals(0, state.lastOutageNumber());
         drive(other, 1_900, 2_000, true);
-        assertEquals(1, state.grants());
+        assertEquals(1, state.lastOutageNumber());
         back("w0", "2");
         drive(other, 2_100, 3_000, true);
-        assertEquals(1, state.grants());
+        assertEquals(1, state.lastOutageNumber());
         drive(other, 3_100, 3_200, true);
-        assertEquals(3, state.grants()); // w1 and w2 are one step
+        assertEquals(3, state.lastOutageNumber()); // w1 and w2 are one step
         back("w1", "2");
         back("w2", "2");
         set("w3", 1, "1", Status.DOWN);
         drive(other, 3_300, 9_000, true);
-        assertEquals(3, state.grants()); // an accident's turn is never
-        assertEquals(List.of("w3"), List.copyOf(state.accidents().keySet()));
+        assertEquals(3, state.lastOutageNumber()); // an accident's turn is never
+        assertEquals(List.of("w3"), List.copyOf(state.unplannedOutages().keySet()));
     }
 
     @Test
-    void leaveOfASilentMemberIsHeldAndHaltsInTime() throws ReleaseRefused {
+    void leaveOfASilentMemberIsHeldAndHaltsInTime() throws ReleaseRejectedException {
         begun();
-        Driver d = driver(0);
-        assertEquals(List.of(new Order.Drain("w0", 1, 1)), drive(d, 0, 1_100, true));
+        RolloutController d = driver(0);
+        assertEquals(List.of(new RolloutAction.Drain("w0", 1, 1)), drive(d, 0, 1_100, true));
         set("w0", 1, "1", Status.UNKNOWN);
         drive(d, 1_200, 21_000, true);
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 21_100, 21_300, true);
         assertEquals("w0 is not back after 20000 ms", state.halt().why());
         drive(d, 21_400, 999_000, true);
-        does(Commands.goOn("op", "", state.acts()));
+        does(OperatorCommands.resume("op", "", state.controlVersion()));
         drive(d, 999_100, 1_005_000, true);
-        assertTrue(state.leaves().containsKey("w0") && state.grants() == 1 && state.halt() == null);
-        does(Commands.gone("op", "w0"));
-        assertTrue(state.leaves().isEmpty());
+        assertTrue(state.plannedOutages().containsKey("w0") && state.lastOutageNumber() == 1 && state.halt() == null);
+        does(OperatorCommands.removeMember("op", "w0"));
+        assertTrue(state.plannedOutages().isEmpty());
     }
 
     @Test
-    void aHaltCallsBackWhoHasNotLeftAndNothingIsFreeBeforeThat() throws ReleaseRefused {
+    void aHaltCallsBackWhoHasNotLeftAndNothingIsFreeBeforeThat() throws ReleaseRejectedException {
         begun();
-        Driver d = driver(0);
+        RolloutController d = driver(0);
         drive(d, 0, 1_100, true);
-        does(Commands.halt("op", ""));
-        assertEquals(List.of(new Order.Recall("w0", 1, 1)), drive(d, 1_200, 4_000, true));
-        assertTrue(state.leaves().containsKey("w0"));
+        does(OperatorCommands.halt("op", ""));
+        assertEquals(List.of(new RolloutAction.CancelDrain("w0", 1, 1)), drive(d, 1_200, 4_000, true));
+        assertTrue(state.plannedOutages().containsKey("w0"));
         set("w0", 1, "1", Status.DRAINING);
         assertEquals(List.of(), drive(d, 4_100, 4_200, true)); // it goes, and is waited for
-        does(Commands.abandon("op", "", state.acts()));
-        assertEquals(List.of(new Order.Recall("w0", 1, 1)), drive(d, 4_300, 4_400, true));
+        does(OperatorCommands.abandon("op", "", state.controlVersion()));
+        assertEquals(List.of(new RolloutAction.CancelDrain("w0", 1, 1)), drive(d, 4_300, 4_400, true));
         set("w0", 1, "1", Status.SERVING);
-        d.recalled(1);
+        d.drainCancelled(1);
         drive(d, 4_500, 9_000, true);
         assertEquals(Phase.ABANDONED, state.phase());
     }
 
     @Test
-    void worseThanBeforeHaltsButNotOnTheWayBack() throws ReleaseRefused {
-        Service[] bad = {
-            new Service(0.07, 0, 10, 1_000), new Service(0.01, 0.03, 10, 1_000), new Service(0.01, 0, 16, 1_000)
+    void worseThanBeforeHaltsButNotOnTheWayBack() throws ReleaseRejectedException {
+        ServiceLevel[] bad = {
+            new ServiceLevel(0.07, 0, 10, 1_000),
+            new ServiceLevel(0.01, 0.03, 10, 1_000),
+            new ServiceLevel(0.01, 0, 16, 1_000)
         };
-        for (Service s : bad) {
+        for (ServiceLevel s : bad) {
             in("none");
-            service = new Service(0.01, 0, 10, 1_000);
+            service = new ServiceLevel(0.01, 0, 10, 1_000);
             begun();
-            Driver d = driver(0);
-            service = new Service(s.refusedShare(), s.errorShare(), s.waitMs(), 50);
+            RolloutController d = driver(0);
+            service = new ServiceLevel(s.refusedShare(), s.errorShare(), s.waitMs(), 50);
             drive(d, 0, 300, true); // on too few answers
             assertEquals(Phase.RUNNING, state.phase());
             service = s;
             drive(d, 400, 400, true);
             assertEquals(Phase.HALTED, state.phase());
-            does(Commands.goOn("op", "", state.acts()));
+            does(OperatorCommands.resume("op", "", state.controlVersion()));
             drive(d, 500, 800, true); // as bad as that is the operator's will
             drive(driver(500), 500, 800, true);
             assertEquals(Phase.RUNNING, state.phase());
-            service = new Service(0.2, 0.1, 40, 1_000);
+            service = new ServiceLevel(0.2, 0.1, 40, 1_000);
             drive(d, 900, 900, true);
             assertEquals(Phase.HALTED, state.phase());
-            does(Commands.rollBack("op", "", state.acts()));
+            does(OperatorCommands.rollBack("op", "", state.controlVersion()));
             drive(d, 1_000, 2_100, true);
             assertEquals(Phase.ROLLED_BACK, state.phase()); // nothing had changed yet
         }
     }
 
     @Test
-    void tooManyAccidentsHalt() throws ReleaseRefused {
+    void tooManyAccidentsHalt() throws ReleaseRejectedException {
         begun();
         set("d1", 1, "1", Status.DOWN);
         set("d2", 1, "1", Status.DOWN);
-        Driver d = driver(0);
+        RolloutController d = driver(0);
         drive(d, 0, 1_900, true);
-        assertEquals(2, state.accidents().size());
+        assertEquals(2, state.unplannedOutages().size());
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 2_000, 2_300, true);
         assertTrue(state.halt().why().startsWith("limit exceeded"), String.valueOf(state.halt()));
@@ -585,13 +618,13 @@
 
     /** One accident more each moment must not put the halt off. */
     @Test
-    void accidentsThatGoOnHaltAsSoon() throws ReleaseRefused {
+    void accidentsThatGoOnHaltAsSoon() throws ReleaseRejectedException {
         begun();
-        Driver d = driver(0);
+        RolloutController d = driver(0);
         long t = 0;
         for (String id : List.of("d1", "w0", "w1", "w2", "w3", "d2")) { // one in 400 ms, told by others
             set(id, 1, "1", Status.DOWN);
-            does(Commands.observe("d1", state.calm(), List.of(id), List.of()));
+            does(OperatorCommands.recordObservations("d1", state.stabilityVersion(), List.of(id), List.of()));
             drive(d, t, t + 300, true);
             t += 400;
         }
@@ -600,15 +633,15 @@
     }
 
     @Test
-    void aTimeWithoutMajorityHaltsUnlessOthersHadOne() throws ReleaseRefused {
+    void aTimeWithoutMajorityHaltsUnlessOthersHadOne() throws ReleaseRejectedException {
         begun();
-        Driver d = driver(0);
+        RolloutController d = driver(0);
         drive(d, 0, 100, true);
         drive(d, 200, 5_000, false);
         drive(d, 5_100, 5_200, true); // too short
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 5_300, 16_000, false);
-        does(Commands.beat(state.beats())); // another has had one
+        does(OperatorCommands.recordHeartbeat(state.heartbeats())); // another has had one
         drive(d, 16_100, 16_200, true);
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 16_300, 16_400, false);
--- a/src/test/java/maplespread/release/client/ReleasesGoldenTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceGoldenTest.java
@@ -9,26 +9,26 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
-import maplespread.agreement.client.Register;
-import maplespread.console.Calls.Ask;
-import maplespread.console.Calls.Reply;
-import maplespread.group.Sections;
+import maplespread.admin.AdminRoutes.AdminRequest;
+import maplespread.admin.AdminRoutes.AdminResponse;
+import maplespread.cluster.SharedState;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.client.ReplicatedRegister;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
+import maplespread.release.FleetView;
+import maplespread.release.FleetView.Member;
+import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
+import maplespread.release.FleetView.Status;
 import maplespread.release.GoldenFile;
 import maplespread.release.Limits;
-import maplespread.release.View;
-import maplespread.release.View.Member;
-import maplespread.release.View.Role;
-import maplespread.release.View.Service;
-import maplespread.release.View.Status;
 import org.junit.jupiter.api.Test;
 
 /** The admin calls about releases: paths, statuses and texts, over a register of one elector. */
-class ReleasesGoldenTest {
+class RolloutServiceGoldenTest {
     private static final String PLAN = "{\"id\":\"r\",\"from\":\"1\",\"to\":\"2\",\"workers\":true,\"names\":[\"w0\"]}";
     private static final List<Member> MEMBERS = List.of(
             new Member("n0", "a:1", Role.DISPATCHER, "z", "", "", 7, "1", Status.SERVING, 0, true),
@@ -38,22 +38,22 @@
 
     private final StringBuilder found = new StringBuilder();
     private volatile boolean serves = true;
-    private volatile Register register;
+    private volatile ReplicatedRegister register;
 
-    private Releases.Fleet fleet() {
-        return new Releases.Fleet() {
+    private RolloutService.LocalInstance fleet() {
+        return new RolloutService.LocalInstance() {
             @Override
-            public Register register() {
+            public ReplicatedRegister register() {
                 return register;
             }
 
             @Override
-            public View view() {
-                return new View(MEMBERS, new Service(0.25, 0.125, 3, 200));
+            public FleetView view() {
+                return new FleetView(MEMBERS, new ServiceLevel(0.25, 0.125, 3, 200));
             }
 
             @Override
-            public long run() {
+            public long incarnation() {
                 return 7;
             }
 
@@ -70,12 +70,12 @@
     }
 
     /** {@code query}: as in a URL, nothing escaped. */
-    private void call(Releases releases, String path, String query, String body) {
+    private void call(RolloutService releases, String path, String query, String body) {
         Map<String, String> parts = new TreeMap<>();
         for (String part : query.isEmpty() ? new String[0] : query.split("&")) {
             parts.put(part.substring(0, part.indexOf('=')), part.substring(part.indexOf('=') + 1));
         }
-        Reply reply = releases.calls().get(path).answer(new Ask(parts, body));
+        AdminResponse reply = releases.adminRoutes().get(path).answer(new AdminRequest(parts, body));
         found.append(path)
                 .append(query.isEmpty() ? "" : "?" + query)
                 .append(" -> ")
@@ -84,8 +84,8 @@
         found.append('\n');
     }
 
-    private static void decided(Register register, Change change) {
-        while (register.change(change, 1000).kind() != Result.Kind.DECIDED) {
+    private static void decided(ReplicatedRegister register, Mutation change) {
+        while (register.change(change, 1000).outcome() != ChangeResult.Outcome.DECIDED) {
             Thread.yield(); // its time was over: it is asked again
         }
     }
@@ -96,23 +96,24 @@
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + free.getLocalPort();
         }
-        try (Group group = new Group(
+        try (ClusterTransport group = new ClusterTransport(
                         MembershipSettings.of("n0", address, List.of()),
                         new LinkedHashMap<>(Map.of(1, new byte[16])),
                         1);
-                Register joined = new Register(AgreementSettings.of("n0", List.of("n0")), group, 1);
-                Releases releases = new Releases("n0", fleet(), new Workers(null), Limits.DEFAULT)) {
-            found.append(new TreeSet<>(releases.calls().keySet())).append('\n');
+                ReplicatedRegister joined =
+                        new ReplicatedRegister(ConsensusSettings.of("n0", List.of("n0")), group, 1);
+                RolloutService releases = new RolloutService("n0", fleet(), new WorkerDrainer(null), Limits.DEFAULT)) {
+            found.append(new TreeSet<>(releases.adminRoutes().keySet())).append('\n');
             call(releases, "GET /admin/release", "", "");
             call(releases, "POST /admin/release", "", PLAN);
             call(releases, "POST /admin/quiesce", "", "");
             call(releases, "POST /admin/quiesce", "force=fire", "");
             call(releases, "POST /admin/resume", "", "");
-            decided(joined, Change.READ);
+            decided(joined, Mutation.READ);
             register = joined;
             calls(releases);
-            String begun = Sections.read(joined.known().text(), "release");
-            decided(joined, v -> Sections.write(v.text(), "release", begun.replace("\"RUNNING\"", "\"DONE\"")));
+            String begun = SharedState.read(joined.decidedValue().text(), "release");
+            decided(joined, v -> SharedState.write(v.text(), "release", begun.replace("\"RUNNING\"", "\"DONE\"")));
             call(releases, "POST /admin/release/roll-back", "why=b", "");
             call(releases, "POST /admin/release/abandon", "why=b", "");
             call(releases, "GET /admin/release", "", "");
@@ -120,7 +121,7 @@
         GoldenFile.assertMatches("release/admin.txt", found.toString());
     }
 
-    private void calls(Releases releases) {
+    private void calls(RolloutService releases) {
         call(releases, "GET /admin/release", "", "");
         call(releases, "POST /admin/quiesce", "", "");
         call(releases, "POST /admin/release/halt", "", "");
@@ -153,8 +154,8 @@
     @Test
     void callsThatCannotBePutToTheFleetAreToldTheSame() {
         StringBuilder all = new StringBuilder();
-        for (CallRefused.Reason reason : CallRefused.Reason.values()) {
-            CallRefused refused = new CallRefused(reason, "wrong");
+        for (CallRejectedException.Reason reason : CallRejectedException.Reason.values()) {
+            CallRejectedException refused = new CallRejectedException(reason, "wrong");
             all.append(refused.status).append(' ').append(refused.getMessage()).append('\n');
         }
         assertEquals("""
--- a/src/test/java/maplespread/release/client/ReleasesTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceTest.java
@@ -10,29 +10,29 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import maplespread.agreement.AgreementSettings;
-import maplespread.agreement.Change;
-import maplespread.agreement.Result;
-import maplespread.agreement.client.Register;
+import maplespread.cluster.MemberStatus;
+import maplespread.cluster.MemberStatusTable;
+import maplespread.cluster.SharedState;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.decision.Dispatch;
+import maplespread.consensus.ChangeResult;
+import maplespread.consensus.ConsensusSettings;
+import maplespread.consensus.Mutation;
+import maplespread.consensus.client.ReplicatedRegister;
+import maplespread.discovery.EndpointListener;
+import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.facade.Route;
-import maplespread.group.Sections;
-import maplespread.group.Status;
-import maplespread.group.Statuses;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
-import maplespread.membership.Update;
-import maplespread.membership.client.Group;
+import maplespread.membership.client.ClusterTransport;
+import maplespread.policy.Dispatch;
+import maplespread.release.FleetView;
 import maplespread.release.Limits;
-import maplespread.release.Order;
-import maplespread.release.State;
-import maplespread.release.View;
-import maplespread.routes.RouteSink;
+import maplespread.release.RolloutAction;
+import maplespread.release.RolloutState;
 import org.junit.jupiter.api.Test;
 
-class ReleasesTest {
+class RolloutServiceTest {
     private volatile boolean out;
 
     /** By a register of one elector: what is carried out of drains that come late, twice, or for another. */
@@ -42,13 +42,15 @@
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + free.getLocalPort();
         }
-        try (Group group = new Group(
+        try (ClusterTransport group = new ClusterTransport(
                         MembershipSettings.of("n0", address, List.of()),
                         new LinkedHashMap<>(Map.of(1, new byte[16])),
                         1);
-                Register register = new Register(AgreementSettings.of("n0", List.of("n0")), group, 1);
-                Releases releases = new Releases("n0", fleet(register), new Workers(null), Limits.DEFAULT)) {
-            decided(register, Change.READ);
+                ReplicatedRegister register =
+                        new ReplicatedRegister(ConsensusSettings.of("n0", List.of("n0")), group, 1);
+                RolloutService releases =
+                        new RolloutService("n0", fleet(register), new WorkerDrainer(null), Limits.DEFAULT)) {
+            decided(register, Mutation.READ);
             // Leaves agreed: member, number, run, for what; halted; the order: drain or recall, its run and
             // leave; whether it is out after that. The release is on its way to the new version.
             String table = """
@@ -70,28 +72,28 @@
             for (String line : table.lines().toList()) {
                 String[] row = line.trim().split(" +");
                 String text = state(row[0], row[1].equals("halted"));
-                decided(register, v -> Sections.write(v.text(), "release", text));
+                decided(register, v -> SharedState.write(v.text(), "release", text));
                 int run = Integer.parseInt(row[3]);
                 int leave = Integer.parseInt(row[4]);
                 releases.ofThisOne(
                         register,
                         row[2].equals("drain")
-                                ? new Order.Drain("n0", run, leave)
-                                : new Order.Recall("n0", run, leave));
+                                ? new RolloutAction.Drain("n0", run, leave)
+                                : new RolloutAction.CancelDrain("n0", run, leave));
                 assertEquals(Boolean.parseBoolean(row[5]), out, line);
             }
         }
     }
 
-    private static void decided(Register register, Change change) {
-        while (register.change(change, 1000).kind() != Result.Kind.DECIDED) {
+    private static void decided(ReplicatedRegister register, Mutation change) {
+        while (register.change(change, 1000).outcome() != ChangeResult.Outcome.DECIDED) {
             Thread.yield(); // its time was over: it is asked again
         }
     }
 
     private static String state(String leave, boolean halted) {
         String[] of = leave.split(":", -1);
-        return State.read(("{'release':{'plan':{'id':'r','from':'','to':'','dispatchers':true,"
+        return RolloutState.parse(("{'release':{'plan':{'id':'r','from':'','to':'','dispatchers':true,"
                                 + "'workers':false,'first':'workers','steps':[1]},'moves':'RUNNING','steps':[],'open':0},"
                                 + "'leaves':{"
                                 + (of.length < 4
@@ -102,23 +104,23 @@
                                 + "}"
                                 + (halted ? ",'halt':{'number':1,'by':'op','why':'x'}" : "") + "}")
                         .replace('\'', '"'))
-                .text();
+                .toText();
     }
 
-    private Releases.Fleet fleet(Register register) {
-        return new Releases.Fleet() {
+    private RolloutService.LocalInstance fleet(ReplicatedRegister register) {
+        return new RolloutService.LocalInstance() {
             @Override
-            public Register register() {
+            public ReplicatedRegister register() {
                 return register;
             }
 
             @Override
-            public View view() {
-                return new View(List.of(), View.Service.NONE);
+            public FleetView view() {
+                return new FleetView(List.of(), FleetView.ServiceLevel.NONE);
             }
 
             @Override
-            public long run() {
+            public long incarnation() {
                 return 7;
             }
 
@@ -140,37 +142,39 @@
     @Test
     void membersAreSeenAsTheyAre() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        Statuses statuses = new Statuses(1, "", "", (to, bytes) -> {});
-        statuses.heard("m", new Status(5, 1, "v", "z", Status.Phase.SERVING, 0.5, 0, 10, 4).bytes(), 1000);
-        statuses.heard("d", new Status(5, 1, "v", "z", Status.Phase.DRAINING, 0, 0.25, 50, 12).bytes(), 1000);
-        Sight sight = new Sight(new RouteSink() {
+        MemberStatusTable statuses = new MemberStatusTable(1, "", "", (to, bytes) -> {});
+        statuses.receive(
+                "m", new MemberStatus(5, 1, "v", "z", MemberStatus.Phase.SERVING, 0.5, 0, 10, 4).encode(), 1000);
+        statuses.receive(
+                "d", new MemberStatus(5, 1, "v", "z", MemberStatus.Phase.DRAINING, 0, 0.25, 50, 12).encode(), 1000);
+        FleetObserver sight = new FleetObserver(new EndpointListener() {
             @Override
-            public void news(EndpointUpdate news) {}
+            public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.ListLoss loss, double heardAgoMs) {}
+            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void unconfirmed(Dispatch.ListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
         });
-        List<Route> routes = List.of(
-                new Route("warm", "a", Route.State.SERVING, 2, 0, 3, 0, 0),
-                new Route("cold", "b", Route.State.SERVING, 2, -1, 3, -1, 100_000),
-                new Route("leaves", "c", Route.State.DRAINING, 2, 0, 3, 0, 0));
-        sight.news(new EndpointUpdate(EndpointUpdate.Kind.WHOLE, 1, routes));
+        List<Endpoint> routes = List.of(
+                new Endpoint("warm", "a", Endpoint.State.SERVING, 2, 0, 3, 0, 0),
+                new Endpoint("cold", "b", Endpoint.State.SERVING, 2, -1, 3, -1, 100_000),
+                new Endpoint("leaves", "c", Endpoint.State.DRAINING, 2, 0, 3, 0, 0));
+        sight.endpointsChanged(new EndpointUpdate(EndpointUpdate.Kind.FULL_SNAPSHOT, 1, routes));
         Object[][] table = {
-            {"m", Update.State.ALIVE, 5, 4000, "SERVING"},
-            {"m", Update.State.ALIVE, 5, 4001, "UNKNOWN"},
-            {"m", Update.State.ALIVE, 6, 2000, "UNKNOWN"},
-            {"m", Update.State.SUSPECT, 5, 2000, "SERVING"},
-            {"m", Update.State.DEAD, 5, 2000, "DOWN"},
-            {"m", Update.State.LEFT, 5, 2000, "DOWN"},
-            {"d", Update.State.ALIVE, 5, 2000, "DRAINING"},
-            {"x", Update.State.ALIVE, 5, 2000, "UNKNOWN"}
+            {"m", MemberUpdate.State.ALIVE, 5, 4000, "SERVING"},
+            {"m", MemberUpdate.State.ALIVE, 5, 4001, "UNKNOWN"},
+            {"m", MemberUpdate.State.ALIVE, 6, 2000, "UNKNOWN"},
+            {"m", MemberUpdate.State.SUSPECT, 5, 2000, "SERVING"},
+            {"m", MemberUpdate.State.DEAD, 5, 2000, "DOWN"},
+            {"m", MemberUpdate.State.LEFT, 5, 2000, "DOWN"},
+            {"d", MemberUpdate.State.ALIVE, 5, 2000, "DRAINING"},
+            {"x", MemberUpdate.State.ALIVE, 5, 2000, "UNKNOWN"}
         };
         for (Object[] row : table) {
-            Update u = new Update((String) row[0], "a:1", (Update.State) row[1], (int) row[2], 0, "");
-            View seen = sight.view(List.of(u), statuses, config, (int) row[3], 112_000);
+            MemberUpdate u = new MemberUpdate((String) row[0], "a:1", (MemberUpdate.State) row[1], (int) row[2], 0, "");
+            FleetView seen = sight.observe(List.of(u), statuses, config, (int) row[3], 112_000);
             assertEquals(
                     row[4],
                     seen.member((String) row[0]).status().name(),
@@ -179,17 +183,19 @@
             assertEquals(2 * 0.56, seen.member("cold").capacity(), 1e-9, "12 s of 24, from 0.12");
             assertTrue(!seen.member("cold").warm() && !seen.member("leaves").serving());
             assertEquals(
-                    100_001, seen.member("warm").run() + seen.member("cold").run(), "1: long ago");
+                    100_001,
+                    seen.member("warm").incarnation() + seen.member("cold").incarnation(),
+                    "1: long ago");
         }
-        View.Service both = sight.view(
+        FleetView.ServiceLevel both = sight.observe(
                         List.of(
-                                new Update("m", "", Update.State.ALIVE, 5, 0, ""),
-                                new Update("d", "", Update.State.ALIVE, 5, 0, "")),
+                                new MemberUpdate("m", "", MemberUpdate.State.ALIVE, 5, 0, ""),
+                                new MemberUpdate("d", "", MemberUpdate.State.ALIVE, 5, 0, "")),
                         statuses,
                         config,
                         2000,
                         0)
                 .service();
-        assertEquals(new View.Service(0.125, 0.1875, 40, 16), both, "each by its answers");
+        assertEquals(new FleetView.ServiceLevel(0.125, 0.1875, 40, 16), both, "each by its answers");
     }
 }
