--- a/src/test/java/maplespread/drill/WireGoldenTest.java
+++ b/src/test/java/maplespread/simulator/SimulatorAdapterGoldenTest.java
@@ -1,4 +1,4 @@
-package maplespread.drill;
+package maplespread.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The bytes on the simulator's wire, as recorded: a small exchange as text, a long one by its hash, and the errors. */
-class WireGoldenTest {
+class SimulatorAdapterGoldenTest {
     private static final String START = "mark tMs=1000\n"
             + "enlist node=3 initSeed=51 balancers=4 index=1 zone=0 discovery=ask valueBy=work tickMs=2 "
             + "classes.count=3 classes.0.aimMs=200.0 classes.0.deadlineMs=1500.0 classes.0.effect=read_like "
@@ -67,12 +67,12 @@
 
     @Test
     void aSmallExchangeIsAsRecorded() throws IOException {
-        assertEquals(recorded("small.txt"), WireAdapter.exchange(SMALL));
+        assertEquals(recorded("small.txt"), SimulatorAdapter.exchange(SMALL));
     }
 
     @Test
     void aLongExchangeIsAsRecorded() throws IOException, NoSuchAlgorithmException {
-        String out = WireAdapter.exchange(longInput(4));
+        String out = SimulatorAdapter.exchange(longInput(4));
         byte[] hash = MessageDigest.getInstance("SHA-256").digest(out.getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 recorded("long.txt"),
@@ -108,7 +108,7 @@
         };
         StringBuilder actual = new StringBuilder();
         for (String in : bad) {
-            actual.append(assertThrows(WireAdapter.Malformed.class, () -> WireAdapter.exchange(in), in)
+            actual.append(assertThrows(SimulatorAdapter.Malformed.class, () -> SimulatorAdapter.exchange(in), in)
                             .getMessage())
                     .append('\n');
         }
@@ -162,7 +162,7 @@
     }
 
     private static String recorded(String name) throws IOException {
-        try (InputStream in = WireGoldenTest.class.getResourceAsStream("/golden/simulator/" + name)) {
+        try (InputStream in = SimulatorAdapterGoldenTest.class.getResourceAsStream("/golden/simulator/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
--- a/src/test/java/maplespread/drill/WireTest.java
+++ b/src/test/java/maplespread/simulator/SimulatorAdapterTest.java
@@ -1,11 +1,11 @@
-package maplespread.drill;
+package maplespread.simulator;
 
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorAdapterTest {
     private static final String START = "mark tMs=1000\n"
             + "enlist node=3 initSeed=51 balancers=1 classes.count=1 "
             + "classes.0.aimMs=400.0 classes.0.deadlineMs=10000.0 "
@@ -17,7 +17,7 @@
 
     @Test
     void anEmptyBatchGetsAnEmptyReply() throws IOException {
-        assertEquals("done\n", WireAdapter.exchange("mark tMs=8412.25\nyour_turn\n"));
+        assertEquals("done\n", SimulatorAdapter.exchange("mark tMs=8412.25\nyour_turn\n"));
     }
 
     @Test
@@ -29,9 +29,9 @@
                 + "terminal=1 usage=1,2.5,3\nfinished node=3 call=99 roundNo=4 executor=9.9.9.9:1 "
                 + "verdict=0 lagMs=1 "
                 + "terminal=1\nyour_turn\n";
-        String out = WireAdapter.exchange(in);
+        String out = SimulatorAdapter.exchange(in);
         assertTrue(out.contains("assign node=3 call=77 executor=10.0.0.1:9000\n"), out);
-        assertEquals(out, WireAdapter.exchange(in));
+        assertEquals(out, SimulatorAdapter.exchange(in));
     }
 
     @Test
@@ -47,7 +47,7 @@
             "mark tMs=1\n",
         };
         for (String in : bad) {
-            var e = assertThrows(WireAdapter.Malformed.class, () -> WireAdapter.exchange(in), in);
+            var e = assertThrows(SimulatorAdapter.Malformed.class, () -> SimulatorAdapter.exchange(in), in);
             assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         }
     }
--- a/src/test/java/maplespread/starvation/ReliefTest.java
+++ b/src/test/java/maplespread/starvation/PriorityBoostTest.java
@@ -11,22 +11,22 @@
 import maplespread.lab.starvation.VirtualStarvation.Case;
 import maplespread.lab.starvation.VirtualStarvation.Plan;
 import maplespread.lab.starvation.VirtualStarvation.Relieved;
-import maplespread.starvation.Relief.Limits;
+import maplespread.starvation.PriorityBoost.Limits;
 import maplespread.starvation.Verdict.Kind;
 import org.junit.jupiter.api.Test;
 
 /** Weights by the verdicts that stand, by themselves and on small fleets in virtual time; all with seeds. */
-class ReliefTest {
+class PriorityBoostTest {
     private static final Limits LIMITS = new Limits(2, 0.1, 1.5, true);
 
     private static Verdict verdict(int tenant, Kind kind) {
-        return new Verdict(kind, tenant, 0, 0, 0, Verdict.Figures.NONE, 1, 1);
+        return new Verdict(kind, tenant, 0, 0, 0, Verdict.Statistics.NONE, 1, 1);
     }
 
-    private static Relief after(int rounds, List<Verdict> standing) {
-        Relief relief = new Relief(LIMITS, 10);
+    private static PriorityBoost after(int rounds, List<Verdict> standing) {
+        PriorityBoost relief = new PriorityBoost(LIMITS, 10);
         for (int i = 0; i < rounds; i++) {
-            relief.round(standing, true);
+            relief.update(standing, true);
         }
         return relief;
     }
@@ -46,11 +46,11 @@
         };
         for (Object[] r : rows) {
             for (int good : new int[] {0, 5}) {
-                Relief relief = after(good, List.of(verdict(3, Kind.STARVED)));
+                PriorityBoost relief = after(good, List.of(verdict(3, Kind.STARVED)));
                 for (int i = 0; i < 5; i++) {
                     @SuppressWarnings("unchecked")
                     List<Verdict> standing = (List<Verdict>) r[0];
-                    relief.round(standing, (boolean) r[1]);
+                    relief.update(standing, (boolean) r[1]);
                 }
                 double expected = (double) r[good == 0 ? 2 : 3];
                 assertEquals(expected, relief.weight(3), 1e-9, r[0] + " " + good);
@@ -62,23 +62,23 @@
     /** It rises at once, is held, and falls a fifth as fast; once it was too early, it is held for longer. */
     @Test
     void itFallsSlowlyAndThenLaterStill() {
-        Relief relief = after(10, List.of(verdict(0, Kind.STARVED)));
+        PriorityBoost relief = after(10, List.of(verdict(0, Kind.STARVED)));
         int[] held = new int[3];
         for (int i = 0; i < held.length; i++) {
             assertEquals(2, relief.weight(0), 1e-9);
             while (relief.weight(0) > 2 - 1e-9 && held[i] < 1000) {
-                relief.round(List.of(), true);
+                relief.update(List.of(), true);
                 held[i]++;
             }
             assertEquals(1.98, relief.weight(0), 1e-9);
-            relief.round(List.of(verdict(0, Kind.STARVED)), true);
+            relief.update(List.of(verdict(0, Kind.STARVED)), true);
         }
         assertEquals(4, held[0]);
         assertTrue(held[1] > held[0] && held[2] > held[1] + 4, held[1] + " " + held[2]);
         for (int i = 0; i < 1000; i++) {
-            relief.round(List.of(), true);
+            relief.update(List.of(), true);
         }
-        assertEquals(List.of(), relief.weights());
+        assertEquals(List.of(), relief.activeWeights());
     }
 
     /** Whatever is said of whom, and however it changes: no weight and no sum of them is out of bounds. */
@@ -86,7 +86,7 @@
     void boundedWhateverIsSaid() {
         for (int seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Relief relief = new Relief(LIMITS, 3 + random.nextInt(10));
+            PriorityBoost relief = new PriorityBoost(LIMITS, 3 + random.nextInt(10));
             boolean[] starved = new boolean[8];
             for (int round = 0; round < 2000; round++) {
                 List<Verdict> standing = new ArrayList<>();
@@ -96,13 +96,13 @@
                         standing.add(verdict(t, random.nextInt(30) == 0 ? Kind.LONG_JOBS : Kind.STARVED));
                     }
                 }
-                relief.round(standing, random.nextInt(50) > 0);
+                relief.update(standing, random.nextInt(50) > 0);
                 double sum = 0;
                 for (int t = 0; t < starved.length; t++) {
                     assertTrue(relief.weight(t) >= 1 && relief.weight(t) <= 2 + 1e-9, "weight");
                     sum += relief.weight(t) - 1;
                 }
-                assertTrue(sum <= LIMITS.total() + 1e-9, "all together " + sum);
+                assertTrue(sum <= LIMITS.maxTotalBoost() + 1e-9, "all together " + sum);
             }
         }
     }
@@ -110,16 +110,16 @@
     /** A harms B by its relief: each time that B appears, A gets half of what it had; then B has peace. */
     @Test
     void whoHarmsAnotherIsLowered() {
-        Relief relief = after(10, List.of(verdict(0, Kind.STARVED)));
+        PriorityBoost relief = after(10, List.of(verdict(0, Kind.STARVED)));
         List<Verdict> both = List.of(verdict(0, Kind.STARVED), verdict(1, Kind.STARVED));
         double last = 2;
         int appeared = 0;
         for (; relief.weight(0) > 1.05 && appeared < 20; appeared++) {
-            relief.round(both, true);
+            relief.update(both, true);
             assertEquals(last - 0.1, relief.weight(0), 1e-9, "lowered at once");
             assertEquals(1, relief.weight(1), "the victim does not run with it");
             for (int i = 0; i < 30; i++) {
-                relief.round(List.of(verdict(0, Kind.STARVED)), true);
+                relief.update(List.of(verdict(0, Kind.STARVED)), true);
             }
             assertEquals((last - 1) / 2 < 0.1 ? 1 : 1 + (last - 1) / 2, relief.weight(0), 1e-9, "half");
             last = relief.weight(0);
@@ -127,7 +127,7 @@
         assertEquals(4, appeared, "it is halved to nothing");
         relief = after(10, List.of(verdict(0, Kind.STARVED)));
         for (int i = 0; i < 40; i++) { // B's harm is another: it goes on
-            relief.round(both, true);
+            relief.update(both, true);
             assertTrue(relief.weight(1) == 1 || i > 10 + 10, "not before A's is over and a view has passed");
         }
         assertEquals(1.75, relief.weight(0), 0.05 + 1e-9);
--- a/src/test/java/maplespread/starvation/JudgeTest.java
+++ b/src/test/java/maplespread/starvation/StarvationDetectorTest.java
@@ -9,27 +9,27 @@
 import maplespread.lab.starvation.VirtualStarvation.Case;
 import maplespread.lab.starvation.VirtualStarvation.Plan;
 import maplespread.lab.starvation.VirtualStarvation.Result;
-import maplespread.starvation.Comparison.Sum;
-import maplespread.starvation.Comparison.Table;
+import maplespread.starvation.LogRankComparison.Stratum;
+import maplespread.starvation.LogRankComparison.Sum;
 import maplespread.starvation.Verdict.Kind;
 import org.junit.jupiter.api.Test;
 
 /** The comparison by itself, and the verdicts on small fleets in virtual time; all with seeds. */
-class JudgeTest {
-    private static Sample sample(int... waits) { // below 0: at least so long
-        Sample s = new Sample();
+class StarvationDetectorTest {
+    private static WaitHistogram sample(int... waits) { // below 0: at least so long
+        WaitHistogram s = new WaitHistogram();
         for (int w : waits) {
-            s.add(w < 0, Code.binOf(Math.abs(w)), 1);
+            s.add(w < 0, CellCode.binFor(Math.abs(w)), 1);
         }
         return s;
     }
 
-    private static Sum compare(Sample own, Sample others, double kept) {
-        Sample all = new Sample();
+    private static Sum compare(WaitHistogram own, WaitHistogram others, double kept) {
+        WaitHistogram all = new WaitHistogram();
         all.add(own, 1);
         all.add(others, 1);
         Sum sum = new Sum();
-        Comparison.add(sum, new Table(all, 100), own, kept);
+        LogRankComparison.add(sum, new Stratum(all, 100), own, kept);
         return sum;
     }
 
@@ -39,9 +39,9 @@
         Sum s = compare(sample(2, -3), sample(1, 4, -100), 1);
         assertEquals(1, s.observed);
         assertEquals(2 * (1 / 5.0 + 1 / 4.0), s.expected, 1e-12);
-        assertEquals((2 + 98 / 2.0) * 2, s.own, 1e-9, "half goes on from 2 to the end");
-        assertEquals(1, s.held);
-        assertEquals(1, s.othersHeld);
+        assertEquals((2 + 98 / 2.0) * 2, s.ownWaitSum, 1e-9, "half goes on from 2 to the end");
+        assertEquals(1, s.censored);
+        assertEquals(1, s.othersCensored);
         s = compare(sample(-9, -9, -9), sample(1, 1, 1, 1), 1);
         assertEquals(3 * (1 / 7.0 + 1 / 6.0 + 1 / 5.0 + 1 / 4.0), s.expected, 1e-12, "ties come in turn");
         s = compare(sample(1, 1), sample(1, 1, 1), 1);
@@ -51,9 +51,9 @@
     /** Rows: own waits, others', what is kept; whether it waits longer. */
     @Test
     void whatIsHeldTells() {
-        Sample others = new Sample();
+        WaitHistogram others = new WaitHistogram();
         for (int i = 0; i < 200; i++) {
-            others.add(false, Code.binOf(1 + i % 20), 1);
+            others.add(false, CellCode.binFor(1 + i % 20), 1);
         }
         Object[][] rows = {
             {new int[] {5, 5, 6, -100, -100, -100, -100, -100}, 1.0, true},
@@ -66,8 +66,8 @@
             Sum s = compare(sample((int[]) r[0]), others, (double) r[1]);
             assertEquals(
                     r[2],
-                    s.chance(1) < 1e-3 && s.effect() > 0.1,
-                    java.util.Arrays.toString((int[]) r[0]) + " " + s.chance(1) + " " + s.effect());
+                    s.pValue(1) < 1e-3 && s.effect() > 0.1,
+                    java.util.Arrays.toString((int[]) r[0]) + " " + s.pValue(1) + " " + s.effect());
         }
     }
 
@@ -78,14 +78,14 @@
         int below = 0;
         int rounds = 20_000;
         for (int i = 0; i < rounds; i++) {
-            Sample own = new Sample();
-            Sample others = new Sample();
+            WaitHistogram own = new WaitHistogram();
+            WaitHistogram others = new WaitHistogram();
             for (int j = 0; j < 108; j++) {
                 boolean held = random.nextInt(20) == 0;
                 double wait = held ? 2000 : -100 * Math.log(1 - random.nextDouble());
-                (j < 8 ? own : others).add(held, Code.binOf(wait), 1);
+                (j < 8 ? own : others).add(held, CellCode.binFor(wait), 1);
             }
-            below += compare(own, others, 1).chance(1) < 0.001 ? 1 : 0;
+            below += compare(own, others, 1).pValue(1) < 0.001 ? 1 : 0;
         }
         assertTrue(below <= rounds * 0.001 * 1.6, below + " of " + rounds);
     }
@@ -119,31 +119,31 @@
     /** A verdict comes and goes by the same few rounds wherever its figures stand between the two limits. */
     @Test
     void entryAndExitDiffer() {
-        Site site = new Site(new double[] {2000}, new double[30], 1, 1);
-        Judge judge = new Judge(site, 0.1);
+        FleetLayout site = new FleetLayout(new double[] {2000}, new double[30], 1, 1);
+        StarvationDetector judge = new StarvationDetector(site, 0.1);
         double[] slower = {0, 140, 400, 160, 160, 0}; // by phases of five rounds
         Kind[] stands = {Kind.FINE, Kind.FINE, Kind.STARVED, Kind.STARVED, Kind.STARVED, Kind.FINE};
         SplittableRandom random = new SplittableRandom(1);
-        Waits waits = new Waits("a", 1, 1000, new double[] {2000});
+        WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
         long id = 0;
         for (int round = 0; round < 5 * slower.length; round++) {
-            View view = new View(500, true);
+            FleetWindow view = new FleetWindow(500, true);
             for (int i = 0; i < 900; i++) {
-                waits.taken(0, ++id, i % 30, 0, 0, 10);
-                waits.ended(
+                waits.requestAccepted(0, ++id, i % 30, 0, 0, 10);
+                waits.requestCompleted(
                         30 + random.nextInt(40) + (i % 30 == 7 ? (long) slower[round / 5] : 0),
                         id,
                         0,
-                        Waits.End.SERVED);
+                        WaitRecorder.Completion.SERVED);
             }
-            view.add(round * 1000L, waits.close(1000));
-            judge.round(round * 1000L, view);
+            view.add(round * 1000L, waits.closeWindow(1000));
+            judge.evaluate(round * 1000L, view);
             if (round % 5 == 0 && round > 0) {
-                assertEquals(stands[round / 5 - 1], judge.of(7, 0, 0), "one round alone changes nothing");
+                assertEquals(stands[round / 5 - 1], judge.verdictOf(7, 0, 0), "one round alone changes nothing");
             }
             if (round % 5 == 4) {
-                assertEquals(stands[round / 5], judge.of(7, 0, 0), "phase " + round / 5);
-                assertEquals(Kind.FINE, judge.of(8, 0, 0));
+                assertEquals(stands[round / 5], judge.verdictOf(7, 0, 0), "phase " + round / 5);
+                assertEquals(Kind.FINE, judge.verdictOf(8, 0, 0));
             }
         }
     }
@@ -151,10 +151,11 @@
     /** Few jobs, long tails, and bursts whose jobs wait alike: nothing of it is anybody's fault. */
     @Test
     void noiseIsNoVerdict() {
-        Judge judge = new Judge(new Site(new double[] {2000}, new double[40], 1, 1), 0.1);
-        View view = new View(10_000, true);
+        StarvationDetector judge =
+                new StarvationDetector(new FleetLayout(new double[] {2000}, new double[40], 1, 1), 0.1);
+        FleetWindow view = new FleetWindow(10_000, true);
         SplittableRandom random = new SplittableRandom(5);
-        Waits waits = new Waits("a", 1, 1000, new double[] {2000});
+        WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
         long id = 0;
         int named = 0;
         for (int round = 0; round < 600; round++) {
@@ -162,13 +163,13 @@
                 int tenant = random.nextInt(40);
                 long wait = (long) (-300 * Math.log(1 - random.nextDouble()));
                 for (int job = 0; job < 4; job++) {
-                    waits.taken(0, ++id, tenant, 0, 0, 0);
-                    waits.ended(wait, id, 0, Waits.End.SERVED);
+                    waits.requestAccepted(0, ++id, tenant, 0, 0, 0);
+                    waits.requestCompleted(wait, id, 0, WaitRecorder.Completion.SERVED);
                 }
             }
-            view.age(round * 1000L);
-            view.add(round * 1000L, waits.close(round * 1000L));
-            named += judge.round(round * 1000L, view).size();
+            view.evictExpired(round * 1000L);
+            view.add(round * 1000L, waits.closeWindow(round * 1000L));
+            named += judge.evaluate(round * 1000L, view).size();
         }
         assertEquals(0, named);
     }
@@ -178,26 +179,33 @@
     void whoJudgesAloneAmongManyNeedsMore() {
         int[] from = new int[3]; // refused of ten that make a verdict
         for (int refused = 10; refused > 0; refused--) {
-            Judge[] judges = {
-                new Judge(new Site(new double[] {2000}, new double[30], 1, 1), 0.1),
-                Judge.alone(new Site(new double[] {2000}, new double[30], 1, 1), 0.1, null),
-                Judge.alone(new Site(new double[] {2000}, new double[30], 200, 1), 0.1, null)
+            StarvationDetector[] judges = {
+                new StarvationDetector(new FleetLayout(new double[] {2000}, new double[30], 1, 1), 0.1),
+                StarvationDetector.singleDispatcher(
+                        new FleetLayout(new double[] {2000}, new double[30], 1, 1), 0.1, null),
+                StarvationDetector.singleDispatcher(
+                        new FleetLayout(new double[] {2000}, new double[30], 200, 1), 0.1, null)
             };
             for (int round = 0; round < 3; round++) {
-                View view = new View(500, false);
-                Waits waits = new Waits("a", 1, 1000, new double[] {2000});
+                FleetWindow view = new FleetWindow(500, false);
+                WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
                 for (int i = 0; i < 300; i++) {
-                    waits.taken(0, i, i % 30, 0, 0, 10);
-                    waits.ended(
-                            30 + i % 41, i, 0, i % 30 == 7 && i / 30 < refused ? Waits.End.REFUSED : Waits.End.SERVED);
+                    waits.requestAccepted(0, i, i % 30, 0, 0, 10);
+                    waits.requestCompleted(
+                            30 + i % 41,
+                            i,
+                            0,
+                            i % 30 == 7 && i / 30 < refused
+                                    ? WaitRecorder.Completion.REJECTED
+                                    : WaitRecorder.Completion.SERVED);
                 }
-                view.add(round, waits.close(1000));
-                for (Judge judge : judges) {
-                    judge.round(round, view);
+                view.add(round, waits.closeWindow(1000));
+                for (StarvationDetector judge : judges) {
+                    judge.evaluate(round, view);
                 }
             }
             for (int j = 0; j < judges.length; j++) {
-                from[j] = judges[j].of(7, 0, 0) == Kind.STARVED ? refused : from[j];
+                from[j] = judges[j].verdictOf(7, 0, 0) == Kind.STARVED ? refused : from[j];
             }
         }
         assertTrue(from[0] > 0 && from[1] == from[0] && from[2] > from[0], java.util.Arrays.toString(from));
@@ -230,24 +238,28 @@
     /** A starved tenant with much of a place's traffic makes no crowd of the place. */
     @Test
     void oneTenantIsNoCrowd() {
-        Judge judge = new Judge(new Site(new double[] {2000}, new double[9], 1, 1), 0.1);
+        StarvationDetector judge =
+                new StarvationDetector(new FleetLayout(new double[] {2000}, new double[9], 1, 1), 0.1);
         SplittableRandom random = new SplittableRandom(6);
         for (int round = 0; round < 4; round++) {
-            View view = new View(500, true);
-            Waits waits = new Waits("a", 1, 1000, new double[] {2000});
+            FleetWindow view = new FleetWindow(500, true);
+            WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
             for (int id = 0; id < 2000; id++) {
                 int tenant = id % 9 < 4 ? 0 : id % 9;
                 int place = random.nextInt(8);
-                waits.taken(0, id, tenant, 0, place, 10);
-                waits.ended(
-                        30 + random.nextInt(40) + (tenant == 0 && place == 3 ? 900 : 0), id, place, Waits.End.SERVED);
+                waits.requestAccepted(0, id, tenant, 0, place, 10);
+                waits.requestCompleted(
+                        30 + random.nextInt(40) + (tenant == 0 && place == 3 ? 900 : 0),
+                        id,
+                        place,
+                        WaitRecorder.Completion.SERVED);
             }
-            view.add(round * 1000L, waits.close(0));
-            judge.round(round * 1000L, view);
+            view.add(round * 1000L, waits.closeWindow(0));
+            judge.evaluate(round * 1000L, view);
         }
-        assertEquals(Kind.STARVED, judge.of(0, 0, 3));
+        assertEquals(Kind.STARVED, judge.verdictOf(0, 0, 3));
         for (int tenant = 4; tenant < 9; tenant++) {
-            assertEquals(Kind.FINE, judge.of(tenant, 0, 3));
+            assertEquals(Kind.FINE, judge.verdictOf(tenant, 0, 3));
         }
     }
 }
--- a/src/test/java/maplespread/starvation/StarvationGoldenTest.java
+++ b/src/test/java/maplespread/starvation/StarvationGoldenTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import maplespread.GoldenOutput;
 import maplespread.starvation.Verdict.Kind;
-import maplespread.starvation.client.Watch;
+import maplespread.starvation.client.StarvationMonitor;
 import org.junit.jupiter.api.Test;
 
 /** What dispatchers send each other of waits, what operators are shown, and verdicts to the last digit. */
@@ -23,33 +23,39 @@
         return seen.append('\n');
     }
 
-    private static Window window() {
-        Waits waits = new Waits("n-1", 1_700_000_000_000L, 1000, new double[] {2000, 500});
-        Waits.End[] ends = Waits.End.values();
+    private static WaitWindow window() {
+        WaitRecorder waits = new WaitRecorder("n-1", 1_700_000_000_000L, 1000, new double[] {2000, 500});
+        WaitRecorder.Completion[] ends = WaitRecorder.Completion.values();
         for (int i = 0; i < 60; i++) {
-            waits.taken(i, i, i % 5 * 300, i % 2, i % 7 * 11, i % 3 == 0 ? Double.NaN : 40 * i);
+            waits.requestAccepted(i, i, i % 5 * 300, i % 2, i % 7 * 11, i % 3 == 0 ? Double.NaN : 40 * i);
             if (i % 6 != 5) {
-                waits.ended(i * 31, i, i % 4 == 0 ? Waits.WHERE_TAKEN : i % 9, ends[i % 4]);
+                waits.requestCompleted(i * 31, i, i % 4 == 0 ? WaitRecorder.SAME_PLACE : i % 9, ends[i % 4]);
             }
         }
-        waits.ended(3000, 999, 0, Waits.End.SERVED); // never taken
-        return waits.close(2500);
+        waits.requestCompleted(3000, 999, 0, WaitRecorder.Completion.SERVED); // never taken
+        return waits.closeWindow(2500);
     }
 
     @Test
     void bytesOfWindows() throws Exception {
-        Window whole = window();
+        WaitWindow whole = window();
         for (int most : new int[] {Integer.MAX_VALUE, 120, 40}) {
-            byte[] bytes = Exchange.encode(whole, most);
-            Window back = Exchange.decode(bytes);
+            byte[] bytes = WindowCodec.encode(whole, most);
+            WaitWindow back = WindowCodec.decode(bytes);
             line(HexFormat.of().formatHex(bytes));
-            line(back.process(), back.run(), back.number(), back.lengthMs(), back.left(), back.jobs());
+            line(
+                    back.process(),
+                    back.incarnation(),
+                    back.sequence(),
+                    back.lengthMs(),
+                    back.omitted(),
+                    back.requestCount());
             line(Arrays.toString(back.codes()), Arrays.toString(back.counts()));
-            line(Arrays.toString(back.open()), Arrays.toString(back.openCounts()));
+            line(Arrays.toString(back.ongoingCodes()), Arrays.toString(back.ongoingCounts()));
         }
         for (long[] of :
                 new long[][] {{200_000, 1000, 0}, {200_000, 1000, 199}, {1000, 100, 1}, {100_000_000, 60_000, 2}}) {
-            line(Exchange.bytesEach(of[0], (int) of[1], (int) of[2]));
+            line(WindowCodec.bytesPerPeer(of[0], (int) of[1], (int) of[2]));
         }
         GoldenOutput.assertMatches("starvation/windows.txt", seen.toString());
     }
@@ -58,19 +64,24 @@
     void codesAndBins() throws Exception {
         int[][] cells = {{0, 0, 0, 0}, {1, 2, 3, 4}, {65_535, 63, 65_535, 15}};
         for (int[] c : cells) {
-            long cell = Code.cell(c[0], c[1], c[2], c[3]);
-            line(cell, Code.of(cell, true, 77), Code.of(cell, false, 0), View.stratum(cell));
+            long cell = CellCode.cell(c[0], c[1], c[2], c[3]);
+            line(cell, CellCode.of(cell, true, 77), CellCode.of(cell, false, 0), FleetWindow.stratum(cell));
         }
-        line(Code.HIGHEST, Code.BINS.length, Arrays.hashCode(Code.BINS), Code.binOf(1234.5), Code.binOf(9e9));
+        line(
+                CellCode.MAX_CODE,
+                CellCode.BIN_LOWER_MS.length,
+                Arrays.hashCode(CellCode.BIN_LOWER_MS),
+                CellCode.binFor(1234.5),
+                CellCode.binFor(9e9));
         for (double work : new double[] {Double.NaN, 0, 1, 3, 4, 15, 16, 1e3, 1e6, 1e12}) {
-            line(work, Code.bandOf(work), Code.work(Code.bandOf(work)));
+            line(work, CellCode.bandFor(work), CellCode.bandMiddleMs(CellCode.bandFor(work)));
         }
         GoldenOutput.assertMatches("starvation/codes.txt", seen.toString());
     }
 
     @Test
     void bytesThatAreNoWindow() throws Exception {
-        String good = HexFormat.of().formatHex(Exchange.encode(window(), 60));
+        String good = HexFormat.of().formatHex(WindowCodec.encode(window(), 60));
         String[] bad = {
             "",
             "02",
@@ -84,8 +95,8 @@
         };
         for (String hex : bad) {
             try {
-                line("read", Exchange.decode(HexFormat.of().parseHex(hex)).number());
-            } catch (NotAWindow e) {
+                line("read", WindowCodec.decode(HexFormat.of().parseHex(hex)).sequence());
+            } catch (MalformedWindowException e) {
                 line(e.getMessage());
             }
         }
@@ -94,12 +105,14 @@
 
     @Test
     void adminAnswer() throws Exception {
-        Verdict.Figures figures = new Verdict.Figures(7, 2, 40, 3, 120.5, 30.25, 90.25, 0.045, 31, 1e-9, 0);
+        Verdict.Statistics figures = new Verdict.Statistics(7, 2, 40, 3, 120.5, 30.25, 90.25, 0.045, 31, 1e-9, 0);
         Verdict starved = new Verdict(Kind.STARVED, 3, 1, 5, 1234, figures, 4, 5);
-        Verdict unknown = new Verdict(Kind.NOT_KNOWN, -1, -1, -1, 99, Verdict.Figures.NONE, 1, 5);
-        Watch.Told told = new Watch.Told(
-                List.of(new Watch.Shown("fleet", starved), new Watch.Shown("dispatcher", unknown)),
-                List.of(new Relief.Weight(3, 1.3)));
+        Verdict unknown = new Verdict(Kind.NOT_KNOWN, -1, -1, -1, 99, Verdict.Statistics.NONE, 1, 5);
+        StarvationMonitor.Report told = new StarvationMonitor.Report(
+                List.of(
+                        new StarvationMonitor.ScopedVerdict("fleet", starved),
+                        new StarvationMonitor.ScopedVerdict("dispatcher", unknown)),
+                List.of(new PriorityBoost.Weight(3, 1.3)));
         seen.append(new GsonBuilder()
                 .setPrettyPrinting()
                 .serializeSpecialFloatingPointValues()
@@ -109,9 +122,9 @@
         for (Kind kind : Kind.values()) {
             line(kind, kind.remedy());
         }
-        Site site = new Site(new double[] {1}, new double[] {}, 1, 3);
-        for (int part : new int[] {-1, 0, 7, site.zone(7), site.kind(7)}) {
-            line(site.words(part, z -> "z" + z, k -> "k" + k));
+        FleetLayout site = new FleetLayout(new double[] {1}, new double[] {}, 1, 3);
+        for (int part : new int[] {-1, 0, 7, site.allOfZone(7), site.allOfKind(7)}) {
+            line(site.describe(part, z -> "z" + z, k -> "k" + k));
         }
         GoldenOutput.assertMatches("starvation/admin.txt", seen.toString());
     }
@@ -119,14 +132,14 @@
     // ------------------------------------------------------------ verdicts and weights
 
     private void verdict(String what, Verdict v) {
-        Verdict.Figures f = v.figures();
+        Verdict.Statistics f = v.figures();
         line(what, v.kind(), v.tenant(), v.cls(), v.place(), v.sinceMs(), v.heard(), v.processes(), v.partial());
         line(f.jobs(), f.held(), f.others(), f.othersHeld(), f.ownMs(), f.othersMs(), f.moreMs());
         line(f.effect(), f.elsewhereMs(), f.chance(), f.excess());
     }
 
     /** One dispatcher's second: fair but for what begins in its turn at 8, 16, 24 and 32 s. */
-    private static void second(Waits waits, SplittableRandom random, int second) {
+    private static void second(WaitRecorder waits, SplittableRandom random, int second) {
         for (int job = 0; job < 150; job++) {
             int tenant = random.nextInt(second >= 16 && second < 24 && job % 2 == 0 ? 1 : 12);
             int cls = random.nextInt(2);
@@ -136,13 +149,18 @@
             boolean harmed = tenant == 3 && place == 1 && second >= 8 && second < 16;
             wait += harmed ? 700 : 0;
             wait += place == 2 && second >= 32 ? 900 : 0;
-            Waits.End end =
-                    random.nextInt(50) == 0 || harmed && random.nextInt(3) == 0 ? Waits.End.REFUSED : Waits.End.SERVED;
+            WaitRecorder.Completion end = random.nextInt(50) == 0 || harmed && random.nextInt(3) == 0
+                    ? WaitRecorder.Completion.REJECTED
+                    : WaitRecorder.Completion.SERVED;
             long at = second * 1000L + random.nextInt(1000);
             long id = second * 1000L + job;
-            waits.taken(at, id, tenant, cls, place, random.nextInt(9) == 0 ? Double.NaN : work);
+            waits.requestAccepted(at, id, tenant, cls, place, random.nextInt(9) == 0 ? Double.NaN : work);
             if (random.nextInt(40) != 0) {
-                waits.ended(at + Math.round(work + wait), id, random.nextInt(4) == 0 ? Waits.WHERE_TAKEN : place, end);
+                waits.requestCompleted(
+                        at + Math.round(work + wait),
+                        id,
+                        random.nextInt(4) == 0 ? WaitRecorder.SAME_PLACE : place,
+                        end);
             }
         }
     }
@@ -151,21 +169,23 @@
     void verdictsOfARun() throws Exception {
         double[] allowances = new double[12];
         Arrays.fill(allowances, 30);
-        Site site = new Site(new double[] {2000, 1500}, allowances, 4, 2);
-        List<Waits> all = new ArrayList<>();
-        IntStream.range(0, 4).forEach(i -> all.add(new Waits("n-" + i, 1, 1000, site.deadlinesMs())));
-        Judge fleet = new Judge(site, 0.1);
-        Judge alone = Judge.alone(site, 0.1, fleet);
-        Judge silent = Judge.alone(site, 0.1, null);
-        View[] views = {new View(10_000, true), new View(10_000, true), new View(10_000, false)};
-        Judge[] judges = {fleet, alone, silent};
-        Relief relief = new Relief(new Relief.Limits(2, 0.1, 1.5, true), 10);
+        FleetLayout site = new FleetLayout(new double[] {2000, 1500}, allowances, 4, 2);
+        List<WaitRecorder> all = new ArrayList<>();
+        IntStream.range(0, 4).forEach(i -> all.add(new WaitRecorder("n-" + i, 1, 1000, site.deadlinesMs())));
+        StarvationDetector fleet = new StarvationDetector(site, 0.1);
+        StarvationDetector alone = StarvationDetector.singleDispatcher(site, 0.1, fleet);
+        StarvationDetector silent = StarvationDetector.singleDispatcher(site, 0.1, null);
+        FleetWindow[] views = {
+            new FleetWindow(10_000, true), new FleetWindow(10_000, true), new FleetWindow(10_000, false)
+        };
+        StarvationDetector[] judges = {fleet, alone, silent};
+        PriorityBoost relief = new PriorityBoost(new PriorityBoost.Limits(2, 0.1, 1.5, true), 10);
         SplittableRandom random = new SplittableRandom(11);
         for (int second = 0; second < 56; second++) {
             long now = second * 1000L + 1000;
             for (int i = 0; i < 4; i++) {
                 second(all.get(i), random, second);
-                Window w = all.get(i).close(now);
+                WaitWindow w = all.get(i).closeWindow(now);
                 if (i > 0 && second >= 40) {
                     continue; // not heard any more
                 }
@@ -176,22 +196,22 @@
                 }
             }
             for (int j = 0; j < judges.length; j++) {
-                views[j].age(now);
-                List<Verdict> changes = new ArrayList<>(judges[j].round(now, views[j]));
+                views[j].evictExpired(now);
+                List<Verdict> changes = new ArrayList<>(judges[j].evaluate(now, views[j]));
                 changes.sort((a, b) -> Integer.compare(order(a), order(b)));
                 String at = second + "/" + j;
                 changes.forEach(v -> verdict(at, v));
                 line(
                         at,
-                        judges[j].spread(),
-                        judges[j].comparisons(),
-                        judges[j].heardEnough(),
-                        judges[j].standing().size(),
-                        views[j].heard(now),
-                        views[j].bytes());
+                        judges[j].varianceInflation(),
+                        judges[j].comparisonCount(),
+                        judges[j].enoughReported(),
+                        judges[j].activeVerdicts().size(),
+                        views[j].reportingProcesses(now),
+                        views[j].estimatedBytes());
             }
-            relief.round(fleet.standing(), fleet.heardEnough());
-            line(relief.weights().stream()
+            relief.update(fleet.activeVerdicts(), fleet.enoughReported());
+            line(relief.activeWeights().stream()
                     .map(w -> w.tenant() + "=" + w.weight())
                     .toList());
         }
@@ -206,7 +226,7 @@
     void weightsOfRandomVerdicts() throws Exception {
         for (boolean guarded : new boolean[] {true, false}) {
             SplittableRandom random = new SplittableRandom(5);
-            Relief relief = new Relief(new Relief.Limits(2.5, 0.2, 2, guarded), 5);
+            PriorityBoost relief = new PriorityBoost(new PriorityBoost.Limits(2.5, 0.2, 2, guarded), 5);
             boolean[] starved = new boolean[6];
             for (int round = 0; round < 300; round++) {
                 List<Verdict> standing = new ArrayList<>();
@@ -214,14 +234,14 @@
                     starved[t] ^= random.nextInt(12) == 0;
                     Kind kind = random.nextInt(30) == 0 ? Kind.BEYOND_SHARE : Kind.STARVED;
                     if (starved[t]) {
-                        standing.add(new Verdict(kind, t, 0, 0, 0, Verdict.Figures.NONE, 1, 1));
+                        standing.add(new Verdict(kind, t, 0, 0, 0, Verdict.Statistics.NONE, 1, 1));
                     }
                 }
-                for (Relief.Change c : relief.round(standing, random.nextInt(25) != 0)) {
-                    line(round, c.what(), c.tenant(), c.weight(), c.victim());
+                for (PriorityBoost.Change c : relief.update(standing, random.nextInt(25) != 0)) {
+                    line(round, c.kind(), c.tenant(), c.weight(), c.victim());
                 }
             }
-            line(relief.weights().stream()
+            line(relief.activeWeights().stream()
                     .map(w -> w.tenant() + "=" + w.weight())
                     .toList());
         }
--- a/src/test/java/maplespread/subset/ApertureTest.java
+++ b/src/test/java/maplespread/subset/DeterministicApertureTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Subsets with seeds: even cover, few moves, the same answer at every dispatcher. */
-class ApertureTest {
+class DeterministicApertureTest {
     private static List<String> workers(int n, String prefix) {
         return IntStream.range(0, n).mapToObj(i -> prefix + i).toList();
     }
@@ -20,12 +20,12 @@
     void eachDispatcherCoversItsWidthAndAllAgree() {
         List<String> ws = workers(1000, "w-");
         for (int i = 0; i < 50; i++) {
-            Map<String, Double> s = Aperture.of(i, 50, 37.5, ws, 7);
+            Map<String, Double> s = DeterministicAperture.of(i, 50, 37.5, ws, 7);
             assertEquals(37.5, s.values().stream().mapToDouble(x -> x).sum(), 1e-6);
             assertTrue(s.values().stream().allMatch(x -> x > 0 && x <= 1 + 1e-12));
             List<String> shuffled = new ArrayList<>(ws);
             java.util.Collections.reverse(shuffled);
-            assertEquals(s, Aperture.of(i, 50, 37.5, shuffled, 7), "the list's order must not matter");
+            assertEquals(s, DeterministicAperture.of(i, 50, 37.5, shuffled, 7), "the list's order must not matter");
         }
     }
 
@@ -34,7 +34,8 @@
         // 200 dispatchers, 10,000 workers: the bound of issue 22 (max over mean 1.10) holds from a width of
         // 2,000 workers a dispatcher (40 dispatchers a worker); narrower, the positions' gaps show.
         for (long seed : new long[] {1, 2}) {
-            double wide = Cover.spread(Cover.loads(200, 2000, workers(10_000, "s" + seed + "-"), seed));
+            double wide = CoverageStatistics.spread(
+                    CoverageStatistics.loads(200, 2000, workers(10_000, "s" + seed + "-"), seed));
             assertTrue(wide <= 1.10, "max over mean " + wide);
         }
     }
@@ -49,7 +50,7 @@
         for (int zones : new int[] {2, 3, 4, 5, 8}) {
             double[] met = new double[1000];
             for (int i = 1; i < 200; i += zones) {
-                Aperture.arc(i, 200, 1000, (place, part) -> met[place] += part);
+                DeterministicAperture.arc(i, 200, 1000, (place, part) -> met[place] += part);
             }
             double mean = java.util.Arrays.stream(met).average().orElseThrow();
             double most = java.util.Arrays.stream(met).max().orElseThrow() / mean;
@@ -73,7 +74,8 @@
         for (long seed : new long[] {1, 2}) {
             for (Object[] r : rows) {
                 @SuppressWarnings("unchecked")
-                double moved = Cover.moved((int) r[0], (List<String>) r[2], (int) r[1], (List<String>) r[3], 80, seed);
+                double moved = CoverageStatistics.moved(
+                        (int) r[0], (List<String>) r[2], (int) r[1], (List<String>) r[3], 80, seed);
                 assertTrue(moved <= (double) r[4] + 1e-9, r[0] + " to " + r[1] + ": " + moved);
             }
         }
@@ -81,11 +83,11 @@
 
     @Test
     void smallAndWrongCases() {
-        assertEquals(Map.of("a", 1.0, "b", 1.0), Aperture.of(0, 3, 5, List.of("a", "b"), 1));
-        assertTrue(Aperture.of(2, 3, 2, List.of(), 1).isEmpty());
-        assertEquals(1.0, Aperture.of(4, 9, 1, workers(1, "x"), 1).get("x0"));
-        assertThrows(IllegalArgumentException.class, () -> Aperture.of(3, 3, 2, List.of("a"), 1));
-        assertThrows(IllegalArgumentException.class, () -> Aperture.of(0, 1, 0.5, List.of("a"), 1));
-        assertThrows(IllegalArgumentException.class, () -> Aperture.of(0, 1, Double.NaN, List.of("a"), 1));
+        assertEquals(Map.of("a", 1.0, "b", 1.0), DeterministicAperture.of(0, 3, 5, List.of("a", "b"), 1));
+        assertTrue(DeterministicAperture.of(2, 3, 2, List.of(), 1).isEmpty());
+        assertEquals(1.0, DeterministicAperture.of(4, 9, 1, workers(1, "x"), 1).get("x0"));
+        assertThrows(IllegalArgumentException.class, () -> DeterministicAperture.of(3, 3, 2, List.of("a"), 1));
+        assertThrows(IllegalArgumentException.class, () -> DeterministicAperture.of(0, 1, 0.5, List.of("a"), 1));
+        assertThrows(IllegalArgumentException.class, () -> DeterministicAperture.of(0, 1, Double.NaN, List.of("a"), 1));
     }
 }
--- a/src/test/java/maplespread/subset/CutTest.java
+++ b/src/test/java/maplespread/subset/SubsetAssignmentTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Cuts of a fleet, with seeds: who uses what, and among how many each believes a worker to be shared. */
-class CutTest {
-    private static Cut cut(int index, int dispatchers, Cut.Wish wish, int workers, int zones) {
-        Cut cut = new Cut(index, dispatchers, wish, 0);
+class SubsetAssignmentTest {
+    private static SubsetAssignment cut(
+            int index, int dispatchers, SubsetAssignment.SubsetSettings wish, int workers, int zones) {
+        SubsetAssignment cut = new SubsetAssignment(index, dispatchers, wish, 0);
         for (int j = 0; j < workers; j++) {
             cut.put("w-" + j, j % zones);
         }
@@ -28,18 +29,19 @@
             int n = 1 + random.nextInt(120);
             int m = 1 + random.nextInt(400);
             int zones = 1 + random.nextInt(5);
-            Cut.Wish wish = new Cut.Wish(random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(30), 1 + random.nextInt(30));
+            SubsetAssignment.SubsetSettings wish = new SubsetAssignment.SubsetSettings(
+                    random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(30), 1 + random.nextInt(30));
             String what = n + " x " + m + " in " + zones + ", " + wish;
             Map<String, Double> load = new HashMap<>();
             Map<String, Integer> users = new HashMap<>();
             int most = 0;
             for (int i = 0; i < n; i++) {
-                Cut cut = cut(i, n, wish, m, zones);
+                SubsetAssignment cut = cut(i, n, wish, m, zones);
                 Set<String> mine = cut.workers();
-                assertTrue(mine.size() >= Math.min(m, wish.least()) || mine.size() >= m, what);
-                mine.forEach(w -> load.merge(w, 1.0 / cut.sharers(), Double::sum));
+                assertTrue(mine.size() >= Math.min(m, wish.minWorkers()) || mine.size() >= m, what);
+                mine.forEach(w -> load.merge(w, 1.0 / cut.maxDispatchersPerWorker(), Double::sum));
                 mine.forEach(w -> users.merge(w, 1, Integer::sum));
-                most = Math.max(most, cut.sharers());
+                most = Math.max(most, cut.maxDispatchersPerWorker());
             }
             load.forEach((w, sum) -> assertTrue(sum <= 1 + 1e-9, what + ": " + w + " is shared out " + sum));
             int used = users.values().stream().mapToInt(x -> x).max().orElse(0);
@@ -50,7 +52,7 @@
     @Test
     void aLostZoneLeavesEveryDispatcherWorkersInAllOthers() {
         for (int i = 0; i < 40; i++) {
-            Cut cut = cut(i, 40, new Cut.Wish(5, 8), 200, 4);
+            SubsetAssignment cut = cut(i, 40, new SubsetAssignment.SubsetSettings(5, 8), 200, 4);
             for (int j = 0; j < 200; j += 4) {
                 cut.remove("w-" + j);
             }
@@ -63,26 +65,32 @@
     /** One goes and the others' indices close the gap: nobody's arc moves, only the count is another. */
     @Test
     void whoHasStartedKeepsItsPlace() {
-        Cut cut = cut(30, 40, new Cut.Wish(10, 5), 400, 1);
+        SubsetAssignment cut = cut(30, 40, new SubsetAssignment.SubsetSettings(10, 5), 400, 1);
         Set<String> before = cut.workers();
-        cut.fleet(39, new Cut.Wish(10, 5));
+        cut.resize(39, new SubsetAssignment.SubsetSettings(10, 5));
         Set<String> after = cut.workers();
         long kept = before.stream().filter(after::contains).count();
         assertEquals(before.size(), kept, "fewer dispatchers, wider arcs");
-        cut.fleet(20, new Cut.Wish(10, 5)); // fewer than its index
-        assertTrue(cut.workers().size() >= after.size() && cut.sharers() >= 1);
+        cut.resize(20, new SubsetAssignment.SubsetSettings(10, 5)); // fewer than its index
+        assertTrue(cut.workers().size() >= after.size() && cut.maxDispatchersPerWorker() >= 1);
     }
 
     @Test
     void allAreUsedWhereNothingElseIsWished() {
-        assertEquals(50, cut(3, 9, Cut.Wish.ALL, 50, 3).workers().size());
-        Cut few = cut(3, 9, new Cut.Wish(2, 20), 12, 3);
+        assertEquals(
+                50,
+                cut(3, 9, SubsetAssignment.SubsetSettings.ALL, 50, 3).workers().size());
+        SubsetAssignment few = cut(3, 9, new SubsetAssignment.SubsetSettings(2, 20), 12, 3);
         assertEquals(12, few.workers().size());
-        assertEquals(9, few.sharers());
-        assertTrue(new Cut(0, 1, Cut.Wish.ALL, 0).workers().isEmpty());
-        assertThrows(IllegalArgumentException.class, () -> new Cut.Wish(-1, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Cut.Wish(Double.NaN, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Cut.Wish(1, 0));
-        assertThrows(IllegalArgumentException.class, () -> new Cut(-1, 1, Cut.Wish.ALL, 0));
+        assertEquals(9, few.maxDispatchersPerWorker());
+        assertTrue(new SubsetAssignment(0, 1, SubsetAssignment.SubsetSettings.ALL, 0)
+                .workers()
+                .isEmpty());
+        assertThrows(IllegalArgumentException.class, () -> new SubsetAssignment.SubsetSettings(-1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new SubsetAssignment.SubsetSettings(Double.NaN, 1));
+        assertThrows(IllegalArgumentException.class, () -> new SubsetAssignment.SubsetSettings(1, 0));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new SubsetAssignment(-1, 1, SubsetAssignment.SubsetSettings.ALL, 0));
     }
 }
--- a/src/test/java/maplespread/subset/SubsetGoldenTest.java
+++ b/src/test/java/maplespread/subset/SubsetGoldenTest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import maplespread.GoldenOutput;
-import maplespread.decision.Dispatch;
-import maplespread.fair.Shares;
+import maplespread.policy.Dispatch;
+import maplespread.quota.TenantQuota;
 import org.junit.jupiter.api.Test;
 
 /** Which dispatcher uses which workers, and what requests count for: all dispatchers must compute it alike. */
@@ -27,22 +27,24 @@
     void subsets() throws Exception {
         for (double width : new double[] {1, 2.5, 7, 12}) {
             for (int index : new int[] {0, 1, 5}) {
-                line(index, width, Aperture.of(index, 6, width, workers(9), 42));
+                line(index, width, DeterministicAperture.of(index, 6, width, workers(9), 42));
             }
         }
-        line(List.of(Aperture.ordered(workers(12), 7)));
-        line(Cover.spread(Cover.loads(30, 8, workers(40), 3)));
-        line(Cover.moved(30, workers(40), 31, workers(40), 8, 3), Cover.moved(30, workers(40), 30, workers(41), 8, 3));
+        line(List.of(DeterministicAperture.ordered(workers(12), 7)));
+        line(CoverageStatistics.spread(CoverageStatistics.loads(30, 8, workers(40), 3)));
+        line(
+                CoverageStatistics.moved(30, workers(40), 31, workers(40), 8, 3),
+                CoverageStatistics.moved(30, workers(40), 30, workers(41), 8, 3));
         for (int index : new int[] {0, 3, 11}) {
-            Cut cut = new Cut(index, 12, new Cut.Wish(4, 3), 42);
+            SubsetAssignment cut = new SubsetAssignment(index, 12, new SubsetAssignment.SubsetSettings(4, 3), 42);
             for (int i = 0; i < 30; i++) {
                 cut.put("w-" + i, i % 7 == 0 ? 2 : i % 2);
             }
-            line(index, cut.width(), cut.workers(), cut.sharers());
+            line(index, cut.width(), cut.workers(), cut.maxDispatchersPerWorker());
             cut.remove("w-4");
             cut.put("w-5", 0);
-            cut.fleet(20, new Cut.Wish(2.5, 6));
-            line(index, cut.width(), cut.workers(), cut.sharers());
+            cut.resize(20, new SubsetAssignment.SubsetSettings(2.5, 6));
+            line(index, cut.width(), cut.workers(), cut.maxDispatchersPerWorker());
         }
         GoldenOutput.assertMatches("subset/subsets.txt", seen.toString());
     }
@@ -53,20 +55,20 @@
         for (double allowance : new double[] {40, 10, 0, 100}) {
             tenants.add(new Dispatch.Tenant(allowance));
         }
-        Shares shares = new Shares(tenants);
+        TenantQuota shares = new TenantQuota(tenants);
         java.util.SplittableRandom random = new java.util.SplittableRandom(9);
         double now = 5;
         for (int id = 0; id < 700; id++) {
             now += random.nextInt(6);
             int tenant = Math.max(-1, random.nextInt(9) - 4);
-            double weight = shares.of(now, id, tenant, random.nextInt(5) != 0, 3);
+            double weight = shares.weight(now, id, tenant, random.nextInt(5) != 0, 3);
             if (weight != 1) {
                 line(id, tenant, weight);
             }
             if (random.nextInt(3) == 0) {
-                shares.left(id);
+                shares.clientLeft(id);
             } else {
-                shares.ended(id, random.nextInt(50) == 0);
+                shares.requestCompleted(id, random.nextInt(50) == 0);
             }
         }
         GoldenOutput.assertMatches("subset/shares.txt", seen.toString());
--- a/src/test/java/maplespread/upgrade/UpgradeGoldenTest.java
+++ b/src/test/java/maplespread/upgrade/InstanceRecordGoldenTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What another version's process reads: the files' names and their text. */
-class UpgradeGoldenTest {
+class InstanceRecordGoldenTest {
     private static final List<String> TEXTS = List.of(
             "maplespread-1 127.0.0.1:7070 STARTING 97b7a0bc\n",
             "maplespread-1 127.0.0.1:7070 SERVING 28d8f111\n",
@@ -21,19 +21,19 @@
 
     @Test
     void theRecordOfEachPhaseIsWrittenAndReadTheSame() {
-        for (Note.State phase : Note.State.values()) {
-            Note note = new Note("127.0.0.1:7070", phase);
-            assertEquals(TEXTS.get(phase.ordinal()), note.text());
-            assertEquals(Optional.of(note), Note.read(TEXTS.get(phase.ordinal())));
+        for (InstanceRecord.Phase phase : InstanceRecord.Phase.values()) {
+            InstanceRecord note = new InstanceRecord("127.0.0.1:7070", phase);
+            assertEquals(TEXTS.get(phase.ordinal()), note.encode());
+            assertEquals(Optional.of(note), InstanceRecord.parse(TEXTS.get(phase.ordinal())));
         }
-        assertEquals(TEXTS.size(), Note.State.values().length);
+        assertEquals(TEXTS.size(), InstanceRecord.Phase.values().length);
     }
 
     @Test
     void theFilesHaveTheSameNames(@TempDir Path dir) throws Exception {
         TreeMap<String, String> files = new TreeMap<>();
-        try (Presence one = Presence.join(dir, "127.0.0.1:7070").orElseThrow()) {
-            one.say(Note.State.SERVING);
+        try (InstanceLock one = InstanceLock.acquire(dir, "127.0.0.1:7070").orElseThrow()) {
+            one.publish(InstanceRecord.Phase.SERVING);
             try (Stream<Path> all = Files.list(dir)) {
                 for (Path file : (Iterable<Path>) all::iterator) {
                     files.put(file.getFileName().toString(), Files.readString(file));
--- a/src/test/java/maplespread/worker/LinksTest.java
+++ b/src/test/java/maplespread/worker/ConnectionPoolTest.java
@@ -21,11 +21,11 @@
 import org.junit.Test;
 
 /** Connections to sixty workers, with room for fewer idle ones than that beside a full house. */
-public class LinksTest {
+public class ConnectionPoolTest {
     private static final int WORKERS = 60;
     private final List<ServerSocket> workers = new ArrayList<>();
     private Config config;
-    private Links links;
+    private ConnectionPool links;
 
     @Before
     public void open() throws Exception {
@@ -34,8 +34,8 @@
                         .replace("192", "144")
                         .replace("1024", "384"),
                 Map.of());
-        assertTrue("a fixed pool would not hold them", config.sizes().idleLinks() < WORKERS);
-        links = new Links(() -> config, config::sizes);
+        assertTrue("a fixed pool would not hold them", config.limits().idleWorkerConnections() < WORKERS);
+        links = new ConnectionPool(() -> config, config::limits);
         for (int i = 0; i < WORKERS; i++) {
             workers.add(new ServerSocket(0, 1024, InetAddress.getLoopbackAddress()));
         }
@@ -48,12 +48,12 @@
         }
     }
 
-    private Links.Link get(int worker) throws IOException {
-        return links.get("127.0.0.1:" + workers.get(worker % WORKERS).getLocalPort(), 5000, false);
+    private ConnectionPool.PooledConnection get(int worker) throws IOException {
+        return links.acquire("127.0.0.1:" + workers.get(worker % WORKERS).getLocalPort(), 5000, false);
     }
 
-    private List<Links.Link> get(int from, int to) throws IOException {
-        List<Links.Link> all = new ArrayList<>();
+    private List<ConnectionPool.PooledConnection> get(int from, int to) throws IOException {
+        List<ConnectionPool.PooledConnection> all = new ArrayList<>();
         for (int i = from; i < to; i++) {
             all.add(get(i));
         }
@@ -63,35 +63,36 @@
     /** Thirty-two places for sixty workers made every second job dial, each a handshake at its worker too. */
     @Test
     public void aQuietDispatcherKeepsAConnectionToEachWorker() throws Exception {
-        List<Links.Link> first = get(0, WORKERS);
+        List<ConnectionPool.PooledConnection> first = get(0, WORKERS);
         first.forEach(links::release);
         assertEquals(first, get(0, WORKERS));
     }
 
     @Test
     public void newOnesEndTheLongestIdleAndNoMoreThanFitAreOpen() throws Exception {
-        List<Links.Link> idle = get(0, WORKERS);
+        List<ConnectionPool.PooledConnection> idle = get(0, WORKERS);
         idle.forEach(links::release);
-        List<Links.Link> busy = get(WORKERS, WORKERS + 1); // the first worker's, taken again
+        List<ConnectionPool.PooledConnection> busy = get(WORKERS, WORKERS + 1); // the first worker's, taken again
         assertEquals(idle.get(0), busy.get(0));
-        while (busy.size() < config.sizes().links() - config.sizes().idleLinks()) {
+        while (busy.size()
+                < config.limits().workerConnections() - config.limits().idleWorkerConnections()) {
             busy.add(get(0));
         }
-        Set<Links.Link> open = new HashSet<>(busy);
-        for (int i = 1; i <= config.sizes().idleLinks(); i++) {
-            Links.Link latest = get(WORKERS - i);
+        Set<ConnectionPool.PooledConnection> open = new HashSet<>(busy);
+        for (int i = 1; i <= config.limits().idleWorkerConnections(); i++) {
+            ConnectionPool.PooledConnection latest = get(WORKERS - i);
             assertEquals("the last used are kept", idle.get(WORKERS - i), latest);
             open.add(latest);
         }
-        assertEquals(config.sizes().links(), open.size());
+        assertEquals(config.limits().workerConnections(), open.size());
         assertFalse("the longest idle has ended", idle.contains(get(1)));
     }
 
     @Test
     public void whatIsClosedOrCouldNotBeHadLeavesItsPlace() throws Exception {
         workers.get(1).close();
-        for (int i = 0; i < 3 * config.sizes().links(); i++) {
-            Links.Link link = get(0);
+        for (int i = 0; i < 3 * config.limits().workerConnections(); i++) {
+            ConnectionPool.PooledConnection link = get(0);
             links.close(link);
             links.close(link);
             try {
@@ -101,7 +102,7 @@
             }
             throw new AssertionError("nobody listens there");
         }
-        List<Links.Link> all = get(2, WORKERS);
+        List<ConnectionPool.PooledConnection> all = get(2, WORKERS);
         all.forEach(links::release);
         assertEquals(all, get(2, WORKERS));
     }
