--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -36,7 +36,8 @@
 import maplespread.feature.FeatureContext;
 import maplespread.feature.Features;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.registry.RegistrySettings;
 import maplespread.worker.AttemptRunner;
 import maplespread.worker.ConnectionPool;
@@ -121,12 +122,12 @@
             }
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
                 dispatcher.reportWatchLost(loss, heardAgoMs);
             }
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
                 dispatcher.reportListUnconfirmed(why, heardAgoMs);
             }
         };
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -19,7 +19,7 @@
 import maplespread.http.HttpWriter;
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
-import maplespread.policy.Dispatch;
+import maplespread.policy.RejectionReason;
 import maplespread.worker.AttemptRunner;
 import org.tinylog.Logger;
 
@@ -507,9 +507,9 @@
     }
 
     /** Refusals under load are counted alone; each other reason is worth a line. */
-    private void unserved(ClientRequest job, Dispatch.RejectionReason why) {
+    private void unserved(ClientRequest job, RejectionReason why) {
         service.metrics().unserved(why);
-        if (why != Dispatch.RejectionReason.OVERLOADED) {
+        if (why != RejectionReason.OVERLOADED) {
             UNSERVED.info(() -> Event.of(
                     "request.unserved", "transaction", job.message.id(), "why", why, "list", dispatcher.listState()));
         }
--- a/src/main/java/maplespread/caller/ClientRequest.java
+++ b/src/main/java/maplespread/caller/ClientRequest.java
@@ -9,7 +9,7 @@
 import maplespread.facade.InFlightRequest;
 import maplespread.http.HttpException;
 import maplespread.http.HttpHead;
-import maplespread.policy.Dispatch;
+import maplespread.policy.Idempotency;
 import maplespread.worker.WorkerRequest;
 
 /** Checks a client's job and reads what decisions need of it. Nothing that fails here reaches a worker. */
@@ -107,7 +107,7 @@
         // A keyed class is safe to send again only because its workers drop a repeat of the key: a worker
         // that never sees the key runs the job twice, and one that sees another key takes it for another job.
         String key = one(head, "Idempotency-Key");
-        boolean keyed = config.settings().classes().get(cls).idempotency() == Dispatch.Idempotency.IDEMPOTENCY_KEY;
+        boolean keyed = config.settings().classes().get(cls).idempotency() == Idempotency.IDEMPOTENCY_KEY;
         if (keyed && (key == null || key.isEmpty())) {
             throw new HttpException(400, "Idempotency-Key is missing");
         }
--- a/src/main/java/maplespread/cli/RegistryCommands.java
+++ b/src/main/java/maplespread/cli/RegistryCommands.java
@@ -13,7 +13,8 @@
 import maplespread.discovery.EndpointParser;
 import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
 import maplespread.registry.client.RegistryAdmin;
@@ -105,10 +106,10 @@
                         }
 
                         @Override
-                        public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+                        public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
                         @Override
-                        public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+                        public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
                     });
         }
     }
--- a/src/main/java/maplespread/config/Config.java
+++ b/src/main/java/maplespread/config/Config.java
@@ -9,7 +9,8 @@
 import java.util.Set;
 import maplespread.discovery.WatchTimeouts;
 import maplespread.facade.EndpointUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RequestClass;
 
 /**
  * All that a dispatcher is told, read and checked by {@link ConfigReader}. {@code console}: where the
@@ -23,7 +24,7 @@
         Path tmp,
         InetSocketAddress discovery,
         long seed,
-        Dispatch.PolicySettings settings,
+        PolicySettings settings,
         Names names,
         Limits limits,
         Times times,
@@ -44,7 +45,7 @@
         }
         List<String> places = new ArrayList<>(running.names.classes);
         names.classes.stream().filter(c -> !places.contains(c)).forEach(places::add);
-        List<Dispatch.RequestClass> specs = new ArrayList<>();
+        List<RequestClass> specs = new ArrayList<>();
         Set<String> out = new LinkedHashSet<>();
         for (String cls : places) {
             int at = names.classes.indexOf(cls);
--- a/src/main/java/maplespread/config/ConfigReader.java
+++ b/src/main/java/maplespread/config/ConfigReader.java
@@ -18,7 +18,8 @@
 import maplespread.discovery.EndpointParser;
 import maplespread.discovery.WatchTimeouts;
 import maplespread.facade.EndpointUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RequestClass;
 
 /** The one place where the configuration is read, checked and given defaults. */
 public final class ConfigReader {
@@ -83,7 +84,7 @@
                 strings(set, "areas"),
                 strings(set, "models"),
                 Set.of());
-        Dispatch.PolicySettings settings = settings();
+        PolicySettings settings = settings();
         JsonObject limits = root.has("limits") ? object(root, "limits") : new JsonObject();
         int sockets = (int) number(limits, "limits.", "sockets", 1024);
         double memoryMb = number(limits, "limits.", "memory_mb", 192);
@@ -153,9 +154,9 @@
                 Math.min(32, sockets / 24));
     }
 
-    private static Config.Times times(Dispatch.PolicySettings set) {
+    private static Config.Times times(PolicySettings set) {
         double longest = set.classes().stream()
-                .mapToDouble(Dispatch.RequestClass::deadlineMs)
+                .mapToDouble(RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
         double idle =
@@ -263,7 +264,7 @@
         }
     }
 
-    private Dispatch.PolicySettings settings() throws ConfigException {
+    private PolicySettings settings() throws ConfigException {
         // Real clients may always be told when to come back.
         flat.put("permissions.retryAfter", "true");
         try {
--- a/src/main/java/maplespread/config/SettingsPathReader.java
+++ b/src/main/java/maplespread/config/SettingsPathReader.java
@@ -3,7 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import maplespread.policy.Dispatch;
+import maplespread.policy.DeduplicationScope;
+import maplespread.policy.Idempotency;
+import maplespread.policy.PlatformRules;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RequestClass;
+import maplespread.policy.SitePermissions;
+import maplespread.policy.Tenant;
 
 /** Reads the settings' flat paths; what is absent gets a neutral value. */
 public final class SettingsPathReader {
@@ -13,22 +19,22 @@
         this.f = f;
     }
 
-    public static Dispatch.PolicySettings read(Map<String, String> facts) {
+    public static PolicySettings read(Map<String, String> facts) {
         return new SettingsPathReader(facts).settings();
     }
 
-    private Dispatch.PolicySettings settings() {
-        List<Dispatch.RequestClass> classes = new ArrayList<>();
+    private PolicySettings settings() {
+        List<RequestClass> classes = new ArrayList<>();
         int count = (int) num("classes.count", 0);
         for (int i = 0; i < count; i++) {
             classes.add(clazz(i));
         }
-        List<Dispatch.Tenant> tenants = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < (int) num("customers.count", 0); i++) {
-            tenants.add(new Dispatch.Tenant(num("customers." + i + ".allowancePerS", 0)));
+            tenants.add(new Tenant(num("customers." + i + ".allowancePerS", 0)));
         }
         boolean pause = is("permissions.retryAfter");
-        var allow = new Dispatch.SitePermissions(
+        var allow = new SitePermissions(
                 is("permissions.cancel"),
                 is("permissions.probing"),
                 is("permissions.secondCopies"),
@@ -36,7 +42,7 @@
                 num("permissions.dialTimeoutMs", 250),
                 pause ? num("permissions.maxRetryAfterMs", 0) : 0,
                 num("permissions.connIdleMs", 0));
-        var rules = new Dispatch.PlatformRules(
+        var rules = new PlatformRules(
                 num("rules.drainGraceMs", 0),
                 num("rules.askWithinMs", 10000),
                 num("rules.coldFrom", 0.1),
@@ -44,7 +50,7 @@
                 num("rules.fallMultiple", 1),
                 num("rules.fallMs", 1000),
                 num("rules.answerSlackMs", 0));
-        return new Dispatch.PolicySettings(
+        return new PolicySettings(
                 (int) num("balancers", 1),
                 (int) num("index", 0),
                 (int) num("zone", 0),
@@ -62,22 +68,22 @@
                 rules);
     }
 
-    private Dispatch.RequestClass clazz(int i) {
+    private RequestClass clazz(int i) {
         String p = "classes." + i + ".";
         double stretch = num(p + "aimStretch", element("domain.classStretch", i, 0));
-        Dispatch.Idempotency effect =
+        Idempotency effect =
                 switch (text(p + "effect", "non_idempotent")) {
-                    case "read_like" -> Dispatch.Idempotency.READ_LIKE;
-                    case "idempotency_key" -> Dispatch.Idempotency.IDEMPOTENCY_KEY;
-                    default -> Dispatch.Idempotency.NON_IDEMPOTENT;
+                    case "read_like" -> Idempotency.READ_LIKE;
+                    case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
+                    default -> Idempotency.NON_IDEMPOTENT;
                 };
-        Dispatch.DeduplicationScope group =
+        DeduplicationScope group =
                 switch (text(p + "dedupScope", "cell")) {
-                    case "all" -> Dispatch.DeduplicationScope.ALL;
-                    case "zone" -> Dispatch.DeduplicationScope.ZONE;
-                    default -> Dispatch.DeduplicationScope.CELL;
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    default -> DeduplicationScope.CELL;
                 };
-        return new Dispatch.RequestClass(
+        return new RequestClass(
                 num(p + "aimMs", 1000),
                 stretch,
                 num(p + "deadlineMs", 10000),
--- a/src/main/java/maplespread/discovery/DiscoveryClient.java
+++ b/src/main/java/maplespread/discovery/DiscoveryClient.java
@@ -13,8 +13,8 @@
 import maplespread.http.LineSplitter;
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
-import maplespread.policy.Dispatch.EndpointListDoubt;
-import maplespread.policy.Dispatch.EndpointWatchFailure;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import org.tinylog.Logger;
 
 /**
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -4,7 +4,8 @@
 import java.util.function.Function;
 import maplespread.facade.EndpointUpdate;
 import maplespread.log.Event;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 
 /**
  * One source at a time has the word, and another takes over when it has read the whole list: until then the
@@ -34,7 +35,7 @@
             }
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
                 synchronized (EndpointSourceSwitch.this) {
                     if (speaks(made[0])) {
                         to.watchLost(loss, heardAgoMs);
@@ -43,7 +44,7 @@
             }
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
                 synchronized (EndpointSourceSwitch.this) {
                     if (speaks(made[0])) {
                         to.listUnconfirmed(why, heardAgoMs);
--- a/src/main/java/maplespread/discovery/SubsetFilter.java
+++ b/src/main/java/maplespread/discovery/SubsetFilter.java
@@ -9,7 +9,8 @@
 import java.util.function.IntConsumer;
 import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.subset.SubsetAssignment;
 
 /**
@@ -115,12 +116,12 @@
     }
 
     @Override
-    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
         to.watchLost(loss, heardAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
         to.listUnconfirmed(why, heardAgoMs);
     }
 }
--- a/src/main/java/maplespread/facade/DecisionService.java
+++ b/src/main/java/maplespread/facade/DecisionService.java
@@ -12,8 +12,21 @@
 import java.util.function.BooleanSupplier;
 import maplespread.log.Event;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.AttemptOutcome;
 import maplespread.policy.DispatchPolicy;
+import maplespread.policy.EndpointEntry;
+import maplespread.policy.EndpointLifecycle;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointListKind;
+import maplespread.policy.EndpointListState;
+import maplespread.policy.EndpointWatchFailure;
+import maplespread.policy.Idempotency;
+import maplespread.policy.LoadReport;
+import maplespread.policy.PolicyActions;
+import maplespread.policy.PolicyRequest;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RejectionReason;
+import maplespread.policy.RequestClass;
 import maplespread.quota.TenantQuota;
 import org.tinylog.Logger;
 
@@ -32,7 +45,7 @@
     private static final long COUNT_US = 100_000; // the age of what hosts() tells
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition pending = lock.newCondition(); // a chore, or an earlier timer
-    private volatile Dispatch.PolicySettings settings; // for transactions that carry none
+    private volatile PolicySettings settings; // for transactions that carry none
     private final DispatchPolicy policy;
     private TenantQuota shares; // null: all requests count alike
     private volatile double[] setPriorityBoosts = {}; // what a starved tenant's count for more
@@ -47,14 +60,14 @@
     private volatile Metrics.HostCounts hostCounts = new Metrics.HostCounts(0, 0);
     private long countedUs;
     private long listVersion; // of the list, as discovery counts
-    private volatile Dispatch.EndpointListState listState = Dispatch.EndpointListState.UNCONFIRMED;
+    private volatile EndpointListState listState = EndpointListState.UNCONFIRMED;
 
-    public DecisionService(Dispatch.PolicySettings settings, long seed) {
+    public DecisionService(PolicySettings settings, long seed) {
         this(settings, seed, false);
     }
 
     /** {@code fair}: requests beyond their tenant's share count for less while others are turned away. */
-    public DecisionService(Dispatch.PolicySettings settings, long seed, boolean fair) {
+    public DecisionService(PolicySettings settings, long seed, boolean fair) {
         this.settings = settings;
         shares = fair ? new TenantQuota(settings.tenants()) : null;
         policy = new DispatchPolicy(settings, seed, new Actions());
@@ -84,7 +97,7 @@
                                 "request",
                                 () -> policy.requestAccepted(
                                         nowUs(),
-                                        new Dispatch.PolicyRequest(
+                                        new PolicyRequest(
                                                 t.id,
                                                 t.requestClass,
                                                 t.tenant,
@@ -97,20 +110,20 @@
                                                 priorityWeight(t),
                                                 t.eligibleWorkers)))
                         && t.decision == null) {
-                    end(t, new Decision.Failed(Dispatch.RejectionReason.FAULT));
+                    end(t, new Decision.Failed(RejectionReason.FAULT));
                 }
             }
             while (t.decision == null && !t.ended) {
                 long left = t.deadlineUs - nowUs();
                 if (left <= 0) { // guards a request that the module let lie
                     Logger.warn("transaction {} had no word by its deadline", t.id);
-                    end(t, new Decision.Failed(Dispatch.RejectionReason.OUT_OF_TIME));
+                    end(t, new Decision.Failed(RejectionReason.OUT_OF_TIME));
                     guarded("gone", () -> policy.requestAbandoned(nowUs(), t.id));
                 } else {
                     t.decisionAvailable.await(left, TimeUnit.MICROSECONDS);
                 }
             }
-            Decision word = t.decision == null ? new Decision.Failed(Dispatch.RejectionReason.FAULT) : t.decision;
+            Decision word = t.decision == null ? new Decision.Failed(RejectionReason.FAULT) : t.decision;
             t.decision = null;
             return word;
         } finally {
@@ -150,7 +163,7 @@
                                     ended,
                                     load(load)))
                     && t.decision == null) {
-                end(t, new Decision.Failed(Dispatch.RejectionReason.FAULT));
+                end(t, new Decision.Failed(RejectionReason.FAULT));
             }
             forget(t);
         });
@@ -169,22 +182,21 @@
             if (whole) {
                 endpoints.clear(); // who is absent from the whole is gone
             }
-            List<Dispatch.EndpointEntry> entries =
-                    new ArrayList<>(news.endpoints().size());
+            List<EndpointEntry> entries = new ArrayList<>(news.endpoints().size());
             for (Endpoint r : news.endpoints()) {
                 if (r.state() == Endpoint.State.DELETED) {
                     endpoints.remove(r.worker());
                 } else {
                     endpoints.put(r.worker(), r);
                 }
-                entries.add(new Dispatch.EndpointEntry(
+                entries.add(new EndpointEntry(
                         r.worker(), health(r.state()), r.weight(), r.kind(), r.cell(), r.zone(), r.startedAtMs()));
             }
-            Dispatch.EndpointListKind kind =
+            EndpointListKind kind =
                     switch (news.kind()) {
-                        case DELTA -> Dispatch.EndpointListKind.DELTA;
-                        case FULL_SNAPSHOT -> Dispatch.EndpointListKind.FULL_SNAPSHOT;
-                        case CACHED_SNAPSHOT -> Dispatch.EndpointListKind.CACHED_SNAPSHOT;
+                        case DELTA -> EndpointListKind.DELTA;
+                        case FULL_SNAPSHOT -> EndpointListKind.FULL_SNAPSHOT;
+                        case CACHED_SNAPSHOT -> EndpointListKind.CACHED_SNAPSHOT;
                     };
             guarded("list", () -> policy.endpointListReceived(nowUs(), kind, news.version(), entries));
             listVersion = news.version();
@@ -195,7 +207,7 @@
     }
 
     /** Other settings for transactions to come; their classes stand where they stood. */
-    public void report(Dispatch.PolicySettings next) {
+    public void report(PolicySettings next) {
         locked(() -> {
             if (guarded("settings", () -> policy.settingsChanged(nowUs(), next))) {
                 if (shares != null && !next.tenants().equals(settings.tenants())) {
@@ -212,17 +224,17 @@
     }
 
     /** A watch could not be had or broke; {@code heardAgoMs}: since its last line, or since the call. */
-    public void reportWatchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+    public void reportWatchLost(EndpointWatchFailure loss, double heardAgoMs) {
         locked(() -> guarded("listFailed", () -> policy.endpointWatchFailed(nowUs(), loss, heardAgoMs)));
     }
 
     /** What discovery has may differ from the list, heard of last so long ago, until it is confirmed anew. */
-    public void reportListUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+    public void reportListUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
         locked(() -> guarded("listUnconfirmed", () -> policy.endpointListUnconfirmed(nowUs(), why, heardAgoMs)));
     }
 
     /** How far the list can be relied on, as of the module's last look; waits for nobody. */
-    public Dispatch.EndpointListState listState() {
+    public EndpointListState listState() {
         return listState;
     }
 
@@ -305,10 +317,10 @@
 
     /** Whether it would be harmless to run the branch's job twice. */
     public boolean isIdempotent(Attempt b) {
-        return spec(b.request()).idempotency() == Dispatch.Idempotency.READ_LIKE;
+        return spec(b.request()).idempotency() == Idempotency.READ_LIKE;
     }
 
-    private Dispatch.RequestClass spec(InFlightRequest t) {
+    private RequestClass spec(InFlightRequest t) {
         return (t.acceptedSettings == null ? settings : t.acceptedSettings)
                 .classes()
                 .get(t.requestClass);
@@ -363,7 +375,7 @@
         }
         // By the transaction's own settings: the module's count is of those that share this one's workers,
         // while a tenant's traffic is spread over all dispatchers.
-        Dispatch.PolicySettings told = t.acceptedSettings == null ? settings : t.acceptedSettings;
+        PolicySettings told = t.acceptedSettings == null ? settings : t.acceptedSettings;
         double leftMs = (t.deadlineUs - nowUs()) / 1000.0;
         return shares.weight(
                 nowUs() / 1000.0, t.id, t.tenant, told.isFirstAttempt(t.requestClass, leftMs), told.dispatcherCount());
@@ -409,32 +421,32 @@
         }
     }
 
-    private static Dispatch.AttemptOutcome verdict(Outcome outcome) {
+    private static AttemptOutcome verdict(Outcome outcome) {
         return switch (outcome) {
-            case SERVED -> Dispatch.AttemptOutcome.SERVED;
-            case ERROR -> Dispatch.AttemptOutcome.ERROR;
-            case REJECTED -> Dispatch.AttemptOutcome.REJECTED;
-            case TIMED_OUT -> Dispatch.AttemptOutcome.TIMED_OUT;
-            case CONNECT_FAILED -> Dispatch.AttemptOutcome.CONNECT_FAILED;
-            case RESET -> Dispatch.AttemptOutcome.RESET;
-            case CANCELLED -> Dispatch.AttemptOutcome.CANCELLED;
-            case NEVER_SENT -> Dispatch.AttemptOutcome.NEVER_SENT;
-            case STALE_CONNECTION_RESET -> Dispatch.AttemptOutcome.STALE_CONNECTION_RESET;
+            case SERVED -> AttemptOutcome.SERVED;
+            case ERROR -> AttemptOutcome.ERROR;
+            case REJECTED -> AttemptOutcome.REJECTED;
+            case TIMED_OUT -> AttemptOutcome.TIMED_OUT;
+            case CONNECT_FAILED -> AttemptOutcome.CONNECT_FAILED;
+            case RESET -> AttemptOutcome.RESET;
+            case CANCELLED -> AttemptOutcome.CANCELLED;
+            case NEVER_SENT -> AttemptOutcome.NEVER_SENT;
+            case STALE_CONNECTION_RESET -> AttemptOutcome.STALE_CONNECTION_RESET;
         };
     }
 
-    private static Dispatch.EndpointLifecycle health(Endpoint.State state) {
+    private static EndpointLifecycle health(Endpoint.State state) {
         return switch (state) {
-            case SERVING -> Dispatch.EndpointLifecycle.ACTIVE;
-            case DRAINING -> Dispatch.EndpointLifecycle.DRAINING;
-            case DELETED -> Dispatch.EndpointLifecycle.REMOVED;
+            case SERVING -> EndpointLifecycle.ACTIVE;
+            case DRAINING -> EndpointLifecycle.DRAINING;
+            case DELETED -> EndpointLifecycle.REMOVED;
         };
     }
 
-    private static Dispatch.LoadReport load(WorkerLoad load) {
+    private static LoadReport load(WorkerLoad load) {
         return load == null
                 ? null
-                : new Dispatch.LoadReport(
+                : new LoadReport(
                         load.figure("active"),
                         load.figure("waiting"),
                         load.figure("cpu"),
@@ -444,7 +456,7 @@
     }
 
     /** What the module wants done; called back by it under the lock. */
-    private final class Actions implements Dispatch.PolicyActions {
+    private final class Actions implements PolicyActions {
         @Override
         public void sendAttempt(long id, String worker) {
             InFlightRequest t = inFlight.get(id);
@@ -457,12 +469,12 @@
         }
 
         @Override
-        public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
+        public void reject(long id, double pauseMs, RejectionReason why) {
             end(inFlight.get(id), new Decision.Rejected(pauseMs, why));
         }
 
         @Override
-        public void fail(long id, Dispatch.RejectionReason why) {
+        public void fail(long id, RejectionReason why) {
             end(inFlight.get(id), new Decision.Failed(why));
         }
 
@@ -492,7 +504,7 @@
         }
 
         @Override
-        public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {
+        public void listStateChanged(EndpointListState from, EndpointListState to, double ageMs) {
             listState = to;
             Event.of(
                             "list.state",
--- a/src/main/java/maplespread/facade/InFlightRequest.java
+++ b/src/main/java/maplespread/facade/InFlightRequest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.locks.Condition;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
 
 /**
  * One request of a client, as far as decisions go; it knows no protocol. The network code makes it and asks
@@ -19,7 +19,7 @@
     final double slots;
     final double memory;
     final String key;
-    final Dispatch.PolicySettings acceptedSettings; // whose rules hold; null: the present ones
+    final PolicySettings acceptedSettings; // whose rules hold; null: the present ones
     final List<Attempt> attempts = new ArrayList<>(2);
     Predicate<String> eligibleWorkers; // workers that it may go to; null: any
     BooleanSupplier sendPermitted; // it may be sent now; null: always
@@ -49,7 +49,7 @@
             double slots,
             double memory,
             String key,
-            Dispatch.PolicySettings under) {
+            PolicySettings under) {
         this.acceptedSettings = under;
         this.requestClass = cls;
         this.tenant = tenant;
--- a/src/main/java/maplespread/feature/Feature.java
+++ b/src/main/java/maplespread/feature/Feature.java
@@ -12,7 +12,7 @@
 import maplespread.discovery.EndpointListener;
 import maplespread.facade.RequestListener;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
 
 /** One optional part of a dispatcher. Each of its words is asked in the order in which the parts stand. */
 public interface Feature extends Closeable {
@@ -31,7 +31,7 @@
     }
 
     /** The settings as the module is to have them. */
-    default Dispatch.PolicySettings adjustSettings(Dispatch.PolicySettings told) {
+    default PolicySettings adjustSettings(PolicySettings told) {
         return told;
     }
 
--- a/src/main/java/maplespread/feature/Features.java
+++ b/src/main/java/maplespread/feature/Features.java
@@ -15,7 +15,7 @@
 import maplespread.discovery.EndpointListener;
 import maplespread.facade.RequestListener;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
 import org.tinylog.Logger;
 
 /** The parts that are on, in order; a new part is named here and nowhere else. */
@@ -89,8 +89,8 @@
         return sink;
     }
 
-    public Dispatch.PolicySettings adjustSettings(Dispatch.PolicySettings told) {
-        Dispatch.PolicySettings settings = told;
+    public PolicySettings adjustSettings(PolicySettings told) {
+        PolicySettings settings = told;
         for (Feature part : all) {
             settings = part.adjustSettings(settings);
         }
--- a/src/main/java/maplespread/feature/StarvationFeature.java
+++ b/src/main/java/maplespread/feature/StarvationFeature.java
@@ -14,7 +14,8 @@
 import maplespread.facade.RequestListener;
 import maplespread.log.Event;
 import maplespread.membership.MemberUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.starvation.client.StarvationMonitor;
 
 /** Tells which tenant is starved: a round each window, with the others' windows where there is a group. */
@@ -61,12 +62,12 @@
             }
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
                 next.watchLost(loss, heardAgoMs);
             }
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
                 next.listUnconfirmed(why, heardAgoMs);
             }
         };
--- a/src/main/java/maplespread/feature/SubsetFeature.java
+++ b/src/main/java/maplespread/feature/SubsetFeature.java
@@ -6,7 +6,7 @@
 import maplespread.discovery.EndpointListener;
 import maplespread.discovery.SubsetFilter;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
 import maplespread.subset.SubsetAssignment;
 import org.tinylog.Logger;
 
@@ -17,7 +17,7 @@
     private SubsetFilter narrowed;
     private volatile int sharers; // of a worker; 0: as the settings say
 
-    SubsetFeature(Dispatch.PolicySettings settings, SubsetAssignment.SubsetSettings wish, FeatureContext host) {
+    SubsetFeature(PolicySettings settings, SubsetAssignment.SubsetSettings wish, FeatureContext host) {
         cut = new SubsetAssignment(settings.dispatcherIndex(), settings.dispatcherCount(), wish, 0);
         among = count -> {
             sharers = count;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Dispatch.PolicySettings adjustSettings(Dispatch.PolicySettings told) {
+    public PolicySettings adjustSettings(PolicySettings told) {
         return sharers > 0 ? told.withDispatcherCount(sharers) : told;
     }
 
--- a/src/main/java/maplespread/feature/UpgradeFeature.java
+++ b/src/main/java/maplespread/feature/UpgradeFeature.java
@@ -1,7 +1,7 @@
 package maplespread.feature;
 
 import maplespread.config.Config;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
 import maplespread.upgrade.InstanceLock;
 import maplespread.upgrade.InstanceRecord;
 import org.tinylog.Logger;
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public Dispatch.PolicySettings adjustSettings(Dispatch.PolicySettings told) {
+    public PolicySettings adjustSettings(PolicySettings told) {
         return shared ? told.sharedByTwoProcesses() : told;
     }
 
--- a/src/main/java/maplespread/lab/RegistryMeasure.java
+++ b/src/main/java/maplespread/lab/RegistryMeasure.java
@@ -32,7 +32,8 @@
 import maplespread.lab.registry.StandInRegistry;
 import maplespread.lab.registry.Store;
 import maplespread.lab.registry.VirtualRegistry;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.registry.EndpointView;
 import maplespread.registry.RegistryListener;
 import maplespread.registry.RegistrySettings;
@@ -147,10 +148,10 @@
         }
 
         @Override
-        public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+        public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
         @Override
-        public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+        public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
 
         synchronized Histogram take() {
             Histogram taken = histogram;
--- a/src/main/java/maplespread/lab/fleet/VirtualFleet.java
+++ b/src/main/java/maplespread/lab/fleet/VirtualFleet.java
@@ -9,9 +9,23 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplespread.policy.Dispatch;
-import maplespread.policy.Dispatch.AttemptOutcome;
+import maplespread.policy.AttemptOutcome;
+import maplespread.policy.DeduplicationScope;
 import maplespread.policy.DispatchPolicy;
+import maplespread.policy.EndpointEntry;
+import maplespread.policy.EndpointLifecycle;
+import maplespread.policy.EndpointListKind;
+import maplespread.policy.EndpointListState;
+import maplespread.policy.Idempotency;
+import maplespread.policy.LoadReport;
+import maplespread.policy.PlatformRules;
+import maplespread.policy.PolicyActions;
+import maplespread.policy.PolicyRequest;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RejectionReason;
+import maplespread.policy.RequestClass;
+import maplespread.policy.SitePermissions;
+import maplespread.policy.Tenant;
 import maplespread.quota.TenantQuota;
 import maplespread.subset.SubsetAssignment;
 
@@ -242,7 +256,7 @@
         return Math.round(now * 1000);
     }
 
-    private final class Node implements Dispatch.PolicyActions {
+    private final class Node implements PolicyActions {
         final int index;
         final int zone;
         final double weight;
@@ -264,11 +278,11 @@
             cut = new SubsetAssignment(index, told, new SubsetAssignment.SubsetSettings(plan.sharers, 20), 7);
             shares = new TenantQuota(settings(1).tenants());
             module = new DispatchPolicy(settings(Math.max(1, told)), plan.seed * 31 + index, this);
-            list(Dispatch.EndpointListKind.CACHED_SNAPSHOT);
+            list(EndpointListKind.CACHED_SNAPSHOT);
         }
 
-        Dispatch.PolicySettings settings(int sharers) {
-            List<Dispatch.Tenant> tenants = new ArrayList<>();
+        PolicySettings settings(int sharers) {
+            List<Tenant> tenants = new ArrayList<>();
             double capacity = workers.stream()
                             .filter(w -> !w.over)
                             .mapToDouble(w -> w.model.capacity(1e12))
@@ -276,9 +290,9 @@
                     * 1000
                     / MEAN;
             for (double share : SHARES) {
-                tenants.add(new Dispatch.Tenant(plan.fair ? share * 0.85 * capacity : 0));
+                tenants.add(new Tenant(plan.fair ? share * 0.85 * capacity : 0));
             }
-            return new Dispatch.PolicySettings(
+            return new PolicySettings(
                     sharers,
                     index,
                     zone,
@@ -290,29 +304,28 @@
                     2,
                     0.1,
                     0.015,
-                    List.of(spec(Dispatch.Idempotency.READ_LIKE, 2), spec(Dispatch.Idempotency.NON_IDEMPOTENT, 2)),
+                    List.of(spec(Idempotency.READ_LIKE, 2), spec(Idempotency.NON_IDEMPOTENT, 2)),
                     tenants,
-                    new Dispatch.SitePermissions(true, true, true, 5, 250, 2000, 30_000),
-                    new Dispatch.PlatformRules(250, 10_000, 0.12, 24_000, FALL, 1000, 8));
+                    new SitePermissions(true, true, true, 5, 250, 2000, 30_000),
+                    new PlatformRules(250, 10_000, 0.12, 24_000, FALL, 1000, 8));
         }
 
         /** Tells the module what of the list is its own to use. */
-        void list(Dispatch.EndpointListKind kind) {
+        void list(EndpointListKind kind) {
             dirty = false;
             cut.clear();
             workers.stream().filter(w -> !w.over).forEach(w -> cut.put(w.id, w.zone));
             Set<String> mine = cut.workers();
             module.settingsChanged(us(), settings(cut.maxDispatchersPerWorker()));
-            List<Dispatch.EndpointEntry> all = new ArrayList<>();
+            List<EndpointEntry> all = new ArrayList<>();
             for (Worker w : workers) {
                 if (!w.over && mine.contains(w.id)) {
                     double since = w.model.startedMs() < 0 ? 0 : w.model.startedMs();
-                    all.add(new Dispatch.EndpointEntry(
-                            w.id, Dispatch.EndpointLifecycle.ACTIVE, 1, 0, 0, w.zone, since));
+                    all.add(new EndpointEntry(w.id, EndpointLifecycle.ACTIVE, 1, 0, 0, w.zone, since));
                 }
             }
             module.endpointListReceived(us(), kind, ++order, all);
-            if (kind != Dispatch.EndpointListKind.CACHED_SNAPSHOT) {
+            if (kind != EndpointListKind.CACHED_SNAPSHOT) {
                 module.endpointListConfirmed(us());
             }
         }
@@ -354,7 +367,7 @@
             }
             module.requestAccepted(
                     us(),
-                    new Dispatch.PolicyRequest(
+                    new PolicyRequest(
                             job.id,
                             unsafe ? 1 : 0,
                             tenant,
@@ -389,12 +402,12 @@
         }
 
         @Override
-        public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
+        public void reject(long id, double pauseMs, RejectionReason why) {
             end(id);
         }
 
         @Override
-        public void fail(long id, Dispatch.RejectionReason why) {
+        public void fail(long id, RejectionReason why) {
             end(id);
         }
 
@@ -434,13 +447,13 @@
                                 to,
                                 AttemptOutcome.SERVED,
                                 2 * way,
-                                new Dispatch.LoadReport(Double.NaN, Double.NaN, util, Double.NaN, free, -1))));
+                                new LoadReport(Double.NaN, Double.NaN, util, Double.NaN, free, -1))));
             });
         }
 
         @Override
         public void watchEndpointList() {
-            after(50, () -> awake(() -> list(Dispatch.EndpointListKind.FULL_SNAPSHOT)));
+            after(50, () -> awake(() -> list(EndpointListKind.FULL_SNAPSHOT)));
         }
 
         @Override
@@ -449,15 +462,14 @@
         }
 
         @Override
-        public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {}
+        public void listStateChanged(EndpointListState from, EndpointListState to, double ageMs) {}
 
         @Override
         public void log(String line) {}
     }
 
-    private static Dispatch.RequestClass spec(Dispatch.Idempotency effect, double worth) {
-        return new Dispatch.RequestClass(
-                AIM, STRETCH, DEADLINE, worth, 0, effect, Dispatch.DeduplicationScope.ALL, 5000, false, -1);
+    private static RequestClass spec(Idempotency effect, double worth) {
+        return new RequestClass(AIM, STRETCH, DEADLINE, worth, 0, effect, DeduplicationScope.ALL, 5000, false, -1);
     }
 
     // ------------------------------------------------------------ the play
@@ -654,9 +666,7 @@
         nodes.forEach(n -> {
             if (!n.dead && !n.dirty) {
                 n.dirty = true;
-                after(
-                        500 + random.nextDouble() * 500,
-                        () -> n.awake(() -> n.list(Dispatch.EndpointListKind.FULL_SNAPSHOT)));
+                after(500 + random.nextDouble() * 500, () -> n.awake(() -> n.list(EndpointListKind.FULL_SNAPSHOT)));
             }
         });
     }
--- a/src/main/java/maplespread/lab/scale/SimulatedMember.java
+++ b/src/main/java/maplespread/lab/scale/SimulatedMember.java
@@ -18,7 +18,8 @@
 import maplespread.feature.FeatureContext;
 import maplespread.feature.Features;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.worker.PeerForwarder;
 
 /** The optional parts of one dispatcher, as {@code serve} puts them together, with no client and no worker. */
@@ -106,10 +107,10 @@
             public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
         });
         calls = parts.adminRoutes(Map.of());
         parts.start();
--- a/src/main/java/maplespread/partition/client/PartitionEndpoints.java
+++ b/src/main/java/maplespread/partition/client/PartitionEndpoints.java
@@ -14,7 +14,8 @@
 import maplespread.facade.EndpointUpdate;
 import maplespread.partition.Partition;
 import maplespread.partition.Partition.Worker;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 
 /** The workers as the list shows them, and which of them are in a partition. */
 public final class PartitionEndpoints implements EndpointListener {
@@ -112,12 +113,12 @@
     }
 
     @Override
-    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
         next.watchLost(loss, heardAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
         next.listUnconfirmed(why, heardAgoMs);
     }
 }
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -12,7 +12,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import maplespread.policy.Dispatch.*;
 import maplespread.policy.StableHash.GrowingArray;
 
 /**
@@ -21,7 +20,7 @@
  * changed. Parts: events, roster, worker, value function, request, placement, upkeep. Times are milliseconds,
  * work is milliseconds on a standard core. Nothing hangs on the order of a hash map.
  */
-public final class DispatchPolicy implements Dispatch.PolicyEvents {
+public final class DispatchPolicy implements PolicyEvents {
     private static final long TICK = 1;
     private static final double TOLD = 6000;             // then a change counts as told, whatever failed
     private static final double ROUND = 5500;            // of a large fleet's calls: within TOLD each comes again
@@ -43,7 +42,7 @@
     private double now = Double.NEGATIVE_INFINITY;
 
     public DispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
-        Dispatch.need(settings != null && actions != null, "settings and actions are needed");
+        Preconditions.require(settings != null && actions != null, "settings and actions are needed");
         this.actions = actions;
         random = new SplittableRandom(seed);
         freshness = new EndpointListFreshness(actions::listStateChanged);
@@ -64,7 +63,7 @@
 
     @Override public void settingsChanged(long nowUs, PolicySettings next) {
         at(nowUs);
-        Dispatch.need(next.classes().size() >= set.classes().size(), "classes keep their places");
+        Preconditions.require(next.classes().size() >= set.classes().size(), "classes keep their places");
         take(next);
         scanAt = Double.NEGATIVE_INFINITY;                       // sums are made anew
     }
@@ -130,7 +129,7 @@
 
     @Override public void requestAccepted(long nowUs, PolicyRequest r) {
         at(nowUs);
-        Dispatch.need(r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
+        Preconditions.require(r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
         if (open.containsKey(r.id())) {
             throw new IllegalStateException("request " + r.id() + " was taken before");
         }
@@ -223,7 +222,7 @@
     }
 
     private void at(long nowUs) {
-        Dispatch.need(nowUs / 1000.0 >= now, "time ran backwards");
+        Preconditions.require(nowUs / 1000.0 >= now, "time ran backwards");
         now = nowUs / 1000.0;
         if (now - tickAt > period) {
             tickAt = stalledAt = now;
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -1,8 +1,5 @@
 package maplespread.policy;
 
-import maplespread.policy.Dispatch.EndpointListState;
-import maplespread.policy.Dispatch.EndpointWatchFailure;
-
 /**
  * How far the server list can be relied on, at any time of the process's life. One place holds the state, what
  * moves it, and whether a request may be sent by the list; docs/list-freshness.md weighs the ways. Times are
--- a/src/main/java/maplespread/quota/TenantQuota.java
+++ b/src/main/java/maplespread/quota/TenantQuota.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import maplespread.policy.Dispatch;
+import maplespread.policy.Tenant;
 
 /**
  * What requests count for under their tenants' shares. Token buckets by tenant are filled at this
@@ -38,9 +38,8 @@
     private double rateAt = Double.NaN;
     private double turnedAway; // of those within, lately
 
-    public TenantQuota(List<Dispatch.Tenant> tenants) {
-        allowances =
-                tenants.stream().mapToDouble(Dispatch.Tenant::quotaPerSecond).toArray();
+    public TenantQuota(List<Tenant> tenants) {
+        allowances = tenants.stream().mapToDouble(Tenant::quotaPerSecond).toArray();
         tokens = new double[allowances.length];
         filled = new double[tokens.length];
         rates = new double[tokens.length];
--- a/src/main/java/maplespread/release/client/FleetObserver.java
+++ b/src/main/java/maplespread/release/client/FleetObserver.java
@@ -12,7 +12,8 @@
 import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
 import maplespread.membership.MemberUpdate;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.release.FleetView;
 import maplespread.release.FleetView.Member;
 import maplespread.release.FleetView.Role;
@@ -48,12 +49,12 @@
     }
 
     @Override
-    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
         next.watchLost(loss, heardAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
         next.listUnconfirmed(why, heardAgoMs);
     }
 
--- a/src/main/java/maplespread/simulator/SimulatorAdapter.java
+++ b/src/main/java/maplespread/simulator/SimulatorAdapter.java
@@ -13,8 +13,17 @@
 import java.util.List;
 import java.util.Map;
 import maplespread.config.SettingsPathReader;
-import maplespread.policy.Dispatch;
+import maplespread.policy.AttemptOutcome;
 import maplespread.policy.DispatchPolicy;
+import maplespread.policy.EndpointEntry;
+import maplespread.policy.EndpointLifecycle;
+import maplespread.policy.EndpointListKind;
+import maplespread.policy.EndpointListState;
+import maplespread.policy.EndpointWatchFailure;
+import maplespread.policy.LoadReport;
+import maplespread.policy.PolicyActions;
+import maplespread.policy.PolicyRequest;
+import maplespread.policy.RejectionReason;
 
 /**
  * Translates the simulator's wire to {@link Dispatch} and back: one {@link DispatchPolicy} per node. It decides
@@ -34,7 +43,7 @@
     private final PrintStream out;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, Node> nodes = new HashMap<>();
-    private final Map<Integer, List<Dispatch.EndpointEntry>> sheets = new HashMap<>();
+    private final Map<Integer, List<EndpointEntry>> sheets = new HashMap<>();
     private long lineNo;
     private String line = "";
     private final int[] ends = new int[512]; // where the parts of the line end
@@ -110,7 +119,7 @@
                 case "arrival" ->
                     logic.requestAccepted(
                             now,
-                            new Dispatch.PolicyRequest(
+                            new PolicyRequest(
                                     id(),
                                     integer("priority"),
                                     (int) opt("tenant", 0),
@@ -150,17 +159,17 @@
     private void directory(long now, DispatchPolicy logic) {
         String scope = text("scope");
         if (scope.equals("X")) {
-            logic.endpointWatchFailed(now, Dispatch.EndpointWatchFailure.ENDED, 0);
+            logic.endpointWatchFailed(now, EndpointWatchFailure.ENDED, 0);
             return;
         }
-        Dispatch.EndpointListKind kind =
+        EndpointListKind kind =
                 switch (scope) {
-                    case "D" -> Dispatch.EndpointListKind.DELTA;
-                    case "F" -> Dispatch.EndpointListKind.FULL_SNAPSHOT;
-                    case "C" -> Dispatch.EndpointListKind.CACHED_SNAPSHOT;
+                    case "D" -> EndpointListKind.DELTA;
+                    case "F" -> EndpointListKind.FULL_SNAPSHOT;
+                    case "C" -> EndpointListKind.CACHED_SNAPSHOT;
                     default -> throw bad("unknown scope " + scope);
                 };
-        List<Dispatch.EndpointEntry> entries = sheets.get(integer("setId"));
+        List<EndpointEntry> entries = sheets.get(integer("setId"));
         if (entries == null) {
             throw bad("no sheet " + text("setId"));
         }
@@ -176,19 +185,19 @@
         if (count < 0) {
             throw bad("items must not be negative");
         }
-        List<Dispatch.EndpointEntry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             if (!next() || !name().equals("row")) {
                 throw bad("expected row " + (i + 1) + " of " + count);
             }
-            Dispatch.EndpointLifecycle health =
+            EndpointLifecycle health =
                     switch (text("health")) {
-                        case "active" -> Dispatch.EndpointLifecycle.ACTIVE;
-                        case "leaving" -> Dispatch.EndpointLifecycle.DRAINING;
-                        case "left" -> Dispatch.EndpointLifecycle.REMOVED;
+                        case "active" -> EndpointLifecycle.ACTIVE;
+                        case "leaving" -> EndpointLifecycle.DRAINING;
+                        case "left" -> EndpointLifecycle.REMOVED;
                         default -> throw bad("unknown health " + text("health"));
                     };
-            entries.add(new Dispatch.EndpointEntry(
+            entries.add(new EndpointEntry(
                     text("executor"),
                     health,
                     opt("rating", 1),
@@ -222,7 +231,7 @@
         nodes.put(number, node);
     }
 
-    private Dispatch.LoadReport report(Node node) {
+    private LoadReport report(Node node) {
         String usage = find("usage");
         if (usage == null || usage.isEmpty()) {
             return null;
@@ -242,11 +251,11 @@
                 default -> {}
             }
         }
-        return new Dispatch.LoadReport(active, waiting, util, service, x0, x1);
+        return new LoadReport(active, waiting, util, service, x0, x1);
     }
 
     /** Writes one node's actions to the reply. */
-    private final class Wire implements Dispatch.PolicyActions {
+    private final class Wire implements PolicyActions {
         private final int node;
 
         Wire(int node) {
@@ -268,7 +277,7 @@
         }
 
         @Override
-        public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
+        public void reject(long id, double pauseMs, RejectionReason why) {
             act("refuse").append(" call=").append(id);
             if (pauseMs > 0) {
                 reply.append(" pauseMs=").append(plain(pauseMs));
@@ -277,7 +286,7 @@
         }
 
         @Override
-        public void fail(long id, Dispatch.RejectionReason why) {
+        public void fail(long id, RejectionReason why) {
             act("report_failure").append(" call=").append(id).append('\n');
         }
 
@@ -312,7 +321,7 @@
         }
 
         @Override
-        public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {}
+        public void listStateChanged(EndpointListState from, EndpointListState to, double ageMs) {}
 
         @Override
         public void log(String text) {
@@ -409,16 +418,16 @@
         return true;
     }
 
-    private Dispatch.AttemptOutcome verdict() {
+    private AttemptOutcome verdict() {
         return switch (integer("verdict")) {
-            case 0 -> Dispatch.AttemptOutcome.SERVED;
-            case 5 -> Dispatch.AttemptOutcome.ERROR;
-            case 11 -> Dispatch.AttemptOutcome.REJECTED;
-            case 110 -> Dispatch.AttemptOutcome.TIMED_OUT;
-            case 111 -> Dispatch.AttemptOutcome.CONNECT_FAILED;
-            case 104 -> Dispatch.AttemptOutcome.RESET;
-            case 125 -> Dispatch.AttemptOutcome.CANCELLED;
-            case 114 -> Dispatch.AttemptOutcome.NEVER_SENT;
+            case 0 -> AttemptOutcome.SERVED;
+            case 5 -> AttemptOutcome.ERROR;
+            case 11 -> AttemptOutcome.REJECTED;
+            case 110 -> AttemptOutcome.TIMED_OUT;
+            case 111 -> AttemptOutcome.CONNECT_FAILED;
+            case 104 -> AttemptOutcome.RESET;
+            case 125 -> AttemptOutcome.CANCELLED;
+            case 114 -> AttemptOutcome.NEVER_SENT;
             default -> throw bad("unknown verdict " + text("verdict"));
         };
     }
--- a/src/main/java/maplespread/starvation/client/StarvationMonitor.java
+++ b/src/main/java/maplespread/starvation/client/StarvationMonitor.java
@@ -14,7 +14,9 @@
 import maplespread.facade.InFlightRequest;
 import maplespread.facade.RequestListener;
 import maplespread.log.Event;
-import maplespread.policy.Dispatch;
+import maplespread.policy.PolicySettings;
+import maplespread.policy.RequestClass;
+import maplespread.policy.Tenant;
 import maplespread.starvation.FleetLayout;
 import maplespread.starvation.FleetWindow;
 import maplespread.starvation.MalformedWindowException;
@@ -76,7 +78,7 @@
 
     /** Other classes, tenants or dispatchers: begins anew, as a later run. */
     public synchronized void configure(Config next) {
-        Dispatch.PolicySettings s = next.settings();
+        PolicySettings s = next.settings();
         if (configure != null
                 && next.names().equals(configure.names())
                 && s.classes().equals(configure.settings().classes())
@@ -108,14 +110,10 @@
     }
 
     private static FleetLayout site(Config c) {
-        Dispatch.PolicySettings s = c.settings();
+        PolicySettings s = c.settings();
         return new FleetLayout(
-                s.classes().stream()
-                        .mapToDouble(Dispatch.RequestClass::deadlineMs)
-                        .toArray(),
-                s.tenants().stream()
-                        .mapToDouble(Dispatch.Tenant::quotaPerSecond)
-                        .toArray(),
+                s.classes().stream().mapToDouble(RequestClass::deadlineMs).toArray(),
+                s.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray(),
                 s.dispatcherCount(),
                 Math.max(1, c.names().kinds().size()));
     }
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -20,7 +20,7 @@
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
 import maplespread.metrics.Metrics;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListState;
 
 /** Runs branches: one request to one worker each, sent once and never again by itself. */
 public final class AttemptRunner {
@@ -173,8 +173,8 @@
         try {
             link.connection.send(request.body(message.body()));
             figures.attempt();
-            Dispatch.EndpointListState list = dispatcher.listState();
-            if (list != Dispatch.EndpointListState.CONFIRMED) {
+            EndpointListState list = dispatcher.listState();
+            if (list != EndpointListState.CONFIRMED) {
                 unconfirmed.info(() -> Event.of(
                         "attempt.sent_by_unconfirmed_list",
                         "transaction",
--- a/src/test/java/maplespread/config/ConfigReaderTest.java
+++ b/src/test/java/maplespread/config/ConfigReaderTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.policy.Dispatch;
+import maplespread.policy.Idempotency;
 import org.junit.Test;
 
 /** The example's configuration is the pattern; each story spoils one key of it. */
@@ -27,9 +27,7 @@
         assertEquals("other", c.name());
         assertEquals(7070, c.listen().getPort());
         assertEquals(0x2a, c.seed());
-        assertEquals(
-                Dispatch.Idempotency.NON_IDEMPOTENT,
-                c.settings().classes().get(1).idempotency());
+        assertEquals(Idempotency.NON_IDEMPOTENT, c.settings().classes().get(1).idempotency());
         assertEquals(2.5, c.settings().classes().get(1).stretchFactor(), 0);
         assertEquals(
                 "clients are told when to come back",
--- a/src/test/java/maplespread/discovery/SubsetFilterTest.java
+++ b/src/test/java/maplespread/discovery/SubsetFilterTest.java
@@ -15,7 +15,8 @@
 import maplespread.facade.Endpoint.State;
 import maplespread.facade.EndpointUpdate;
 import maplespread.facade.EndpointUpdate.Kind;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.subset.SubsetAssignment;
 import org.junit.jupiter.api.Test;
 
@@ -45,10 +46,10 @@
                 }
 
                 @Override
-                public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+                public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
 
                 @Override
-                public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+                public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
                     lost++;
                 }
             });
@@ -128,7 +129,7 @@
         assertEquals(60, view.size());
         assertFalse(last.confirmed(), "another subset is no word of discovery");
         assertEquals(10, sharers);
-        stage.watchLost(Dispatch.EndpointWatchFailure.ENDED, 0);
+        stage.watchLost(EndpointWatchFailure.ENDED, 0);
         assertEquals(1, lost);
     }
 }
--- a/src/test/java/maplespread/facade/DecisionServiceTest.java
+++ b/src/test/java/maplespread/facade/DecisionServiceTest.java
@@ -11,7 +11,9 @@
 import java.util.Map;
 import maplespread.config.Config;
 import maplespread.config.ConfigReader;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointListState;
+import maplespread.policy.RejectionReason;
 import org.junit.Test;
 
 /** The facade alone, with no socket: what it guards between the network code and the module. */
@@ -116,28 +118,27 @@
     public void aListThatWentStaleAfterThePickForbidsTheSend() throws Exception {
         DecisionService d = dispatcher("a", "bb");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.SILENT, 3000);
+        d.reportListUnconfirmed(EndpointListDoubt.SILENT, 3000);
         assertEquals(SendCheck.ALLOWED, d.checkSend(b));
         d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
-        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.SILENT, 6000);
+        d.reportListUnconfirmed(EndpointListDoubt.SILENT, 6000);
         assertEquals(SendCheck.LIST_NOT_CONFIRMED, d.checkSend(b));
         d.report(b, Outcome.NEVER_SENT, null);
         Decision decision = decidedWithTimers(d, b.request());
         assertTrue(
                 decision.toString(),
-                decision instanceof Decision.Rejected busy
-                        && busy.reason() == Dispatch.RejectionReason.LIST_NOT_CONFIRMED);
+                decision instanceof Decision.Rejected busy && busy.reason() == RejectionReason.LIST_NOT_CONFIRMED);
     }
 
     /** Guards the order of sources: what the address left behind says does not vouch for the one that counts now. */
     @Test
     public void newsOfASourceLeftBehindConfirmsNothing() throws Exception {
         DecisionService d = dispatcher("a");
-        d.reportListUnconfirmed(Dispatch.EndpointListDoubt.MOVED, 0);
+        d.reportListUnconfirmed(EndpointListDoubt.MOVED, 0);
         d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
-        assertEquals(Dispatch.EndpointListState.RENEWING, d.listState());
+        assertEquals(EndpointListState.RENEWING, d.listState());
         d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
-        assertEquals(Dispatch.EndpointListState.CONFIRMED, d.listState());
+        assertEquals(EndpointListState.CONFIRMED, d.listState());
     }
 
     /** Guards the whole list: who is absent from it is gone. */
--- a/src/test/java/maplespread/net/WatchTimeoutsTest.java
+++ b/src/test/java/maplespread/net/WatchTimeoutsTest.java
@@ -22,7 +22,8 @@
 import maplespread.facade.EndpointUpdate;
 import maplespread.net.Loopback.Call;
 import maplespread.net.Loopback.Peer;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import org.junit.jupiter.api.Test;
 
 /** One clock for discovery's list: silence is a break, and what the agent holds counts at once. */
@@ -30,8 +31,8 @@
     private static final Loopback.Script MUTE = call -> {};
     private final List<EndpointUpdate> news = new CopyOnWriteArrayList<>();
     private final AtomicInteger lost = new AtomicInteger();
-    private final List<Dispatch.EndpointWatchFailure> losses = new CopyOnWriteArrayList<>();
-    private final List<Dispatch.EndpointListDoubt> doubts = new CopyOnWriteArrayList<>();
+    private final List<EndpointWatchFailure> losses = new CopyOnWriteArrayList<>();
+    private final List<EndpointListDoubt> doubts = new CopyOnWriteArrayList<>();
 
     private DiscoveryClient routes(Peer discovery, boolean pushed) {
         return new DiscoveryClient(
@@ -48,12 +49,12 @@
                     }
 
                     @Override
-                    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {
+                    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
                         doubts.add(why);
                     }
 
                     @Override
-                    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {
+                    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
                         lost.incrementAndGet();
                         losses.add(loss);
                     }
@@ -158,24 +159,22 @@
             call.open();
             call.line(list(2, false, "SERVING"));
         };
-        Map<Loopback.Script, Dispatch.EndpointWatchFailure> ends = new LinkedHashMap<>();
+        Map<Loopback.Script, EndpointWatchFailure> ends = new LinkedHashMap<>();
         ends.put(
                 call -> {
                     speaks.answer(call);
                     call.link.close();
                 },
-                Dispatch.EndpointWatchFailure.ENDED);
-        ends.put(call -> call.link.close(), Dispatch.EndpointWatchFailure.NO_ANSWER);
-        ends.put(
-                call -> call.raw("HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"),
-                Dispatch.EndpointWatchFailure.NO_ANSWER);
+                EndpointWatchFailure.ENDED);
+        ends.put(call -> call.link.close(), EndpointWatchFailure.NO_ANSWER);
+        ends.put(call -> call.raw("HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"), EndpointWatchFailure.NO_ANSWER);
         ends.put(
                 call -> {
                     speaks.answer(call);
                     call.line("no JSON"); // discovery is there, and what it says cannot be read
                 },
-                Dispatch.EndpointWatchFailure.NO_ANSWER);
-        for (Map.Entry<Loopback.Script, Dispatch.EndpointWatchFailure> end : ends.entrySet()) {
+                EndpointWatchFailure.NO_ANSWER);
+        for (Map.Entry<Loopback.Script, EndpointWatchFailure> end : ends.entrySet()) {
             losses.clear();
             try (Peer discovery = new Peer(end.getKey());
                     DiscoveryClient routes = routes(discovery, false)) {
@@ -192,7 +191,7 @@
             routes.start();
             routes.watch();
             until("the refusal", () -> !losses.isEmpty());
-            assertEquals(Dispatch.EndpointWatchFailure.REFUSED, losses.get(0));
+            assertEquals(EndpointWatchFailure.REFUSED, losses.get(0));
         }
     }
 
@@ -212,10 +211,10 @@
                 DiscoveryClient routes = routes(first, false)) {
             routes.start();
             routes.watch();
-            until("the silence is told", () -> doubts.contains(Dispatch.EndpointListDoubt.SILENT));
+            until("the silence is told", () -> doubts.contains(EndpointListDoubt.SILENT));
             until("it is begun anew", () -> watches.size() >= 2);
             routes.moveTo(new InetSocketAddress("127.0.0.1", second.socket.getLocalPort()));
-            until("the move is told", () -> doubts.contains(Dispatch.EndpointListDoubt.MOVED));
+            until("the move is told", () -> doubts.contains(EndpointListDoubt.MOVED));
             first.script = call -> { // silent again and again, it is watched again and again
                 call.open();
                 call.line(list(3, false, "DRAINING"));
--- a/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
@@ -35,7 +35,8 @@
 import maplespread.partition.RoutingTable;
 import maplespread.partition.RoutingTableParser;
 import maplespread.partition.SlotAssignment;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.worker.ConnectionPool;
 import maplespread.worker.PeerForwarder;
 import maplespread.worker.WorkerRequest;
@@ -138,10 +139,10 @@
                     public void endpointsChanged(EndpointUpdate news) {}
 
                     @Override
-                    public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+                    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
                     @Override
-                    public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+                    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
                 },
                 config.names());
         table = RoutingTableParser.parse(
--- a/src/test/java/maplespread/partition/client/PartitionAdminGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/PartitionAdminGoldenTest.java
@@ -26,7 +26,8 @@
 import maplespread.membership.MembershipSettings;
 import maplespread.membership.client.ClusterTransport;
 import maplespread.partition.SlotAssignment;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.worker.ConnectionPool;
 import maplespread.worker.PeerForwarder;
 import org.junit.jupiter.api.Test;
@@ -49,10 +50,10 @@
             public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
         };
         keeper = new PartitionService(
                 set,
--- a/src/test/java/maplespread/policy/DecisionReplayGoldenTest.java
+++ b/src/test/java/maplespread/policy/DecisionReplayGoldenTest.java
@@ -94,11 +94,10 @@
         double coldFrom = 0.2;
         double warmMs = 3000;
 
-        Dispatch.PolicySettings settings() {
-            Dispatch.SitePermissions permissions =
-                    new Dispatch.SitePermissions(cancel, probing, false, tries, 100, maxPauseMs, 3000);
-            Dispatch.PlatformRules rules = new Dispatch.PlatformRules(500, 4000, coldFrom, warmMs, 4, 1500, 8);
-            return new Dispatch.PolicySettings(
+        PolicySettings settings() {
+            SitePermissions permissions = new SitePermissions(cancel, probing, false, tries, 100, maxPauseMs, 3000);
+            PlatformRules rules = new PlatformRules(500, 4000, coldFrom, warmMs, 4, 1500, 8);
+            return new PolicySettings(
                     balancers,
                     index,
                     0,
@@ -111,72 +110,33 @@
                     0.1,
                     crossZone,
                     classes(),
-                    List.of(new Dispatch.Tenant(0), new Dispatch.Tenant(100)),
+                    List.of(new Tenant(0), new Tenant(100)),
                     permissions,
                     rules);
         }
 
-        private static List<Dispatch.RequestClass> classes() {
-            List<Dispatch.RequestClass> classes = new ArrayList<>();
-            classes.add(spec(
-                    200, 2, 1500, 1, 0, Dispatch.Idempotency.READ_LIKE, Dispatch.DeduplicationScope.ALL, false, -1));
-            classes.add(spec(
-                    300,
-                    0,
-                    2500,
-                    2,
-                    0.3,
-                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
-                    Dispatch.DeduplicationScope.ALL,
-                    false,
-                    -1));
-            classes.add(spec(
-                    250,
-                    3,
-                    2000,
-                    0.5,
-                    0,
-                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
-                    Dispatch.DeduplicationScope.ZONE,
-                    false,
-                    1));
-            classes.add(spec(
-                    250,
-                    1,
-                    2000,
-                    4,
-                    0.5,
-                    Dispatch.Idempotency.IDEMPOTENCY_KEY,
-                    Dispatch.DeduplicationScope.CELL,
-                    false,
-                    -1));
-            classes.add(spec(
-                    220,
-                    2,
-                    1800,
-                    1,
-                    0,
-                    Dispatch.Idempotency.NON_IDEMPOTENT,
-                    Dispatch.DeduplicationScope.ALL,
-                    false,
-                    0));
-            classes.add(spec(
-                    400, 2, 3000, 1, 0, Dispatch.Idempotency.READ_LIKE, Dispatch.DeduplicationScope.ALL, true, -1));
+        private static List<RequestClass> classes() {
+            List<RequestClass> classes = new ArrayList<>();
+            classes.add(spec(200, 2, 1500, 1, 0, Idempotency.READ_LIKE, DeduplicationScope.ALL, false, -1));
+            classes.add(spec(300, 0, 2500, 2, 0.3, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, false, -1));
+            classes.add(spec(250, 3, 2000, 0.5, 0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, false, 1));
+            classes.add(spec(250, 1, 2000, 4, 0.5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, false, -1));
+            classes.add(spec(220, 2, 1800, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, false, 0));
+            classes.add(spec(400, 2, 3000, 1, 0, Idempotency.READ_LIKE, DeduplicationScope.ALL, true, -1));
             return classes;
         }
 
-        private static Dispatch.RequestClass spec(
+        private static RequestClass spec(
                 double aimMs,
                 double stretch,
                 double deadlineMs,
                 double worth,
                 double lateShare,
-                Dispatch.Idempotency effect,
-                Dispatch.DeduplicationScope group,
+                Idempotency effect,
+                DeduplicationScope group,
                 boolean streaming,
                 int kind) {
-            return new Dispatch.RequestClass(
-                    aimMs, stretch, deadlineMs, worth, lateShare, effect, group, 1200, streaming, kind);
+            return new RequestClass(aimMs, stretch, deadlineMs, worth, lateShare, effect, group, 1200, streaming, kind);
         }
     }
 }
--- a/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
@@ -7,7 +7,6 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.stream.IntStream;
-import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/maplespread/policy/DispatchPolicyTest.java
+++ b/src/test/java/maplespread/policy/DispatchPolicyTest.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
-import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 
 class DispatchPolicyTest {
--- a/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import maplespread.policy.Dispatch.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -22,7 +22,7 @@
  * every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an arithmetic
  * order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
  */
-final class ReplayFleet implements Dispatch.PolicyActions {
+final class ReplayFleet implements PolicyActions {
     /** Which figures the workers' load reports have. */
     enum ReportFields {
         NONE,
@@ -34,7 +34,7 @@
     /** What one replay varies; {@code load}: offered work over the fleet's capacity, as a mean over time. */
     record Plan(
             String name,
-            Dispatch.PolicySettings settings,
+            PolicySettings settings,
             int workers,
             int slots,
             double load,
@@ -58,7 +58,7 @@
         final double speed;
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         final List<Job> running = new ArrayList<>();
-        Dispatch.EndpointLifecycle health = Dispatch.EndpointLifecycle.ACTIVE;
+        EndpointLifecycle health = EndpointLifecycle.ACTIVE;
         boolean listed = true;
         boolean up = true;
         boolean unreachable;
@@ -92,11 +92,11 @@
         final double deadlineMs;
         final double slots;
         final double workMs;
-        final Dispatch.RequestClass spec;
+        final RequestClass spec;
         final List<Job> jobs = new ArrayList<>(2);
         boolean ended;
 
-        Call(long id, int cls, double deadlineMs, double slots, double workMs, Dispatch.RequestClass spec) {
+        Call(long id, int cls, double deadlineMs, double slots, double workMs, RequestClass spec) {
             this.id = id;
             this.cls = cls;
             this.deadlineMs = deadlineMs;
@@ -135,8 +135,8 @@
     private final Map<String, ModelWorker> byId = new HashMap<>();
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<String, Integer> counts = new java.util.TreeMap<>();
-    private Dispatch.PolicySettings settings;
-    private Dispatch.PolicySettings before;
+    private PolicySettings settings;
+    private PolicySettings before;
     private long nowUs = START_US;
     private long order;
     private long lastId;
@@ -172,9 +172,9 @@
 
     /** Plays the whole and returns what was counted and the hash of all actions, as one line. */
     String play() {
-        list(Dispatch.EndpointListKind.CACHED_SNAPSHOT);
+        list(EndpointListKind.CACHED_SNAPSHOT);
         after(20 + random.nextInt(300), () -> {
-            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
+            list(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         });
         after(1, this::arrival);
@@ -207,7 +207,7 @@
     }
 
     private void request(int cls, double leftMs, boolean mayRepeat) {
-        Dispatch.PolicySettings under = chance(0.05) && cls < before.classes().size() ? before : null;
+        PolicySettings under = chance(0.05) && cls < before.classes().size() ? before : null;
         double work = MEAN_WORK_MS * -StrictMath.log(1 - random.nextDouble()) + 1;
         double hint = chance(0.1) ? Double.NaN : chance(0.01) ? 1e12 : work * (0.5 + random.nextDouble());
         double slots = chance(0.1) ? 2 : chance(0.01) ? 1e6 : 1;
@@ -215,13 +215,12 @@
         String key = plan.keyed() ? "key-" + random.nextInt(1 + random.nextInt(40)) : chance(0.02) ? "" : null;
         double counts = chance(0.8) ? 1 : 4 * random.nextDouble();
         Predicate<String> among = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
-        Dispatch.RequestClass spec =
-                (under == null ? settings : under).classes().get(cls);
+        RequestClass spec = (under == null ? settings : under).classes().get(cls);
         Call call = new Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
         calls.put(call.id, call);
         node.requestAccepted(
                 nowUs,
-                new Dispatch.PolicyRequest(
+                new PolicyRequest(
                         call.id,
                         cls,
                         random.nextInt(2),
@@ -262,23 +261,22 @@
         ModelWorker worker = job.worker;
         double fate = random.nextDouble();
         if (worker.unreachable) {
-            after(settings.permissions().connectTimeoutMs(), () -> end(job, Dispatch.AttemptOutcome.CONNECT_FAILED));
+            after(settings.permissions().connectTimeoutMs(), () -> end(job, AttemptOutcome.CONNECT_FAILED));
         } else if (!worker.up) {
-            end(job, Dispatch.AttemptOutcome.CONNECT_FAILED);
+            end(job, AttemptOutcome.CONNECT_FAILED);
         } else if (worker.hanging || fate < 0.004) { // its connection is dead, or the worker
             double waitMs = Math.min(2500, Math.max(1, job.call.deadlineMs - ms()));
-            after(waitMs, () -> end(job, Dispatch.AttemptOutcome.TIMED_OUT));
+            after(waitMs, () -> end(job, AttemptOutcome.TIMED_OUT));
         } else if (fate < 0.006) {
-            end(job, Dispatch.AttemptOutcome.NEVER_SENT);
+            end(job, AttemptOutcome.NEVER_SENT);
         } else if (fate < 0.008) {
-            end(job, Dispatch.AttemptOutcome.STALE_CONNECTION_RESET);
+            end(job, AttemptOutcome.STALE_CONNECTION_RESET);
         } else if (fate < 0.010) {
-            end(job, Dispatch.AttemptOutcome.RESET);
+            end(job, AttemptOutcome.RESET);
         } else if (fate < 0.012 || worker.failingClass == job.call.cls) {
-            end(job, Dispatch.AttemptOutcome.ERROR);
-        } else if (worker.queue.size() > 6 * worker.slots
-                || worker.health != Dispatch.EndpointLifecycle.ACTIVE && chance(0.7)) {
-            end(job, Dispatch.AttemptOutcome.REJECTED);
+            end(job, AttemptOutcome.ERROR);
+        } else if (worker.queue.size() > 6 * worker.slots || worker.health != EndpointLifecycle.ACTIVE && chance(0.7)) {
+            end(job, AttemptOutcome.REJECTED);
         } else {
             worker.queue.add(job);
             startNext(worker);
@@ -333,10 +331,10 @@
 
     private void finish(Job job) {
         job.worker.lastServiceMs = job.takesMs;
-        end(job, Dispatch.AttemptOutcome.SERVED);
+        end(job, AttemptOutcome.SERVED);
     }
 
-    private void end(Job job, Dispatch.AttemptOutcome verdict) {
+    private void end(Job job, AttemptOutcome verdict) {
         ModelWorker worker = job.worker;
         worker.running.remove(job);
         worker.queue.remove(job);
@@ -344,17 +342,17 @@
             return;
         }
         job.over = true;
-        job.call.ended |= verdict == Dispatch.AttemptOutcome.SERVED;
+        job.call.ended |= verdict == AttemptOutcome.SERVED;
         double lagMs = ms() - job.sentAtMs;
-        Dispatch.LoadReport report = verdict == Dispatch.AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
+        LoadReport report = verdict == AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
         node.attemptEnded(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
         startNext(worker);
     }
 
-    private Dispatch.LoadReport report(ModelWorker worker) {
+    private LoadReport report(ModelWorker worker) {
         double nan = Double.NaN;
         if (chance(0.003)) {
-            return new Dispatch.LoadReport(1e7, 0, 0, 1, 1e7, 0); // absurd
+            return new LoadReport(1e7, 0, 0, 1, 1e7, 0); // absurd
         }
         int active = worker.running.size() + worker.queue.size();
         double free = Math.max(0, worker.slots - worker.usedSlots());
@@ -362,9 +360,9 @@
         return switch (plan.reports()) {
             case NONE -> null;
             case ACTIVE_AND_FREE_SLOTS ->
-                new Dispatch.LoadReport(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
-            case FREE_SLOTS -> new Dispatch.LoadReport(nan, nan, nan, worker.lastServiceMs, free, memory);
-            case SERVICE_TIME -> new Dispatch.LoadReport(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
+                new LoadReport(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
+            case FREE_SLOTS -> new LoadReport(nan, nan, nan, worker.lastServiceMs, free, memory);
+            case SERVICE_TIME -> new LoadReport(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
         };
     }
 
@@ -375,7 +373,7 @@
         worker.running.clear();
         worker.queue.clear();
         for (Job job : lost) {
-            after(random.nextInt(5), () -> end(job, Dispatch.AttemptOutcome.RESET));
+            after(random.nextInt(5), () -> end(job, AttemptOutcome.RESET));
         }
         after(downMs, () -> {
             worker.up = true;
@@ -392,13 +390,13 @@
         return ms() < discoveryBackMs;
     }
 
-    private Dispatch.EndpointEntry entry(ModelWorker worker) {
-        return new Dispatch.EndpointEntry(
+    private EndpointEntry entry(ModelWorker worker) {
+        return new EndpointEntry(
                 worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
     }
 
-    private void list(Dispatch.EndpointListKind kind) {
-        List<Dispatch.EndpointEntry> entries = new ArrayList<>();
+    private void list(EndpointListKind kind) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (ModelWorker worker : workers) {
             if (worker.listed) {
                 entries.add(entry(worker));
@@ -409,7 +407,7 @@
 
     private void changed(ModelWorker worker) {
         if (!discoveryDown()) {
-            node.endpointListReceived(nowUs, Dispatch.EndpointListKind.DELTA, ++version, List.of(entry(worker)));
+            node.endpointListReceived(nowUs, EndpointListKind.DELTA, ++version, List.of(entry(worker)));
         }
     }
 
@@ -419,15 +417,14 @@
 
     private void answerWatch() {
         if (discoveryDown()) {
-            Dispatch.EndpointWatchFailure loss =
-                    chance(0.3) ? Dispatch.EndpointWatchFailure.REFUSED : Dispatch.EndpointWatchFailure.NO_ANSWER;
-            double tookMs = loss == Dispatch.EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
+            EndpointWatchFailure loss = chance(0.3) ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NO_ANSWER;
+            double tookMs = loss == EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
             after(
                     tookMs,
                     () -> node.endpointWatchFailed(
-                            nowUs, chance(0.05) ? Dispatch.EndpointWatchFailure.NOT_ASKED : loss, tookMs));
+                            nowUs, chance(0.05) ? EndpointWatchFailure.NOT_ASKED : loss, tookMs));
         } else {
-            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
+            list(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
     }
@@ -439,14 +436,14 @@
             after(outageMs + 50, this::answerWatch);
         }
         switch (random.nextInt(4)) {
-            case 0 -> node.endpointWatchFailed(nowUs, Dispatch.EndpointWatchFailure.ENDED, 0);
-            case 1 -> node.endpointWatchFailed(nowUs, Dispatch.EndpointWatchFailure.NO_ANSWER, 2000);
+            case 0 -> node.endpointWatchFailed(nowUs, EndpointWatchFailure.ENDED, 0);
+            case 1 -> node.endpointWatchFailed(nowUs, EndpointWatchFailure.NO_ANSWER, 2000);
             case 2 -> {
-                node.endpointListUnconfirmed(nowUs, Dispatch.EndpointListDoubt.SILENT, 3000);
+                node.endpointListUnconfirmed(nowUs, EndpointListDoubt.SILENT, 3000);
                 after(100, this::answerWatch);
             }
             default -> {
-                node.endpointListUnconfirmed(nowUs, Dispatch.EndpointListDoubt.MOVED, 0);
+                node.endpointListUnconfirmed(nowUs, EndpointListDoubt.MOVED, 0);
                 after(300, this::answerWatch);
             }
         }
@@ -490,14 +487,14 @@
     }
 
     private void drain(ModelWorker worker, double forMs) {
-        worker.health = Dispatch.EndpointLifecycle.DRAINING;
+        worker.health = EndpointLifecycle.DRAINING;
         changed(worker);
         after(forMs, () -> {
-            worker.health = Dispatch.EndpointLifecycle.REMOVED;
+            worker.health = EndpointLifecycle.REMOVED;
             changed(worker);
         });
         after(2 * forMs, () -> {
-            worker.health = Dispatch.EndpointLifecycle.ACTIVE;
+            worker.health = EndpointLifecycle.ACTIVE;
             worker.startedAtMs = ms();
             changed(worker);
         });
@@ -506,7 +503,7 @@
     private void removeByFullList(ModelWorker worker, double forMs) {
         worker.listed = false;
         if (!discoveryDown()) {
-            list(Dispatch.EndpointListKind.FULL_SNAPSHOT);
+            list(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
         after(forMs, () -> {
@@ -538,15 +535,15 @@
 
     private void changeSettings() {
         before = settings;
-        List<Dispatch.RequestClass> classes = new ArrayList<>(settings.classes());
+        List<RequestClass> classes = new ArrayList<>(settings.classes());
         if (chance(0.3) && classes.size() < 8) {
             classes.add(classes.get(random.nextInt(classes.size())));
         } else {
             int at = random.nextInt(classes.size());
-            Dispatch.RequestClass old = classes.get(at);
+            RequestClass old = classes.get(at);
             classes.set(
                     at,
-                    new Dispatch.RequestClass(
+                    new RequestClass(
                             old.latencyObjectiveMs() * (0.8 + 0.4 * random.nextDouble()),
                             old.stretchFactor(),
                             old.deadlineMs(),
@@ -572,17 +569,13 @@
         after(700, this::strayEvent);
         long known = Math.max(1, lastId - random.nextInt(50));
         switch (random.nextInt(8)) {
-            case 0 ->
-                node.attemptEnded(
-                        nowUs, lastId + 99, 0, "10.0.0.1:9000", Dispatch.AttemptOutcome.SERVED, 1, true, null);
+            case 0 -> node.attemptEnded(nowUs, lastId + 99, 0, "10.0.0.1:9000", AttemptOutcome.SERVED, 1, true, null);
             case 1 -> node.attemptProgressed(nowUs, known, 7, "10.0.0.1:9000", true, 0);
             case 2 -> node.attemptProgressed(nowUs, known, -1, "10.0.0.1:9000", false, 3);
-            case 3 -> node.probeEnded(nowUs, "10.9.9.9:1", Dispatch.AttemptOutcome.SERVED, 1, null);
+            case 3 -> node.probeEnded(nowUs, "10.9.9.9:1", AttemptOutcome.SERVED, 1, null);
             case 4 -> node.requestAbandoned(nowUs, lastId + 99);
             case 5 -> node.timerExpired(nowUs, 1 + 1 + known);
-            case 6 ->
-                rejected(
-                        () -> node.requestAccepted(nowUs, new Dispatch.PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
+            case 6 -> rejected(() -> node.requestAccepted(nowUs, new PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
             default -> rejected(() -> node.responseStarted(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
         }
     }
@@ -609,7 +602,7 @@
     }
 
     @Override
-    public void reject(long id, double pauseMs, Dispatch.RejectionReason why) {
+    public void reject(long id, double pauseMs, RejectionReason why) {
         count("reject." + why);
         put('R', id, Double.doubleToLongBits(pauseMs));
         put('r', why.ordinal(), 0);
@@ -617,7 +610,7 @@
     }
 
     @Override
-    public void fail(long id, Dispatch.RejectionReason why) {
+    public void fail(long id, RejectionReason why) {
         count("fail." + why);
         put('F', id, why.ordinal());
         calls.get(id).ended = true;
@@ -628,7 +621,7 @@
         count("cancel");
         put('C', id, attempt);
         Job job = calls.get(id).jobs.get(attempt);
-        after(0.5, () -> end(job, Dispatch.AttemptOutcome.CANCELLED));
+        after(0.5, () -> end(job, AttemptOutcome.CANCELLED));
     }
 
     @Override
@@ -637,13 +630,13 @@
         put('P', worker.hashCode(), 0);
         ModelWorker probed = byId.get(worker);
         if (probed.hanging || chance(0.03)) {
-            after(1000, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.TIMED_OUT, 1000, null));
+            after(1000, () -> node.probeEnded(nowUs, worker, AttemptOutcome.TIMED_OUT, 1000, null));
         } else if (!probed.up || probed.unreachable) {
             double lagMs = probed.up ? settings.permissions().connectTimeoutMs() : 0.5;
-            after(lagMs, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.CONNECT_FAILED, lagMs, null));
+            after(lagMs, () -> node.probeEnded(nowUs, worker, AttemptOutcome.CONNECT_FAILED, lagMs, null));
         } else {
             double lagMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
-            after(lagMs, () -> node.probeEnded(nowUs, worker, Dispatch.AttemptOutcome.SERVED, lagMs, report(probed)));
+            after(lagMs, () -> node.probeEnded(nowUs, worker, AttemptOutcome.SERVED, lagMs, report(probed)));
         }
     }
 
@@ -661,7 +654,7 @@
     }
 
     @Override
-    public void listStateChanged(Dispatch.EndpointListState from, Dispatch.EndpointListState to, double ageMs) {
+    public void listStateChanged(EndpointListState from, EndpointListState to, double ageMs) {
         count("list." + to);
         put('L', from.ordinal() * 10L + to.ordinal(), Double.doubleToLongBits(ageMs));
     }
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplespread.policy.Dispatch.*;
 
 /** A host for tests: records the node's actions and asserts the four rules on each. It models no servers. */
 final class RuleCheckingHost implements PolicyActions {
--- a/src/test/java/maplespread/policy/SettingsChangeTest.java
+++ b/src/test/java/maplespread/policy/SettingsChangeTest.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import maplespread.policy.Dispatch.*;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/src/test/java/maplespread/quota/TenantQuotaTest.java
+++ b/src/test/java/maplespread/quota/TenantQuotaTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import maplespread.policy.Dispatch.Tenant;
+import maplespread.policy.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** Who is taken for beyond its share at one of N dispatchers, with seeds. */
--- a/src/test/java/maplespread/release/client/RolloutServiceTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceTest.java
@@ -25,7 +25,8 @@
 import maplespread.membership.MemberUpdate;
 import maplespread.membership.MembershipSettings;
 import maplespread.membership.client.ClusterTransport;
-import maplespread.policy.Dispatch;
+import maplespread.policy.EndpointListDoubt;
+import maplespread.policy.EndpointWatchFailure;
 import maplespread.release.FleetView;
 import maplespread.release.Limits;
 import maplespread.release.RolloutAction;
@@ -152,10 +153,10 @@
             public void endpointsChanged(EndpointUpdate news) {}
 
             @Override
-            public void watchLost(Dispatch.EndpointWatchFailure loss, double heardAgoMs) {}
+            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
 
             @Override
-            public void listUnconfirmed(Dispatch.EndpointListDoubt why, double heardAgoMs) {}
+            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {}
         });
         List<Endpoint> routes = List.of(
                 new Endpoint("warm", "a", Endpoint.State.SERVING, 2, 0, 3, 0, 0),
--- a/src/test/java/maplespread/subset/SubsetGoldenTest.java
+++ b/src/test/java/maplespread/subset/SubsetGoldenTest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import maplespread.GoldenOutput;
-import maplespread.policy.Dispatch;
+import maplespread.policy.Tenant;
 import maplespread.quota.TenantQuota;
 import org.junit.jupiter.api.Test;
 
@@ -51,9 +51,9 @@
 
     @Test
     void weightsOfRequests() throws Exception {
-        List<Dispatch.Tenant> tenants = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (double allowance : new double[] {40, 10, 0, 100}) {
-            tenants.add(new Dispatch.Tenant(allowance));
+            tenants.add(new Tenant(allowance));
         }
         TenantQuota shares = new TenantQuota(tenants);
         java.util.SplittableRandom random = new java.util.SplittableRandom(9);
