--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -114,7 +114,7 @@
         EndpointListener all = new EndpointListener() {
             @Override
             public void endpointsChanged(EndpointUpdate news) {
-                dispatcher.report(news);
+                dispatcher.reportEndpoints(news);
                 if (news.kind() != EndpointUpdate.Kind.CACHED_SNAPSHOT) { // that one is of before the start
                     told.countDown();
                 }
@@ -157,7 +157,7 @@
         @Override
         public void reapplySettings() {
             synchronized (turn) {
-                dispatcher.report(parts.adjustSettings(config.settings()));
+                dispatcher.applySettings(parts.adjustSettings(config.settings()));
             }
         }
 
@@ -303,7 +303,7 @@
             }
             figures.show(next.names().live());
             synchronized (turn) {
-                dispatcher.report(parts.adjustSettings(next.settings()));
+                dispatcher.applySettings(parts.adjustSettings(next.settings()));
                 config = next; // last: the module must know a class first
             }
             parts.reload(next, operator);
@@ -476,7 +476,7 @@
         try {
             probes.execute(() -> prober.probe(probe));
         } catch (RejectedExecutionException | OutOfMemoryError e) { // a probe without an end stays out
-            dispatcher.report(probe, Outcome.CANCELLED, 0, null);
+            dispatcher.reportProbeEnded(probe, Outcome.CANCELLED, 0, null);
         }
     }
 
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -545,7 +545,7 @@
                 answer.served(end.result);
             }
         } finally {
-            dispatcher.report(branch, outcome, end == null ? null : end.load);
+            dispatcher.reportAttemptEnded(branch, outcome, end == null ? null : end.load);
         }
         end.finish();
         return outcome == Outcome.SERVED;
--- a/src/main/java/maplespread/facade/Action.java
+++ b/src/main/java/maplespread/facade/Action.java
@@ -1,13 +1,13 @@
 package maplespread.facade;
 
-/** What the module wants done that answers no transaction: the results of {@link DecisionService#tick}. */
+/** What the policy wants done that is no decision about a request: the results of {@link DecisionService#tick}. */
 public sealed interface Action {
-    /** Ask the worker for its load. */
+    /** Ask the worker for its load report. */
     record Probe(String worker, String address) implements Action {}
 
-    /** Subscribe to the route set. */
+    /** Watch the endpoint list, or watch it anew. */
     record Watch() implements Action {}
 
-    /** Give the branch up. */
+    /** Give the attempt up; it still reports an outcome. */
     record Cancel(Attempt attempt) implements Action {}
 }
--- a/src/main/java/maplespread/facade/Attempt.java
+++ b/src/main/java/maplespread/facade/Attempt.java
@@ -1,5 +1,8 @@
 package maplespread.facade;
 
-/** One attempt: send the transaction to this worker. {@code number} counts from 0. */
+/**
+ * The decision to send the request to this worker. {@code number} counts the request's attempts from 0; {@code
+ * decidedUs} is on {@link DecisionService#nowUs}.
+ */
 public record Attempt(InFlightRequest request, int number, String worker, String address, long decidedUs)
         implements Decision {}
--- a/src/main/java/maplespread/facade/DecisionService.java
+++ b/src/main/java/maplespread/facade/DecisionService.java
@@ -1,11 +1,9 @@
 package maplespread.facade;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
@@ -15,7 +13,6 @@
 import maplespread.policy.AttemptOutcome;
 import maplespread.policy.DispatchPolicy;
 import maplespread.policy.EndpointEntry;
-import maplespread.policy.EndpointLifecycle;
 import maplespread.policy.EndpointListDoubt;
 import maplespread.policy.EndpointListKind;
 import maplespread.policy.EndpointListState;
@@ -27,49 +24,45 @@
 import maplespread.policy.PolicySettings;
 import maplespread.policy.RejectionReason;
 import maplespread.policy.RequestClass;
-import maplespread.quota.TenantQuota;
 import org.tinylog.Logger;
 
 /**
- * The decision module in blocking style: pick, report, tick. It alone calls {@link DispatchPolicy}, under one lock and
- * on one clock, and does no input or output under that lock. It knows nothing of any protocol.
+ * The policy behind blocking calls: {@link #decide} for requests, {@code report...} for what happened, {@link #tick} for
+ * timers and actions. It alone calls {@link DispatchPolicy}, under one lock and on one clock, and does no input or output
+ * under that lock. Any thread may call it. It knows no protocol.
  */
 public final class DecisionService {
-    private record Due(long atUs, long order, long label) implements Comparable<Due> {
-        @Override
-        public int compareTo(Due other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
-        }
-    }
+    /** The age, in microseconds, up to which {@link #hostCounts} may be out of date. */
+    private static final long HOST_COUNTS_AGE_US = 100_000;
 
-    private static final long COUNT_US = 100_000; // the age of what hosts() tells
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition pending = lock.newCondition(); // a chore, or an earlier timer
-    private volatile PolicySettings settings; // for transactions that carry none
+    /** Signalled when an action is added or a timer that may be the first one. */
+    private final Condition tickNeeded = lock.newCondition();
+
+    private final long startUs = System.currentTimeMillis() * 1000;
+    private final long startNanos = System.nanoTime();
     private final DispatchPolicy policy;
-    private TenantQuota shares; // null: all requests count alike
-    private volatile double[] setPriorityBoosts = {}; // what a starved tenant's count for more
-    private final Map<Long, InFlightRequest> inFlight = new HashMap<>(); // until ended and no branch is out
+    private final RequestWeights weights;
+    private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final PolicyTimers timers = new PolicyTimers();
     private final ArrayDeque<Action> pendingActions = new ArrayDeque<>();
-    private final long startUs = System.currentTimeMillis() * 1000;
-    private final long startNanos = System.nanoTime();
-    private long lastId;
-    private long timerOrder;
-    private volatile Metrics.HostCounts hostCounts = new Metrics.HostCounts(0, 0);
-    private long countedUs;
-    private long listVersion; // of the list, as discovery counts
+    private volatile PolicySettings settings;
     private volatile EndpointListState listState = EndpointListState.UNCONFIRMED;
+    private volatile Metrics.HostCounts hostCounts = new Metrics.HostCounts(0, 0);
+    private long hostCountsUs;
+    private long listVersion;
+    private long lastId;
 
+    /** All requests count alike, whatever their tenants' quotas. {@code seed}: of the policy's random draws. */
     public DecisionService(PolicySettings settings, long seed) {
         this(settings, seed, false);
     }
 
-    /** {@code fair}: requests beyond their tenant's share count for less while others are turned away. */
-    public DecisionService(PolicySettings settings, long seed, boolean fair) {
+    /** {@code quotaEnforced}: requests beyond their tenant's quota count for less while others are rejected. */
+    public DecisionService(PolicySettings settings, long seed, boolean quotaEnforced) {
         this.settings = settings;
-        shares = fair ? new TenantQuota(settings.tenants()) : null;
+        weights = new RequestWeights(quotaEnforced, settings.tenants());
         policy = new DispatchPolicy(settings, seed, new Actions());
     }
 
@@ -81,275 +74,327 @@
         return startUs + (System.nanoTime() - startNanos) / 1000;
     }
 
+    // ------------------------------------------------------------ requests and attempts
+
     /**
-     * The module's word on the transaction: at first when it is new, then after each branch that ended
-     * unserved. Waits while the module holds it back, but never past its deadline.
+     * The policy's decision about the request: at first when it is new, then after each attempt that ended unserved.
+     * Blocks while the policy holds it back, but never past its deadline.
      */
-    public Decision decide(InFlightRequest t) throws InterruptedException {
+    public Decision decide(InFlightRequest request) throws InterruptedException {
         lock.lockInterruptibly();
         try {
-            if (!t.submitted && !t.ended) {
-                t.submitted = true;
-                t.id = ++lastId;
-                t.decisionAvailable = lock.newCondition();
-                inFlight.put(t.id, t);
-                if (!guarded(
-                                "request",
-                                () -> policy.requestAccepted(
-                                        nowUs(),
-                                        new PolicyRequest(
-                                                t.id,
-                                                t.requestClass,
-                                                t.tenant,
-                                                t.deadlineUs,
-                                                t.workMs,
-                                                t.slots,
-                                                t.memory,
-                                                t.key,
-                                                t.acceptedSettings,
-                                                priorityWeight(t),
-                                                t.eligibleWorkers)))
-                        && t.decision == null) {
-                    end(t, new Decision.Failed(RejectionReason.FAULT));
-                }
+            if (!request.submitted && !request.ended) {
+                submit(request);
             }
-            while (t.decision == null && !t.ended) {
-                long left = t.deadlineUs - nowUs();
-                if (left <= 0) { // guards a request that the module let lie
-                    Logger.warn("transaction {} had no word by its deadline", t.id);
-                    end(t, new Decision.Failed(RejectionReason.OUT_OF_TIME));
-                    guarded("gone", () -> policy.requestAbandoned(nowUs(), t.id));
+            while (request.decision == null && !request.ended) {
+                long remainingUs = request.deadlineUs - nowUs();
+                if (remainingUs <= 0) {
+                    endUndecided(request);
                 } else {
-                    t.decisionAvailable.await(left, TimeUnit.MICROSECONDS);
+                    request.decisionAvailable.await(remainingUs, TimeUnit.MICROSECONDS);
                 }
             }
-            Decision word = t.decision == null ? new Decision.Failed(RejectionReason.FAULT) : t.decision;
-            t.decision = null;
-            return word;
+            Decision decision = request.decision;
+            request.decision = null;
+            return decision == null ? new Decision.Failed(RejectionReason.FAULT) : decision;
         } finally {
             lock.unlock();
         }
     }
 
-    /** The branch's job has started (share 0) or has done this share of its work. */
-    public void report(Attempt b, boolean started, double share) {
+    private void submit(InFlightRequest request) {
+        request.submitted = true;
+        request.id = ++lastId;
+        request.decisionAvailable = lock.newCondition();
+        inFlight.put(request.id, request);
+        boolean taken = guarded("requestAccepted", () -> policy.requestAccepted(nowUs(), policyRequest(request)));
+        if (!taken && request.decision == null) {
+            end(request, new Decision.Failed(RejectionReason.FAULT));
+        }
+    }
+
+    private PolicyRequest policyRequest(InFlightRequest request) {
+        return new PolicyRequest(
+                request.id,
+                request.requestClass,
+                request.tenant,
+                request.deadlineUs,
+                request.workMs,
+                request.slots,
+                request.memory,
+                request.key,
+                request.acceptedSettings,
+                priorityWeight(request),
+                request.eligibleWorkers);
+    }
+
+    /** Ends a request that the policy has left without a decision: its client must have an answer in time. */
+    private void endUndecided(InFlightRequest request) {
+        Logger.warn("request {} had no decision by its deadline", request.id);
+        end(request, new Decision.Failed(RejectionReason.OUT_OF_TIME));
+        guarded("requestAbandoned", () -> policy.requestAbandoned(nowUs(), request.id));
+    }
+
+    /** The attempt has started at its worker ({@code share} 0) or has done this share of its work, 0 to 1. */
+    public void reportProgress(Attempt attempt, boolean started, double share) {
         locked(() -> guarded(
-                "progress",
-                () -> policy.attemptProgressed(nowUs(), b.request().id, b.number(), b.worker(), started, share)));
+                "attemptProgressed",
+                () -> policy.attemptProgressed(
+                        nowUs(), attempt.request().id, attempt.number(), attempt.worker(), started, share)));
     }
 
-    /** A branch is over. Unless it served, {@link #decide} has the next word. */
-    public void report(Attempt b, Outcome outcome, WorkerLoad load) {
+    /**
+     * An attempt is over. Unless it served, {@link #decide} has the next decision. {@code load}: the worker's report,
+     * or null.
+     */
+    public void reportAttemptEnded(Attempt attempt, Outcome outcome, WorkerLoad load) {
         locked(() -> {
-            InFlightRequest t = b.request();
-            t.attemptsInFlight--;
-            if (!verdict(outcome).provesNeverRan() && t.firstPossibleRunUs == 0) {
-                t.firstPossibleRunUs = b.decidedUs(); // attempts follow one another
+            InFlightRequest request = attempt.request();
+            AttemptOutcome attemptOutcome = PolicyMapping.outcome(outcome);
+            request.attemptsInFlight--;
+            if (!attemptOutcome.provesNeverRan() && request.firstPossibleRunUs == 0) {
+                request.firstPossibleRunUs = attempt.decidedUs();
             }
             if (outcome == Outcome.SERVED) {
-                t.ended = true;
-                settleQuota(t, false);
+                request.ended = true;
+                weights.requestCompleted(request, false);
             }
-            boolean ended = t.ended;
-            if (!guarded(
-                            "outcome",
-                            () -> policy.attemptEnded(
-                                    nowUs(),
-                                    t.id,
-                                    b.number(),
-                                    b.worker(),
-                                    verdict(outcome),
-                                    (nowUs() - b.decidedUs()) / 1000.0,
-                                    ended,
-                                    load(load)))
-                    && t.decision == null) {
-                end(t, new Decision.Failed(RejectionReason.FAULT));
+            LoadReport report = PolicyMapping.load(load);
+            boolean taken = guarded("attemptEnded", () -> {
+                long nowUs = nowUs();
+                policy.attemptEnded(
+                        nowUs,
+                        request.id,
+                        attempt.number(),
+                        attempt.worker(),
+                        attemptOutcome,
+                        (nowUs - attempt.decidedUs()) / 1000.0,
+                        request.ended,
+                        report);
+            });
+            if (!taken && request.decision == null) {
+                end(request, new Decision.Failed(RejectionReason.FAULT));
             }
-            forget(t);
+            forget(request);
         });
     }
 
-    /** A probe ended after {@code tookMs}. */
-    public void report(Action.Probe probe, Outcome outcome, double tookMs, WorkerLoad load) {
-        locked(() -> guarded(
-                "probed", () -> policy.probeEnded(nowUs(), probe.worker(), verdict(outcome), tookMs, load(load))));
-    }
-
-    /** News of the route set. */
-    public void report(EndpointUpdate news) {
+    /** The client left: no response is owed. Attempts in flight still get their outcome. */
+    public void reportClientLeft(InFlightRequest request) {
         locked(() -> {
-            boolean whole = news.kind() != EndpointUpdate.Kind.DELTA;
-            if (whole) {
-                endpoints.clear(); // who is absent from the whole is gone
+            if (request.ended) {
+                return;
             }
-            List<EndpointEntry> entries = new ArrayList<>(news.endpoints().size());
-            for (Endpoint r : news.endpoints()) {
-                if (r.state() == Endpoint.State.DELETED) {
-                    endpoints.remove(r.worker());
-                } else {
-                    endpoints.put(r.worker(), r);
-                }
-                entries.add(new EndpointEntry(
-                        r.worker(), health(r.state()), r.weight(), r.kind(), r.cell(), r.zone(), r.startedAtMs()));
+            if (!request.submitted) { // its own thread has not asked for a decision yet
+                request.ended = true;
+                request.decision = new Decision.ClientLeft();
+                return;
             }
-            EndpointListKind kind =
-                    switch (news.kind()) {
-                        case DELTA -> EndpointListKind.DELTA;
-                        case FULL_SNAPSHOT -> EndpointListKind.FULL_SNAPSHOT;
-                        case CACHED_SNAPSHOT -> EndpointListKind.CACHED_SNAPSHOT;
-                    };
-            guarded("list", () -> policy.endpointListReceived(nowUs(), kind, news.version(), entries));
-            listVersion = news.version();
-            if (news.confirmed()) {
-                guarded("listConfirmed", () -> policy.endpointListConfirmed(nowUs()));
+            Decision unread = request.decision;
+            weights.clientLeft(request);
+            end(request, new Decision.ClientLeft());
+            guarded("requestAbandoned", () -> policy.requestAbandoned(nowUs(), request.id));
+            if (unread instanceof Attempt attempt) { // decided on, and nobody will send it now
+                reportAttemptEnded(attempt, Outcome.NEVER_SENT, null);
             }
         });
     }
 
-    /** Other settings for transactions to come; their classes stand where they stood. */
-    public void report(PolicySettings next) {
+    /**
+     * Whether the attempt may be sent now: to be asked again just before its first byte. While its connection came up,
+     * the worker may have begun to drain, the client may have left, or the time may have run out in which workers
+     * recognize a repeat.
+     */
+    public SendCheck checkSend(Attempt attempt) {
+        InFlightRequest request = attempt.request();
+        BooleanSupplier permitted = request.sendPermitted;
+        if (permitted != null && !permitted.getAsBoolean()) { // not under the lock: it may have its own
+            return SendCheck.ORDERING_PERMIT_LOST;
+        }
+        lock.lock();
+        try {
+            if (request.ended) {
+                return SendCheck.REQUEST_ENDED;
+            }
+            if (!isServing(attempt)) {
+                return SendCheck.SERVER_NOT_LISTED;
+            }
+            if (!policy.endpointListUsable(nowUs())) {
+                return SendCheck.LIST_NOT_CONFIRMED;
+            }
+            return mayRepeatNow(request) ? SendCheck.ALLOWED : SendCheck.REPEAT_WINDOW_OVER;
+        } finally {
+            lock.unlock();
+        }
+    }
+
+    private boolean isServing(Attempt attempt) {
+        Endpoint endpoint = endpoints.get(attempt.worker());
+        return endpoint != null
+                && endpoint.state() == Endpoint.State.SERVING
+                && endpoint.address().equals(attempt.address());
+    }
+
+    private boolean mayRepeatNow(InFlightRequest request) {
+        if (request.firstPossibleRunUs == 0) {
+            return true;
+        }
+        double sinceMs = (nowUs() - request.firstPossibleRunUs) / 1000.0;
+        return requestClass(request).mayRepeatAfter(sinceMs);
+    }
+
+    /** Whether it would be harmless to run the attempt's request twice, however late. */
+    public boolean isIdempotent(Attempt attempt) {
+        return requestClass(attempt.request()).idempotency() == Idempotency.READ_LIKE;
+    }
+
+    private RequestClass requestClass(InFlightRequest request) {
+        return settingsOf(request).classes().get(request.requestClass);
+    }
+
+    private PolicySettings settingsOf(InFlightRequest request) {
+        return request.acceptedSettings == null ? settings : request.acceptedSettings;
+    }
+
+    // ------------------------------------------------------------ probes, endpoints, settings
+
+    /** A probe ended after {@code tookMs}. {@code load}: the worker's report, or null. */
+    public void reportProbeEnded(Action.Probe probe, Outcome outcome, double tookMs, WorkerLoad load) {
+        locked(() -> guarded(
+                "probeEnded",
+                () -> policy.probeEnded(
+                        nowUs(), probe.worker(), PolicyMapping.outcome(outcome), tookMs, PolicyMapping.load(load))));
+    }
+
+    /** The endpoint list, or changes of it, have come. */
+    public void reportEndpoints(EndpointUpdate update) {
         locked(() -> {
-            if (guarded("settings", () -> policy.settingsChanged(nowUs(), next))) {
-                if (shares != null && !next.tenants().equals(settings.tenants())) {
-                    shares = new TenantQuota(next.tenants());
-                }
-                settings = next;
+            applyEndpoints(update);
+            EndpointListKind kind = PolicyMapping.listKind(update.kind());
+            List<EndpointEntry> entries = PolicyMapping.entries(update.endpoints());
+            guarded(
+                    "endpointListReceived",
+                    () -> policy.endpointListReceived(nowUs(), kind, update.version(), entries));
+            listVersion = update.version();
+            if (update.confirmed()) {
+                guarded("endpointListConfirmed", () -> policy.endpointListConfirmed(nowUs()));
             }
         });
     }
 
-    /** What requests to come count for more, by tenant, 1 or more each; beyond its end: as they are. */
-    public void setPriorityBoosts(double[] weights) {
-        setPriorityBoosts = weights.clone();
+    private void applyEndpoints(EndpointUpdate update) {
+        if (update.kind() != EndpointUpdate.Kind.DELTA) {
+            endpoints.clear();
+        }
+        for (Endpoint endpoint : update.endpoints()) {
+            if (endpoint.state() == Endpoint.State.DELETED) {
+                endpoints.remove(endpoint.worker());
+            } else {
+                endpoints.put(endpoint.worker(), endpoint);
+            }
+        }
     }
 
-    /** A watch could not be had or broke; {@code heardAgoMs}: since its last line, or since the call. */
-    public void reportWatchLost(EndpointWatchFailure loss, double heardAgoMs) {
-        locked(() -> guarded("listFailed", () -> policy.endpointWatchFailed(nowUs(), loss, heardAgoMs)));
+    /**
+     * A watch on the endpoint list could not be had, or broke. {@code heardAgoMs}: milliseconds since its last line, or
+     * since the call.
+     */
+    public void reportWatchLost(EndpointWatchFailure failure, double heardAgoMs) {
+        locked(() -> guarded("endpointWatchFailed", () -> policy.endpointWatchFailed(nowUs(), failure, heardAgoMs)));
     }
 
-    /** What discovery has may differ from the list, heard of last so long ago, until it is confirmed anew. */
+    /**
+     * What discovery has may differ from the list until it is confirmed anew. {@code heardAgoMs}: milliseconds since
+     * discovery was last heard of.
+     */
     public void reportListUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-        locked(() -> guarded("listUnconfirmed", () -> policy.endpointListUnconfirmed(nowUs(), why, heardAgoMs)));
-    }
-
-    /** How far the list can be relied on, as of the module's last look; waits for nobody. */
-    public EndpointListState listState() {
-        return listState;
+        locked(() ->
+                guarded("endpointListUnconfirmed", () -> policy.endpointListUnconfirmed(nowUs(), why, heardAgoMs)));
     }
 
-    /** The client left: no answer is owed. AttemptRunner that are out still get their outcome. */
-    public void reportClientLeft(InFlightRequest t) {
+    /** Other settings for requests to come; their classes keep their numbers. */
+    public void applySettings(PolicySettings next) {
         locked(() -> {
-            if (!t.submitted && !t.ended) { // its thread has not come to ask yet
-                t.ended = true;
-                t.decision = new Decision.ClientLeft();
-            } else if (!t.ended) {
-                Decision unread = t.decision;
-                if (shares != null) {
-                    shares.clientLeft(t.id);
-                }
-                end(t, new Decision.ClientLeft());
-                guarded("gone", () -> policy.requestAbandoned(nowUs(), t.id));
-                if (unread instanceof Attempt b) { // picked, and nobody will send it now
-                    report(b, Outcome.NEVER_SENT, null);
-                }
+            if (guarded("settingsChanged", () -> policy.settingsChanged(nowUs(), next))) {
+                weights.tenantsChanged(settings.tenants(), next.tenants());
+                settings = next;
             }
         });
     }
 
-    /** Runs the timers that are due and returns the chores, waiting at most so long for either. */
+    /** Weights of requests to come by tenant, 1 or more each; tenants beyond the array's end are not boosted. */
+    public void setPriorityBoosts(double[] weightsByTenant) {
+        weights.setBoosts(weightsByTenant);
+    }
+
+    // ------------------------------------------------------------ timers and actions
+
+    /**
+     * Runs the timers that are due and returns the actions to be carried out, blocking for {@code waitMs} at most for
+     * either.
+     */
     public List<Action> tick(long waitMs) throws InterruptedException {
         lock.lockInterruptibly();
         try {
-            long end = nowUs() + waitMs * 1000;
+            long endUs = nowUs() + waitMs * 1000;
             while (true) {
-                long now = nowUs();
-                while (!timers.isEmpty() && timers.peek().atUs() <= now) {
-                    long label = timers.remove().label();
-                    guarded("timer", () -> policy.timerExpired(nowUs(), label));
-                }
-                if (now - countedUs > COUNT_US) {
-                    countedUs = now;
-                    hostCounts = new Metrics.HostCounts(endpoints.size(), policy.avoidedWorkers());
-                }
-                long until =
-                        timers.isEmpty() ? end : Math.min(end, timers.peek().atUs());
-                if (!pendingActions.isEmpty() || now >= end) {
-                    List<Action> all = List.copyOf(pendingActions);
+                long nowUs = nowUs();
+                runTimers(nowUs);
+                countHosts(nowUs);
+                long wakeUs = timers.firstDueUs(endUs);
+                if (!pendingActions.isEmpty() || nowUs >= endUs) {
+                    List<Action> actions = List.copyOf(pendingActions);
                     pendingActions.clear();
-                    return all;
+                    return actions;
                 }
-                pending.await(Math.max(1, until - nowUs()), TimeUnit.MICROSECONDS);
+                tickNeeded.await(Math.max(1, wakeUs - nowUs()), TimeUnit.MICROSECONDS);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    /**
-     * Whether the branch may be sent now: to be asked again just before. While a connection came up, a drain
-     * may have been told, the client may have left, whose work would be done for nobody, or the time may have
-     * run out in which workers drop a repeat.
-     */
-    public SendCheck checkSend(Attempt b) {
-        BooleanSupplier still = b.request().sendPermitted;
-        if (still != null && !still.getAsBoolean()) { // not under the lock: it may have its own
-            return SendCheck.ORDERING_PERMIT_LOST;
+    private void runTimers(long nowUs) {
+        while (timers.isDue(nowUs)) {
+            long label = timers.removeFirst();
+            guarded("timerExpired", () -> policy.timerExpired(nowUs(), label));
         }
-        lock.lock();
-        try {
-            if (b.request().ended) {
-                return SendCheck.REQUEST_ENDED;
-            }
-            Endpoint r = endpoints.get(b.worker());
-            if (r == null || r.state() != Endpoint.State.SERVING || !r.address().equals(b.address())) {
-                return SendCheck.SERVER_NOT_LISTED;
-            }
-            if (!policy.endpointListUsable(nowUs())) { // it may have gone stale while the connection came up
-                return SendCheck.LIST_NOT_CONFIRMED;
-            }
-            return inWindow(b.request()) ? SendCheck.ALLOWED : SendCheck.REPEAT_WINDOW_OVER;
-        } finally {
-            lock.unlock();
+    }
+
+    private void countHosts(long nowUs) {
+        if (nowUs - hostCountsUs > HOST_COUNTS_AGE_US) {
+            hostCountsUs = nowUs;
+            hostCounts = new Metrics.HostCounts(endpoints.size(), policy.avoidedWorkers());
         }
     }
 
-    /** Whether it would be harmless to run the branch's job twice. */
-    public boolean isIdempotent(Attempt b) {
-        return spec(b.request()).idempotency() == Idempotency.READ_LIKE;
+    // ------------------------------------------------------------ what is shown
+
+    /** How far the endpoint list can be relied on, as of the policy's last look; waits for nobody. */
+    public EndpointListState listState() {
+        return listState;
     }
 
-    private RequestClass spec(InFlightRequest t) {
-        return (t.acceptedSettings == null ? settings : t.acceptedSettings)
-                .classes()
-                .get(t.requestClass);
+    /** The workers on the list and those avoided, as of the last ticks; waits for nobody. */
+    public Metrics.HostCounts hostCounts() {
+        return hostCounts;
     }
 
-    private boolean inWindow(InFlightRequest t) {
-        return t.firstPossibleRunUs == 0 || spec(t).mayRepeatAfter((nowUs() - t.firstPossibleRunUs) / 1000.0);
+    /** Among how many dispatchers the policy shares out what a worker in slow start may be sent. */
+    public int dispatcherCount() {
+        return settings.dispatcherCount();
     }
 
-    /** Whether any worker is known that takes work. */
+    /** Whether any worker is known that takes requests. */
     public boolean canServe() {
         lock.lock();
         try {
-            return endpoints.values().stream().anyMatch(r -> r.state() == Endpoint.State.SERVING);
+            return endpoints.values().stream().anyMatch(endpoint -> endpoint.state() == Endpoint.State.SERVING);
         } finally {
             lock.unlock();
         }
     }
 
-    /** The workers on the list and those avoided, as of the last ticks; waits for nobody. */
-    public Metrics.HostCounts hostCounts() {
-        return hostCounts;
-    }
-
-    /** Among how many nodes the module shares out what a cold worker may be sent. */
-    public int dispatcherCount() {
-        return settings.dispatcherCount();
-    }
-
     /** The addresses of all workers that are on the list. */
     public List<String> endpointAddresses() {
         lock.lock();
@@ -362,23 +407,9 @@
 
     // ------------------------------------------------------------ under the lock
 
-    /** What the request counts for, under its tenant's share; what is beyond that is not relieved. */
-    double priorityWeight(InFlightRequest t) {
-        double share = quotaWeight(t);
-        double[] more = setPriorityBoosts;
-        return share < 1 || t.tenant < 0 || t.tenant >= more.length ? share : more[t.tenant];
-    }
-
-    private double quotaWeight(InFlightRequest t) {
-        if (shares == null) {
-            return 1;
-        }
-        // By the transaction's own settings: the module's count is of those that share this one's workers,
-        // while a tenant's traffic is spread over all dispatchers.
-        PolicySettings told = t.acceptedSettings == null ? settings : t.acceptedSettings;
-        double leftMs = (t.deadlineUs - nowUs()) / 1000.0;
-        return shares.weight(
-                nowUs() / 1000.0, t.id, t.tenant, told.isFirstAttempt(t.requestClass, leftMs), told.dispatcherCount());
+    /** What the request counts for by its tenant's quota and boost; see {@link RequestWeights}. */
+    double priorityWeight(InFlightRequest request) {
+        return weights.of(request, settingsOf(request), nowUs());
     }
 
     private void locked(Runnable work) {
@@ -390,106 +421,69 @@
         }
     }
 
-    /** Guards the process: an event that the module rejects costs that event and a line in the log. */
+    /** Whether the policy took the event. One that it rejects costs that event and a line in the log. */
     private boolean guarded(String event, Runnable call) {
         try {
             call.run();
             return true;
         } catch (RuntimeException e) {
-            Logger.error(e, "the module rejected an event: {}", event);
+            Logger.error(e, "the policy rejected an event: {}", event);
             return false;
         }
     }
 
-    private void settleQuota(InFlightRequest t, boolean away) {
-        if (shares != null) {
-            shares.requestCompleted(t.id, away);
-        }
-    }
-
-    private void end(InFlightRequest t, Decision word) {
-        t.ended = true;
-        settleQuota(t, true);
-        t.decision = word;
-        t.decisionAvailable.signalAll();
-        forget(t);
+    private void end(InFlightRequest request, Decision decision) {
+        request.ended = true;
+        weights.requestCompleted(request, true);
+        request.decision = decision;
+        request.decisionAvailable.signalAll();
+        forget(request);
     }
 
-    private void forget(InFlightRequest t) {
-        if (t.ended && t.attemptsInFlight == 0) {
-            inFlight.remove(t.id);
+    private void forget(InFlightRequest request) {
+        if (request.ended && request.attemptsInFlight == 0) {
+            inFlight.remove(request.id);
         }
     }
 
-    private static AttemptOutcome verdict(Outcome outcome) {
-        return switch (outcome) {
-            case SERVED -> AttemptOutcome.SERVED;
-            case ERROR -> AttemptOutcome.ERROR;
-            case REJECTED -> AttemptOutcome.REJECTED;
-            case TIMED_OUT -> AttemptOutcome.TIMED_OUT;
-            case CONNECT_FAILED -> AttemptOutcome.CONNECT_FAILED;
-            case RESET -> AttemptOutcome.RESET;
-            case CANCELLED -> AttemptOutcome.CANCELLED;
-            case NEVER_SENT -> AttemptOutcome.NEVER_SENT;
-            case STALE_CONNECTION_RESET -> AttemptOutcome.STALE_CONNECTION_RESET;
-        };
-    }
-
-    private static EndpointLifecycle health(Endpoint.State state) {
-        return switch (state) {
-            case SERVING -> EndpointLifecycle.ACTIVE;
-            case DRAINING -> EndpointLifecycle.DRAINING;
-            case DELETED -> EndpointLifecycle.REMOVED;
-        };
-    }
-
-    private static LoadReport load(WorkerLoad load) {
-        return load == null
-                ? null
-                : new LoadReport(
-                        load.figure("active"),
-                        load.figure("waiting"),
-                        load.figure("cpu"),
-                        load.figure("avg_ms"),
-                        load.figure("x0"),
-                        load.figure("x1"));
-    }
-
-    /** What the module wants done; called back by it under the lock. */
+    /** Takes what the policy wants done. Called by the policy, under the lock. */
     private final class Actions implements PolicyActions {
         @Override
         public void sendAttempt(long id, String worker) {
-            InFlightRequest t = inFlight.get(id);
-            Endpoint r = endpoints.get(worker);
-            Attempt b = new Attempt(t, t.attempts.size(), worker, r == null ? "" : r.address(), nowUs());
-            t.attempts.add(b);
-            t.attemptsInFlight++;
-            t.decision = b;
-            t.decisionAvailable.signalAll();
+            InFlightRequest request = inFlight.get(id);
+            Attempt attempt = new Attempt(request, request.attempts.size(), worker, address(worker), nowUs());
+            request.attempts.add(attempt);
+            request.attemptsInFlight++;
+            request.decision = attempt;
+            request.decisionAvailable.signalAll();
+        }
+
+        private String address(String worker) {
+            Endpoint endpoint = endpoints.get(worker);
+            return endpoint == null ? "" : endpoint.address();
         }
 
         @Override
-        public void reject(long id, double pauseMs, RejectionReason why) {
-            end(inFlight.get(id), new Decision.Rejected(pauseMs, why));
+        public void reject(long id, double retryAfterMs, RejectionReason reason) {
+            end(inFlight.get(id), new Decision.Rejected(retryAfterMs, reason));
         }
 
         @Override
-        public void fail(long id, RejectionReason why) {
-            end(inFlight.get(id), new Decision.Failed(why));
+        public void fail(long id, RejectionReason reason) {
+            end(inFlight.get(id), new Decision.Failed(reason));
         }
 
         @Override
-        public void cancelAttempt(long id, int attempt) {
-            InFlightRequest t = inFlight.get(id);
-            if (t != null && attempt < t.attempts.size()) {
-                schedule(new Action.Cancel(t.attempts.get(attempt)));
+        public void cancelAttempt(long id, int number) {
+            InFlightRequest request = inFlight.get(id);
+            if (request != null && number < request.attempts.size()) {
+                schedule(new Action.Cancel(request.attempts.get(number)));
             }
         }
 
         @Override
         public void probe(String worker) {
-            Endpoint r = endpoints.get(worker);
-            schedule(new Action.Probe(worker, r == null ? "" : r.address()));
+            schedule(new Action.Probe(worker, address(worker)));
         }
 
         @Override
@@ -497,36 +491,28 @@
             schedule(new Action.Watch());
         }
 
+        private void schedule(Action action) {
+            pendingActions.add(action);
+            tickNeeded.signal();
+        }
+
         @Override
         public void scheduleTimer(double delayMs, long label) {
-            timers.add(new Due(nowUs() + Math.round(delayMs * 1000), ++timerOrder, label));
-            pending.signal();
+            timers.add(nowUs() + Math.round(delayMs * 1000), label);
+            tickNeeded.signal();
         }
 
         @Override
         public void listStateChanged(EndpointListState from, EndpointListState to, double ageMs) {
             listState = to;
-            Event.of(
-                            "list.state",
-                            "from",
-                            from,
-                            "to",
-                            to,
-                            "age_ms",
-                            Double.isInfinite(ageMs) ? null : Math.round(ageMs),
-                            "revision",
-                            listVersion)
+            Long knownAgeMs = Double.isInfinite(ageMs) ? null : Long.valueOf(Math.round(ageMs));
+            Event.of("list.state", "from", from, "to", to, "age_ms", knownAgeMs, "revision", listVersion)
                     .info();
         }
 
         @Override
         public void log(String line) {
-            Logger.info("module: {}", line);
-        }
-
-        private void schedule(Action chore) {
-            pendingActions.add(chore);
-            pending.signal();
+            Logger.info("policy: {}", line);
         }
     }
 }
--- a/src/main/java/maplespread/facade/InFlightRequest.java
+++ b/src/main/java/maplespread/facade/InFlightRequest.java
@@ -8,8 +8,8 @@
 import maplespread.policy.PolicySettings;
 
 /**
- * One request of a client, as far as decisions go; it knows no protocol. The network code makes it and asks
- * for words about it; what the dispatcher notes here is guarded by the dispatcher's lock.
+ * One request of a client, as far as decisions go; it knows no protocol. The network code makes it and asks {@link
+ * DecisionService#decide} about it. Mutable fields are guarded by the service's lock.
  */
 public final class InFlightRequest {
     final int requestClass;
@@ -19,69 +19,81 @@
     final double slots;
     final double memory;
     final String key;
-    final PolicySettings acceptedSettings; // whose rules hold; null: the present ones
+    /** The settings whose rules hold for it to its end; null: those in force. */
+    final PolicySettings acceptedSettings;
+
     final List<Attempt> attempts = new ArrayList<>(2);
-    Predicate<String> eligibleWorkers; // workers that it may go to; null: any
-    BooleanSupplier sendPermitted; // it may be sent now; null: always
+    /** The workers that it may go to; null: any. */
+    Predicate<String> eligibleWorkers;
+    /** Whether it may be sent now, asked without the lock; null: always. */
+    BooleanSupplier sendPermitted;
+
     long id;
     boolean submitted;
-    boolean ended; // no further branch, whatever comes
-    int attemptsInFlight; // branches without an outcome
-    long firstPossibleRunUs; // choice of the first that may; 0: none
+    /** No further attempt is made, whatever comes. */
+    boolean ended;
+
+    int attemptsInFlight;
+    /** When the first attempt was decided on that may have run; 0: none may have. */
+    long firstPossibleRunUs;
+
     Decision decision;
     Condition decisionAvailable;
 
     /**
-     * {@code deadlineUs}: on {@link DecisionService#nowUs}; {@code workMs}: NaN where no estimate came;
-     * {@code key}: what it concerns, or null.
+     * A request under the settings in force. {@code deadlineUs}: on {@link DecisionService#nowUs}; {@code workMs}: hinted
+     * work in milliseconds, NaN where no hint came; {@code key}: what it concerns, or null.
      */
     public InFlightRequest(
-            int cls, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
-        this(cls, tenant, deadlineUs, workMs, slots, memory, key, null);
+            int requestClass, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
+        this(requestClass, tenant, deadlineUs, workMs, slots, memory, key, null);
     }
 
-    /** {@code under}: the settings that it is taken under, whatever holds later. */
+    /** A request under {@code acceptedSettings}, whatever is in force later. */
     public InFlightRequest(
-            int cls,
+            int requestClass,
             int tenant,
             long deadlineUs,
             double workMs,
             double slots,
             double memory,
             String key,
-            PolicySettings under) {
-        this.acceptedSettings = under;
-        this.requestClass = cls;
+            PolicySettings acceptedSettings) {
+        this.requestClass = requestClass;
         this.tenant = tenant;
         this.deadlineUs = deadlineUs;
         this.workMs = workMs;
         this.slots = slots;
         this.memory = memory;
         this.key = key;
+        this.acceptedSettings = acceptedSettings;
     }
 
     /**
-     * Before it is first asked about: it may go to these workers only, and is sent only while {@code still}
-     * holds, null: always, which is asked just before each sending, by its own thread.
+     * Restricts it before its first decision: to {@code workers}, and to moments at which {@code permitted} holds (null:
+     * any moment), which is asked just before each send, on the request's thread.
      */
-    public void restrict(Predicate<String> workers, BooleanSupplier still) {
+    public void restrict(Predicate<String> workers, BooleanSupplier permitted) {
         eligibleWorkers = workers;
-        this.sendPermitted = still;
+        sendPermitted = permitted;
     }
 
+    /** The class's number in the settings. */
     public int requestClass() {
         return requestClass;
     }
 
+    /** The tenant's number in the settings, or -1. */
     public int tenant() {
         return tenant;
     }
 
-    /** NaN where no estimate came. */
+    /** Hinted work in milliseconds; NaN where no hint came. */
     public double workMs() {
         return workMs;
     }
 
+    /** Microseconds on {@link DecisionService#nowUs}. */
     public long deadlineUs() {
         return deadlineUs;
     }
--- a/src/main/java/maplespread/facade/SendCheck.java
+++ b/src/main/java/maplespread/facade/SendCheck.java
@@ -2,15 +2,16 @@
 
 /** Whether an attempt may leave the process at this moment, or why not: {@link DecisionService#checkSend}. */
 public enum SendCheck {
+    /** It may be sent. */
     ALLOWED,
-    /** The turn in its ordered partition is no longer this request's. */
+    /** The request no longer holds its permit in its ordered partition. */
     ORDERING_PERMIT_LOST,
-    /** It was answered, or its client has left. */
+    /** The request was answered, or its client has left. */
     REQUEST_ENDED,
-    /** The server drains, is gone, or has another address. */
+    /** The worker drains, is gone, or has another address. */
     SERVER_NOT_LISTED,
-    /** The list may be out of date by now. */
+    /** The endpoint list may be out of date by now. */
     LIST_NOT_CONFIRMED,
-    /** Its server would no longer know a repeat. */
+    /** Its worker would no longer recognize a repeat. */
     REPEAT_WINDOW_OVER
 }
--- a/src/main/java/maplespread/lab/RegistryMeasure.java
+++ b/src/main/java/maplespread/lab/RegistryMeasure.java
@@ -129,7 +129,7 @@
 
         @Override
         public void endpointsChanged(EndpointUpdate news) {
-            dispatcher.report(news);
+            dispatcher.reportEndpoints(news);
             long now = System.nanoTime();
             whole |= news.kind() == EndpointUpdate.Kind.FULL_SNAPSHOT;
             for (Endpoint r : news.endpoints()) {
@@ -289,7 +289,7 @@
             for (int i = 0; i < workers; i++) {
                 all.add(new Endpoint("w" + i, "10.0.0.1:80", Endpoint.State.SERVING, 1, 0, 0, 0, 0));
             }
-            d.report(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 1, all));
+            d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 1, all));
             int rounds = quick ? 20_000 : 200_000;
             long start = 0;
             for (int i = 0; i < 2 * rounds; i++) {
@@ -298,7 +298,7 @@
                 Endpoint.State state = i % 3 == 0
                         ? Endpoint.State.DELETED
                         : i % 3 == 1 ? Endpoint.State.SERVING : Endpoint.State.DRAINING;
-                d.report(new EndpointUpdate(
+                d.reportEndpoints(new EndpointUpdate(
                         EndpointUpdate.Kind.DELTA,
                         i + 2L,
                         List.of(new Endpoint("w" + w, "10.0.0.1:80", state, 1, 0, 0, 0, 0))));
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -202,8 +202,8 @@
 
     private AttemptResult answer(
             Attempt branch, WorkerRequest message, Running me, ConnectionPool.PooledConnection link) {
-        WorkerStreamReader lines =
-                new WorkerStreamReader(message.id(), (started, share) -> dispatcher.report(branch, started, share));
+        WorkerStreamReader lines = new WorkerStreamReader(
+                message.id(), (started, share) -> dispatcher.reportProgress(branch, started, share));
         HttpParser parser = HttpParser.response(MOST_BYTES, new LineSplitter(LONGEST_LINE, lines::line));
         // A worker's head comes when it has taken the job, long before the job's end: without it, the
         // connection or the worker is silent. Only what may be repeated can be given up for that.
--- a/src/main/java/maplespread/worker/Prober.java
+++ b/src/main/java/maplespread/worker/Prober.java
@@ -54,6 +54,6 @@
         if (link != null) {
             links.close(link);
         }
-        dispatcher.report(probe, outcome, (System.nanoTime() - start) / 1e6, load);
+        dispatcher.reportProbeEnded(probe, outcome, (System.nanoTime() - start) / 1e6, load);
     }
 }
--- a/src/test/java/maplespread/facade/DecisionServiceTest.java
+++ b/src/test/java/maplespread/facade/DecisionServiceTest.java
@@ -25,13 +25,13 @@
     private static DecisionService dispatcher(String... workers) throws Exception {
         Config c = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
         DecisionService d = new DecisionService(c.settings(), 7);
-        d.report(new EndpointUpdate(
+        d.reportEndpoints(new EndpointUpdate(
                 EndpointUpdate.Kind.CACHED_SNAPSHOT,
                 1,
                 Arrays.stream(workers)
                         .map(w -> route(w, Endpoint.State.SERVING))
                         .toList()));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
         return d;
     }
 
@@ -95,9 +95,10 @@
         DecisionService d = dispatcher("a", "bb");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
         assertEquals(SendCheck.ALLOWED, d.checkSend(b));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(route(b.worker(), Endpoint.State.DRAINING))));
+        d.reportEndpoints(
+                new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(route(b.worker(), Endpoint.State.DRAINING))));
         assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
-        d.report(b, Outcome.NEVER_SENT, null);
+        d.reportAttemptEnded(b, Outcome.NEVER_SENT, null);
         Attempt next = (Attempt) d.decide(b.request());
         assertEquals("it goes to the other", 1, next.number());
         assertFalse(next.worker().equals(b.worker()));
@@ -120,10 +121,10 @@
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
         d.reportListUnconfirmed(EndpointListDoubt.SILENT, 3000);
         assertEquals(SendCheck.ALLOWED, d.checkSend(b));
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
         d.reportListUnconfirmed(EndpointListDoubt.SILENT, 6000);
         assertEquals(SendCheck.LIST_NOT_CONFIRMED, d.checkSend(b));
-        d.report(b, Outcome.NEVER_SENT, null);
+        d.reportAttemptEnded(b, Outcome.NEVER_SENT, null);
         Decision decision = decidedWithTimers(d, b.request());
         assertTrue(
                 decision.toString(),
@@ -135,9 +136,9 @@
     public void newsOfASourceLeftBehindConfirmsNothing() throws Exception {
         DecisionService d = dispatcher("a");
         d.reportListUnconfirmed(EndpointListDoubt.MOVED, 0);
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
+        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
         assertEquals(EndpointListState.RENEWING, d.listState());
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
+        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
         assertEquals(EndpointListState.CONFIRMED, d.listState());
     }
 
@@ -146,7 +147,7 @@
     public void aWholeListDropsTheAbsent() throws Exception {
         DecisionService d = dispatcher("a");
         Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.report(
+        d.reportEndpoints(
                 new EndpointUpdate(EndpointUpdate.Kind.FULL_SNAPSHOT, 2, List.of(route("bb", Endpoint.State.SERVING))));
         assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
         assertEquals(List.of("127.0.0.1:2"), d.endpointAddresses());
@@ -158,7 +159,7 @@
         DecisionService d = dispatcher("a", "bb");
         for (Outcome o : new Outcome[] {Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT}) {
             InFlightRequest t = job(d, 1, 4000);
-            d.report((Attempt) d.decide(t), o, null);
+            d.reportAttemptEnded((Attempt) d.decide(t), o, null);
             assertTrue(o.toString(), d.decide(t) instanceof Decision.Failed);
         }
     }
@@ -168,7 +169,7 @@
     public void leavingEndsABranchThatNobodyWillSend() throws Exception {
         DecisionService d = dispatcher("a", "bb");
         InFlightRequest t = job(d, 0, 4000);
-        d.report((Attempt) d.decide(t), Outcome.REJECTED, null); // the next branch waits to be read
+        d.reportAttemptEnded((Attempt) d.decide(t), Outcome.REJECTED, null); // the next branch waits to be read
         d.reportClientLeft(t);
         assertEquals(0, t.attemptsInFlight);
         assertTrue(d.decide(t) instanceof Decision.ClientLeft);
--- a/src/test/java/maplespread/net/CrossingsTest.java
+++ b/src/test/java/maplespread/net/CrossingsTest.java
@@ -137,8 +137,8 @@
             config = ConfigReader.read(file, Map.of());
             Metrics figures = new Metrics();
             dispatcher = new DecisionService(config.settings(), 1, false);
-            dispatcher.report(config.cachedEndpoints());
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+            dispatcher.reportEndpoints(config.cachedEndpoints());
+            dispatcher.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
             ConnectionPool links = new ConnectionPool(() -> config, config::limits, dialer);
             branches = new AttemptRunner(() -> config, links, dispatcher, figures);
             Starts counted = new Starts(work -> transactions.accept(() -> {
@@ -181,7 +181,7 @@
                             0,
                             0)
                     : null;
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(r)));
+            dispatcher.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(r)));
         }
 
         @Override
--- a/src/test/java/maplespread/net/ShutdownTest.java
+++ b/src/test/java/maplespread/net/ShutdownTest.java
@@ -157,8 +157,8 @@
         Metrics figures = new Metrics();
         DecisionService dispatcher = new DecisionService(config.settings(), 1, false);
         known = () -> {
-            dispatcher.report(config.cachedEndpoints());
-            dispatcher.report(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+            dispatcher.reportEndpoints(config.cachedEndpoints());
+            dispatcher.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
         };
         ConnectionPool links = new ConnectionPool(() -> config, config::limits);
         ServingContext service = new ServingContext(
--- a/src/test/java/maplespread/registry/RegistryWatcherTest.java
+++ b/src/test/java/maplespread/registry/RegistryWatcherTest.java
@@ -314,8 +314,8 @@
             store.put("/w/new" + i, "SERVING " + start);
         }
         run(List.of(c), 50);
-        d.report(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 0, List.of()));
-        news.forEach(d::report);
+        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 0, List.of()));
+        news.forEach(d::reportEndpoints);
         Map<String, Integer> sent = new HashMap<>();
         long begun = System.nanoTime();
         for (int i = 0; i < 400; i++) {
