--- a/src/main/java/maplespread/consensus/ChangeRejectedException.java
+++ b/src/main/java/maplespread/consensus/ChangeRejectedException.java
@@ -6,6 +6,7 @@
 public class ChangeRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
+    /** See {@link FleetException}: what is wrong, what still works, and what an operator can do. */
     public ChangeRejectedException(String wrong, String works, String remedy) {
         super(wrong, works, remedy);
     }
--- a/src/main/java/maplespread/consensus/ConsensusMessage.java
+++ b/src/main/java/maplespread/consensus/ConsensusMessage.java
@@ -6,11 +6,20 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * What one member sends another. {@code runs}: the newest run of each member that the sender knows of, its
- * crash vector. {@code ballot}: the try it belongs to; {@code promised}: the sender's newest promise;
- * {@code blind}: the sender's state; {@code founding}: the try begins a life anew; {@code asker}: the run
- * that asked; {@code electors}: of the sender's settings; {@code quorum}: the runs whose promises the try
- * rests on; {@code held}: what is told, null for nothing.
+ * What one member sends another.
+ *
+ * @param kind what it asks or answers
+ * @param sender the name of the member that sends it
+ * @param incarnation the sender's incarnation, in Unix milliseconds
+ * @param crashVector the newest incarnation of each member that the sender knows of and whose votes may count
+ * @param ballot of the round that it belongs to; {@link Ballot#NONE} outside of rounds
+ * @param promisedBallot the highest ballot that the sender has promised
+ * @param recovering whether the sender recovers and does not vote
+ * @param bootstrap whether the round is a bootstrap
+ * @param requesterIncarnation in a recovery response: the incarnation that asked; else 0
+ * @param configuredElectors the electors of the sender's settings
+ * @param promiseQuorum in an accept request: the incarnations whose promises the proposal rests on
+ * @param accepted the state that is reported or proposed; null: none
  */
 public record ConsensusMessage(
         Kind kind,
@@ -25,27 +34,37 @@
         List<String> configuredElectors,
         Map<String, Long> promiseQuorum,
         AcceptedState accepted) {
-    /** ASK: of a blind one, to be answered by STATE. NEWS: what its sender knows as decided, without it. */
+    /** The kinds of messages; their order is part of the format. */
     public enum Kind {
+        /** Of a member that recovers: asks what the receiver has promised and accepted. */
         RECOVERY_REQUEST,
+        /** Reports what the sender has promised and accepted. */
         RECOVERY_RESPONSE,
+        /** Of a proposer: asks for a promise of its ballot. */
         PREPARE,
+        /** Promises the ballot and reports what was accepted so far. */
         PROMISE,
+        /** Of a proposer: asks to accept the state that it carries. */
         ACCEPT,
+        /** The state was accepted. */
         ACCEPTED,
+        /** Refuses a PREPARE or an ACCEPT, as a higher ballot was promised or the quorum behind it does not hold. */
         REFUSE,
+        /** Announces a decided state. */
         DECIDED,
+        /** Reports the ballot of the latest decision that the sender knows, without the state. */
         DECIDED_BALLOT
     }
 
+    /** Copies the collections. */
     public ConsensusMessage {
         crashVector = new TreeMap<>(crashVector);
         promiseQuorum = new TreeMap<>(promiseQuorum);
         configuredElectors = List.copyOf(configuredElectors);
     }
 
-    /** The same word with what it tells. */
-    ConsensusMessage withAccepted(AcceptedState told) {
+    /** The same message with this state. */
+    ConsensusMessage withAccepted(AcceptedState next) {
         return new ConsensusMessage(
                 kind,
                 sender,
@@ -58,6 +77,6 @@
                 requesterIncarnation,
                 configuredElectors,
                 promiseQuorum,
-                told);
+                next);
     }
 }
--- a/src/main/java/maplespread/consensus/ConsensusSettings.java
+++ b/src/main/java/maplespread/consensus/ConsensusSettings.java
@@ -3,10 +3,23 @@
 import java.util.List;
 
 /**
- * {@code electors}: those of the operators' file, which count until a value says otherwise. {@code retryMs}:
- * how long the first try of a change waits for answers; {@code mostRetryMs}: the longest such wait.
+ * The settings of a node.
+ *
+ * @param name this member's name
+ * @param electors the electors at the first start, and until a decided value names others; each named once
+ * @param retryMs how long the first round of a change waits for answers, in milliseconds; each further round waits
+ *     twice as long
+ * @param maxRetryMs the longest such wait, and the unit of all other intervals, in milliseconds
  */
 public record ConsensusSettings(String name, List<String> electors, long retryMs, long maxRetryMs) {
+    private static final long LOCAL_RETRY_MS = 50;
+    private static final long LOCAL_MAX_RETRY_MS = 500;
+
+    /**
+     * Checks and copies the electors.
+     *
+     * @throws IllegalArgumentException if there are none, or one is named twice
+     */
     public ConsensusSettings {
         electors = List.copyOf(electors);
         if (electors.isEmpty() || electors.stream().distinct().count() < electors.size()) {
@@ -14,8 +27,8 @@
         }
     }
 
-    /** For a local network. */
+    /** Settings for a local network. */
     public static ConsensusSettings of(String name, List<String> electors) {
-        return new ConsensusSettings(name, electors, 50, 500);
+        return new ConsensusSettings(name, electors, LOCAL_RETRY_MS, LOCAL_MAX_RETRY_MS);
     }
 }
--- a/src/main/java/maplespread/consensus/ConsensusTransport.java
+++ b/src/main/java/maplespread/consensus/ConsensusTransport.java
@@ -1,11 +1,13 @@
 package maplespread.consensus;
 
-/** Where an agreement's words and news go. */
+/** Takes what a node sends and reports. Called during calls of the node; must not call it back. */
 public interface ConsensusTransport {
-    void send(String to, ConsensusMessage word);
+    /** Sends a message to another member; it may be lost, delayed, repeated or overtaken. */
+    void send(String receiver, ConsensusMessage message);
 
-    /** A value was decided that is later than the one known so far. */
+    /** A value is known to be decided that is later than the one known so far. */
     void learned(VersionedValue value);
 
+    /** Something for the log: its name, then names and values in turn. */
     void event(boolean warning, String name, Object... pairs);
 }
--- a/src/main/java/maplespread/consensus/Digest.java
+++ b/src/main/java/maplespread/consensus/Digest.java
@@ -4,9 +4,14 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** Names what is kept by its content: the first half of the SHA-256 of its bytes. */
+/**
+ * Identifies a state by its content: the first 128 bits of the SHA-256 of its bytes.
+ *
+ * @param high the first 64 bits
+ * @param low the next 64 bits
+ */
 record Digest(long high, long low) {
-    /** On the wire. */
+    /** The length in a message. */
     static final int BYTES = 16;
 
     static Digest of(byte[] content) {
--- a/src/main/java/maplespread/consensus/MessageCodec.java
+++ b/src/main/java/maplespread/consensus/MessageCodec.java
@@ -1,186 +1,192 @@
 package maplespread.consensus;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import maplespread.consensus.MessageFormat.ParsedMessage;
 import maplespread.consensus.RegisterState.AcceptedState;
+import maplespread.consensus.StateCache.BoundedMap;
 
 /**
- * One member's words as bytes, with values by reference: a value goes whole only to a member that is not known
- * to hold it, else by its digest. A member that cannot resolve a digest drops the word, which agreement takes as
- * lost, and requests the value; the sender then repeats its last word to that member with the value whole.
+ * Turns one member's messages into bytes and back, with states by reference: a state goes whole only to a member that is
+ * not known to hold it, else by its digest. A receiver that cannot resolve a digest drops the message, which counts as
+ * lost, and requests the state; the sender then repeats its last message to that member, with the state whole.
  *
- * <p>Members of a version that does not know references are sent whole values, and send them. Not safe for use
- * by several threads at once.
+ * <p>Members of an earlier version, which know no references, are sent whole states, and send them. Not safe for use by
+ * several threads at once.
  */
 public final class MessageCodec {
-    private static final byte REQUEST = 2; // in place of a word's version
-    private static final int MOST_BODIES = 8;
-    private static final int MOST_PEERS = 1024;
-    private static final int MOST_HOLDINGS = 2; // are named in a word
-    private static final int MOST_KNOWN = 4; // of what one peer holds
+    /** Stands in place of a message's version, and is followed by the digest of the requested state. */
+    private static final byte STATE_REQUEST = 2;
+
+    private static final int STATE_REQUEST_BYTES = 1 + Digest.BYTES;
+    private static final int MAX_PEERS = 1024;
+
+    /** Most digests that a message names as held by its sender. */
+    private static final int MAX_ANNOUNCED_HOLDINGS = 2;
+
+    /** Most digests that are remembered as held by one peer. */
+    private static final int MAX_PEER_HOLDINGS = 4;
 
     /**
-     * What came of a packet.
+     * What a packet contained.
      *
-     * @param word null where the packet brought none that can be used
-     * @param reply to be sent back to the sender, or null
+     * @param message null where there is none that can be used
+     * @param reply a packet to be sent back to the sender; null: none
      * @param readable whether the packet was of a known form
      */
-    public record Received(ConsensusMessage message, byte[] reply, boolean readable) {}
+    public record Received(ConsensusMessage message, byte[] reply, boolean readable) {
+        private static final Received UNREADABLE = new Received(null, null, false);
+        private static final Received NOTHING = new Received(null, null, true);
+
+        private static Received of(ConsensusMessage message) {
+            return new Received(message, null, true);
+        }
+
+        private static Received replyWith(byte[] reply) {
+            return new Received(null, reply, true);
+        }
+    }
 
     /**
-     * How values went so far.
+     * How states were sent so far. An admin answer prints these names.
      *
-     * @param whole sent with their text
-     * @param byReference sent by digest alone
-     * @param repeated of these, sent again whole, as the receiver could not resolve the digest
+     * @param whole how many were sent whole
+     * @param byReference how many were sent by digest alone
+     * @param repeated how many of these were sent again whole, as the receiver could not resolve the digest
      */
     public record Counts(long whole, long byReference, long repeated) {}
 
+    /** What is known of a member's newest incarnation. */
     private static final class Peer {
-        final long boot;
-        final Set<Digest> holds = new LinkedHashSet<>();
-        boolean references; // it understands them
-        ConsensusMessage last; // sent to it by reference
+        private final long incarnation;
+        private final Set<Digest> holdings = new LinkedHashSet<>();
+        private boolean understandsReferences;
+        private ConsensusMessage lastByReference;
 
-        Peer(long boot) {
-            this.boot = boot;
+        Peer(long incarnation) {
+            this.incarnation = incarnation;
         }
 
-        void holds(Digest digest) {
-            holds.remove(digest);
-            holds.add(digest);
-            if (holds.size() > MOST_KNOWN) {
-                holds.remove(holds.iterator().next());
+        void addHolding(Digest digest) {
+            holdings.remove(digest);
+            holdings.add(digest);
+            if (holdings.size() > MAX_PEER_HOLDINGS) {
+                holdings.remove(holdings.iterator().next());
             }
         }
     }
 
-    private final Map<Digest, RegisterState> bodies = bounded(MOST_BODIES);
-    private final Map<String, Peer> peers = bounded(MOST_PEERS);
+    private final StateCache states = new StateCache();
+    private final Map<String, Peer> peers = new BoundedMap<>(MAX_PEERS);
     private long whole;
     private long byReference;
     private long repeated;
 
-    private static <K, V> Map<K, V> bounded(int most) {
-        return new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1;
-
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-                return size() > most;
-            }
-        };
-    }
-
-    /** The word as it is sent to this member. */
-    public byte[] encode(String to, ConsensusMessage word) {
-        Peer peer = peers.get(to);
-        boolean references = peer != null && peer.references;
-        Digest digest = word.accepted() == null ? null : digest(word.accepted().state());
-        boolean resolvable = references && digest != null && peer.holds.contains(digest);
-        if (resolvable) {
-            peer.last = word;
+    /** The packet that brings a message to this receiver. */
+    public byte[] encode(String receiver, ConsensusMessage message) {
+        Peer peer = peers.get(receiver);
+        boolean understandsReferences = peer != null && peer.understandsReferences;
+        List<Digest> holdings = List.of();
+        Digest digest = message.accepted() == null
+                ? null
+                : states.digestOf(message.accepted().state());
+        if (understandsReferences) {
+            holdings = latestHoldings();
+        }
+        if (digest == null) {
+            return MessageFormat.encode(message, null, holdings);
+        }
+        if (understandsReferences && peer.holdings.contains(digest)) {
+            peer.lastByReference = message;
             byReference++;
-        } else if (digest != null) {
-            whole++;
+            return MessageFormat.encode(message, digest, holdings);
         }
-        return MessageFormat.encode(word, resolvable ? digest : null, references ? newest() : List.of());
+        whole++;
+        return MessageFormat.encode(message, null, holdings);
     }
 
-    /** How values went so far. */
+    /** How states were sent so far. */
     public Counts counts() {
         return new Counts(whole, byReference, repeated);
     }
 
-    /** The bodies used last, newest last: what others need not send whole. */
-    private Collection<Digest> newest() {
-        List<Digest> all = new ArrayList<>(bodies.keySet());
-        return all.subList(Math.max(0, all.size() - MOST_HOLDINGS), all.size());
+    private List<Digest> latestHoldings() {
+        return states.latest(MAX_ANNOUNCED_HOLDINGS);
     }
 
-    private Digest digest(RegisterState kept) {
-        for (Map.Entry<Digest, RegisterState> e : bodies.entrySet()) {
-            if (e.getValue() == kept) {
-                Digest digest = e.getKey();
-                bodies.get(digest); // used now
-                return digest;
-            }
+    /** What a packet of this sender contains. A message that names another sender is returned as it is. */
+    public Received decode(String sender, byte[] packet) {
+        if (packet.length > 0 && packet[0] == STATE_REQUEST) {
+            return repeatWhole(sender, packet);
         }
-        Digest digest = Digest.of(MessageFormat.encode(kept));
-        bodies.put(digest, kept);
-        return digest;
-    }
-
-    /** What a packet of this member says. */
-    public Received decode(String from, byte[] bytes) {
-        if (bytes.length > 0 && bytes[0] == REQUEST) {
-            return requested(from, bytes);
+        Optional<ParsedMessage> parsed = MessageFormat.decode(packet);
+        if (parsed.isEmpty()) {
+            return Received.UNREADABLE;
         }
-        MessageFormat.ParsedMessage parsed = MessageFormat.decode(bytes);
-        if (parsed == null) {
-            return new Received(null, null, false);
+        if (!parsed.get().message().sender().equals(sender)) {
+            return Received.of(parsed.get().message());
         }
-        ConsensusMessage word = parsed.message();
-        if (!word.sender().equals(from)) {
-            return new Received(word, null, true); // the caller refuses it
-        }
-        Peer peer = peer(from, word.incarnation());
+        return resolve(sender, parsed.get());
+    }
+
+    private Received resolve(String sender, ParsedMessage parsed) {
+        ConsensusMessage message = parsed.message();
+        Peer peer = currentPeer(sender, message.incarnation());
         if (peer != null) {
-            peer.references = parsed.understandsReferences();
-            parsed.holdings().forEach(peer::holds);
+            peer.understandsReferences = parsed.understandsReferences();
+            parsed.holdings().forEach(peer::addHolding);
         }
-        Digest digest = parsed.reference();
-        if (digest == null) {
-            if (word.accepted() != null && peer != null) {
-                peer.holds(digest(word.accepted().state()));
+        Digest reference = parsed.reference();
+        if (reference == null) {
+            if (message.accepted() != null && peer != null) {
+                peer.addHolding(states.digestOf(message.accepted().state()));
             }
-            return new Received(word, null, true);
+            return Received.of(message);
         }
-        RegisterState kept = bodies.get(digest);
-        if (kept == null) {
-            return new Received(null, request(digest), true);
+        RegisterState state = states.get(reference);
+        if (state == null) {
+            return Received.replyWith(stateRequest(reference));
         }
-        return new Received(word.withAccepted(new AcceptedState(parsed.referenceBallot(), kept)), null, true);
+        return Received.of(message.withAccepted(new AcceptedState(parsed.referenceBallot(), state)));
     }
 
-    /** What is known of a member's newest run; null for a run that is over. */
-    private Peer peer(String name, long boot) {
+    /** What is known of a member's newest incarnation; null where this one has ended. */
+    private Peer currentPeer(String name, long incarnation) {
         Peer peer = peers.get(name);
-        if (peer == null || peer.boot < boot) {
-            peer = new Peer(boot);
+        if (peer == null || peer.incarnation < incarnation) {
+            peer = new Peer(incarnation);
             peers.put(name, peer);
         }
-        return peer.boot == boot ? peer : null;
+        return peer.incarnation == incarnation ? peer : null;
     }
 
-    private static byte[] request(Digest digest) {
-        ByteBuffer out = ByteBuffer.allocate(1 + Digest.BYTES).put(REQUEST);
+    private static byte[] stateRequest(Digest digest) {
+        ByteBuffer out = ByteBuffer.allocate(STATE_REQUEST_BYTES).put(STATE_REQUEST);
         digest.write(out);
         return out.array();
     }
 
-    private Received requested(String from, byte[] bytes) {
-        if (bytes.length != 1 + Digest.BYTES) {
-            return new Received(null, null, false);
+    /** The last message to a member that could not resolve its reference, with the state whole. */
+    private Received repeatWhole(String sender, byte[] request) {
+        if (request.length != STATE_REQUEST_BYTES) {
+            return Received.UNREADABLE;
+        }
+        Digest digest = Digest.read(ByteBuffer.wrap(request, 1, Digest.BYTES));
+        Peer peer = peers.get(sender);
+        if (peer == null || peer.lastByReference == null) {
+            return Received.NOTHING;
         }
-        Digest digest = Digest.read(ByteBuffer.wrap(bytes, 1, Digest.BYTES));
-        Peer peer = peers.get(from);
-        if (peer == null
-                || peer.last == null
-                || !digest(peer.last.accepted().state()).equals(digest)) {
-            return new Received(null, null, true); // it was repeated, or overtaken by a later word
+        ConsensusMessage last = peer.lastByReference;
+        if (!states.digestOf(last.accepted().state()).equals(digest)) {
+            return Received.NOTHING; // a later message has taken its place
         }
-        peer.holds.remove(digest);
-        ConsensusMessage again = peer.last;
-        peer.last = null;
+        peer.holdings.remove(digest);
+        peer.lastByReference = null;
         repeated++;
-        return new Received(null, MessageFormat.encode(again, null, newest()), true);
+        return Received.replyWith(MessageFormat.encode(last, null, latestHoldings()));
     }
 }
--- a/src/main/java/maplespread/consensus/Mutation.java
+++ b/src/main/java/maplespread/consensus/Mutation.java
@@ -2,16 +2,18 @@
 
 import maplespread.errors.FleetException;
 
-/** What a caller wants of the value. */
+/** A change of the register's value, as a function from the newest value to the text that follows it. */
 @FunctionalInterface
 public interface Mutation {
-    /** Reads the newest value as it is. */
+    /** Reads the newest value and leaves it as it is. */
     Mutation READ = VersionedValue::text;
 
     /**
-     * The text that is to follow; the same text where nothing is to change, which makes it a read. May be
-     * called several times, with values that are never decided: it must have no other effect. What it throws
-     * refuses it, and comes with the result as it is.
+     * Returns the next text; the same text makes it a read. May be called several times, also with values that are never
+     * decided: it must have no other effect.
+     *
+     * @param current the newest value
+     * @throws FleetException if the change does not fit the value; it is then rejected, and the result carries the error
      */
-    String apply(VersionedValue now) throws FleetException;
+    String apply(VersionedValue current) throws FleetException;
 }
--- a/src/main/java/maplespread/consensus/ValueTooLargeException.java
+++ b/src/main/java/maplespread/consensus/ValueTooLargeException.java
@@ -6,9 +6,9 @@
 public final class ValueTooLargeException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    ValueTooLargeException(int bytes, int most) {
+    ValueTooLargeException(int bytes, int maxBytes) {
         super(
-                "the value would have " + bytes + " bytes, of " + most + " at most",
+                "the value would have " + bytes + " bytes, of " + maxBytes + " at most",
                 "the value stays as it was",
                 "end or remove what is no longer needed in it");
     }
--- a/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -1,7 +1,6 @@
 package maplespread.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import com.google.gson.Gson;
 import java.io.IOException;
@@ -10,6 +9,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -63,7 +63,7 @@
                 AcceptedState held = kept == null ? null : new AcceptedState(BALLOT, kept);
                 ConsensusMessage sent = word(kind, kindNumber % 2 == 0, held);
                 byte[] bytes = MessageFormat.encode(sent, null, List.of());
-                assertEquals(sent, MessageFormat.decode(bytes).message());
+                assertEquals(sent, MessageFormat.decode(bytes).orElseThrow().message());
                 lines.add(kindNumber + " " + hex(bytes));
             }
             ConsensusMessage sent = word(kind, true, new AcceptedState(BALLOT, PLAIN));
@@ -85,7 +85,7 @@
         kind[1] = (byte) Kind.values().length;
         for (byte[] broken : List.of(
                 new byte[0], version, kind, Arrays.copyOf(bytes, bytes.length - 1), Arrays.copyOf(bytes, 999))) {
-            assertNull(MessageFormat.decode(broken));
+            assertEquals(Optional.empty(), MessageFormat.decode(broken));
         }
     }
 
--- a/src/test/java/maplespread/consensus/ConsensusNodeTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusNodeTest.java
@@ -5,6 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import maplespread.lab.agreement.ExhaustiveInterleavings;
@@ -346,14 +347,14 @@
                 new RegisterState.AcceptedState(Ballot.NONE, new RegisterState(g.last(), THREE, done)));
         byte[] bytes = MessageFormat.encode(w, null, List.of());
         assertTrue(bytes.length <= 60 * 1024, bytes.length + " bytes");
-        assertEquals(w, MessageFormat.decode(bytes).message());
+        assertEquals(w, MessageFormat.decode(bytes).orElseThrow().message());
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 5000; i++) { // whatever comes, reading ends
             byte[] broken = java.util.Arrays.copyOf(bytes, random.nextInt(6000));
             for (int n = random.nextInt(4); n > 0 && broken.length > 0; n--) {
                 broken[random.nextInt(broken.length)] ^= (byte) (1 + random.nextInt(255));
             }
-            assertEquals(null, MessageFormat.decode(broken));
+            assertEquals(Optional.empty(), MessageFormat.decode(broken));
         }
     }
 }
--- a/src/test/java/maplespread/consensus/MessageCodecTest.java
+++ b/src/test/java/maplespread/consensus/MessageCodecTest.java
@@ -113,8 +113,8 @@
         assertEquals(w, a.decode("b", blind).message());
         byte[] answer = a.encode("b", word("a", 1, kept));
         assertTrue(answer.length > LONG.length());
-        assertTrue(MessageFormat.decode(answer).holdings().isEmpty());
-        assertNull(MessageFormat.decode(answer).reference());
+        assertTrue(MessageFormat.decode(answer).orElseThrow().holdings().isEmpty());
+        assertNull(MessageFormat.decode(answer).orElseThrow().reference());
     }
 
     @Test
