--- a/src/main/java/maplespread/partition/RuleIndex.java
+++ b/src/main/java/maplespread/partition/RuleIndex.java
@@ -1,5 +1,6 @@
 package maplespread.partition;
 
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -8,164 +9,186 @@
 import java.util.function.Predicate;
 
 /**
- * For one attribute and one way of asking: which rules a job passes, as a set of bits, those among them that
- * do not ask this way. Values that differ in nothing have one set between them.
+ * For one attribute and one kind of matcher: which rules a request's value passes, as a set of bits, those rules
+ * among them that have no such matcher. Values that differ in nothing have one set between them. Immutable.
  */
 abstract class RuleIndex {
     private final String attribute;
-    private final List<List<AttributeMatcher>> asks; // by rule, this way
-    private final Map<String, long[]> shared = new HashMap<>();
-    private final long[] absent;
+    /** By rule: its matchers of this kind. */
+    private final List<List<AttributeMatcher>> matchers;
+    /** Equal sets are kept once. */
+    private final Map<String, long[]> sharedSets = new HashMap<>();
 
-    private RuleIndex(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> way) {
+    private final long[] rulesWithout;
+
+    private RuleIndex(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> kind) {
         this.attribute = attribute;
-        asks = rules.stream()
-                .map(r -> r.when().stream()
-                        .filter(c -> c.attribute().equals(attribute) && way.isInstance(c.matcher()))
+        matchers = rules.stream()
+                .map(rule -> rule.when().stream()
+                        .filter(condition -> condition.attribute().equals(attribute))
                         .map(Rule.Condition::matcher)
+                        .filter(kind::isInstance)
                         .toList())
                 .toList();
-        absent = bits(a -> false);
+        rulesWithout = passed(matcher -> false);
     }
 
-    /** Adds an index for each way in which some rule asks for the attribute. */
-    static void of(String attribute, List<Rule> rules, List<RuleIndex> to) {
-        List<AttributeMatcher> asked = rules.stream()
-                .flatMap(r -> r.when().stream())
-                .filter(c -> c.attribute().equals(attribute))
+    /** An index for each kind of matcher that some rule has for the attribute. */
+    static List<RuleIndex> of(String attribute, List<Rule> rules) {
+        List<AttributeMatcher> used = rules.stream()
+                .flatMap(rule -> rule.when().stream())
+                .filter(condition -> condition.attribute().equals(attribute))
                 .map(Rule.Condition::matcher)
                 .toList();
-        if (asked.stream().anyMatch(AttributeMatcher.OneOf.class::isInstance)) {
-            to.add(new Exact(attribute, rules, asked));
+        List<RuleIndex> indexes = new ArrayList<>();
+        if (used.stream().anyMatch(AttributeMatcher.OneOf.class::isInstance)) {
+            indexes.add(new ValueIndex(attribute, rules, used));
         }
-        if (asked.stream().anyMatch(AttributeMatcher.Prefix.class::isInstance)) {
-            to.add(new Prefixes(attribute, rules, asked));
+        if (used.stream().anyMatch(AttributeMatcher.Prefix.class::isInstance)) {
+            indexes.add(new PrefixIndex(attribute, rules, used));
         }
-        for (Class<? extends AttributeMatcher> way :
+        for (Class<? extends AttributeMatcher> kind :
                 List.of(AttributeMatcher.Range.class, AttributeMatcher.Share.class)) {
-            if (asked.stream().anyMatch(way::isInstance)) {
-                to.add(new Spans(attribute, rules, way, asked));
+            if (used.stream().anyMatch(kind::isInstance)) {
+                indexes.add(new IntervalIndex(attribute, rules, kind, used));
             }
         }
+        return indexes;
     }
 
-    /** The rules whose asking this way the job passes; not to be changed. */
-    final long[] passed(RequestAttributes job) {
-        Object value = job.get(attribute);
-        return value == null ? absent : at(value);
+    /** The rules whose matchers of this kind the request passes; not to be changed. */
+    final long[] matching(RequestAttributes request) {
+        Object value = request.get(attribute);
+        return value == null ? rulesWithout : matching(value);
     }
 
-    abstract long[] at(Object value);
+    abstract long[] matching(Object value);
 
-    final long[] bits(Predicate<AttributeMatcher> passes) {
-        long[] set = new long[(asks.size() + 63) / 64];
-        for (int i = 0; i < asks.size(); i++) {
+    /** The rules all of whose matchers pass, a bit each. */
+    final long[] passed(Predicate<AttributeMatcher> passes) {
+        long[] set = new long[(matchers.size() + Long.SIZE - 1) / Long.SIZE];
+        for (int rule = 0; rule < matchers.size(); rule++) {
             boolean all = true;
-            for (AttributeMatcher a : asks.get(i)) {
-                all &= passes.test(a);
+            for (AttributeMatcher matcher : matchers.get(rule)) {
+                all &= passes.test(matcher);
             }
             if (all) {
-                set[i / 64] |= 1L << i % 64;
+                set[rule / Long.SIZE] |= 1L << (rule % Long.SIZE);
             }
         }
-        return shared.computeIfAbsent(Arrays.toString(set), k -> set);
+        return sharedSets.computeIfAbsent(Arrays.toString(set), text -> set);
     }
 
-    private static final class Exact extends RuleIndex {
+    private static final class ValueIndex extends RuleIndex {
         private final Map<Object, long[]> sets = new HashMap<>();
-        private final long[] other;
+        private final long[] unlisted;
 
-        Exact(String attribute, List<Rule> rules, List<AttributeMatcher> asked) {
+        ValueIndex(String attribute, List<Rule> rules, List<AttributeMatcher> used) {
             super(attribute, rules, AttributeMatcher.OneOf.class);
-            for (AttributeMatcher a : asked) {
-                if (a instanceof AttributeMatcher.OneOf one) {
-                    one.values().forEach(v -> sets.computeIfAbsent(v, k -> bits(x -> x.matches(k))));
+            for (AttributeMatcher matcher : used) {
+                if (matcher instanceof AttributeMatcher.OneOf oneOf) {
+                    oneOf.values()
+                            .forEach(value -> sets.computeIfAbsent(
+                                    value, listed -> passed(candidate -> candidate.matches(listed))));
                 }
             }
-            other = bits(a -> false);
+            unlisted = passed(matcher -> false);
         }
 
         @Override
-        long[] at(Object value) {
-            return sets.getOrDefault(value, other);
+        long[] matching(Object value) {
+            return sets.getOrDefault(value, unlisted);
         }
     }
 
     /** Prefixes in order, each with the longest other one that it begins with. */
-    private static final class Prefixes extends RuleIndex {
+    private static final class PrefixIndex extends RuleIndex {
         private final String[] prefixes;
-        private final int[] within;
+        /** By prefix: the place of the longest other one that it begins with; below 0: there is none. */
+        private final int[] enclosing;
+
         private final long[][] sets;
-        private final long[] none;
+        private final long[] unlisted;
 
-        Prefixes(String attribute, List<Rule> rules, List<AttributeMatcher> asked) {
+        PrefixIndex(String attribute, List<Rule> rules, List<AttributeMatcher> used) {
             super(attribute, rules, AttributeMatcher.Prefix.class);
-            TreeSet<String> all = new TreeSet<>();
-            for (AttributeMatcher a : asked) {
-                if (a instanceof AttributeMatcher.Prefix p) {
-                    all.add(p.prefix());
+            TreeSet<String> sorted = new TreeSet<>();
+            for (AttributeMatcher matcher : used) {
+                if (matcher instanceof AttributeMatcher.Prefix prefix) {
+                    sorted.add(prefix.prefix());
                 }
             }
-            prefixes = all.toArray(String[]::new);
-            within = new int[prefixes.length];
+            prefixes = sorted.toArray(String[]::new);
+            enclosing = new int[prefixes.length];
             sets = new long[prefixes.length][];
             for (int i = 0; i < prefixes.length; i++) {
-                String p = prefixes[i];
-                within[i] = i - 1;
-                while (within[i] >= 0 && !p.startsWith(prefixes[within[i]])) {
-                    within[i] = within[within[i]];
-                }
-                sets[i] = bits(a -> a.matches(p));
+                String prefix = prefixes[i];
+                enclosing[i] = longestPrefixOf(prefix, i - 1);
+                sets[i] = passed(matcher -> matcher.matches(prefix));
             }
-            none = bits(a -> false);
+            unlisted = passed(matcher -> false);
         }
 
-        @Override
-        long[] at(Object value) {
-            String v = (String) value;
-            int i = Arrays.binarySearch(prefixes, v);
-            i = i >= 0 ? i : -i - 2; // the last that stands before it
-            while (i >= 0 && !v.startsWith(prefixes[i])) {
-                i = within[i]; // whatever v begins with, this one does too
+        /** The search goes from {@code place} along the enclosing prefixes: a value begins with those of its own. */
+        private int longestPrefixOf(String value, int place) {
+            int candidate = place;
+            while (candidate >= 0 && !value.startsWith(prefixes[candidate])) {
+                candidate = enclosing[candidate];
             }
-            return i < 0 ? none : sets[i];
+            return candidate;
+        }
+
+        @Override
+        long[] matching(Object value) {
+            String text = (String) value;
+            int found = Arrays.binarySearch(prefixes, text);
+            int lastNotAfter = found >= 0 ? found : -found - 2;
+            int longest = longestPrefixOf(text, lastNotAfter);
+            return longest < 0 ? unlisted : sets[longest];
         }
     }
 
     /** Parts of the number line: ranges of labels, shares of the unit circle. */
-    private static final class Spans extends RuleIndex {
+    private static final class IntervalIndex extends RuleIndex {
         private final boolean share;
-        private final double[] cuts;
-        private final long[][] sets; // from each cut on; the first: before all
-
-        Spans(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> way, List<AttributeMatcher> asked) {
-            super(attribute, rules, way);
-            share = way == AttributeMatcher.Share.class;
-            cuts = cuts(asked);
-            sets = new long[cuts.length + 1][];
-            for (int i = 0; i <= cuts.length; i++) {
-                double x = i == 0 ? Double.NEGATIVE_INFINITY : cuts[i - 1];
-                sets[i] = bits(a -> share ? ((AttributeMatcher.Share) a).contains(x) : a.matches(x));
+        private final double[] bounds;
+        /** From each bound on; the first: below all bounds. */
+        private final long[][] sets;
+
+        IntervalIndex(
+                String attribute,
+                List<Rule> rules,
+                Class<? extends AttributeMatcher> kind,
+                List<AttributeMatcher> used) {
+            super(attribute, rules, kind);
+            share = kind == AttributeMatcher.Share.class;
+            bounds = bounds(used);
+            sets = new long[bounds.length + 1][];
+            for (int i = 0; i <= bounds.length; i++) {
+                double point = i == 0 ? Double.NEGATIVE_INFINITY : bounds[i - 1];
+                sets[i] = passed(matcher ->
+                        matcher instanceof AttributeMatcher.Share part ? part.contains(point) : matcher.matches(point));
             }
         }
 
         @Override
-        long[] at(Object value) {
-            int i = Arrays.binarySearch(cuts, share ? AttributeMatcher.Share.unitHash((String) value) : (Double) value);
-            return sets[i >= 0 ? i + 1 : -i - 1];
+        long[] matching(Object value) {
+            double point = share ? AttributeMatcher.Share.unitHash((String) value) : (Double) value;
+            int found = Arrays.binarySearch(bounds, point);
+            return sets[found >= 0 ? found + 1 : -found - 1];
         }
     }
 
     /** Where ranges or shares begin and end, in order. */
-    static double[] cuts(List<AttributeMatcher> asked) {
-        TreeSet<Double> all = new TreeSet<>();
-        for (AttributeMatcher a : asked) {
-            if (a instanceof AttributeMatcher.Range r) {
-                all.addAll(List.of(r.from(), r.below()));
-            } else if (a instanceof AttributeMatcher.Share s) {
-                all.addAll(List.of(s.from(), s.below()));
+    static double[] bounds(List<AttributeMatcher> matchers) {
+        TreeSet<Double> bounds = new TreeSet<>();
+        for (AttributeMatcher matcher : matchers) {
+            if (matcher instanceof AttributeMatcher.Range range) {
+                bounds.addAll(List.of(range.from(), range.below()));
+            } else if (matcher instanceof AttributeMatcher.Share part) {
+                bounds.addAll(List.of(part.from(), part.below()));
             }
         }
-        return all.stream().mapToDouble(x -> x).toArray();
+        return bounds.stream().mapToDouble(bound -> bound).toArray();
     }
 }
