--- a/src/main/java/maplespread/partition/FencingCheck.java
+++ b/src/main/java/maplespread/partition/FencingCheck.java
@@ -11,134 +11,158 @@
 import java.util.function.Predicate;
 
 /**
- * Whether this member may send for a slot at this very moment. It may while a majority of electors has told
- * it, since a moment less than a lease ago, that they know no later epoch; so once an epoch is agreed on,
- * whoever has not heard of it falls silent within a lease. A slot that has come to this member is open when
- * those who had it have said that nothing is out, or when their leases and jobs are surely over.
+ * Whether this member may send for a slot at this very moment. It may while a majority of electors has granted, since
+ * a moment less than a lease ago, that they know of no later epoch; so once an epoch is agreed on, whoever has not
+ * heard of it stops sending within a lease. A slot that has come to this member is open when those who had it have
+ * confirmed that nothing is in flight, or when their leases and requests are surely over.
  *
- * <p>Guards against a dispatcher that stood still, was cut off or thought dead and goes on sending: it asks
- * here with its clock as it is then, before each send. Electors keep nothing but the agreed value, and no
- * clock; message delays are not bounded.
+ * <p>A dispatcher whose process was paused, or that was cut off, asks here with its clock as it is then, before each
+ * send. Electors keep nothing but the agreed value, and no clock; message delays are not bounded. Not thread-safe:
+ * the caller holds one lock around all calls. Times are milliseconds of one clock, which is passed in.
  */
 public final class FencingCheck {
+    /** A time that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    private final LeaseSettings set;
+    private final LeaseSettings settings;
     private final String self;
-    private final Map<Long, Long> silenceHeardAt = new HashMap<>(); // by the epoch at which it began
-    private final Set<String> recordGrant = new HashSet<>();
+    /** When each silence was learned of, by the epoch at which it began. */
+    private final Map<Long, Long> silenceLearnedAtMs = new HashMap<>();
+    /** The electors that have granted in the present round. */
+    private final Set<String> grantedBy = new HashSet<>();
+
     private SlotAssignment assignment;
-    private long[] openAt;
-    private long seq, askedAt, renewalEpoch;
-    private long leaseUntil = Long.MIN_VALUE;
+    /** By slot: from when on this member may send for it, leases apart. */
+    private final long[] opensAtMs;
+
+    private long round;
+    private long roundStartedAtMs;
+    private long roundEpoch;
+    private long leaseUntilMs = Long.MIN_VALUE;
 
-    public FencingCheck(LeaseSettings set, String self, SlotAssignment first) {
-        this.set = set;
+    /** {@code self}: this member; {@code initial}: an assignment in which it owns nothing. */
+    public FencingCheck(LeaseSettings settings, String self, SlotAssignment initial) {
+        this.settings = settings;
         this.self = self;
-        assignment = first;
-        openAt = new long[first.slots().size()];
-        Arrays.fill(openAt, NEVER);
+        assignment = initial;
+        opensAtMs = new long[initial.slots().size()];
+        Arrays.fill(opensAtMs, NEVER);
     }
 
-    /** The latest that is known to be agreed on. */
+    /** The latest assignment that is known to be agreed on. */
     public SlotAssignment assignment() {
         return assignment;
     }
 
     /**
-     * A value that was agreed on; {@code runsMs}: the longest that a job under its table or the one before
-     * can run. False: it is not news.
+     * Takes up an assignment that was agreed on; false: it is no later than the known one.
+     *
+     * @param maxRunMs the longest that a request under its table or the one before can run
      */
-    public boolean learn(long now, SlotAssignment next, long runsMs) {
+    public boolean learn(long nowMs, SlotAssignment next, long maxRunMs) {
         if (next.version() <= assignment.version()) {
             return false;
         }
-        next.silent().values().forEach(e -> silenceHeardAt.putIfAbsent(e, now));
-        for (int i = 0; i < openAt.length; i++) {
-            SlotAssignment.Slot slot = next.slots().get(i);
-            if (!slot.owner().equals(self)) {
-                openAt[i] = NEVER;
-            } else if (slot.previousOwners().isEmpty()) {
-                openAt[i] = Math.min(openAt[i], now);
-            } else if (openAt[i] == NEVER || assignment.slots().get(i).ownedSinceEpoch() != slot.ownedSinceEpoch()) {
-                long from = Long.MIN_VALUE;
-                for (long silence : slot.previousOwners().values()) {
-                    from = Math.max(from, silence == 0 ? now : silenceHeardAt.getOrDefault(silence, now));
-                }
-                openAt[i] = from + set.holdMs(runsMs);
-            }
+        next.silent().values().forEach(epoch -> silenceLearnedAtMs.putIfAbsent(epoch, nowMs));
+        for (int i = 0; i < opensAtMs.length; i++) {
+            opensAtMs[i] = opensAt(nowMs, i, next.slots().get(i), maxRunMs);
         }
-        Set<Long> needed = new HashSet<>(next.silent().values());
-        next.slots().forEach(s -> needed.addAll(s.previousOwners().values()));
-        silenceHeardAt.keySet().retainAll(needed);
+        Set<Long> neededEpochs = new HashSet<>(next.silent().values());
+        next.slots().forEach(slot -> neededEpochs.addAll(slot.previousOwners().values()));
+        silenceLearnedAtMs.keySet().retainAll(neededEpochs);
         assignment = next;
         return true;
     }
 
+    private long opensAt(long nowMs, int number, SlotAssignment.Slot next, long maxRunMs) {
+        if (!next.owner().equals(self)) {
+            return NEVER;
+        }
+        if (next.previousOwners().isEmpty()) {
+            return Math.min(opensAtMs[number], nowMs);
+        }
+        boolean sameOwnership = assignment.slots().get(number).ownedSinceEpoch() == next.ownedSinceEpoch();
+        if (opensAtMs[number] != NEVER && sameOwnership) {
+            return opensAtMs[number];
+        }
+        long holdFromMs = Long.MIN_VALUE;
+        for (long silentSinceEpoch : next.previousOwners().values()) {
+            long learnedAtMs = silentSinceEpoch == 0 ? nowMs : silenceLearnedAtMs.getOrDefault(silentSinceEpoch, nowMs);
+            holdFromMs = Math.max(holdFromMs, learnedAtMs);
+        }
+        return holdFromMs + settings.holdMs(maxRunMs);
+    }
+
     // ------------------------------------------------------------ the lease
 
-    /** Begins to ask all electors; returns the number that goes with the question and its answers. */
-    public long startRenewal(long now) {
-        askedAt = now;
-        renewalEpoch = assignment.epoch();
-        recordGrant.clear();
-        return ++seq;
+    /** Begins a round of questions to all electors; returns its number, which goes with questions and answers. */
+    public long startRenewal(long nowMs) {
+        roundStartedAtMs = nowMs;
+        roundEpoch = assignment.epoch();
+        grantedBy.clear();
+        return ++round;
     }
 
-    /** An elector has answered that it grants, by {@link SlotAssignment#grantsLease}, what was asked with this number. */
-    public void recordGrant(long now, String elector, long asked) {
-        recordGrant(elector, asked, all -> all.size() > set.electors() / 2);
+    /** An elector grants, by {@link SlotAssignment#grantsLease}, what was asked in this round. */
+    public void recordGrant(long nowMs, String elector, long askedRound) {
+        recordGrant(elector, askedRound, electors -> electors.size() > settings.electors() / 2);
     }
 
-    /** The same where electors change; {@code majority}: whether these are one of those asked. */
-    public void recordGrant(String elector, long asked, Predicate<Set<String>> majority) {
-        if (asked == seq && recordGrant.add(elector) && majority.test(recordGrant)) {
-            leaseUntil = Math.max(leaseUntil, askedAt + set.leaseMs());
+    /** The same where electors change; {@code isMajority}: whether these are one of those asked. */
+    public void recordGrant(String elector, long askedRound, Predicate<Set<String>> isMajority) {
+        if (askedRound == round && grantedBy.add(elector) && isMajority.test(grantedBy)) {
+            leaseUntilMs = Math.max(leaseUntilMs, roundStartedAtMs + settings.leaseMs());
         }
     }
 
-    /** The epoch under which the last question was asked. */
+    /** The epoch that the present round asks about. */
     public long renewalEpoch() {
-        return renewalEpoch;
+        return roundEpoch;
     }
 
-    /** Whether a majority's word holds at this moment. */
-    public boolean holdsLease(long now) {
-        return now < leaseUntil;
+    /** Whether the lease that a majority has granted holds at this moment. */
+    public boolean holdsLease(long nowMs) {
+        return nowMs < leaseUntilMs;
     }
 
     // ------------------------------------------------------------ slots
 
     /**
-     * From when on this member may send for the slot, as far as is known; {@link #NEVER}: it may not. {@code
-     * since}: what {@link SlotAssignment.Slot#ownedSinceEpoch} was when the job was taken: a slot that went and came back does
-     * not open for what was taken before.
+     * From when on this member may send for the slot, as far as is known; {@link #NEVER}: it may not.
+     *
+     * @param ownedSinceEpoch of the slot when the request was accepted: a slot that went and came back does not open
+     *     for what was accepted before
      */
-    public long sendAllowedFrom(long now, int slot, long since) {
-        SlotAssignment.Slot s = assignment.slots().get(slot);
-        return holdsLease(now) && s.owner().equals(self) && s.ownedSinceEpoch() == since ? openAt[slot] : NEVER;
+    public long sendAllowedFrom(long nowMs, int slotNumber, long ownedSinceEpoch) {
+        SlotAssignment.Slot slot = assignment.slots().get(slotNumber);
+        return holdsLease(nowMs) && slot.owner().equals(self) && slot.ownedSinceEpoch() == ownedSinceEpoch
+                ? opensAtMs[slotNumber]
+                : NEVER;
     }
 
-    /** Slots for which this member has waited its time, and since when it has each: {@link SlotAssignment#forgetPreviousOwners}. */
-    public Map<Integer, Long> openedSlots(long now) {
-        Map<Integer, Long> done = new TreeMap<>();
-        for (int i = 0; i < openAt.length; i++) {
+    /**
+     * Slots for which this member has waited its time, and since which epoch it owns each, as {@link
+     * SlotAssignment#forgetPreviousOwners} asks for them.
+     */
+    public Map<Integer, Long> openedSlots(long nowMs) {
+        Map<Integer, Long> opened = new TreeMap<>();
+        for (int i = 0; i < opensAtMs.length; i++) {
             SlotAssignment.Slot slot = assignment.slots().get(i);
-            if (slot.owner().equals(self) && !slot.previousOwners().isEmpty() && openAt[i] <= now) {
-                done.put(i, slot.ownedSinceEpoch());
+            if (slot.owner().equals(self) && !slot.previousOwners().isEmpty() && opensAtMs[i] <= nowMs) {
+                opened.put(i, slot.ownedSinceEpoch());
             }
         }
-        return done;
+        return opened;
     }
 
-    /** Slots that were this member's, and of which it may now say that nothing is out. */
-    public Set<Integer> drainedSlots(IntPredicate idle) {
-        Set<Integer> done = new TreeSet<>();
-        for (int i = 0; i < openAt.length; i++) {
-            if (assignment.slots().get(i).previousOwners().containsKey(self) && idle.test(i)) {
-                done.add(i);
+    /** Slots that were this member's, and of which it may now confirm that nothing is in flight. */
+    public Set<Integer> drainedSlots(IntPredicate isIdle) {
+        Set<Integer> drained = new TreeSet<>();
+        for (int i = 0; i < opensAtMs.length; i++) {
+            if (assignment.slots().get(i).previousOwners().containsKey(self) && isIdle.test(i)) {
+                drained.add(i);
             }
         }
-        return done;
+        return drained;
     }
 }
--- a/src/main/java/maplespread/partition/HeartbeatTable.java
+++ b/src/main/java/maplespread/partition/HeartbeatTable.java
@@ -11,146 +11,190 @@
 import java.util.TreeSet;
 
 /**
- * Who has been heard by which elector, and what follows for the members. A dispatcher counts as silent for as
- * long as a majority of the electors has not heard it: guards against one elector, cut off itself, taking
- * slots from members that all others hear.
+ * Which elector has heard which dispatcher, and what follows for the members. A dispatcher counts as silent for as
+ * long as a majority of the electors has not heard it, so that one elector which is cut off itself takes no slots
+ * from members that all others hear.
+ *
+ * <p>Not thread-safe: the callers hold one monitor around all calls. Times are milliseconds of one clock, which is
+ * passed in.
  */
 public final class HeartbeatTable {
     /**
-     * What one elector knows of a dispatcher: its newest run, the last of its questions by number, for how
-     * long it has been quiet, and whether it wants slots.
+     * What one elector knows of a dispatcher. The names in the JSON are older than the code's.
+     *
+     * @param incarnation the newest that was heard; 0: none
+     * @param sequence the number of the last of its questions
+     * @param silentForMs for how long it has not been heard
+     * @param wantsSlots whether it wants to own slots
      */
     public record Heartbeat(
             @SerializedName("run") long incarnation,
             @SerializedName("number") long sequence,
             @SerializedName("quietMs") long silentForMs,
             @SerializedName("serving") boolean wantsSlots) {
-        private boolean after(Heartbeat o) {
-            return o == null || incarnation > o.incarnation || incarnation == o.incarnation && sequence > o.sequence;
+        private boolean isNewerThan(Heartbeat other) {
+            return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
+        }
+
+        private Heartbeat laterBy(long delayMs) {
+            return new Heartbeat(incarnation, sequence, silentForMs + delayMs, wantsSlots);
         }
     }
 
-    /** What one elector tells: for how long it listens, and of whom it has heard. */
+    /**
+     * What one elector reports: for how long it listens, and whom it has heard, by name.
+     *
+     * @param listeningForMs since it began
+     */
     public record Report(
             @SerializedName("listensMs") long listeningForMs,
             @SerializedName("heard") Map<String, Heartbeat> heartbeats) {}
 
-    private record ReceivedReport(Report report, long at) {}
+    /**
+     * When a member that no majority hears loses what.
+     *
+     * @param silentMs then it gets no lease
+     * @param goneMs then its slots go to others
+     */
+    public record Timeouts(long silentMs, long goneMs) {}
 
-    private final long since;
-    private long lookedAt, wokeAt; // whether it leads; after a standstill
-    private final Map<String, Heartbeat> own = new TreeMap<>(); // quietMs: when it was heard
-    private final Map<String, ReceivedReport> recordReport = new HashMap<>(); // by elector
+    private record OwnHeartbeat(long incarnation, long sequence, long heardAtMs, boolean wantsSlots) {
+        boolean isNewerThan(OwnHeartbeat other) {
+            return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
+        }
 
-    public HeartbeatTable(long now) {
-        since = now;
-        lookedAt = now;
-        wokeAt = now;
+        Heartbeat at(long nowMs) {
+            return new Heartbeat(incarnation, sequence, nowMs - heardAtMs, wantsSlots);
+        }
     }
 
-    /** This one has heard a dispatcher's question. */
-    public void recordHeartbeat(long now, String name, long run, long number, boolean serving) {
-        own.merge(name, new Heartbeat(run, number, now, serving), (was, is) -> is.after(was) ? is : was);
+    private record ReceivedReport(Report report, long receivedAtMs) {}
+
+    private final long startedAtMs;
+    /** When {@link #isLeader} was last asked, by which a pause of the process is seen. */
+    private long leaderAskedAtMs;
+
+    private long lastPauseEndedAtMs;
+    /** What this elector has heard itself, by dispatcher. */
+    private final Map<String, OwnHeartbeat> own = new TreeMap<>();
+    /** The other electors' latest reports. */
+    private final Map<String, ReceivedReport> reports = new HashMap<>();
+
+    /** An elector that begins to listen now. */
+    public HeartbeatTable(long nowMs) {
+        startedAtMs = nowMs;
+        leaderAskedAtMs = nowMs;
+        lastPauseEndedAtMs = nowMs;
     }
 
-    /** Forgets all but these. */
+    /** This elector has received a dispatcher's question; one that was overtaken on its way changes nothing. */
+    public void recordHeartbeat(long nowMs, String name, long incarnation, long sequence, boolean wantsSlots) {
+        own.merge(
+                name,
+                new OwnHeartbeat(incarnation, sequence, nowMs, wantsSlots),
+                (known, next) -> next.isNewerThan(known) ? next : known);
+    }
+
+    /** Forgets all dispatchers but these. */
     public void retain(Collection<String> names) {
         own.keySet().retainAll(names);
     }
 
-    /** What this one has to tell as an elector. */
-    public Report report(long now) {
-        Map<String, Heartbeat> all = new TreeMap<>();
-        own.forEach((name, h) ->
-                all.put(name, new Heartbeat(h.incarnation, h.sequence, now - h.silentForMs, h.wantsSlots)));
-        return new Report(now - since, all);
+    /** What this elector has to report. */
+    public Report report(long nowMs) {
+        Map<String, Heartbeat> heartbeats = new TreeMap<>();
+        own.forEach((name, heartbeat) -> heartbeats.put(name, heartbeat.at(nowMs)));
+        return new Report(nowMs - startedAtMs, heartbeats);
     }
 
     /** Another elector's report has come. */
-    public void recordReport(long now, String elector, Report report) {
-        recordReport.put(elector, new ReceivedReport(report, now));
+    public void recordReport(long nowMs, String elector, Report report) {
+        reports.put(elector, new ReceivedReport(report, nowMs));
     }
 
     /**
-     * Whether this elector, {@code self}, is the first of those that it hears: it alone proposes. Not while
-     * it hears no majority, nor just after it stood still itself: then all others look silent to it.
+     * Whether this elector is the first of those that it hears: it alone proposes. Not while it hears no majority,
+     * nor just after its process was paused: then all others look silent to it.
      */
-    public boolean isLeader(long now, List<String> electors, String self, long silentMs) {
-        wokeAt = now - lookedAt > silentMs ? now : wokeAt;
-        lookedAt = now;
-        long fresh = electors.stream()
-                .filter(e -> e.equals(self) || recordReport.containsKey(e) && now - recordReport.get(e).at < silentMs)
-                .count();
-        if (now - wokeAt < silentMs || 2 * fresh <= electors.size()) {
+    public boolean isLeader(long nowMs, List<String> electors, String self, long silentMs) {
+        lastPauseEndedAtMs = nowMs - leaderAskedAtMs > silentMs ? nowMs : lastPauseEndedAtMs;
+        leaderAskedAtMs = nowMs;
+        List<String> heard = electors.stream()
+                .filter(elector -> elector.equals(self) || isHeard(elector, nowMs, silentMs))
+                .toList();
+        if (nowMs - lastPauseEndedAtMs < silentMs || 2 * heard.size() <= electors.size()) {
             return false;
         }
-        for (String e : electors) {
-            ReceivedReport t = recordReport.get(e);
-            if (e.equals(self)) {
-                return true;
-            }
-            if (t != null && now - t.at < silentMs) {
-                return false;
-            }
-        }
-        return false;
+        return heard.get(0).equals(self);
     }
 
-    /** {@code silentMs}, {@code goneMs}: not heard by a majority for so long, a member is silent, or gone. */
-    public record Timeouts(long silentMs, long goneMs) {}
+    private boolean isHeard(String elector, long nowMs, long silentMs) {
+        ReceivedReport report = reports.get(elector);
+        return report != null && nowMs - report.receivedAtMs < silentMs;
+    }
 
     /**
-     * The members as they are to be. Whoever a majority hears and who wants slots comes in; whoever no
-     * majority hears is silent, and after a while gone; who is heard as another run, or wants none, goes.
+     * The assignment with the members as they are to be. Whoever a majority hears and who wants slots comes in; whoever
+     * no majority hears is silent, and after a while gone; who is heard as another incarnation, or wants none, goes.
      */
     public SlotAssignment nextAssignment(
-            long now, List<String> electors, String self, SlotAssignment owners, Timeouts set) {
-        Set<String> members = new TreeSet<>(owners.members());
+            long nowMs, List<String> electors, String self, SlotAssignment assignment, Timeouts timeouts) {
+        Set<String> members = new TreeSet<>(assignment.members());
         Set<String> silent = new TreeSet<>();
-        all(now, electors, self, owners).forEach((name, heard) -> {
-            Heartbeat newest =
-                    heard.stream().reduce((a, b) -> b.after(a) ? b : a).orElseThrow();
-            String id = name + '#' + newest.incarnation;
-            long quiet = heard.stream()
-                    .mapToLong(Heartbeat::silentForMs)
-                    .sorted()
-                    .skip(electors.size() / 2)
-                    .findFirst()
-                    .orElseThrow(); // the least that a majority reaches
-            members.removeIf(m -> SlotAssignment.dispatcherName(m).equals(name)
-                    && (quiet > set.goneMs || newest.incarnation > 0 && (!m.equals(id) || !newest.wantsSlots)));
-            if (newest.incarnation > 0 && newest.wantsSlots && quiet <= set.silentMs) {
-                members.add(id);
-            } else if (quiet > set.silentMs) {
-                members.stream()
-                        .filter(m -> SlotAssignment.dispatcherName(m).equals(name))
-                        .forEach(silent::add);
-            }
-        });
-        return owners.members(members).silent(silent);
+        heartbeatsByName(nowMs, electors, self, assignment)
+                .forEach((name, heartbeats) -> decide(name, heartbeats, timeouts, members, silent));
+        return assignment.members(members).silent(silent);
+    }
+
+    /** Changes {@code members} and {@code silent} by what all electors know of one dispatcher. */
+    private static void decide(
+            String name, List<Heartbeat> heartbeats, Timeouts timeouts, Set<String> members, Set<String> silent) {
+        Heartbeat newest = heartbeats.stream()
+                .reduce((first, second) -> second.isNewerThan(first) ? second : first)
+                .orElseThrow();
+        String member = name + '#' + newest.incarnation;
+        long silentForMs = silentForMajority(heartbeats);
+        boolean heardOnce = newest.incarnation > 0;
+        members.removeIf(known -> SlotAssignment.dispatcherName(known).equals(name)
+                && (silentForMs > timeouts.goneMs || heardOnce && (!known.equals(member) || !newest.wantsSlots)));
+        if (heardOnce && newest.wantsSlots && silentForMs <= timeouts.silentMs) {
+            members.add(member);
+        } else if (silentForMs > timeouts.silentMs) {
+            members.stream()
+                    .filter(known -> SlotAssignment.dispatcherName(known).equals(name))
+                    .forEach(silent::add);
+        }
+    }
+
+    /** The shortest silence that a majority of the electors sees, at least. */
+    private static long silentForMajority(List<Heartbeat> heartbeats) {
+        return heartbeats.stream()
+                .mapToLong(Heartbeat::silentForMs)
+                .sorted()
+                .skip(heartbeats.size() / 2)
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Of each name what every elector knows; where one has told nothing, nothing since this one began. */
-    private Map<String, List<Heartbeat>> all(long now, List<String> electors, String self, SlotAssignment owners) {
+    /** Of each name what every elector knows; an elector that reported nothing counts as silent since the start. */
+    private Map<String, List<Heartbeat>> heartbeatsByName(
+            long nowMs, List<String> electors, String self, SlotAssignment assignment) {
         Set<String> names = new TreeSet<>(own.keySet());
-        owners.members().forEach(m -> names.add(SlotAssignment.dispatcherName(m)));
-        recordReport.values().forEach(t -> names.addAll(t.report.heartbeats.keySet()));
-        ReceivedReport nothing = new ReceivedReport(new Report(0, Map.of()), since);
-        Map<String, List<Heartbeat>> all = new TreeMap<>();
+        assignment.members().forEach(member -> names.add(SlotAssignment.dispatcherName(member)));
+        reports.values().forEach(received -> names.addAll(received.report.heartbeats.keySet()));
+        ReceivedReport ownReport = new ReceivedReport(report(nowMs), nowMs);
+        ReceivedReport noReport = new ReceivedReport(new Report(0, Map.of()), startedAtMs);
+        Map<String, List<Heartbeat>> byName = new TreeMap<>();
         for (String name : names) {
-            List<Heartbeat> heard = new ArrayList<>();
-            for (String e : electors) {
-                ReceivedReport t =
-                        e.equals(self) ? new ReceivedReport(report(now), now) : recordReport.getOrDefault(e, nothing);
-                Heartbeat h = t.report.heartbeats.get(name);
-                long later = now - t.at;
-                heard.add(
-                        h == null
-                                ? new Heartbeat(0, 0, t.report.listeningForMs + later, false)
-                                : new Heartbeat(h.incarnation, h.sequence, h.silentForMs + later, h.wantsSlots));
+            List<Heartbeat> heartbeats = new ArrayList<>();
+            for (String elector : electors) {
+                ReceivedReport received = elector.equals(self) ? ownReport : reports.getOrDefault(elector, noReport);
+                Heartbeat unheard = new Heartbeat(0, 0, received.report.listeningForMs, false);
+                heartbeats.add(
+                        received.report.heartbeats.getOrDefault(name, unheard).laterBy(nowMs - received.receivedAtMs));
             }
-            all.put(name, heard);
+            byName.put(name, heartbeats);
         }
-        return all;
+        return byName;
     }
 }
--- a/src/main/java/maplespread/partition/Partition.java
+++ b/src/main/java/maplespread/partition/Partition.java
@@ -5,8 +5,15 @@
 import maplespread.policy.StableHash;
 
 /**
- * A part of the workers: those of the zones, kinds and cells (empty: of any) whose ids' hashes lie in a part
- * of the unit ring. {@code apart}: it is its word that no other partition may have one of its workers.
+ * A part of the workers: those of the zones, kinds and cells whose ids' hashes lie in a part of the unit ring.
+ *
+ * @param zones names; empty: any
+ * @param kinds names; empty: any
+ * @param cells numbers; empty: any
+ * @param ringFrom where the part of the ring begins, in 0..1
+ * @param ringBelow where it ends, itself not included
+ * @param exclusive no other partition but that of all workers may have one of its workers
+ * @param limits on what waits for it, over all keys at one dispatcher
  */
 public record Partition(
         String name,
@@ -17,27 +24,28 @@
         double ringBelow,
         boolean exclusive,
         QueueLimits limits) {
-    /** A worker as the list shows it. */
+    /** A worker as the endpoint list shows it. */
     public record Worker(String id, String zone, String kind, int cell) {}
 
-    public boolean contains(Worker w) {
-        double at = (StableHash.hash(w.id()) >>> 11) / (double) (1L << 53);
-        return (zones.isEmpty() || zones.contains(w.zone()))
-                && (kinds.isEmpty() || kinds.contains(w.kind()))
-                && (cells.isEmpty() || cells.contains(w.cell()))
-                && ringFrom <= at
-                && at < ringBelow;
+    /** Whether the worker is one of these. */
+    public boolean contains(Worker worker) {
+        double place = (StableHash.hash(worker.id()) >>> 11) / (double) (1L << 53);
+        return (zones.isEmpty() || zones.contains(worker.zone()))
+                && (kinds.isEmpty() || kinds.contains(worker.kind()))
+                && (cells.isEmpty() || cells.contains(worker.cell()))
+                && ringFrom <= place
+                && place < ringBelow;
     }
 
     /** Whether there could be a worker in both, whichever workers there are now. */
-    boolean mayOverlap(Partition o) {
-        return meet(zones, o.zones)
-                && meet(kinds, o.kinds)
-                && meet(cells, o.cells)
-                && Math.max(ringFrom, o.ringFrom) < Math.min(ringBelow, o.ringBelow);
+    boolean mayOverlap(Partition other) {
+        return mayOverlap(zones, other.zones)
+                && mayOverlap(kinds, other.kinds)
+                && mayOverlap(cells, other.cells)
+                && Math.max(ringFrom, other.ringFrom) < Math.min(ringBelow, other.ringBelow);
     }
 
-    private static boolean meet(Set<?> a, Set<?> b) {
-        return a.isEmpty() || b.isEmpty() || !Collections.disjoint(a, b);
+    private static boolean mayOverlap(Set<?> first, Set<?> second) {
+        return first.isEmpty() || second.isEmpty() || !Collections.disjoint(first, second);
     }
 }
--- a/src/main/java/maplespread/partition/QueueLimits.java
+++ b/src/main/java/maplespread/partition/QueueLimits.java
@@ -1,4 +1,10 @@
 package maplespread.partition;
 
-/** Bounds on what waits: jobs, their work in milliseconds, and how long one has waited. */
+/**
+ * Limits on what waits in a queue.
+ *
+ * @param maxRequests at once
+ * @param maxWorkMs of all of them together, as it is estimated
+ * @param maxAgeMs that one may wait
+ */
 public record QueueLimits(int maxRequests, double maxWorkMs, long maxAgeMs) {}
--- a/src/main/java/maplespread/partition/package-info.java
+++ b/src/main/java/maplespread/partition/package-info.java
@@ -1,7 +1,10 @@
 /**
- * Ordered partitions: rules that map a job's attributes to a part of the workers and an order, who of the
- * fleet may send for a key, and what waits for its turn. Owns the table, the map of slots, the fence and the
- * lines of keys, and who of the fleet is heard. No sockets, files, clock or threads: time is passed in. Calls
- * only the family of errors and the module's hash. {@code partition.client} puts it to work.
+ * Ordered partitions: rules that map a request's attributes to a part of the workers and an order, which member may
+ * send for a key, and what waits for its turn.
+ *
+ * <p>Owns the routing table and its parser, the assignment of slots to members, the fencing check, the lines of the
+ * keys and the table of heartbeats. No sockets, files, clock or threads: time is passed in, and callers hold a lock
+ * where a class says so. May import only the errors' package, the policy's hash, and Gson; {@code partition.client}
+ * puts it to work.
  */
 package maplespread.partition;
