--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -22,9 +22,9 @@
  */
 public final class DispatchPolicy implements PolicyEvents {
     private static final long TICK = 1;
-    private static final double TOLD = 6000;             // then a change counts as told, whatever failed
-    private static final double ROUND = 5500;            // of a large fleet's calls: within TOLD each comes again
-    private static final double LINE_COST = 0.7;         // of discovery for a line of a whole list, with a margin
+    private static final double TOLD = 6000; // then a change counts as told, whatever failed
+    private static final double ROUND = 5500; // of a large fleet's calls: within TOLD each comes again
+    private static final double LINE_COST = 0.7; // of discovery for a line of a whole list, with a margin
     private PolicySettings set;
     private PlatformRules rules;
     private SitePermissions allow;
@@ -34,11 +34,11 @@
     private final EndpointListFreshness freshness;
     private final Map<String, Worker> byId = new HashMap<>();
     private final Map<Integer, Kind> kinds = new HashMap<>();
-    private final Map<Long, Req> open = new HashMap<>();         // until ended and all attempts are over
-    private final List<Req> parked = new ArrayList<>();          // nothing out, waiting for a legal worker
-    private double aim;                                    // shortest class aim: the clock of upkeep
-    private double horizon;                                // shortest deadline: the estimators' memory
-    private double period;  // half an aim: a few scans a request, no more
+    private final Map<Long, Req> open = new HashMap<>(); // until ended and all attempts are over
+    private final List<Req> parked = new ArrayList<>(); // nothing out, waiting for a legal worker
+    private double aim; // shortest class aim: the clock of upkeep
+    private double horizon; // shortest deadline: the estimators' memory
+    private double period; // half an aim: a few scans a request, no more
     private double now = Double.NEGATIVE_INFINITY;
 
     public DispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
@@ -53,32 +53,41 @@
         set = settings;
         rules = set.rules();
         allow = set.permissions();
-        aim = set.classes().stream().mapToDouble(RequestClass::latencyObjectiveMs).min().orElseThrow();
-        horizon = set.classes().stream().mapToDouble(RequestClass::deadlineMs).min().orElseThrow();
+        aim = set.classes().stream()
+                .mapToDouble(RequestClass::latencyObjectiveMs)
+                .min()
+                .orElseThrow();
+        horizon = set.classes().stream()
+                .mapToDouble(RequestClass::deadlineMs)
+                .min()
+                .orElseThrow();
         period = Math.max(set.tickMs(), aim / 2);
         freshness.settings(!set.pollsDiscovery(), rules.maxListAgeMs());
     }
 
     // ------------------------------------------------------------ events
 
-    @Override public void settingsChanged(long nowUs, PolicySettings next) {
+    @Override
+    public void settingsChanged(long nowUs, PolicySettings next) {
         at(nowUs);
         Preconditions.require(next.classes().size() >= set.classes().size(), "classes keep their places");
         take(next);
-        scanAt = Double.NEGATIVE_INFINITY;                       // sums are made anew
+        scanAt = Double.NEGATIVE_INFINITY; // sums are made anew
     }
 
-    @Override public void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries) {
+    @Override
+    public void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries) {
         at(nowUs);
         boolean whole = kind != EndpointListKind.DELTA;
-        if (whole) {                                             // who is absent from the whole has left
+        if (whole) { // who is absent from the whole has left
             Set<String> named = entries.stream().map(EndpointEntry::worker).collect(Collectors.toSet());
-            List.copyOf(workers.all()).stream().filter(w -> !named.contains(w.id))
-                .forEach(w -> health(w, EndpointLifecycle.REMOVED));
+            List.copyOf(workers.all()).stream()
+                    .filter(w -> !named.contains(w.id))
+                    .forEach(w -> health(w, EndpointLifecycle.REMOVED));
         }
-        scanAt = Double.NEGATIVE_INFINITY;                       // sums are made anew
+        scanAt = Double.NEGATIVE_INFINITY; // sums are made anew
         entries.forEach(this::entry);
-        if (byId.size() > 2 * workers.size() + 100) {            // what is known of those long gone
+        if (byId.size() > 2 * workers.size() + 100) { // what is known of those long gone
             byId.values().removeIf(w -> w.at < 0 && w.held.isEmpty());
         }
         priced = null;
@@ -87,7 +96,7 @@
             // A whole large fleet may start at once, and discovery answers one call after another: each has its turn.
             double last = Math.min(TOLD * 2 / 3, LINE_COST * set.dispatcherCount() * entries.size()) - TOLD / 30;
             watchAt = now + turn(Math.max(0, last));
-            double first = period * (0.5 + random.nextDouble() / 2);        // nodes must not tick in step
+            double first = period * (0.5 + random.nextDouble() / 2); // nodes must not tick in step
             tickAt = now + first;
             actions.scheduleTimer(first, TICK);
         } else {
@@ -96,16 +105,18 @@
         }
     }
 
-    @Override public void endpointListConfirmed(long nowUs) {
+    @Override
+    public void endpointListConfirmed(long nowUs) {
         at(nowUs);
         boolean usable = freshness.usable(now);
         freshness.confirmed(now);
         if (!usable) {
-            placeParked();                                       // they have waited for this
+            placeParked(); // they have waited for this
         }
     }
 
-    @Override public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs) {
+    @Override
+    public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs) {
         at(nowUs);
         if (why == EndpointListDoubt.MOVED) {
             freshness.moved(now);
@@ -114,7 +125,8 @@
         }
     }
 
-    @Override public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
+    @Override
+    public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
         at(nowUs);
         freshness.failed(now, loss, heardAgoMs);
         // Jittered: calls in step would all be late. As long as this one waited: dead calls are served too.
@@ -122,14 +134,16 @@
         double wait = Math.min(most, horizon / 20 * (1L << Math.min(++watchFails, 6)));
         watchAt = now + Math.max(wait, Math.min(took, TOLD / 3)) * (0.4 + 0.8 * random.nextDouble());
         double all = LINE_COST * set.dispatcherCount() * workers.size();
-        if (all > TOLD / 2) {                                    // a large fleet's calls would be a crowd by themselves
+        if (all > TOLD / 2) { // a large fleet's calls would be a crowd by themselves
             watchAt = took > TOLD / 6 ? slotAfter(now + period, Math.min(ROUND, all)) : now + period + turn(TOLD / 2);
         }
     }
 
-    @Override public void requestAccepted(long nowUs, PolicyRequest r) {
+    @Override
+    public void requestAccepted(long nowUs, PolicyRequest r) {
         at(nowUs);
-        Preconditions.require(r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
+        Preconditions.require(
+                r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
         if (open.containsKey(r.id())) {
             throw new IllegalStateException("request " + r.id() + " was taken before");
         }
@@ -139,16 +153,20 @@
         offered(q);
         place(q);
         if (allow.probing() && set.dispatcherCount() > 1 && q.rounds == 0) {
-            workers.all().stream().filter(w -> !w.down && now - w.reportAt > aim)    // the stalest
-                .min(Comparator.comparingDouble(w -> w.reportAt)).ifPresent(this::probe);
+            workers.all().stream()
+                    .filter(w -> !w.down && now - w.reportAt > aim) // the stalest
+                    .min(Comparator.comparingDouble(w -> w.reportAt))
+                    .ifPresent(this::probe);
         }
     }
 
-    @Override public void attemptProgressed(long nowUs, long id, int n, String worker, boolean started, double share) {
+    @Override
+    public void attemptProgressed(long nowUs, long id, int n, String worker, boolean started, double share) {
         heard(nowUs, id, n).ifPresent(a -> a.worker.ran(a, started ? 0 : clamp(share, 0, 1)));
     }
 
-    @Override public void responseStarted(long nowUs, long id, int attempt, String worker) {
+    @Override
+    public void responseStarted(long nowUs, long id, int attempt, String worker) {
         heard(nowUs, id, attempt).ifPresent(a -> a.req.streaming = true);
     }
 
@@ -159,8 +177,16 @@
         return a;
     }
 
-    @Override public void attemptEnded(long nowUs, long id, int attempt, String worker, AttemptOutcome verdict,
-            double lagMs, boolean ended, LoadReport report) {
+    @Override
+    public void attemptEnded(
+            long nowUs,
+            long id,
+            int attempt,
+            String worker,
+            AttemptOutcome verdict,
+            double lagMs,
+            boolean ended,
+            LoadReport report) {
         at(nowUs);
         Optional.ofNullable(byId.get(worker)).ifPresent(w -> w.report(report));
         Attempt a = attempt(id, attempt);
@@ -172,17 +198,19 @@
             a.req.end();
         } else if (!a.req.ended && !a.req.streaming && a.req.out == 0) {
             scan();
-            place(a.req);                                        // another attempt, or the end
+            place(a.req); // another attempt, or the end
         }
         a.req.forget();
     }
 
-    @Override public void requestAbandoned(long nowUs, long id) {
+    @Override
+    public void requestAbandoned(long nowUs, long id) {
         at(nowUs);
         Optional.ofNullable(open.get(id)).ifPresent(Req::end);
     }
 
-    @Override public void timerExpired(long nowUs, long label) {
+    @Override
+    public void timerExpired(long nowUs, long label) {
         at(nowUs);
         if (label == TICK) {
             upkeep();
@@ -193,7 +221,8 @@
         }
     }
 
-    @Override public void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report) {
+    @Override
+    public void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report) {
         at(nowUs);
         Worker w = byId.get(worker);
         if (w == null) {
@@ -209,7 +238,7 @@
             if (w.down) {
                 w.alive();
                 w.tryAt = now;
-                if (now - w.lostAt > aim) {                      // long enough to have started anew
+                if (now - w.lostAt > aim) { // long enough to have started anew
                     w.cold(now);
                 }
             }
@@ -270,29 +299,29 @@
 
     /** What workers of one kind have in common: pooled speed and slots, the prior of each of them. */
     private static final class Kind {
-        double work, time, speed = 1, slots, unseen, unseenAt;   // unseen: others' backlog, as time
+        double work, time, speed = 1, slots, unseen, unseenAt; // unseen: others' backlog, as time
     }
 
     private final class Worker extends WorkerTable.Indexed {
         final String id;
-        final GrowingArray bad = new GrowingArray(), badAt = new GrowingArray();            // by class
-        final List<Attempt> held = new ArrayList<>();            // sent from here, outcome not yet seen
+        final GrowingArray bad = new GrowingArray(), badAt = new GrowingArray(); // by class
+        final List<Attempt> held = new ArrayList<>(); // sent from here, outcome not yet seen
         Kind kind;
         EndpointLifecycle health;
         int kindNo, cell, zone, fails;
         boolean down, probing;
-        double upSince, coldAt = Double.NEGATIVE_INFINITY, own;  // own: hinted work pushed and not finished
-        double foreign, foreignAt = Double.NEGATIVE_INFINITY;    // others' requests by its reports
-        double openUntil, conns, memory, foreignMemory;          // idle connections; units held, by others
-        double work, time, learnAt, slots;                      // done work, the time it took, forgetting
-        double service = Double.NaN;                             // its last reported service time
-        double speed = 1, cap = 1, extra, u;                     // core speed, c, unseen work, u: refreshed
-        double reportAt = Double.NEGATIVE_INFINITY, tryAt, lostAt, aliveAt, inUse;    // slots of held jobs
-        double saved, savedAt, fullAt;                           // of its share of the cold budget
-        double logHint, logRun, runs;                            // recent means, see compare
+        double upSince, coldAt = Double.NEGATIVE_INFINITY, own; // own: hinted work pushed and not finished
+        double foreign, foreignAt = Double.NEGATIVE_INFINITY; // others' requests by its reports
+        double openUntil, conns, memory, foreignMemory; // idle connections; units held, by others
+        double work, time, learnAt, slots; // done work, the time it took, forgetting
+        double service = Double.NaN; // its last reported service time
+        double speed = 1, cap = 1, extra, u; // core speed, c, unseen work, u: refreshed
+        double reportAt = Double.NEGATIVE_INFINITY, tryAt, lostAt, aliveAt, inUse; // slots of held jobs
+        double saved, savedAt, fullAt; // of its share of the cold budget
+        double logHint, logRun, runs; // recent means, see compare
         double shadow, shadowAt, shadowSeen, shadowLost;
         final long idHash;
-        final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);   // keys last sent from here
+        final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true); // keys last sent from here
 
         Worker(String id) {
             this.id = id;
@@ -366,14 +395,16 @@
 
         void report(LoadReport r) {
             if (r == null || r.activeRequests() > 1e4 || r.freeSlots() > 1e4) {
-                return;                                          // none, or absurd: no part of it is believed
+                return; // none, or absurd: no part of it is believed
             }
             reportAt = now;
             foreignMemory = r.freeMemoryUnits() >= 0 ? Math.max(0, slots() - r.freeMemoryUnits() - memory) : 0;
-            if (!set.workersReportStart() && r.meanServiceMs() > 0 && r.meanServiceMs() < horizon
-                && r.meanServiceMs() != service) {
+            if (!set.workersReportStart()
+                    && r.meanServiceMs() > 0
+                    && r.meanServiceMs() < horizon
+                    && r.meanServiceMs() != service) {
                 service = r.meanServiceMs();
-                learn(meanAll() / 2, service / 2);               // a recent mean over all nodes' jobs
+                learn(meanAll() / 2, service / 2); // a recent mean over all nodes' jobs
             }
             double mine = Math.min(inUse, slots()), others = slots() - r.freeSlots() - mine;
             if (r.activeRequests() >= 0) {
@@ -389,7 +420,8 @@
                 // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
                 double full = Math.max(Math.max(foreign, others), kind.unseen * cap / meanAll());
                 foreign = r.activeRequests() >= 0 || r.freeSlots() > 0.5
-                    ? keep * foreign + (1 - keep) * Math.max(0, others) : full;
+                        ? keep * foreign + (1 - keep) * Math.max(0, others)
+                        : full;
                 foreignAt = now;
                 kind.unseen += set.workersReportStart() ? 0 : 0.05 * (foreign * meanAll() / cap - kind.unseen);
             }
@@ -421,10 +453,12 @@
             if (Double.isNaN(a.startAt)) {
                 a.startAt = now;
                 outrun(a);
-                double running = held.stream().filter(b -> !Double.isNaN(b.startAt))
-                    .mapToDouble(b -> b.req.slots).sum();
+                double running = held.stream()
+                        .filter(b -> !Double.isNaN(b.startAt))
+                        .mapToDouble(b -> b.req.slots)
+                        .sum();
                 slots = running > slots() ? running : slots;
-                double off = now - a.sentAt - a.wait;            // what of the queue was not seen then
+                double off = now - a.sentAt - a.wait; // what of the queue was not seen then
                 foreign = Math.max(0, foreign + 0.5 * (off - clamp(off, 0, aim / 8)) * cap / meanAll());
                 foreignAt = now;
                 double newer = Math.max(0.05, 1 - fade((now - kind.unseenAt) * speed / (2 * meanAll())));
@@ -441,13 +475,13 @@
         /** One sample counts as at most four times off: a pause, a hang or a wild hint is not a speed. */
         void learn(double done, double took) {
             if (done > 0 && took > 0) {
-                double t = clamp(took * warmth(), done / (4 * speed), 4 * done / speed);  // c is given it too
+                double t = clamp(took * warmth(), done / (4 * speed), 4 * done / speed); // c is given it too
                 double keep = fade((now - learnAt) / (2 * horizon)) * Math.exp(-t * speed / (4 * meanAll()));
-                learnAt = now;                                          // remembers about four mean jobs
+                learnAt = now; // remembers about four mean jobs
                 work = work * keep + done;
                 time = time * keep + t;
-                double pooled = isCold() ? 0 : 1;                       // cold runs tell nothing of the kind
-                kind.work = kind.work * (1 - 0.02 * pooled) + pooled * done;   // and the kind about fifty
+                double pooled = isCold() ? 0 : 1; // cold runs tell nothing of the kind
+                kind.work = kind.work * (1 - 0.02 * pooled) + pooled * done; // and the kind about fifty
                 kind.time = kind.time * (1 - 0.02 * pooled) + pooled * t;
                 kind.speed = (kind.work + meanAll()) / (kind.time + meanAll());
             }
@@ -486,11 +520,11 @@
                 case RESET -> unconnected(0);
                 case REJECTED -> rest();
                 case TIMED_OUT -> {
-                    if (aliveAt < a.sentAt) {                    // it may hang, or only that connection
+                    if (aliveAt < a.sentAt) { // it may hang, or only that connection
                         rest();
                     }
                 }
-                default -> { }
+                default -> {}
             }
             refresh();
         }
@@ -502,13 +536,13 @@
          */
         double failing(int cls) {
             double more = (bad.at(cls) - failed.at(cls)) * fade((now - badAt.at(cls)) / (4 * horizon));
-            return failed.at(cls) + (Math.abs(more) > 0.1 ? more : 0);     // less is no more than chance
+            return failed.at(cls) + (Math.abs(more) > 0.1 ? more : 0); // less is no more than chance
         }
 
         void tried(int cls, double fail) {
             bad.put(cls, 0.5 * failing(cls) + 0.5 * fail);
             badAt.put(cls, now);
-            failed.put(cls, failed.at(cls) + 0.05 * (fail - failed.at(cls)));    // about 20 tries; here 2
+            failed.put(cls, failed.at(cls) + 0.05 * (fail - failed.at(cls))); // about 20 tries; here 2
         }
 
         void alive() {
@@ -531,8 +565,8 @@
          */
         boolean coldRoom(double x) {
             double weight = Math.max(x, meanAll());
-            return !isCold() || saved >= Math.min(weight, coldMost())
-                && weight <= coldBudget() * set.dispatcherCount() / 2;
+            return !isCold()
+                    || saved >= Math.min(weight, coldMost()) && weight <= coldBudget() * set.dispatcherCount() / 2;
         }
 
         double coldBudget() {
@@ -590,13 +624,14 @@
 
     // ------------------------------------------------------------ value function
 
-    private final GrowingArray mean = new GrowingArray(), seen = new GrowingArray(), failed = new GrowingArray();    // of classes
-    private double rate, rateAt = Double.NaN;                    // offered jobs a millisecond, before refusal
+    private final GrowingArray mean = new GrowingArray(),
+            seen = new GrowingArray(),
+            failed = new GrowingArray(); // of classes
+    private double rate, rateAt = Double.NaN; // offered jobs a millisecond, before refusal
     private double meanX = Double.NaN, meanWorth = Double.NaN, offers, lostShare;
-    private double mineAvg, unseenAvg, crowd = 1, scanAt;        // crowd: all nodes' load over its own
-    private double meanAt = Double.NaN, crammed;                 // when formed; mean wait, in mean jobs
-
-    private double logMid, hints, hintVar, hintCov, trust = 1;   // how far hints are to be believed
+    private double mineAvg, unseenAvg, crowd = 1, scanAt; // crowd: all nodes' load over its own
+    private double meanAt = Double.NaN, crammed; // when formed; mean wait, in mean jobs
+    private double logMid, hints, hintVar, hintCov, trust = 1; // how far hints are to be believed
 
     /**
      * Departure "rough hints": small hints run longer than told and large ones shorter; slow workers, given
@@ -634,16 +669,16 @@
             q.x = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
         }
         double worth = q.spec.priorityWeight() * (set.weightPerWork() ? q.x : 1);
-        double step = Math.max(0.01, 1 / ++offers);              // a plain mean first, forgetting later
+        double step = Math.max(0.01, 1 / ++offers); // a plain mean first, forgetting later
         meanX = offers == 1 ? q.x : meanX + step * (q.x - meanX);
         meanWorth = offers == 1 ? worth : meanWorth + step * (worth - meanWorth);
         q.weight = clamp(worth / Math.max(meanWorth, 1e-9), 0.05, 50) * q.of.weightFactor();
         if (offers > 1 && !set.isFirstAttempt(q.cls, q.deadline - now)) {
-            return;                                              // a client's later try: offered before
+            return; // a client's later try: offered before
         }
         rate = (Double.isNaN(rateAt) ? 0 : rate * Math.exp((rateAt - now) / horizon)) + 1 / horizon;
         rateAt = now;
-        double pick = random.nextDouble() * workers.total();    // the paper's load-balanced random split
+        double pick = random.nextDouble() * workers.total(); // the paper's load-balanced random split
         int i = 0;
         while (i < workers.size() - 1 && (pick -= workers.share(i)) >= 0) {
             i++;
@@ -663,7 +698,10 @@
     /** The waiting-time aim of a class: its aim plus (stretch - 1) typical run times, within the deadline. */
     private double tau(Req q) {
         double m = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
-        return clamp(q.spec.latencyObjectiveMs() + (q.spec.stretchFactor() - 1) * m, q.spec.latencyObjectiveMs() / 4, q.spec.deadlineMs());
+        return clamp(
+                q.spec.latencyObjectiveMs() + (q.spec.stretchFactor() - 1) * m,
+                q.spec.latencyObjectiveMs() / 4,
+                q.spec.deadlineMs());
     }
 
     /** v(u + g) - v(u) of a worker; its lost share leans on the fleet's, worth ten jobs, against noise. */
@@ -676,7 +714,7 @@
 
     /** v(u) - v(tau) with arrival rate lambda, cost rate r, mean service time s; basic rule, so F(y) = 1. */
     static double value(double lambda, double r, double s, double tau, double u) {
-        double slope = Math.min(lambda - r, 1 / s);              // none admits faster than it serves (13)
+        double slope = Math.min(lambda - r, 1 / s); // none admits faster than it serves (13)
         if (u > tau) {
             return slope * (u - tau);
         }
@@ -692,11 +730,11 @@
     private final class Attempt {
         final Req req;
         final Worker worker;
-        final double x, work, sentAt, due;                       // work: all that it keeps from others
-        final boolean free, dialed;                              // to a free slot; over a new connection
-        final double fetch, wait;                                // both as estimated when it was sent
+        final double x, work, sentAt, due; // work: all that it keeps from others
+        final boolean free, dialed; // to a free slot; over a new connection
+        final double fetch, wait; // both as estimated when it was sent
         double startAt = Double.NaN, noteAt, share;
-        boolean over, neverRan, late, lost;                      // late: counted as failed; lost: unheard of
+        boolean over, neverRan, late, lost; // late: counted as failed; lost: unheard of
 
         /** Time since the last note, without what the fetch is likely to have taken of it. */
         double spent() {
@@ -719,17 +757,17 @@
     }
 
     private final class Req {
-        final PolicyRequest of;                                        // as it was taken
-        final int cls, tries;                                    // tries: attempts at most
-        final RequestClass spec;                                    // both as when it was taken
+        final PolicyRequest of; // as it was taken
+        final int cls, tries; // tries: attempts at most
+        final RequestClass spec; // both as when it was taken
         final double arrived, deadline, slots, memory;
         final List<Attempt> attempts = new ArrayList<>(2);
-        final List<Worker> asked = new ArrayList<>(LOOKS);       // probed for it
-        final List<Worker> unheard = new ArrayList<>(LOOKS);     // of these, not answered yet
-        long key;                                                // hash of what it concerns; 0: nothing
-        Worker home, second;                                     // where its key belongs, by hash
-        double x, weight, logHint = Double.NaN;                  // hinted work; worth over the mean's
-        int out, rounds;                                         // attempts out; looks taken
+        final List<Worker> asked = new ArrayList<>(LOOKS); // probed for it
+        final List<Worker> unheard = new ArrayList<>(LOOKS); // of these, not answered yet
+        long key; // hash of what it concerns; 0: nothing
+        Worker home, second; // where its key belongs, by hash
+        double x, weight, logHint = Double.NaN; // hinted work; worth over the mean's
+        int out, rounds; // attempts out; looks taken
         boolean ended, streaming;
 
         double rank(Worker w) {
@@ -756,9 +794,13 @@
                 return false;
             }
             for (Attempt a : attempts) {
-                if (!a.neverRan && (!spec.mayRepeatAfter(now - a.sentAt) || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                    && (spec.deduplicationScope() == DeduplicationScope.ZONE && a.worker.zone != w.zone
-                        || spec.deduplicationScope() == DeduplicationScope.CELL && a.worker.cell != w.cell))) {
+                if (!a.neverRan
+                        && (!spec.mayRepeatAfter(now - a.sentAt)
+                                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                        && (spec.deduplicationScope() == DeduplicationScope.ZONE
+                                                        && a.worker.zone != w.zone
+                                                || spec.deduplicationScope() == DeduplicationScope.CELL
+                                                        && a.worker.cell != w.cell))) {
                     return false;
                 }
             }
@@ -767,8 +809,9 @@
 
         boolean refusable() {
             return spec.idempotency() == Idempotency.READ_LIKE
-                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY && spec.deduplicationScope() == DeduplicationScope.ALL
-                || attempts.stream().allMatch(a -> a.neverRan);
+                    || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                            && spec.deduplicationScope() == DeduplicationScope.ALL
+                    || attempts.stream().allMatch(a -> a.neverRan);
         }
 
         /** The one exit of every request that this node ends: refused where that is legal, else failed. */
@@ -797,19 +840,22 @@
 
     // ------------------------------------------------------------ placement
 
-    private static final double REFUSED = Double.MAX_VALUE;      // dearer than a refusal; infinite: barred
-    private Req priced;                                          // the request of these costs
-    private boolean allowed;                                     // any of them is finite
+    private static final double REFUSED = Double.MAX_VALUE; // dearer than a refusal; infinite: barred
+    private Req priced; // the request of these costs
+    private boolean allowed; // any of them is finite
 
     /**
      * Every send passes here: rules 1 and 2 (legal), 3 (only workers listed as active), 4 (coldRoom). A list that is
      * not confirmed may name servers whose removal counts as notified, so its freshness is asked at every send.
      */
     private boolean gate(Req q, Worker w) {
-        return w.health == EndpointLifecycle.ACTIVE && freshness.usable(now)
-            && (q.spec.requiredWorkerKind() < 0 || q.spec.requiredWorkerKind() == w.kindNo)
-            && Math.max(q.slots, q.memory) <= Math.max(1, w.slots()) && q.of.mayGoTo(w.id)
-            && q.legal(w) && w.coldRoom(q.x);
+        return w.health == EndpointLifecycle.ACTIVE
+                && freshness.usable(now)
+                && (q.spec.requiredWorkerKind() < 0 || q.spec.requiredWorkerKind() == w.kindNo)
+                && Math.max(q.slots, q.memory) <= Math.max(1, w.slots())
+                && q.of.mayGoTo(w.id)
+                && q.legal(w)
+                && w.coldRoom(q.x);
     }
 
     /** On the ordinary path: neither down nor resting. */
@@ -824,7 +870,9 @@
 
     /** How many listed workers get nothing new at present: leaving, down or resting. */
     public int avoidedWorkers() {
-        return (int) workers.all().stream().filter(w -> w.health != EndpointLifecycle.ACTIVE || !ready(w)).count();
+        return (int) workers.all().stream()
+                .filter(w -> w.health != EndpointLifecycle.ACTIVE || !ready(w))
+                .count();
     }
 
     /** Rule (25): the least cost over the ready workers, or any legal one where none is; refusal at one. */
@@ -848,9 +896,9 @@
         } else {
             RejectionReason why = refusal(q);
             if (why == null) {
-                parked.add(q);                                   // no legal worker: a bounded wait
+                parked.add(q); // no legal worker: a bounded wait
             } else {
-                q.stop(why);                                     // also where none can be legal any more
+                q.stop(why); // also where none can be legal any more
             }
         }
     }
@@ -872,7 +920,7 @@
     }
 
     private static final int LOOKS = 3, ROUNDS = 2;
-    private final List<Req> looks = new ArrayList<>();           // requests that wait for probes
+    private final List<Req> looks = new ArrayList<>(); // requests that wait for probes
 
     /**
      * Departure "look": where others push most of the load, own pushes do not mirror it, so a worker is
@@ -890,7 +938,7 @@
                 q.asked.add(best);
                 q.unheard.add(best);
             }
-            workers.cost(best, REFUSED);                            // until it has answered
+            workers.cost(best, REFUSED); // until it has answered
             best = workers.cheapest(REFUSED);
         }
         looks.add(q);
@@ -901,23 +949,23 @@
     /** The look is over: rule (25) decides, or asks for another one. */
     private void looked(Req q) {
         if (q != null && stalledAt > q.arrived && !q.unheard.isEmpty()) {
-            stalledAt = Double.NEGATIVE_INFINITY;                // the answers may stand behind this timer
+            stalledAt = Double.NEGATIVE_INFINITY; // the answers may stand behind this timer
             actions.scheduleTimer(set.tickMs(), q.of.id() + 1 + TICK);
         } else if (q != null && looks.remove(q)) {
             q.unheard.forEach(Worker::rest);
             q.unheard.clear();
             if (priced == q) {
                 q.asked.forEach(w -> workers.cost(w, price(q, w, false)));
-                priced = workers.cheapest(REFUSED) == null ? null : q;    // none left: seen anew
+                priced = workers.cheapest(REFUSED) == null ? null : q; // none left: seen anew
             }
             place(q);
         }
     }
 
-    private double dialShare, dialAt;                            // of new connections, how many failed slowly
+    private double dialShare, dialAt; // of new connections, how many failed slowly
 
     private void dialled(double failed) {
-        dialShare = 0.9 * dialFailures() + 0.1 * failed;         // about ten dials
+        dialShare = 0.9 * dialFailures() + 0.1 * failed; // about ten dials
         dialAt = now;
     }
 
@@ -941,8 +989,8 @@
             return Double.POSITIVE_INFINITY;
         }
         // Departure "memory": a job starts at once only where its memory has room too, by pushes and report.
-        boolean fits = q.memory == 0 || q.memory + w.memory
-            + w.foreignMemory * fade((now - w.reportAt) / meanAll()) <= w.slots();
+        boolean fits = q.memory == 0
+                || q.memory + w.memory + w.foreignMemory * fade((now - w.reportAt) / meanAll()) <= w.slots();
         double d = late(q, w, !fits ? Math.max(w.u, meanAll() / w.cap) : w.free(q) ? 0 : w.u);
         // Departure "late worth": an answer past the aim but before the deadline keeps that share.
         d *= now + w.u + q.x / w.speed < q.deadline ? 1 - q.spec.lateWeightShare() : 1;
@@ -959,7 +1007,8 @@
 
     /** d of rule (25), departure "own aim": its own hinted run against its own aim; 0 to 1, as hints are rough. */
     private double late(Req q, Worker w, double wait) {
-        double left = Math.min(q.spec.latencyObjectiveMs() + q.spec.stretchFactor() * q.x - (now - q.arrived), q.deadline - now);
+        double left = Math.min(
+                q.spec.latencyObjectiveMs() + q.spec.stretchFactor() * q.x - (now - q.arrived), q.deadline - now);
         double takes = wait + q.x / w.speed + fetch(q, w);
         return clamp(0.5 + 2 * (takes - left) / takes, 0, 1);
     }
@@ -1016,13 +1065,13 @@
 
     // ------------------------------------------------------------ upkeep: silence, probes
 
-    private final List<Worker> busy = new ArrayList<>();         // those that hold work from here
+    private final List<Worker> busy = new ArrayList<>(); // those that hold work from here
     private double soonest, tickAt = Double.POSITIVE_INFINITY, stalledAt = Double.NEGATIVE_INFINITY;
 
     /** Brings all workers up to date: once for each look at the fleet, never by the clock alone. */
     private void scan() {
         if (now - scanAt < aim / 8) {
-            return;                                              // fresh enough: its own events are in
+            return; // fresh enough: its own events are in
         }
         double mine = 0, unseen = 0, waits = 0, ready = 0;
         soonest = allow.maxRetryAfterMs();
@@ -1042,7 +1091,7 @@
             }
         }
         workers.sum();
-        double step = clamp((now - meanAt) / horizon, 0, 1);     // at first one among nodes of its own size
+        double step = clamp((now - meanAt) / horizon, 0, 1); // at first one among nodes of its own size
         unseenAvg = Double.isNaN(meanAt) ? (set.dispatcherCount() - 1) * meanAll() / 2 : unseenAvg;
         scanAt = meanAt = now;
         crammed += step * (waits / Math.max(1, ready) / meanAll() - crammed);
@@ -1052,7 +1101,7 @@
     }
 
     private void upkeep() {
-        freshness.usable(now);                                   // so that its end is told in time
+        freshness.usable(now); // so that its end is told in time
         askInTurn();
         for (Worker w : busy) {
             for (Attempt a : w.held) {
@@ -1082,7 +1131,7 @@
         if (now >= watchAt && set.pollsDiscovery()) {
             actions.watchEndpointList();
             askedAt = now;
-            watchAt = now + rules.maxListAgeMs() / 2;             // no answer by then: ask again
+            watchAt = now + rules.maxListAgeMs() / 2; // no answer by then: ask again
         }
     }
 
