--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,6 +1,10 @@
 package maplespread.policy;
 
-import static maplespread.policy.StableHash.*;
+import static maplespread.policy.PolicyMath.clamp;
+import static maplespread.policy.PolicyMath.decay;
+import static maplespread.policy.PolicyMath.drawExponential;
+import static maplespread.policy.StableHash.hash;
+import static maplespread.policy.StableHash.mix;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,7 +16,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import maplespread.policy.StableHash.GrowingArray;
 
 /**
  * All decisions of a node; its interface (settings, events, actions) is in Dispatch.java. The design is rule
@@ -304,7 +307,7 @@
 
     private final class Worker extends WorkerTable.Indexed {
         final String id;
-        final GrowingArray bad = new GrowingArray(), badAt = new GrowingArray(); // by class
+        final DoublesByIndex bad = new DoublesByIndex(), badAt = new DoublesByIndex(); // by class
         final List<Attempt> held = new ArrayList<>(); // sent from here, outcome not yet seen
         Kind kind;
         EndpointLifecycle health;
@@ -330,7 +333,7 @@
 
         /** Brings speed, c and the unseen work up to date, when looked at and at its events. */
         void refresh() {
-            double m = meanAll(), keep = fade((now - learnAt) / (2 * horizon));
+            double m = meanAll(), keep = decay((now - learnAt) / (2 * horizon));
             // Unconfirmed it returns to the kind's speed, or none thought slow is tried again; prior: two mean jobs.
             speed = clamp((work * keep + 2 * m) / (time * keep + 2 * m / kind.speed), 0.02, 50);
             cap = speed * slots() * warmth();
@@ -388,8 +391,8 @@
          * the same fast workers; from zero on the least of many drawn is none. Harms where nodes differ much.
          */
         double foreignWork() {
-            double keep = fade((now - foreignAt) * speed / (2 * meanAll()));
-            double drawn = set.dispatcherCount() == 1 ? 0 : kind.unseen * cap * (1 + draw(random)) / 2;
+            double keep = decay((now - foreignAt) * speed / (2 * meanAll()));
+            double drawn = set.dispatcherCount() == 1 ? 0 : kind.unseen * cap * (1 + drawExponential(random)) / 2;
             return keep * foreign * meanAll() + (1 - keep) * drawn;
         }
 
@@ -416,7 +419,7 @@
                 seeSlots(Math.max(r.freeSlots(), slots()));
             }
             if (!Double.isNaN(others)) {
-                double keep = 0.5 * fade((now - foreignAt) * speed / (2 * meanAll()));
+                double keep = 0.5 * decay((now - foreignAt) * speed / (2 * meanAll()));
                 // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
                 double full = Math.max(Math.max(foreign, others), kind.unseen * cap / meanAll());
                 foreign = r.activeRequests() >= 0 || r.freeSlots() > 0.5
@@ -461,7 +464,7 @@
                 double off = now - a.sentAt - a.wait; // what of the queue was not seen then
                 foreign = Math.max(0, foreign + 0.5 * (off - clamp(off, 0, aim / 8)) * cap / meanAll());
                 foreignAt = now;
-                double newer = Math.max(0.05, 1 - fade((now - kind.unseenAt) * speed / (2 * meanAll())));
+                double newer = Math.max(0.05, 1 - decay((now - kind.unseenAt) * speed / (2 * meanAll())));
                 kind.unseen += newer * (foreign * meanAll() / cap - kind.unseen);
                 kind.unseenAt = now;
             } else if (share > a.share) {
@@ -476,7 +479,7 @@
         void learn(double done, double took) {
             if (done > 0 && took > 0) {
                 double t = clamp(took * warmth(), done / (4 * speed), 4 * done / speed); // c is given it too
-                double keep = fade((now - learnAt) / (2 * horizon)) * Math.exp(-t * speed / (4 * meanAll()));
+                double keep = decay((now - learnAt) / (2 * horizon)) * Math.exp(-t * speed / (4 * meanAll()));
                 learnAt = now; // remembers about four mean jobs
                 work = work * keep + done;
                 time = time * keep + t;
@@ -535,14 +538,14 @@
          * and serve the rest. It chooses among workers and refuses nothing.
          */
         double failing(int cls) {
-            double more = (bad.at(cls) - failed.at(cls)) * fade((now - badAt.at(cls)) / (4 * horizon));
-            return failed.at(cls) + (Math.abs(more) > 0.1 ? more : 0); // less is no more than chance
+            double more = (bad.get(cls) - failed.get(cls)) * decay((now - badAt.get(cls)) / (4 * horizon));
+            return failed.get(cls) + (Math.abs(more) > 0.1 ? more : 0); // less is no more than chance
         }
 
         void tried(int cls, double fail) {
-            bad.put(cls, 0.5 * failing(cls) + 0.5 * fail);
-            badAt.put(cls, now);
-            failed.put(cls, failed.at(cls) + 0.05 * (fail - failed.at(cls))); // about 20 tries; here 2
+            bad.set(cls, 0.5 * failing(cls) + 0.5 * fail);
+            badAt.set(cls, now);
+            failed.set(cls, failed.get(cls) + 0.05 * (fail - failed.get(cls))); // about 20 tries; here 2
         }
 
         void alive() {
@@ -624,9 +627,9 @@
 
     // ------------------------------------------------------------ value function
 
-    private final GrowingArray mean = new GrowingArray(),
-            seen = new GrowingArray(),
-            failed = new GrowingArray(); // of classes
+    private final DoublesByIndex mean = new DoublesByIndex(),
+            seen = new DoublesByIndex(),
+            failed = new DoublesByIndex(); // of classes
     private double rate, rateAt = Double.NaN; // offered jobs a millisecond, before refusal
     private double meanX = Double.NaN, meanWorth = Double.NaN, offers, lostShare;
     private double mineAvg, unseenAvg, crowd = 1, scanAt; // crowd: all nodes' load over its own
@@ -663,10 +666,10 @@
             q.logHint = Math.log(q.x);
             logMid += (q.logHint - logMid) / Math.min(++hints, 200);
             q.x = Math.exp(logMid + trust * (q.logHint - logMid));
-            seen.put(q.cls, Math.min(seen.at(q.cls) + 1, 200));
-            mean.put(q.cls, mean.at(q.cls) + (q.x - mean.at(q.cls)) / seen.at(q.cls));
+            seen.set(q.cls, Math.min(seen.get(q.cls) + 1, 200));
+            mean.set(q.cls, mean.get(q.cls) + (q.x - mean.get(q.cls)) / seen.get(q.cls));
         } else {
-            q.x = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
+            q.x = mean.get(q.cls) > 0 ? mean.get(q.cls) : meanAll();
         }
         double worth = q.spec.priorityWeight() * (set.weightPerWork() ? q.x : 1);
         double step = Math.max(0.01, 1 / ++offers); // a plain mean first, forgetting later
@@ -697,7 +700,7 @@
 
     /** The waiting-time aim of a class: its aim plus (stretch - 1) typical run times, within the deadline. */
     private double tau(Req q) {
-        double m = mean.at(q.cls) > 0 ? mean.at(q.cls) : meanAll();
+        double m = mean.get(q.cls) > 0 ? mean.get(q.cls) : meanAll();
         return clamp(
                 q.spec.latencyObjectiveMs() + (q.spec.stretchFactor() - 1) * m,
                 q.spec.latencyObjectiveMs() / 4,
@@ -709,20 +712,7 @@
         double lambda = Math.max(rate, 1 / horizon) * crowd * w.cap / Math.max(workers.total(), w.cap);
         double r = lambda * (w.shadowLost + 10 * lostShare) / (w.shadowSeen + 10);
         double s = meanAll() / w.cap;
-        return value(lambda, r, s, tau, u + g) - value(lambda, r, s, tau, u);
-    }
-
-    /** v(u) - v(tau) with arrival rate lambda, cost rate r, mean service time s; basic rule, so F(y) = 1. */
-    static double value(double lambda, double r, double s, double tau, double u) {
-        double slope = Math.min(lambda - r, 1 / s); // none admits faster than it serves (13)
-        if (u > tau) {
-            return slope * (u - tau);
-        }
-        double rho = lambda * s, heavy = clamp(rho - 1, 0, 1);
-        // A2 with a noisy r may turn negative or outgrow the tail: keep v non-decreasing and convex.
-        double atTau = clamp((1 + rho) * slope - lambda, slope * Math.min(1, rho) / 10, slope);
-        // Above rho = 1 the quadratic gives way to the heavy-load line (13), wholly so from rho = 2 on.
-        return heavy * slope * (u - tau) + (1 - heavy) * atTau / (2 * tau) * (u * u - tau * tau);
+        return ValueFunction.value(lambda, r, s, tau, u + g) - ValueFunction.value(lambda, r, s, tau, u);
     }
 
     // ------------------------------------------------------------ request
@@ -970,7 +960,7 @@
     }
 
     private double dialFailures() {
-        return dialShare * fade((now - dialAt) / horizon);
+        return dialShare * decay((now - dialAt) / horizon);
     }
 
     private void priceAll(Req q, boolean any) {
@@ -990,7 +980,7 @@
         }
         // Departure "memory": a job starts at once only where its memory has room too, by pushes and report.
         boolean fits = q.memory == 0
-                || q.memory + w.memory + w.foreignMemory * fade((now - w.reportAt) / meanAll()) <= w.slots();
+                || q.memory + w.memory + w.foreignMemory * decay((now - w.reportAt) / meanAll()) <= w.slots();
         double d = late(q, w, !fits ? Math.max(w.u, meanAll() / w.cap) : w.free(q) ? 0 : w.u);
         // Departure "late worth": an answer past the aim but before the deadline keeps that share.
         d *= now + w.u + q.x / w.speed < q.deadline ? 1 - q.spec.lateWeightShare() : 1;
--- a/src/main/java/maplespread/policy/StableHash.java
+++ b/src/main/java/maplespread/policy/StableHash.java
@@ -1,64 +1,29 @@
 package maplespread.policy;
 
-import java.util.Arrays;
-import java.util.SplittableRandom;
-
-/** Small arithmetic for {@link DispatchPolicy}. */
+/**
+ * A hash of texts that is the same in every process and release, so that all dispatchers agree on a key's primary
+ * worker, on subsets and on slots without a message between them. Stateless.
+ */
 public final class StableHash {
-    private static final double[] QUANTILES = new double[256];
-
-    static {
-        for (int i = 0; i < QUANTILES.length; i++) {
-            QUANTILES[i] = -Math.log(1 - (i + 0.5) / QUANTILES.length);
-        }
-    }
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long MIX_MULTIPLIER = 0xd6e8feb86659fd93L;
 
     private StableHash() {}
 
-    /** What news of that age, in time constants, still tells: near exp(-age), and cheap. */
-    static double fade(double age) {
-        return 1 / (1 + age + age * age / 2);
-    }
-
-    /** A draw from the exponential distribution with mean one. */
-    static double draw(SplittableRandom random) {
-        return QUANTILES[random.nextInt(QUANTILES.length)];
-    }
-
-    /** Within the bounds; NaN becomes {@code low}. */
-    static double clamp(double x, double low, double high) {
-        return x > low ? Math.min(x, high) : low;
-    }
-
-    /** A text's hash, the same at all nodes; subsets order workers by it too. */
+    /** FNV-1a over the text's UTF-16 units, with the bits spread. */
     public static long hash(String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        return mix(h);
-    }
-
-    /** Spreads the bits. */
-    static long mix(long h) {
-        h = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-        h = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-        return h ^ h >>> 32;
+        return mix(hash);
     }
 
-    /** Figures by number, 0 where none was put; as many as are needed. */
-    static final class GrowingArray {
-        private double[] all = {};
-
-        double at(int i) {
-            return i < all.length ? all[i] : 0;
-        }
-
-        void put(int i, double x) {
-            if (i >= all.length) {
-                all = Arrays.copyOf(all, i + 1);
-            }
-            all[i] = x;
-        }
+    /** Spreads the bits of a hash, so that each depends on all. */
+    static long mix(long hash) {
+        long mixed = (hash ^ hash >>> 32) * MIX_MULTIPLIER;
+        mixed = (mixed ^ mixed >>> 32) * MIX_MULTIPLIER;
+        return mixed ^ mixed >>> 32;
     }
 }
--- a/src/test/java/maplespread/policy/DispatchPolicyTest.java
+++ b/src/test/java/maplespread/policy/DispatchPolicyTest.java
@@ -32,7 +32,7 @@
             double exact = u > tau
                     ? lambda * (1 + lambda * tau) / (2 + lambda * tau) * (u - tau)
                     : lambda * lambda / (4 + 2 * lambda * tau) * (u * u - tau * tau);
-            assertEquals(exact, DispatchPolicy.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
+            assertEquals(exact, ValueFunction.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
         }
     }
 
@@ -40,7 +40,7 @@
     void valueIsTheHeavyLoadLine() {
         double s = 2, tau = 3, lambda = 100;
         for (double u = 0; u < 9; u += 0.5) {
-            assertEquals((u - tau) / s, DispatchPolicy.value(lambda, lambda - 1 / s, s, tau, u), 1e-9);
+            assertEquals((u - tau) / s, ValueFunction.value(lambda, lambda - 1 / s, s, tau, u), 1e-9);
         }
     }
 
@@ -51,8 +51,8 @@
             double lambda = random.nextDouble() * 3, r = lambda * random.nextDouble(), s = 0.1 + random.nextDouble();
             double tau = 0.1 + random.nextDouble() * 3, step = tau / 10, last = -1e-12;
             for (int i = 0; i < 30; i++) {
-                double up = DispatchPolicy.value(lambda, r, s, tau, (i + 1) * step)
-                        - DispatchPolicy.value(lambda, r, s, tau, i * step);
+                double up = ValueFunction.value(lambda, r, s, tau, (i + 1) * step)
+                        - ValueFunction.value(lambda, r, s, tau, i * step);
                 assertTrue(up >= last - 1e-9, "slope must not fall");
                 last = up;
             }
