--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,1158 +1,970 @@
 package maplespread.policy;
 
-import static maplespread.policy.PolicyMath.clamp;
-import static maplespread.policy.PolicyMath.decay;
-import static maplespread.policy.PolicyMath.drawExponential;
-import static maplespread.policy.StableHash.hash;
-import static maplespread.policy.StableHash.mix;
-
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.stream.Collectors;
 
 /**
- * All decisions of a node; its interface (settings, events, actions) is in Dispatch.java. The design is rule
- * (25) of "Meeting Soft Deadlines in Single- and Multi-Server Systems"; docs/design.md says what was kept and
- * changed. Parts: events, roster, worker, value function, request, placement, upkeep. Times are milliseconds,
- * work is milliseconds on a standard core. Nothing hangs on the order of a hash map.
+ * All decisions of one dispatcher: which worker gets a request, whether an attempt is repeated, what is rejected. This
+ * class takes the host's events, sets the time and calls the modules in order; the rules are in the modules. The
+ * design is rule (25) of "Meeting Soft Deadlines in Single- and Multi-Server Systems" with the departures that
+ * docs/design.md gives.
+ *
+ * <p>Not thread-safe: the host calls it under one lock. It does no I/O and reads no clock. Given the same settings, seed
+ * and events it takes the same actions, whatever the order of a hash map.
  */
 public final class DispatchPolicy implements PolicyEvents {
-    private static final long TICK = 1;
-    private static final double TOLD = 6000; // then a change counts as told, whatever failed
-    private static final double ROUND = 5500; // of a large fleet's calls: within TOLD each comes again
-    private static final double LINE_COST = 0.7; // of discovery for a line of a whole list, with a margin
-    private PolicySettings set;
-    private PlatformRules rules;
-    private SitePermissions allow;
-    private final PolicyActions actions;
-    private final SplittableRandom random;
-    private final WorkerTable<Worker> workers = new WorkerTable<>();
+    private static final double MICROS_PER_MS = 1000.0;
+
+    private final PolicyContext context;
     private final EndpointListFreshness freshness;
-    private final Map<String, Worker> byId = new HashMap<>();
-    private final Map<Integer, Kind> kinds = new HashMap<>();
-    private final Map<Long, Req> open = new HashMap<>(); // until ended and all attempts are over
-    private final List<Req> parked = new ArrayList<>(); // nothing out, waiting for a legal worker
-    private double aim; // shortest class aim: the clock of upkeep
-    private double horizon; // shortest deadline: the estimators' memory
-    private double period; // half an aim: a few scans a request, no more
-    private double now = Double.NEGATIVE_INFINITY;
+    private final WorkerTable<Worker> workers = new WorkerTable<>();
+    private final WorkerDirectory directory;
+    private final FailureStatistics failures;
+    private final FleetLoadEstimate fleetLoad;
+    private final ArrivalStatistics arrivals;
 
+    /**
+     * A policy that knows no worker yet.
+     *
+     * @param seed of its random source
+     * @throws IllegalArgumentException if settings or actions are missing
+     */
     public DispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         Preconditions.require(settings != null && actions != null, "settings and actions are needed");
-        this.actions = actions;
-        random = new SplittableRandom(seed);
+        context = new PolicyContext(seed, actions);
         freshness = new EndpointListFreshness(actions::listStateChanged);
-        take(settings);
+        HintCalibration hints = new HintCalibration(context);
+        failures = new FailureStatistics(context);
+        fleetLoad = new FleetLoadEstimate(context, workers);
+        arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
+        fleetLoad.use(arrivals);
+        directory = new WorkerDirectory(workers, context, arrivals, hints, failures);
+        apply(settings);
     }
 
-    private void take(PolicySettings settings) {
-        set = settings;
-        rules = set.rules();
-        allow = set.permissions();
-        aim = set.classes().stream()
-                .mapToDouble(RequestClass::latencyObjectiveMs)
-                .min()
-                .orElseThrow();
-        horizon = set.classes().stream()
-                .mapToDouble(RequestClass::deadlineMs)
-                .min()
-                .orElseThrow();
-        period = Math.max(set.tickMs(), aim / 2);
-        freshness.settings(!set.pollsDiscovery(), rules.maxListAgeMs());
+    private void apply(PolicySettings settings) {
+        context.apply(settings);
+        freshness.settings(!settings.pollsDiscovery(), context.rules.maxListAgeMs());
     }
 
-    // ------------------------------------------------------------ events
+    // ------------------------------------------------------------ settings and endpoint list
 
     @Override
     public void settingsChanged(long nowUs, PolicySettings next) {
-        at(nowUs);
-        Preconditions.require(next.classes().size() >= set.classes().size(), "classes keep their places");
-        take(next);
-        scanAt = Double.NEGATIVE_INFINITY; // sums are made anew
+        advanceTo(nowUs);
+        Preconditions.require(
+                next.classes().size() >= context.settings.classes().size(), "classes keep their places");
+        apply(next);
+        fleetLoad.invalidate();
     }
 
     @Override
     public void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries) {
-        at(nowUs);
-        boolean whole = kind != EndpointListKind.DELTA;
-        if (whole) { // who is absent from the whole has left
-            Set<String> named = entries.stream().map(EndpointEntry::worker).collect(Collectors.toSet());
-            List.copyOf(workers.all()).stream()
-                    .filter(w -> !named.contains(w.id))
-                    .forEach(w -> health(w, EndpointLifecycle.REMOVED));
-        }
-        scanAt = Double.NEGATIVE_INFINITY; // sums are made anew
-        entries.forEach(this::entry);
-        if (byId.size() > 2 * workers.size() + 100) { // what is known of those long gone
-            byId.values().removeIf(w -> w.at < 0 && w.held.isEmpty());
-        }
-        priced = null;
-        looks.forEach(q -> q.asked.clear());
+        advanceTo(nowUs);
+        if (kind != EndpointListKind.DELTA) {
+            directory.removeAbsent(entries);
+        }
+        fleetLoad.invalidate();
+        entries.forEach(directory::update);
+        directory.forgetUnlisted();
+        invalidate();
+        probing().forEach(request -> request.probed.clear());
         if (kind == EndpointListKind.CACHED_SNAPSHOT) {
-            // A whole large fleet may start at once, and discovery answers one call after another: each has its turn.
-            double last = Math.min(TOLD * 2 / 3, LINE_COST * set.dispatcherCount() * entries.size()) - TOLD / 30;
-            watchAt = now + turn(Math.max(0, last));
-            double first = period * (0.5 + random.nextDouble() / 2); // nodes must not tick in step
-            tickAt = now + first;
-            actions.scheduleTimer(first, TICK);
+            cachedSnapshotReceived(entries.size());
+            startTicking();
         } else {
-            watchAt = Double.POSITIVE_INFINITY;
-            watchFails = 0;
+            listReceived();
         }
     }
 
+    /** Dispatchers that start together must not tick in step. */
+    private void startTicking() {
+        double firstMs = context.tickPeriodMs * (0.5 + context.random.nextDouble() / 2);
+        expectTick(firstMs);
+        context.actions.scheduleTimer(firstMs, TimerLabel.TICK);
+    }
+
     @Override
     public void endpointListConfirmed(long nowUs) {
-        at(nowUs);
-        boolean usable = freshness.usable(now);
-        freshness.confirmed(now);
-        if (!usable) {
-            placeParked(); // they have waited for this
+        advanceTo(nowUs);
+        boolean wasUsable = freshness.usable(context.nowMs);
+        freshness.confirmed(context.nowMs);
+        if (!wasUsable) {
+            placeParked();
         }
     }
 
     @Override
     public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs) {
-        at(nowUs);
+        advanceTo(nowUs);
         if (why == EndpointListDoubt.MOVED) {
-            freshness.moved(now);
+            freshness.moved(context.nowMs);
         } else {
-            freshness.silent(now, heardAgoMs);
+            freshness.silent(context.nowMs, heardAgoMs);
         }
     }
 
     @Override
     public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
-        at(nowUs);
-        freshness.failed(now, loss, heardAgoMs);
-        // Jittered: calls in step would all be late. As long as this one waited: dead calls are served too.
-        double most = Math.min(rules.maxListAgeMs() / 4, TOLD / 5), took = watchAt < 1e300 ? now - askedAt : 0;
-        double wait = Math.min(most, horizon / 20 * (1L << Math.min(++watchFails, 6)));
-        watchAt = now + Math.max(wait, Math.min(took, TOLD / 3)) * (0.4 + 0.8 * random.nextDouble());
-        double all = LINE_COST * set.dispatcherCount() * workers.size();
-        if (all > TOLD / 2) { // a large fleet's calls would be a crowd by themselves
-            watchAt = took > TOLD / 6 ? slotAfter(now + period, Math.min(ROUND, all)) : now + period + turn(TOLD / 2);
-        }
+        advanceTo(nowUs);
+        freshness.failed(context.nowMs, loss, heardAgoMs);
+        watchFailed(workers.size());
+    }
+
+    /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
+    public boolean endpointListUsable(long nowUs) {
+        return freshness.usable(nowUs / MICROS_PER_MS);
     }
 
+    // ------------------------------------------------------------ requests and attempts
+
     @Override
-    public void requestAccepted(long nowUs, PolicyRequest r) {
-        at(nowUs);
+    public void requestAccepted(long nowUs, PolicyRequest accepted) {
+        advanceTo(nowUs);
+        int classIndex = accepted.classIndex();
         Preconditions.require(
-                r.classIndex() >= 0 && r.classIndex() < set.classes().size(), "no such class: " + r.classIndex());
-        if (open.containsKey(r.id())) {
-            throw new IllegalStateException("request " + r.id() + " was taken before");
-        }
-        Req q = new Req(r);
-        open.put(r.id(), q);
-        scan();
-        offered(q);
-        place(q);
-        if (allow.probing() && set.dispatcherCount() > 1 && q.rounds == 0) {
-            workers.all().stream()
-                    .filter(w -> !w.down && now - w.reportAt > aim) // the stalest
-                    .min(Comparator.comparingDouble(w -> w.reportAt))
-                    .ifPresent(this::probe);
+                classIndex >= 0 && classIndex < context.settings.classes().size(), "no such class: " + classIndex);
+        requireUnknown(accepted.id());
+        PendingRequest request = new PendingRequest(accepted, context);
+        addRequest(request);
+        fleetLoad.refresh();
+        arrivals.requestOffered(request);
+        place(request);
+        if (request.probeRounds == 0) {
+            probeStalest();
         }
     }
 
     @Override
-    public void attemptProgressed(long nowUs, long id, int n, String worker, boolean started, double share) {
-        heard(nowUs, id, n).ifPresent(a -> a.worker.ran(a, started ? 0 : clamp(share, 0, 1)));
+    public void attemptProgressed(long nowUs, long id, int number, String worker, boolean started, double share) {
+        InFlightAttempt attempt = signOfLife(nowUs, id, number);
+        if (attempt != null) {
+            attempt.worker.attemptProgressed(attempt, started ? 0 : PolicyMath.clamp(share, 0, 1));
+        }
     }
 
     @Override
-    public void responseStarted(long nowUs, long id, int attempt, String worker) {
-        heard(nowUs, id, attempt).ifPresent(a -> a.req.streaming = true);
+    public void responseStarted(long nowUs, long id, int number, String worker) {
+        InFlightAttempt attempt = signOfLife(nowUs, id, number);
+        if (attempt != null) {
+            attempt.request.responseStarted = true;
+        }
     }
 
-    private Optional<Attempt> heard(long nowUs, long id, int n) {
-        at(nowUs);
-        Optional<Attempt> a = Optional.ofNullable(attempt(id, n));
-        a.ifPresent(of -> of.worker.alive());
-        return a;
+    private InFlightAttempt signOfLife(long nowUs, long id, int number) {
+        advanceTo(nowUs);
+        InFlightAttempt attempt = findAttempt(id, number);
+        if (attempt != null) {
+            attempt.worker.aliveSeen();
+        }
+        return attempt;
     }
 
     @Override
     public void attemptEnded(
             long nowUs,
             long id,
-            int attempt,
-            String worker,
-            AttemptOutcome verdict,
+            int number,
+            String workerId,
+            AttemptOutcome outcome,
             double lagMs,
-            boolean ended,
+            boolean requestEnded,
             LoadReport report) {
-        at(nowUs);
-        Optional.ofNullable(byId.get(worker)).ifPresent(w -> w.report(report));
-        Attempt a = attempt(id, attempt);
-        if (a == null) {
+        advanceTo(nowUs);
+        Worker reporter = directory.find(workerId);
+        if (reporter != null) {
+            reporter.reportReceived(report);
+        }
+        InFlightAttempt attempt = findAttempt(id, number);
+        if (attempt == null) {
             return;
         }
-        a.worker.settled(a, verdict, lagMs);
-        if (ended) {
-            a.req.end();
-        } else if (!a.req.ended && !a.req.streaming && a.req.out == 0) {
-            scan();
-            place(a.req); // another attempt, or the end
+        PendingRequest request = attempt.request;
+        attempt.worker.attemptEnded(attempt, outcome, lagMs);
+        directory.attemptEnded(attempt.worker);
+        if (requestEnded) {
+            endRequest(request);
+        } else if (!request.ended && !request.responseStarted && request.attemptsInFlight == 0) {
+            fleetLoad.refresh();
+            place(request); // another attempt, or the end
         }
-        a.req.forget();
+        forgetIfOver(request);
     }
 
     @Override
     public void requestAbandoned(long nowUs, long id) {
-        at(nowUs);
-        Optional.ofNullable(open.get(id)).ifPresent(Req::end);
+        advanceTo(nowUs);
+        PendingRequest request = findRequest(id);
+        if (request != null) {
+            endRequest(request);
+        }
     }
 
-    @Override
-    public void timerExpired(long nowUs, long label) {
-        at(nowUs);
-        if (label == TICK) {
-            upkeep();
-            tickAt = now + period;
-            actions.scheduleTimer(period, TICK);
-        } else {
-            looked(open.get(label - 1 - TICK));
+    private void placeParked() {
+        if (hasParked()) {
+            List<PendingRequest> parked = takeParked();
+            fleetLoad.refresh();
+            parked.forEach(this::place);
         }
     }
 
+    // ------------------------------------------------------------ probes, upkeep and time
+
     @Override
-    public void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report) {
-        at(nowUs);
-        Worker w = byId.get(worker);
-        if (w == null) {
+    public void probeEnded(long nowUs, String workerId, AttemptOutcome outcome, double lagMs, LoadReport report) {
+        advanceTo(nowUs);
+        Worker worker = directory.find(workerId);
+        if (worker == null) {
             return;
         }
-        w.probing = false;
-        if (verdict == AttemptOutcome.CONNECT_FAILED) {
-            w.unconnected(lagMs);
-        } else if (verdict == AttemptOutcome.SERVED) {
-            w.report(report);
-            w.carried(!w.connected());
-            w.refresh();
-            if (w.down) {
-                w.alive();
-                w.tryAt = now;
-                if (now - w.lostAt > aim) { // long enough to have started anew
-                    w.cold(now);
-                }
-            }
-        }
-        for (Req q : List.copyOf(looks)) {
-            if (q.unheard.remove(w) && q.unheard.isEmpty()) {
-                looked(q);
+        worker.probeEnded(outcome, lagMs, report);
+        for (PendingRequest request : List.copyOf(probing())) {
+            if (isCompletedBy(worker, request)) {
+                endProbeRound(request);
             }
         }
     }
 
-    private void at(long nowUs) {
-        Preconditions.require(nowUs / 1000.0 >= now, "time ran backwards");
-        now = nowUs / 1000.0;
-        if (now - tickAt > period) {
-            tickAt = stalledAt = now;
-        }
-    }
-
-    private Attempt attempt(long id, int n) {
-        Req q = open.get(id);
-        Attempt a = q == null || n < 0 || n >= q.attempts.size() ? null : q.attempts.get(n);
-        return a == null || a.over ? null : a;
-    }
-
-    // ------------------------------------------------------------ roster: list, asking, drains
-
-    private double watchAt = Double.POSITIVE_INFINITY, askedAt;
-    private int watchFails;
-
-    private void entry(EndpointEntry e) {
-        Worker w = byId.get(e.worker());
-        if (w == null) {
-            w = new Worker(e.worker());
-            byId.put(w.id, w);
-        }
-        w.kindNo = e.workerKind();
-        w.kind = kinds.computeIfAbsent(e.workerKind(), k -> new Kind());
-        w.cell = e.cell();
-        w.zone = e.zone();
-        if (e.startedAtMs() > 0 && e.startedAtMs() != w.upSince) {
-            w.upSince = e.startedAtMs();
-            w.cold(Math.min(now, w.upSince));
-            w.down &= w.lostAt >= w.upSince;
-        }
-        w.refresh();
-        health(w, e.lifecycle());
-    }
-
-    /** A change costs that worker and no other. */
-    private void health(Worker w, EndpointLifecycle health) {
-        w.health = health;
-        workers.put(w, health != EndpointLifecycle.REMOVED);
-        workers.share(w, w.usable());
-    }
-
-    // ------------------------------------------------------------ worker: backlog, speed, health, cold
-
-    /** What workers of one kind have in common: pooled speed and slots, the prior of each of them. */
-    private static final class Kind {
-        double work, time, speed = 1, slots, unseen, unseenAt; // unseen: others' backlog, as time
-    }
-
-    private final class Worker extends WorkerTable.Indexed {
-        final String id;
-        final DoublesByIndex bad = new DoublesByIndex(), badAt = new DoublesByIndex(); // by class
-        final List<Attempt> held = new ArrayList<>(); // sent from here, outcome not yet seen
-        Kind kind;
-        EndpointLifecycle health;
-        int kindNo, cell, zone, fails;
-        boolean down, probing;
-        double upSince, coldAt = Double.NEGATIVE_INFINITY, own; // own: hinted work pushed and not finished
-        double foreign, foreignAt = Double.NEGATIVE_INFINITY; // others' requests by its reports
-        double openUntil, conns, memory, foreignMemory; // idle connections; units held, by others
-        double work, time, learnAt, slots; // done work, the time it took, forgetting
-        double service = Double.NaN; // its last reported service time
-        double speed = 1, cap = 1, extra, u; // core speed, c, unseen work, u: refreshed
-        double reportAt = Double.NEGATIVE_INFINITY, tryAt, lostAt, aliveAt, inUse; // slots of held jobs
-        double saved, savedAt, fullAt; // of its share of the cold budget
-        double logHint, logRun, runs; // recent means, see compare
-        double shadow, shadowAt, shadowSeen, shadowLost;
-        final long idHash;
-        final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true); // keys last sent from here
-
-        Worker(String id) {
-            this.id = id;
-            idHash = hash(id);
-        }
-
-        /** Brings speed, c and the unseen work up to date, when looked at and at its events. */
-        void refresh() {
-            double m = meanAll(), keep = decay((now - learnAt) / (2 * horizon));
-            // Unconfirmed it returns to the kind's speed, or none thought slow is tried again; prior: two mean jobs.
-            speed = clamp((work * keep + 2 * m) / (time * keep + 2 * m / kind.speed), 0.02, 50);
-            cap = speed * slots() * warmth();
-            extra = foreignWork();
-            u = (own + extra) / cap + outwaited();
-            if (isCold()) {
-                saved = Math.min(saved + coldBudget() * (now - savedAt) / rules.overloadWindowMs(), coldMost());
-                fullAt = saved < coldMost() ? now : fullAt;
-                saved = now - fullAt > rules.overloadWindowMs() ? 0 : saved;
-                savedAt = now;
-            }
+    private void endProbeRound(PendingRequest request) {
+        if (endRound(request)) {
+            place(request);
         }
+    }
 
-        /** Departure "late start": by how much the longest waiting job from here outwaits its estimate. */
-        double outwaited() {
-            double over = 0;
-            for (Attempt a : held) {
-                double wait = Double.isNaN(a.startAt) && !a.lost ? now - aim / 8 - a.sentAt - a.wait : 0;
-                over = Math.max(over, wait);
-            }
-            return set.workersReportStart() ? over : 0;
+    @Override
+    public void timerExpired(long nowUs, long label) {
+        advanceTo(nowUs);
+        if (label == TimerLabel.TICK) {
+            tick();
+            return;
         }
-
-        /** Departure "free slot": the job starts at once, as far as pushes and reports tell. */
-        boolean free(Req q) {
-            return inUse + extra / meanAll() + q.slots - 0.5 < slots();
+        PendingRequest request = findRequest(TimerLabel.requestIdOf(label));
+        if (request != null) {
+            endProbeRound(request);
         }
+    }
 
-        double usable() {
-            return health == EndpointLifecycle.ACTIVE && !down ? cap : 0;
+    private void tick() {
+        freshness.usable(context.nowMs); // its change of state is told in time
+        pollIfDue();
+        for (Worker worker : directory.busy()) {
+            worker.countOverdue(pauseEndedMs());
         }
+        placeParked();
+        expectTick(context.tickPeriodMs);
+        context.actions.scheduleTimer(context.tickPeriodMs, TimerLabel.TICK);
+    }
 
-        double slots() {
-            return Math.max(1, Math.rint(slots > 0 ? slots : kind.slots > 0 ? kind.slots : 2));
-        }
+    private void advanceTo(long nowUs) {
+        double nowMs = nowUs / MICROS_PER_MS;
+        Preconditions.require(nowMs >= context.nowMs, "time ran backwards");
+        context.nowMs = nowMs;
+        eventReceived();
+    }
 
-        double warmth() {
-            double from = rules.slowStartCapacityShare();
-            return isCold() ? from + (1 - from) * Math.max(0, now - coldAt) / rules.slowStartMs() : 1;
+    /** How many listed workers get no new requests at present: draining, ejected or backing off. */
+    public int avoidedWorkers() {
+        int avoided = 0;
+        for (Worker worker : workers.all()) {
+            if (worker.lifecycle != EndpointLifecycle.ACTIVE || !worker.isReady()) {
+                avoided++;
+            }
         }
+        return avoided;
+    }
 
-        boolean isCold() {
-            return now - coldAt < rules.slowStartMs();
-        }
+    // ------------------------------------------------------------ selection
 
-        void cold(double since) {
-            coldAt = Math.max(coldAt, since);
-            saved = Math.max(random.nextDouble() * meanAll(), coldBudget() / 2);
-            savedAt = fullAt = now;
-        }
+    /** Below this lateness a probed worker with a free slot is certain enough. */
+    private static final double MAX_CERTAIN_LATENESS = 0.5;
 
-        /**
-         * Departure "unseen": others' work in hand by the reports; news fades over two mean jobs. What is too
-         * old to know is drawn anew, from half the fleet's mean on: with the mean itself all nodes would rush
-         * the same fast workers; from zero on the least of many drawn is none. Harms where nodes differ much.
-         */
-        double foreignWork() {
-            double keep = decay((now - foreignAt) * speed / (2 * meanAll()));
-            double drawn = set.dispatcherCount() == 1 ? 0 : kind.unseen * cap * (1 + drawExponential(random)) / 2;
-            return keep * foreign * meanAll() + (1 - keep) * drawn;
+    /** Sends, parks or ends the request, or has workers probed for it first. */
+    private void place(PendingRequest request) {
+        if (!areOf(request)) {
+            priceAll(request, false);
         }
-
-        void report(LoadReport r) {
-            if (r == null || r.activeRequests() > 1e4 || r.freeSlots() > 1e4) {
-                return; // none, or absurd: no part of it is believed
-            }
-            reportAt = now;
-            foreignMemory = r.freeMemoryUnits() >= 0 ? Math.max(0, slots() - r.freeMemoryUnits() - memory) : 0;
-            if (!set.workersReportStart()
-                    && r.meanServiceMs() > 0
-                    && r.meanServiceMs() < horizon
-                    && r.meanServiceMs() != service) {
-                service = r.meanServiceMs();
-                learn(meanAll() / 2, service / 2); // a recent mean over all nodes' jobs
-            }
-            double mine = Math.min(inUse, slots()), others = slots() - r.freeSlots() - mine;
-            if (r.activeRequests() >= 0) {
-                others = r.activeRequests() - held.size();
-                if (r.freeSlots() > 0.5) {
-                    seeSlots(r.activeRequests() + r.freeSlots());
-                }
-            } else if (r.freeSlots() >= 0 && held.isEmpty()) {
-                seeSlots(Math.max(r.freeSlots(), slots()));
-            }
-            if (!Double.isNaN(others)) {
-                double keep = 0.5 * decay((now - foreignAt) * speed / (2 * meanAll()));
-                // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
-                double full = Math.max(Math.max(foreign, others), kind.unseen * cap / meanAll());
-                foreign = r.activeRequests() >= 0 || r.freeSlots() > 0.5
-                        ? keep * foreign + (1 - keep) * Math.max(0, others)
-                        : full;
-                foreignAt = now;
-                kind.unseen += set.workersReportStart() ? 0 : 0.05 * (foreign * meanAll() / cap - kind.unseen);
-            }
+        Worker cheapest = cheapest();
+        Worker probed = cheapestProbed(request);
+        if (cheapest != null && !isCertain(request, probed) && startRound(request, cheapest)) {
+            return;
         }
-
-        /**
-         * Workers start in order: what was sent well before a job that has started must have started too.
-         * That nothing was heard of it tells of its connection, not of a queue or of a worker that stands
-         * still; where a repeat is harmless, it is called off and placed anew.
-         */
-        void outrun(Attempt a) {
-            for (Attempt b : set.fifoWorkers() ? List.copyOf(held) : List.<Attempt>of()) {
-                if (Double.isNaN(b.startAt) && !b.lost && a.sentAt - b.sentAt > aim / 2) {
-                    b.lost = true;
-                    if (allow.cancellation() && b.req.spec.idempotency() == Idempotency.READ_LIKE && !b.req.ended) {
-                        actions.cancelAttempt(b.req.of.id(), b.req.attempts.indexOf(b));
-                    }
-                }
-            }
+        if (!anyEligible()) {
+            priceAll(request, true);
+            cheapest = cheapest();
         }
-
-        void seeSlots(double s) {
-            slots = slots > 0 ? slots + 0.1 * (s - slots) : Math.max(1, s);
-            kind.slots = kind.slots > 0 ? kind.slots + 0.05 * (s - kind.slots) : Math.max(1, s);
-        }
-
-        /** A job started or went on: its done share leaves the backlog, never by time alone. */
-        void ran(Attempt a, double share) {
-            if (Double.isNaN(a.startAt)) {
-                a.startAt = now;
-                outrun(a);
-                double running = held.stream()
-                        .filter(b -> !Double.isNaN(b.startAt))
-                        .mapToDouble(b -> b.req.slots)
-                        .sum();
-                slots = running > slots() ? running : slots;
-                double off = now - a.sentAt - a.wait; // what of the queue was not seen then
-                foreign = Math.max(0, foreign + 0.5 * (off - clamp(off, 0, aim / 8)) * cap / meanAll());
-                foreignAt = now;
-                double newer = Math.max(0.05, 1 - decay((now - kind.unseenAt) * speed / (2 * meanAll())));
-                kind.unseen += newer * (foreign * meanAll() / cap - kind.unseen);
-                kind.unseenAt = now;
-            } else if (share > a.share) {
-                learn(a.x * (share - a.share), a.spent());
-            }
-            a.noteAt = now;
-            own -= a.work * Math.max(0, share - a.share);
-            a.share = Math.max(share, a.share);
-        }
-
-        /** One sample counts as at most four times off: a pause, a hang or a wild hint is not a speed. */
-        void learn(double done, double took) {
-            if (done > 0 && took > 0) {
-                double t = clamp(took * warmth(), done / (4 * speed), 4 * done / speed); // c is given it too
-                double keep = decay((now - learnAt) / (2 * horizon)) * Math.exp(-t * speed / (4 * meanAll()));
-                learnAt = now; // remembers about four mean jobs
-                work = work * keep + done;
-                time = time * keep + t;
-                double pooled = isCold() ? 0 : 1; // cold runs tell nothing of the kind
-                kind.work = kind.work * (1 - 0.02 * pooled) + pooled * done; // and the kind about fifty
-                kind.time = kind.time * (1 - 0.02 * pooled) + pooled * t;
-                kind.speed = (kind.work + meanAll()) / (kind.time + meanAll());
-            }
+        invalidate();
+        request.probed.clear();
+        if (cheapest != null) {
+            send(request, probed == null ? cheapest : probed);
+        } else {
+            parkOrEnd(request);
         }
+    }
 
-        /** The one end of every attempt: its work leaves the backlog, unless it may go on unseen. */
-        void settled(Attempt a, AttemptOutcome v, double lag) {
-            a.over = true;
-            a.req.out--;
-            a.neverRan = v.provesNeverRan();
-            held.remove(a);
-            memory = held.isEmpty() ? 0 : memory - a.req.memory;
-            if (held.isEmpty()) {
-                busy.remove(this);
-            }
-            double rest = a.work * (1 - a.share);
-            inUse = held.isEmpty() ? 0 : inUse - a.req.slots;
-            if (!a.neverRan && v != AttemptOutcome.CANCELLED && v != AttemptOutcome.STALE_CONNECTION_RESET && !a.late) {
-                tried(a.req.cls, v == AttemptOutcome.SERVED ? 0 : 1);
-            }
-            own = held.isEmpty() ? 0 : Math.max(0, own - rest);
-            switch (v) {
-                case SERVED -> {
-                    if (!Double.isNaN(a.startAt) || a.free) {
-                        compare(this, a.req.logHint, Double.isNaN(a.startAt) ? lag : now - a.startAt);
-                    }
-                    if (!Double.isNaN(a.startAt)) {
-                        learn(a.x * (1 - a.share), a.spent());
-                    } else if (a.free && Double.isNaN(service)) {
-                        learn(a.x, lag);
-                    }
-                    alive();
-                    carried(a.dialed);
-                }
-                case CONNECT_FAILED -> unconnected(lag);
-                case RESET -> unconnected(0);
-                case REJECTED -> rest();
-                case TIMED_OUT -> {
-                    if (aliveAt < a.sentAt) { // it may hang, or only that connection
-                        rest();
-                    }
-                }
-                default -> {}
-            }
-            refresh();
-        }
+    /** Whether a worker that was probed for the request serves it in time without a wait. */
+    private boolean isCertain(PendingRequest request, Worker probed) {
+        return probed != null && probed.hasFreeSlot(request) && lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
+    }
 
-        /**
-         * Departure "failing class": how likely a request of the class is to fail here, by this node's own
-         * tries, else by all its tries. Guards against workers that hang, or fail one class or a part of all
-         * and serve the rest. It chooses among workers and refuses nothing.
-         */
-        double failing(int cls) {
-            double more = (bad.get(cls) - failed.get(cls)) * decay((now - badAt.get(cls)) / (4 * horizon));
-            return failed.get(cls) + (Math.abs(more) > 0.1 ? more : 0); // less is no more than chance
+    private void parkOrEnd(PendingRequest request) {
+        Optional<RejectionReason> reason = rejectionReason(request, anyEligible());
+        if (reason.isPresent()) {
+            end(request, reason.get());
+        } else {
+            park(request);
         }
+    }
 
-        void tried(int cls, double fail) {
-            bad.set(cls, 0.5 * failing(cls) + 0.5 * fail);
-            badAt.set(cls, now);
-            failed.set(cls, failed.get(cls) + 0.05 * (fail - failed.get(cls))); // about 20 tries; here 2
-        }
+    private void send(PendingRequest request, Worker worker) {
+        attemptSent();
+        double fetchMs = fetchCostMs(request, worker);
+        InFlightAttempt attempt = new InFlightAttempt(request, worker, context.nowMs, fetchMs);
+        directory.attemptStarting(worker);
+        request.attempts.add(attempt);
+        request.attemptsInFlight++;
+        worker.attemptSent(attempt);
+        context.actions.sendAttempt(request.id(), worker.id);
+    }
 
-        void alive() {
-            aliveAt = now;
-            fails = 0;
-            down = false;
-        }
+    // ------------------------------------------------------------ admission
 
-        /** Not to be tried again before a while that doubles from one aim while it keeps failing. */
-        void rest() {
-            tryAt = now + Math.min(horizon / 2, aim * (1 << Math.min(fails++, 5)));
+    /**
+     * Why no attempt is made for a request for which no worker was chosen; empty: it may wait for one.
+     *
+     * @param anyEligible some worker may take it, at a cost above that of a rejection
+     */
+    private Optional<RejectionReason> rejectionReason(PendingRequest request, boolean anyEligible) {
+        if (anyEligible) {
+            return Optional.of(RejectionReason.OVERLOADED);
         }
-
-        /**
-         * Rule 4: this node's share of the work that a cold worker may be sent, at its kind's usual capacity,
-         * as a bucket: filled by half the budget a window, the rest kept for estimates that are off, and
-         * holding a quarter of it, or one job where many nodes share. It starts below that, each node's
-         * elsewhere, and what is not used within a window is lost: savings must not pile up over nodes, a
-         * stall or a restart. Every attempt counts as a mean job at least, refused ones too.
-         */
-        boolean coldRoom(double x) {
-            double weight = Math.max(x, meanAll());
-            return !isCold()
-                    || saved >= Math.min(weight, coldMost()) && weight <= coldBudget() * set.dispatcherCount() / 2;
+        if (request.attempts.size() >= request.maxAttempts) {
+            return Optional.of(RejectionReason.ATTEMPTS_USED);
         }
-
-        double coldBudget() {
-            double sure = Math.min(kind.speed, speed) * slots() * warmth();
-            return 0.5 * rules.overloadFactor() * sure * rules.overloadWindowMs() / set.dispatcherCount();
+        boolean mayHaveRun = !mayReject(request);
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT && mayHaveRun) {
+            return Optional.of(RejectionReason.MAY_HAVE_RUN);
         }
-
-        double coldMost() {
-            return Math.max(coldBudget() / 2, meanAll());
+        // The next tick may come two periods from now, and is the last that may still answer in time.
+        boolean timeLeft = context.nowMs < request.deadlineMs - 2 * context.tickPeriodMs;
+        boolean withinObjective = context.nowMs - request.acceptedAtMs < request.requestClass.latencyObjectiveMs();
+        if (timeLeft && withinObjective) {
+            return Optional.empty();
         }
-
-        void keep(long key) {
-            if (key != 0) {
-                kept.put(key, true);
-                if (kept.size() > KEPT * slots()) {
-                    kept.remove(kept.keySet().iterator().next());
-                }
-            }
+        if (!timeLeft) {
+            return Optional.of(RejectionReason.OUT_OF_TIME);
         }
+        return Optional.of(
+                freshness.usable(context.nowMs) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED);
+    }
 
-        /** An idle connection stands open, as far as this node's own traffic tells. */
-        boolean connected() {
-            return now < openUntil && held.size() < conns;
+    /** Ends the request: rejected where the client may safely try again, else failed. */
+    private void end(PendingRequest request, RejectionReason reason) {
+        if (mayReject(request) && context.nowMs < request.deadlineMs) {
+            context.actions.reject(request.id(), retryAfterMs(), reason);
+        } else {
+            context.actions.fail(request.id(), reason);
         }
+        endRequest(request);
+    }
+
+    /** The pause advised to the client: the shortest wait in the fleet, at least half the objective. */
+    private double retryAfterMs() {
+        double waitMs = Math.max(fleetLoad.shortestWaitMs(), context.objectiveMs / 2);
+        return Math.min(waitMs, context.permissions.maxRetryAfterMs());
+    }
+
+    // ------------------------------------------------------------ probes
+
+    private static final int PROBES_A_ROUND = 3;
+    private static final int MAX_ROUNDS = 2;
+
+    /** From this load of all dispatchers over this one's, own sends tell too little. */
+    private static final double MIN_LOAD_MULTIPLIER = 8;
 
-        void carried(boolean dialed) {
-            conns = Math.max(now < openUntil ? conns : 0, held.size() + 1);
-            openUntil = now + allow.idleConnectionMs();
-            if (dialed) {
-                dialled(0);
+    /** A report is fresh, and an answer in time, for this much of the objective. */
+    private static final double FRESH_OBJECTIVES = 1.0 / 8;
+
+    /** Probes the worker whose last report is the oldest, if that is older than an objective. */
+    private void probeStalest() {
+        if (!context.permissions.probing() || context.settings.dispatcherCount() <= 1) {
+            return;
+        }
+        Worker stalest = null;
+        for (Worker worker : workers.all()) {
+            if (!worker.isEjected()
+                    && context.nowMs - worker.reportedAtMs > context.objectiveMs
+                    && (stalest == null || worker.reportedAtMs < stalest.reportedAtMs)) {
+                stalest = worker;
             }
         }
+        if (stalest != null) {
+            stalest.probe();
+        }
+    }
 
-        /**
-         * No connection or a broken one: down until a probe or a trial gets through, which is tried at once;
-         * cold, should that take long enough for a new start. One connection that breaks is no proof of more:
-         * taken for a restart, it would cost a healthy worker's capacity. A slow failure to connect tells of
-         * this worker only where others can be connected to.
-         */
-        void unconnected(double lag) {
-            boolean slow = lag > allow.connectTimeoutMs() / 2;
-            if (!slow || dialFailures() < 0.25) {
-                if (down || !allow.probing()) {
-                    cold(now);
-                } else {
-                    lostAt = now;
-                    down = true;
-                    probe(this);
-                }
+    /** Starts a round for a request whose cheapest worker is given; false: none is needed or allowed. */
+    private boolean startRound(PendingRequest request, Worker cheapest) {
+        double freshMs = context.objectiveMs * FRESH_OBJECTIVES;
+        if (!context.permissions.probing()
+                || fleetLoad.loadMultiplier() < MIN_LOAD_MULTIPLIER
+                || context.nowMs - cheapest.reportedAtMs < freshMs
+                || request.probeRounds >= MAX_ROUNDS) {
+            return false;
+        }
+        request.probeRounds++;
+        Worker next = cheapest;
+        for (int i = 0; i < PROBES_A_ROUND && next != null; i++) {
+            if (context.nowMs - next.reportedAtMs >= freshMs) {
+                next.probe();
+                request.probed.add(next);
+                request.awaitingReply.add(next);
             }
-            rest();
-            dialled(slow ? 1 : 0);
+            exclude(next); // until it has answered
+            next = cheapest();
         }
+        startProbing(request);
+        context.actions.scheduleTimer(freshMs, TimerLabel.probeRoundOf(request.id()));
+        return true;
     }
 
-    // ------------------------------------------------------------ value function
-
-    private final DoublesByIndex mean = new DoublesByIndex(),
-            seen = new DoublesByIndex(),
-            failed = new DoublesByIndex(); // of classes
-    private double rate, rateAt = Double.NaN; // offered jobs a millisecond, before refusal
-    private double meanX = Double.NaN, meanWorth = Double.NaN, offers, lostShare;
-    private double mineAvg, unseenAvg, crowd = 1, scanAt; // crowd: all nodes' load over its own
-    private double meanAt = Double.NaN, crammed; // when formed; mean wait, in mean jobs
-    private double logMid, hints, hintVar, hintCov, trust = 1; // how far hints are to be believed
+    /** A worker has answered a probe, or failed to; returns whether that was the last answer the request waited for. */
+    private boolean isCompletedBy(Worker worker, PendingRequest request) {
+        return request.awaitingReply.remove(worker) && request.awaitingReply.isEmpty();
+    }
 
     /**
-     * Departure "rough hints": small hints run longer than told and large ones shorter; slow workers, given
-     * the small ones, would look ever slower and fast ones ever faster. The slope of log run time on log
-     * hint, within each worker, says how much of a hint's distance from the middle is real. Starts at one,
-     * worth ten jobs.
+     * A request's round ends, with all answers or at its timer; returns whether the request is to be placed now.
+     *
+     * <p>If this process stood still meanwhile, the answers may stand behind the timer: the round goes on for a moment.
      */
-    private void compare(Worker w, double logHint, double run) {
-        if (!Double.isNaN(logHint) && run > 0 && run < 1e3 * horizon) {
-            double logRun = Math.log(run), step = 1 / Math.min(++w.runs, 20);
-            double dx = logHint - w.logHint, dt = logRun - w.logRun;
-            w.logHint += step * dx;
-            w.logRun += step * dt;
-            if (w.runs > 1) {
-                hintVar = 0.995 * hintVar + dx * dx;
-                hintCov = 0.995 * hintCov + dx * dt;
-                trust = clamp((hintCov + 10) / (hintVar + 10), 0.2, 1);
-            }
+    private boolean endRound(PendingRequest request) {
+        boolean answersMissing = !request.awaitingReply.isEmpty();
+        if (answersMissing && pauseEndedMs() > request.acceptedAtMs) {
+            forgetPause();
+            context.actions.scheduleTimer(context.settings.tickMs(), TimerLabel.probeRoundOf(request.id()));
+            return false;
+        }
+        if (!stopProbing(request)) {
+            return false;
+        }
+        for (Worker silent : request.awaitingReply) {
+            silent.backOff();
         }
+        request.awaitingReply.clear();
+        if (areOf(request)) {
+            repriceProbed(request);
+        }
+        return true;
     }
 
-    private double meanAll() {
-        return offers > 0 ? meanX : aim;
+    // ------------------------------------------------------------ costs of one request
+
+    private PendingRequest priced;
+    private boolean anyEligible;
+
+    /** Whether the costs are those of this request. */
+    private boolean areOf(PendingRequest request) {
+        return priced == request;
     }
 
-    /** Counts an offered request: sizes, rate, and the shadow queue under the basic rule, which yields r. */
-    private void offered(Req q) {
-        if (q.x > 0) {
-            q.logHint = Math.log(q.x);
-            logMid += (q.logHint - logMid) / Math.min(++hints, 200);
-            q.x = Math.exp(logMid + trust * (q.logHint - logMid));
-            seen.set(q.cls, Math.min(seen.get(q.cls) + 1, 200));
-            mean.set(q.cls, mean.get(q.cls) + (q.x - mean.get(q.cls)) / seen.get(q.cls));
-        } else {
-            q.x = mean.get(q.cls) > 0 ? mean.get(q.cls) : meanAll();
-        }
-        double worth = q.spec.priorityWeight() * (set.weightPerWork() ? q.x : 1);
-        double step = Math.max(0.01, 1 / ++offers); // a plain mean first, forgetting later
-        meanX = offers == 1 ? q.x : meanX + step * (q.x - meanX);
-        meanWorth = offers == 1 ? worth : meanWorth + step * (worth - meanWorth);
-        q.weight = clamp(worth / Math.max(meanWorth, 1e-9), 0.05, 50) * q.of.weightFactor();
-        if (offers > 1 && !set.isFirstAttempt(q.cls, q.deadline - now)) {
-            return; // a client's later try: offered before
-        }
-        rate = (Double.isNaN(rateAt) ? 0 : rate * Math.exp((rateAt - now) / horizon)) + 1 / horizon;
-        rateAt = now;
-        double pick = random.nextDouble() * workers.total(); // the paper's load-balanced random split
-        int i = 0;
-        while (i < workers.size() - 1 && (pick -= workers.share(i)) >= 0) {
-            i++;
-        }
-        if (i < workers.size()) {
-            Worker w = workers.get(i);
-            double u = Math.max(0, w.shadow - (now - w.shadowAt) / crowd);
-            int lost = u > tau(q) ? 1 : 0;
-            w.shadow = u + (1 - lost) * q.x * q.slots / w.cap;
-            w.shadowAt = now;
-            w.shadowSeen = w.shadowSeen * 0.98 + 1;
-            w.shadowLost = w.shadowLost * 0.98 + lost;
-            lostShare += 0.02 * (lost - lostShare);
-        }
-    }
-
-    /** The waiting-time aim of a class: its aim plus (stretch - 1) typical run times, within the deadline. */
-    private double tau(Req q) {
-        double m = mean.get(q.cls) > 0 ? mean.get(q.cls) : meanAll();
-        return clamp(
-                q.spec.latencyObjectiveMs() + (q.spec.stretchFactor() - 1) * m,
-                q.spec.latencyObjectiveMs() / 4,
-                q.spec.deadlineMs());
-    }
-
-    /** v(u + g) - v(u) of a worker; its lost share leans on the fleet's, worth ten jobs, against noise. */
-    private double increase(Worker w, double u, double g, double tau) {
-        double lambda = Math.max(rate, 1 / horizon) * crowd * w.cap / Math.max(workers.total(), w.cap);
-        double r = lambda * (w.shadowLost + 10 * lostShare) / (w.shadowSeen + 10);
-        double s = meanAll() / w.cap;
-        return ValueFunction.value(lambda, r, s, tau, u + g) - ValueFunction.value(lambda, r, s, tau, u);
-    }
-
-    // ------------------------------------------------------------ request
-
-    private final class Attempt {
-        final Req req;
-        final Worker worker;
-        final double x, work, sentAt, due; // work: all that it keeps from others
-        final boolean free, dialed; // to a free slot; over a new connection
-        final double fetch, wait; // both as estimated when it was sent
-        double startAt = Double.NaN, noteAt, share;
-        boolean over, neverRan, late, lost; // late: counted as failed; lost: unheard of
-
-        /** Time since the last note, without what the fetch is likely to have taken of it. */
-        double spent() {
-            double took = now - noteAt;
-            return share > 0 ? took : Math.max(took / 2, took - fetch);
-        }
-
-        Attempt(Req req, Worker worker) {
-            this.req = req;
-            this.worker = worker;
-            x = req.x;
-            fetch = fetch(req, worker);
-            work = (x + fetch * worker.speed) * req.slots;
-            sentAt = now;
-            free = worker.free(req);
-            dialed = !worker.connected();
-            wait = free ? 0 : worker.u;
-            due = now + wait + x / worker.speed + fetch;
-        }
-    }
-
-    private final class Req {
-        final PolicyRequest of; // as it was taken
-        final int cls, tries; // tries: attempts at most
-        final RequestClass spec; // both as when it was taken
-        final double arrived, deadline, slots, memory;
-        final List<Attempt> attempts = new ArrayList<>(2);
-        final List<Worker> asked = new ArrayList<>(LOOKS); // probed for it
-        final List<Worker> unheard = new ArrayList<>(LOOKS); // of these, not answered yet
-        long key; // hash of what it concerns; 0: nothing
-        Worker home, second; // where its key belongs, by hash
-        double x, weight, logHint = Double.NaN; // hinted work; worth over the mean's
-        int out, rounds; // attempts out; looks taken
-        boolean ended, streaming;
-
-        double rank(Worker w) {
-            return mix(key ^ w.idHash) >>> 1;
-        }
-
-        Req(PolicyRequest r) {
-            of = r;
-            cls = r.classIndex();
-            PolicySettings under = r.acceptedSettings() == null ? set : r.acceptedSettings();
-            spec = under.classes().get(cls);
-            tries = under.permissions().maxAttempts();
-            arrived = now;
-            deadline = r.deadlineUs() / 1000.0;
-            x = r.workHintMs() > 1e-4 * aim && r.workHintMs() < 1e3 * spec.deadlineMs() ? r.workHintMs() : Double.NaN;
-            memory = r.memoryUnits() > 0 && r.memoryUnits() < 1000 ? r.memoryUnits() : 0;
-            slots = r.slots() > 0 && r.slots() < 1000 ? r.slots() : 1;
-            key = r.affinityKey() == null || r.affinityKey().isEmpty() ? 0 : hash(r.affinityKey()) | 1;
-        }
-
-        /** Rules 1 and 2: may it be sent to w, as far as it and its earlier attempts go? */
-        boolean legal(Worker w) {
-            if (ended || streaming || now >= deadline || out > 0 || attempts.size() >= tries) {
-                return false;
-            }
-            for (Attempt a : attempts) {
-                if (!a.neverRan
-                        && (!spec.mayRepeatAfter(now - a.sentAt)
-                                || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                                        && (spec.deduplicationScope() == DeduplicationScope.ZONE
-                                                        && a.worker.zone != w.zone
-                                                || spec.deduplicationScope() == DeduplicationScope.CELL
-                                                        && a.worker.cell != w.cell))) {
-                    return false;
-                }
-            }
-            return true;
-        }
+    /** Whether any worker may take the request, at whatever cost. */
+    private boolean anyEligible() {
+        return anyEligible;
+    }
 
-        boolean refusable() {
-            return spec.idempotency() == Idempotency.READ_LIKE
-                    || spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                            && spec.deduplicationScope() == DeduplicationScope.ALL
-                    || attempts.stream().allMatch(a -> a.neverRan);
+    /** Prices the request at all workers; {@code anyState}: also those ejected or backing off. */
+    private void priceAll(PendingRequest request, boolean anyState) {
+        priced = request;
+        anyEligible = false;
+        rankByKey(request);
+        for (Worker worker : workers.all()) {
+            double cost = cost(request, worker, anyState);
+            workers.cost(worker, cost);
+            anyEligible |= cost < INELIGIBLE;
         }
+    }
 
-        /** The one exit of every request that this node ends: refused where that is legal, else failed. */
-        void stop(RejectionReason why) {
-            if (refusable() && now < deadline) {
-                actions.reject(of.id(), Math.min(Math.max(soonest, aim / 2), allow.maxRetryAfterMs()), why);
-            } else {
-                actions.fail(of.id(), why);
-            }
-            end();
+    /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
+    private void repriceProbed(PendingRequest request) {
+        for (Worker worker : request.probed) {
+            workers.cost(worker, cost(request, worker, false));
         }
+        priced = cheapest() == null ? null : request;
+    }
 
-        void end() {
-            ended = true;
-            parked.remove(this);
-            looks.remove(this);
-            forget();
-        }
+    /** The costs hold no longer. */
+    private void invalidate() {
+        priced = null;
+    }
 
-        void forget() {
-            if (ended && out == 0) {
-                open.remove(of.id());
-            }
-        }
+    /** Leaves a worker out until it is priced again. */
+    private void exclude(Worker worker) {
+        workers.cost(worker, DEARER_THAN_REJECTION);
+    }
+
+    /** The first worker of the least cost below a rejection's; null: there is none. */
+    private Worker cheapest() {
+        return workers.cheapest(DEARER_THAN_REJECTION);
     }
 
-    // ------------------------------------------------------------ placement
+    /** The same among the workers probed for the request. */
+    private Worker cheapestProbed(PendingRequest request) {
+        return workers.cheapest(request.probed, DEARER_THAN_REJECTION);
+    }
+
+    // ------------------------------------------------------------ costs
+
+    /** The worker may not take the request at all. */
+    private static final double INELIGIBLE = Double.POSITIVE_INFINITY;
+
+    /** The worker may take the request, but a rejection costs less. */
+    private static final double DEARER_THAN_REJECTION = Double.MAX_VALUE;
 
-    private static final double REFUSED = Double.MAX_VALUE; // dearer than a refusal; infinite: barred
-    private Req priced; // the request of these costs
-    private boolean allowed; // any of them is finite
+    private static final double REJECTION_COST = 1;
+
+    /** The lateness rises about the objective, not in a step, as hints are rough: by its run time over this. */
+    private static final double LATENESS_SLOPE = 2;
+
+    private double lastSentMs = Double.NEGATIVE_INFINITY;
+
+    /** An attempt was sent: see {@link #mayTryAnyway}. */
+    private void attemptSent() {
+        lastSentMs = context.nowMs;
+    }
 
     /**
-     * Every send passes here: rules 1 and 2 (legal), 3 (only workers listed as active), 4 (coldRoom). A list that is
-     * not confirmed may name servers whose removal counts as notified, so its freshness is asked at every send.
+     * The cost of a request at a worker.
+     *
+     * @param anyState also where the worker is ejected or backs off, for a request for which no ready worker is left
+     * @return {@link #INELIGIBLE}, {@link #DEARER_THAN_REJECTION} or the cost
      */
-    private boolean gate(Req q, Worker w) {
-        return w.health == EndpointLifecycle.ACTIVE
-                && freshness.usable(now)
-                && (q.spec.requiredWorkerKind() < 0 || q.spec.requiredWorkerKind() == w.kindNo)
-                && Math.max(q.slots, q.memory) <= Math.max(1, w.slots())
-                && q.of.mayGoTo(w.id)
-                && q.legal(w)
-                && w.coldRoom(q.x);
+    private double cost(PendingRequest request, Worker worker, boolean anyState) {
+        if (!anyState && !worker.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
+            return INELIGIBLE;
+        }
+        double waitMs = worker.waitMs();
+        double late = lateness(request, worker, expectedWaitMs(request, worker));
+        // A response past the objective but before the deadline keeps a share of its weight.
+        double endMs = context.nowMs + waitMs + request.workMs / worker.speed();
+        late *= endMs < request.deadlineMs ? 1 - request.requestClass.lateWeightShare() : 1;
+        // The increase counts mean requests; it is set against rejecting this one, at one.
+        double waitObjectiveMs = arrivals.waitObjectiveMs(request);
+        double reservedMs =
+                (request.workMs + fetchCostMs(request, worker) * worker.speed()) * request.slots / worker.capacity;
+        double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
+        return cost < REJECTION_COST || mayTryAnyway()
+                ? cost + preference(request, worker, waitObjectiveMs) + worker.failureRate(request.classIndex)
+                : DEARER_THAN_REJECTION;
     }
 
-    /** On the ordinary path: neither down nor resting. */
-    private boolean ready(Worker w) {
-        return !w.down && now >= w.tryAt;
+    /**
+     * How late a request would be at a worker, 0 to 1: its own hinted run against its own objective.
+     *
+     * @param waitMs what it would wait in the queue
+     */
+    private double lateness(PendingRequest request, Worker worker, double waitMs) {
+        RequestClass requestClass = request.requestClass;
+        double objectiveMs = requestClass.latencyObjectiveMs() + requestClass.stretchFactor() * request.workMs;
+        double leftMs =
+                Math.min(objectiveMs - (context.nowMs - request.acceptedAtMs), request.deadlineMs - context.nowMs);
+        double takesMs = waitMs + request.workMs / worker.speed() + fetchCostMs(request, worker);
+        return PolicyMath.clamp(0.5 + LATENESS_SLOPE * (takesMs - leftMs) / takesMs, 0, 1);
     }
 
-    /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
-    public boolean endpointListUsable(long nowUs) {
-        return freshness.usable(nowUs / 1000.0);
+    /** A request starts at once only where a slot is free and its memory has room too, by own sends and reports. */
+    private double expectedWaitMs(PendingRequest request, Worker worker) {
+        if (!worker.hasMemoryFor(request)) {
+            return Math.max(worker.waitMs(), arrivals.meanWorkMs() / worker.capacity);
+        }
+        return worker.hasFreeSlot(request) ? 0 : worker.waitMs();
     }
 
-    /** How many listed workers get nothing new at present: leaving, down or resting. */
-    public int avoidedWorkers() {
-        return (int) workers.all().stream()
-                .filter(w -> w.health != EndpointLifecycle.ACTIVE || !ready(w))
-                .count();
+    /** Who sends nothing learns nothing, and would reject all for ever: after half the memory it tries the cheapest. */
+    private boolean mayTryAnyway() {
+        return context.nowMs - lastSentMs > context.memoryMs / 2;
+    }
+
+    /** What chooses among workers and rejects nothing: another zone, and the time that a new connection may lose. */
+    private double preference(PendingRequest request, Worker worker, double waitObjectiveMs) {
+        double cost = worker.zone == context.settings.zone() ? 0 : context.settings.crossZoneCost() / request.weight;
+        boolean connectsSafely = !failures.slowConnectsSeen() || worker.hasIdle();
+        return cost
+                + (connectsSafely
+                        ? 0
+                        : failures.slowConnectShare() * context.permissions.connectTimeoutMs() / waitObjectiveMs);
+    }
+
+    /** By how much work of this length raises the value of a worker's backlog, in mean requests. */
+    private double valueIncrease(Worker worker, double waitMs, double reservedMs, double waitObjectiveMs) {
+        double ratePerMs = Math.max(arrivals.ratePerMs(), 1 / context.memoryMs);
+        double arrivalRate =
+                ratePerMs * fleetLoad.loadMultiplier() * worker.capacity / Math.max(workers.total(), worker.capacity);
+        double costRate = worker.shadowQueue.lossRate(arrivalRate, arrivals.lostShare());
+        double serviceMs = arrivals.meanWorkMs() / worker.capacity;
+        return ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs + reservedMs)
+                - ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs);
     }
 
-    /** Rule (25): the least cost over the ready workers, or any legal one where none is; refusal at one. */
-    private void place(Req q) {
-        if (priced != q) {
-            priceAll(q, false);
+    // ------------------------------------------------------------ eligibility
+
+    /** Whether the request may be sent to the worker now, or the first condition that fails. */
+    private Eligibility checkEligibility(PendingRequest request, Worker worker) {
+        if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
+            return Eligibility.WORKER_NOT_ACTIVE;
         }
-        Worker best = workers.cheapest(REFUSED), seen = workers.cheapest(q.asked, REFUSED);
-        boolean sure = seen != null && seen.free(q) && late(q, seen, 0) < 0.5;
-        if (best != null && !sure && look(q, best)) {
-            return;
+        if (!freshness.usable(context.nowMs)) {
+            return Eligibility.LIST_NOT_CONFIRMED;
         }
-        if (!allowed) {
-            priceAll(q, true);
-            best = workers.cheapest(REFUSED);
+        int requiredKind = request.requestClass.requiredWorkerKind();
+        if (requiredKind >= 0 && requiredKind != worker.kindNumber) {
+            return Eligibility.WRONG_WORKER_KIND;
         }
-        priced = null;
-        q.asked.clear();
-        if (best != null) {
-            send(q, seen == null ? best : seen);
-        } else {
-            RejectionReason why = refusal(q);
-            if (why == null) {
-                parked.add(q); // no legal worker: a bounded wait
-            } else {
-                q.stop(why); // also where none can be legal any more
-            }
+        if (Math.max(request.slots, request.memoryUnits) > Math.max(1, worker.slots())) {
+            return Eligibility.REQUEST_TOO_LARGE;
+        }
+        if (!request.accepted.mayGoTo(worker.id)) {
+            return Eligibility.NOT_AMONG_ALLOWED_WORKERS;
+        }
+        Eligibility retry = checkRetry(request, worker);
+        if (retry != Eligibility.ELIGIBLE) {
+            return retry;
+        }
+        if (!worker.slowStartAllows(request.workMs)) {
+            return Eligibility.SLOW_START_BUDGET_USED;
         }
+        return Eligibility.ELIGIBLE;
     }
 
-    /** Why no attempt is made for a request for which there is no worker now; null: it may wait for one. */
-    private RejectionReason refusal(Req q) {
-        if (allowed) {
-            return RejectionReason.OVERLOADED;
-        } else if (q.attempts.size() >= q.tries) {
-            return RejectionReason.ATTEMPTS_USED;
-        } else if (q.spec.idempotency() == Idempotency.NON_IDEMPOTENT && !q.refusable()) {
-            return RejectionReason.MAY_HAVE_RUN;
-        } else if (now < q.deadline - 2 * period && now - q.arrived < q.spec.latencyObjectiveMs()) {
-            return null;
-        } else if (now >= q.deadline - 2 * period) {
-            return RejectionReason.OUT_OF_TIME;
+    // ------------------------------------------------------------ retries
+
+    /** Whether the request may be sent to the worker, as far as it and its earlier attempts go. */
+    private Eligibility checkRetry(PendingRequest request, Worker worker) {
+        if (request.ended || request.responseStarted) {
+            return Eligibility.REQUEST_ENDED;
+        }
+        if (context.nowMs >= request.deadlineMs) {
+            return Eligibility.DEADLINE_PASSED;
+        }
+        if (request.attemptsInFlight > 0) {
+            return Eligibility.ATTEMPT_IN_FLIGHT;
+        }
+        if (request.attempts.size() >= request.maxAttempts) {
+            return Eligibility.ATTEMPTS_USED;
+        }
+        RequestClass requestClass = request.requestClass;
+        for (InFlightAttempt earlier : request.attempts) {
+            if (earlier.neverRan) {
+                continue;
+            }
+            if (!requestClass.mayRepeatAfter(context.nowMs - earlier.sentAtMs)) {
+                return Eligibility.MAY_HAVE_RUN;
+            }
+            if (!dropsRepeatOf(earlier, worker, requestClass)) {
+                return Eligibility.OUTSIDE_DEDUPLICATION_SCOPE;
+            }
         }
-        return freshness.usable(now) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED;
+        return Eligibility.ELIGIBLE;
     }
 
-    private static final int LOOKS = 3, ROUNDS = 2;
-    private final List<Req> looks = new ArrayList<>(); // requests that wait for probes
-
-    /**
-     * Departure "look": where others push most of the load, own pushes do not mirror it, so a worker is
-     * probed before it is chosen: the three cheapest by rule (25) at once, twice at most, and the rule
-     * decides on the answers. One that does not answer in an eighth of the aim rests, whatever its reason.
-     */
-    private boolean look(Req q, Worker best) {
-        if (!allow.probing() || crowd < 8 || now - best.reportAt < aim / 8 || q.rounds >= ROUNDS) {
-            return false;
+    /** Whether a rejection is safe: the client may then send the request again, to any dispatcher and worker. */
+    private boolean mayReject(PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        if (requestClass.idempotency() == Idempotency.READ_LIKE) {
+            return true;
+        }
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && requestClass.deduplicationScope() == DeduplicationScope.ALL) {
+            return true;
         }
-        q.rounds++;
-        for (int i = 0; i < LOOKS && best != null; i++) {
-            if (now - best.reportAt >= aim / 8) {
-                probe(best);
-                q.asked.add(best);
-                q.unheard.add(best);
+        for (InFlightAttempt attempt : request.attempts) {
+            if (!attempt.neverRan) {
+                return false;
             }
-            workers.cost(best, REFUSED); // until it has answered
-            best = workers.cheapest(REFUSED);
         }
-        looks.add(q);
-        actions.scheduleTimer(aim / 8, q.of.id() + 1 + TICK);
         return true;
     }
 
-    /** The look is over: rule (25) decides, or asks for another one. */
-    private void looked(Req q) {
-        if (q != null && stalledAt > q.arrived && !q.unheard.isEmpty()) {
-            stalledAt = Double.NEGATIVE_INFINITY; // the answers may stand behind this timer
-            actions.scheduleTimer(set.tickMs(), q.of.id() + 1 + TICK);
-        } else if (q != null && looks.remove(q)) {
-            q.unheard.forEach(Worker::rest);
-            q.unheard.clear();
-            if (priced == q) {
-                q.asked.forEach(w -> workers.cost(w, price(q, w, false)));
-                priced = workers.cheapest(REFUSED) == null ? null : q; // none left: seen anew
-            }
-            place(q);
+    /** Whether the worker drops a repeat of the earlier attempt, or running twice does no harm. */
+    private static boolean dropsRepeatOf(InFlightAttempt earlier, Worker worker, RequestClass requestClass) {
+        if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
+            return true;
         }
+        return switch (requestClass.deduplicationScope()) {
+            case ALL -> true;
+            case ZONE -> earlier.worker.zone == worker.zone;
+            case CELL -> earlier.worker.cell == worker.cell;
+        };
     }
 
-    private double dialShare, dialAt; // of new connections, how many failed slowly
+    // ------------------------------------------------------------ affinity of keys
 
-    private void dialled(double failed) {
-        dialShare = 0.9 * dialFailures() + 0.1 * failed; // about ten dials
-        dialAt = now;
-    }
+    /**
+     * A miss is priced as this many mean requests. The wait for the fetch is under one, but it also takes of the shared
+     * store's capacity and drives out a set that others will miss.
+     */
+    private static final double MISS_COST_REQUESTS = 3;
+
+    /** Added where workers queue: no slot is free then, and those held by a fetch are missed. */
+    private static final double QUEUEING_MISS_COST_REQUESTS = 3;
 
-    private double dialFailures() {
-        return dialShare * decay((now - dialAt) / horizon);
+    /** How likely a miss is at the key's primary worker. */
+    private static final double PRIMARY_MISS = 0.1;
+
+    /** How likely a miss is where this dispatcher sent the key lately. */
+    private static final double RECENT_MISS = 0.2;
+
+    /** How likely a miss is at the key's secondary worker. */
+    private static final double SECONDARY_MISS = 0.5;
+
+    /** Finds the primary and the secondary worker of a request's key among the active workers that it may go to. */
+    private void rankByKey(PendingRequest request) {
+        request.primary = null;
+        request.secondary = null;
+        if (request.keyHash == 0) {
+            return;
+        }
+        long primaryRank = 0;
+        long secondaryRank = 0;
+        for (Worker worker : workers.all()) {
+            if (worker.lifecycle != EndpointLifecycle.ACTIVE
+                    || worker.isEjected()
+                    || !request.accepted.mayGoTo(worker.id)) {
+                continue;
+            }
+            long rank = rendezvousRank(request.keyHash, worker);
+            if (request.primary == null || rank > primaryRank) {
+                request.secondary = request.primary;
+                secondaryRank = primaryRank;
+                request.primary = worker;
+                primaryRank = rank;
+            } else if (request.secondary == null || rank > secondaryRank) {
+                request.secondary = worker;
+                secondaryRank = rank;
+            }
+        }
     }
 
-    private void priceAll(Req q, boolean any) {
-        priced = q;
-        allowed = false;
-        homes(q);
-        for (Worker w : workers.all()) {
-            workers.cost(w, price(q, w, any));
-            allowed |= workers.cost(w) < Double.POSITIVE_INFINITY;
+    /** The price, as time in ms, of the data set that a request may have to wait for at the worker. */
+    private double fetchCostMs(PendingRequest request, Worker worker) {
+        if (request.keyHash == 0) {
+            return 0;
         }
+        double queueing = PolicyMath.clamp(fleetLoad.queueingFactor() - 1, 0, 1);
+        double missCost = MISS_COST_REQUESTS + QUEUEING_MISS_COST_REQUESTS * queueing;
+        return missCost * missProbability(request, worker) * arrivals.meanWorkMs();
     }
 
-    /** The cost of rule (25): d plus the increase of v, against refusal at one. */
-    private double price(Req q, Worker w, boolean any) {
-        if (!any && !ready(w) || !gate(q, w)) {
-            return Double.POSITIVE_INFINITY;
+    private static double missProbability(PendingRequest request, Worker worker) {
+        if (worker == request.primary) {
+            return PRIMARY_MISS;
+        }
+        if (worker.cachedKeys.contains(request.keyHash)) {
+            return RECENT_MISS;
         }
-        // Departure "memory": a job starts at once only where its memory has room too, by pushes and report.
-        boolean fits = q.memory == 0
-                || q.memory + w.memory + w.foreignMemory * decay((now - w.reportAt) / meanAll()) <= w.slots();
-        double d = late(q, w, !fits ? Math.max(w.u, meanAll() / w.cap) : w.free(q) ? 0 : w.u);
-        // Departure "late worth": an answer past the aim but before the deadline keeps that share.
-        d *= now + w.u + q.x / w.speed < q.deadline ? 1 - q.spec.lateWeightShare() : 1;
-        // Departure "worth": the increase counts mean jobs; set against refusing this one, at one.
-        double tau = tau(q), g = (q.x + fetch(q, w) * w.speed) * q.slots / w.cap;
-        double cost = d + increase(w, w.u, g, tau) / q.weight;
-        // Departure "crossing": its price chooses among workers but refuses nothing by itself.
-        double toll = w.zone == set.zone() ? 0 : set.crossZoneCost() / q.weight;
-        // Departure "open connections": so does the time that a new one is likely to lose.
-        toll += dialShare < 1e-3 || w.connected() ? 0 : dialFailures() * allow.connectTimeoutMs() / tau;
-        // Departure "trial": who sends nothing learns nothing, and would refuse all for as long as it lasts.
-        return cost < 1 || now - lastSent > horizon / 2 ? cost + toll + w.failing(q.cls) : REFUSED;
+        return worker == request.secondary ? SECONDARY_MISS : 1;
+    }
+
+    /** 63 bits, never negative. */
+    private static long rendezvousRank(long keyHash, Worker worker) {
+        return StableHash.mix(keyHash ^ worker.idHash) >>> 1;
+    }
+
+    // ------------------------------------------------------------ pending requests
+
+    private final Map<Long, PendingRequest> byId = new HashMap<>();
+    private final List<PendingRequest> parked = new ArrayList<>();
+    private final List<PendingRequest> probing = new ArrayList<>();
+
+    /** The request with this id; null: it is unknown, or forgotten. */
+    private PendingRequest findRequest(long id) {
+        return byId.get(id);
     }
 
-    /** d of rule (25), departure "own aim": its own hinted run against its own aim; 0 to 1, as hints are rough. */
-    private double late(Req q, Worker w, double wait) {
-        double left = Math.min(
-                q.spec.latencyObjectiveMs() + q.spec.stretchFactor() * q.x - (now - q.arrived), q.deadline - now);
-        double takes = wait + q.x / w.speed + fetch(q, w);
-        return clamp(0.5 + 2 * (takes - left) / takes, 0, 1);
+    /** The attempt with this number of this request while it is in flight, else null. */
+    private InFlightAttempt findAttempt(long id, int number) {
+        PendingRequest request = byId.get(id);
+        return request == null ? null : request.inFlight(number);
     }
 
     /**
-     * Departure "key": a miss is priced as this many mean jobs. Its own wait is under one, but it also takes of the
-     * store that all share and drives out a set that others will miss. From a mean wait of one mean job on no slot is
-     * free and those it holds are missed, at two it costs CRAMMED more. HOME, OTHER and SECOND: how likely a miss is at
-     * the key's home, where it went from here lately, and at its second choice. KEPT: data sets a worker keeps a slot.
+     * To be asked before a request is added.
+     *
+     * @throws IllegalStateException if the id is in use
      */
-    private static final double FETCH = 3, CRAMMED = 3, HOME = 0.1, OTHER = 0.2, SECOND = 0.5, KEPT = 1.4;
-
-    /** Highest random weight: all nodes find the same home for a key without a word between them. */
-    private void homes(Req q) {
-        q.home = null;
-        q.second = null;
-        for (Worker w : q.key != 0 ? workers.all() : List.<Worker>of()) {
-            if (w.health == EndpointLifecycle.ACTIVE && !w.down && q.of.mayGoTo(w.id)) {
-                if (q.home == null || q.rank(w) > q.rank(q.home)) {
-                    q.second = q.home;
-                    q.home = w;
-                } else if (q.second == null || q.rank(w) > q.rank(q.second)) {
-                    q.second = w;
-                }
-            }
+    private void requireUnknown(long id) {
+        if (byId.containsKey(id)) {
+            throw new IllegalStateException("request " + id + " was taken before");
         }
     }
 
-    /** The price of the data set that a job may have to wait for at w, holding its slots, as time. */
-    private double fetch(Req q, Worker w) {
-        double miss = w == q.home ? HOME : w.kept.containsKey(q.key) ? OTHER : w == q.second ? SECOND : 1;
-        return q.key == 0 ? 0 : (FETCH + CRAMMED * clamp(crammed - 1, 0, 1)) * miss * meanAll();
-    }
-
-    private double lastSent = Double.NEGATIVE_INFINITY;
-
-    private void send(Req q, Worker w) {
-        lastSent = now;
-        Attempt a = new Attempt(q, w);
-        if (w.held.isEmpty()) {
-            busy.add(w);
-        }
-        q.attempts.add(a);
-        q.out++;
-        w.held.add(a);
-        w.own += a.work;
-        w.inUse += q.slots;
-        w.keep(q.key);
-        w.memory += q.memory;
-        w.saved -= Math.max(a.x, meanAll());
-        w.refresh();
-        actions.sendAttempt(q.of.id(), w.id);
-    }
-
-    // ------------------------------------------------------------ upkeep: silence, probes
-
-    private final List<Worker> busy = new ArrayList<>(); // those that hold work from here
-    private double soonest, tickAt = Double.POSITIVE_INFINITY, stalledAt = Double.NEGATIVE_INFINITY;
-
-    /** Brings all workers up to date: once for each look at the fleet, never by the clock alone. */
-    private void scan() {
-        if (now - scanAt < aim / 8) {
-            return; // fresh enough: its own events are in
-        }
-        double mine = 0, unseen = 0, waits = 0, ready = 0;
-        soonest = allow.maxRetryAfterMs();
-        for (Worker w : workers.all()) {
-            w.refresh();
-            workers.share(w, w.usable());
-            if (w.health == EndpointLifecycle.ACTIVE) {
-                soonest = ready(w) ? Math.min(soonest, w.u) : soonest;
-                waits += ready(w) ? w.u : 0;
-                ready += ready(w) ? 1 : 0;
-                mine += w.down ? 0 : w.own;
-                unseen += w.down ? 0 : w.extra;
-                if (w.down && now >= w.tryAt) {
-                    w.rest();
-                    probe(w);
-                }
-            }
-        }
-        workers.sum();
-        double step = clamp((now - meanAt) / horizon, 0, 1); // at first one among nodes of its own size
-        unseenAvg = Double.isNaN(meanAt) ? (set.dispatcherCount() - 1) * meanAll() / 2 : unseenAvg;
-        scanAt = meanAt = now;
-        crammed += step * (waits / Math.max(1, ready) / meanAll() - crammed);
-        mineAvg += step * (mine - mineAvg);
-        unseenAvg += step * (unseen - unseenAvg);
-        crowd = clamp(1 + unseenAvg / Math.max(mineAvg, meanAll() / 2), 1, set.dispatcherCount());
-    }
-
-    private void upkeep() {
-        freshness.usable(now); // so that its end is told in time
-        askInTurn();
-        for (Worker w : busy) {
-            for (Attempt a : w.held) {
-                if (!a.late && overdue(a)) {
-                    a.late = true;
-                    w.tried(a.req.cls, 1);
-                }
-            }
-        }
-        placeParked();
+    private void addRequest(PendingRequest request) {
+        byId.put(request.id(), request);
     }
 
-    /**
-     * This node's next place in the fleet's round of calls, by the clock that all machines read. Calls drawn at random
-     * come faster than discovery answers whole lists: it then works for callers that have given up, and for ever so.
-     */
-    private double slotAfter(double from, double round) {
-        return from + Math.floorMod(Math.round(turn(round) - from), Math.round(round));
+    /** It waits for a worker that may take it. */
+    private void park(PendingRequest request) {
+        parked.add(request);
+    }
+
+    /** Takes out all parked requests, in the order in which they were parked. */
+    private List<PendingRequest> takeParked() {
+        List<PendingRequest> all = List.copyOf(parked);
+        parked.clear();
+        return all;
+    }
+
+    private boolean hasParked() {
+        return !parked.isEmpty();
+    }
+
+    /** It waits for the answers of a probe round. */
+    private void startProbing(PendingRequest request) {
+        probing.add(request);
     }
 
-    /** When it is this node's turn, where all share a time. */
-    private double turn(double time) {
-        return time * (set.dispatcherIndex() % set.dispatcherCount()) / set.dispatcherCount();
+    /** Its probe round is over; returns false if it was in none. */
+    private boolean stopProbing(PendingRequest request) {
+        return probing.remove(request);
     }
 
-    private void askInTurn() {
-        if (now >= watchAt && set.pollsDiscovery()) {
-            actions.watchEndpointList();
-            askedAt = now;
-            watchAt = now + rules.maxListAgeMs() / 2; // no answer by then: ask again
+    /** Those that wait for answers to probes. */
+    private List<PendingRequest> probing() {
+        return probing;
+    }
+
+    /** The request has ended: nothing more is done for it. */
+    private void endRequest(PendingRequest request) {
+        request.ended = true;
+        parked.remove(request);
+        probing.remove(request);
+        forgetIfOver(request);
+    }
+
+    /** Forgets the request if it has ended and none of its attempts is in flight. */
+    private void forgetIfOver(PendingRequest request) {
+        if (request.ended && request.attemptsInFlight == 0) {
+            byId.remove(request.id());
         }
     }
 
-    private void placeParked() {
-        if (!parked.isEmpty()) {
-            List<Req> waiting = List.copyOf(parked);
-            parked.clear();
-            scan();
-            waiting.forEach(this::place);
+    // ------------------------------------------------------------ process pauses
+
+    private double tickExpectedMs = Double.POSITIVE_INFINITY;
+    private double pauseEndedMs = Double.NEGATIVE_INFINITY;
+
+    /** To be called at the start of each event. */
+    private void eventReceived() {
+        if (context.nowMs - tickExpectedMs > context.tickPeriodMs) {
+            tickExpectedMs = context.nowMs;
+            pauseEndedMs = context.nowMs;
         }
     }
 
-    /**
-     * A start, progress or an answer overdue by as long again as it should have taken counts as failed, once.
-     * Catches hangs, cut links, stopped processes, a harsh slowing. Could harm when hints are far too low:
-     * then many look so, and all alike. What this node slept through itself does not count.
-     */
-    private boolean overdue(Attempt a) {
-        double grace = a.due - a.sentAt, expect = a.due + grace;
-        if (set.workersReportStart() && Double.isNaN(a.startAt)) {
-            expect = a.due + Math.max(set.progressIntervalMs(), grace);
-        } else if (set.workersReportStart() && set.progressIntervalMs() > 0) {
-            expect = Math.min(expect, a.noteAt + set.progressIntervalMs());
+    /** The next tick is due so long from now. */
+    private void expectTick(double delayMs) {
+        tickExpectedMs = context.nowMs + delayMs;
+    }
+
+    /** When the last pause ended; negative infinity while none was seen. */
+    private double pauseEndedMs() {
+        return pauseEndedMs;
+    }
+
+    /** The last pause has been allowed for. */
+    private void forgetPause() {
+        pauseEndedMs = Double.NEGATIVE_INFINITY;
+    }
+
+    // ------------------------------------------------------------ discovery polls
+
+    /** A change counts as notified this long after discovery had it, delivered or not. */
+    private static final double CHANGE_NOTIFIED_MS = EndpointListFreshness.NOTIFIED_WITHIN_MS;
+
+    /** The round in which each dispatcher of a large fleet has its turn: below the time in which changes must come. */
+    private static final double FLEET_ROUND_MS = 5500;
+
+    /** What discovery takes for one line of a full snapshot, with a margin. */
+    private static final double LINE_COST_MS = 0.7;
+
+    /** The first calls of a fleet are spread over at most this long. */
+    private static final double MAX_FIRST_SPREAD_MS = CHANGE_NOTIFIED_MS * 2 / 3;
+
+    /** Taken off the first spread, as a call is due at the tick after its time. */
+    private static final double FIRST_SPREAD_MARGIN_MS = CHANGE_NOTIFIED_MS / 30;
+
+    /** Longest backoff after a failed call, before the jitter. */
+    private static final double MAX_BACKOFF_MS = CHANGE_NOTIFIED_MS / 5;
+
+    /** A call that waited in vain counts with at most this in the backoff. */
+    private static final double MAX_COUNTED_WAIT_MS = CHANGE_NOTIFIED_MS / 3;
+
+    /** A fleet is large when all its full snapshots together take discovery longer than this. */
+    private static final double LARGE_FLEET_MS = CHANGE_NOTIFIED_MS / 2;
+
+    /** A call that took longer than this has waited in vain; a shorter one was refused. */
+    private static final double WAITED_IN_VAIN_MS = CHANGE_NOTIFIED_MS / 6;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+    /** No call is due: a list came, or none was ever lost. Any real time lies below. */
+    private static final double NEVER = Double.POSITIVE_INFINITY;
+
+    private double pollAtMs = NEVER;
+    private double polledAtMs;
+    private int failedCalls;
+
+    /** This dispatcher has started from a cached list: its first call has a place by its index. */
+    private void cachedSnapshotReceived(int endpoints) {
+        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
+        double spreadMs = Math.min(MAX_FIRST_SPREAD_MS, fleetMs) - FIRST_SPREAD_MARGIN_MS;
+        pollAtMs = context.nowMs + ownShareOf(Math.max(0, spreadMs));
+    }
+
+    /** Discovery has answered: no call is due until the watch fails. */
+    private void listReceived() {
+        pollAtMs = NEVER;
+        failedCalls = 0;
+    }
+
+    /** A call failed or the watch broke: schedules the next call, jittered, later with each failure in a row. */
+    private void watchFailed(int endpoints) {
+        double maxBackoffMs = Math.min(context.rules.maxListAgeMs() / 4, MAX_BACKOFF_MS);
+        double callTookMs = pollAtMs < NEVER ? context.nowMs - polledAtMs : 0;
+        int doublings = Math.min(++failedCalls, MAX_BACKOFF_DOUBLINGS);
+        double backoffMs = Math.min(maxBackoffMs, context.memoryMs / 20 * (1L << doublings));
+        // At least as long as this call waited, since discovery works on for calls that have given up.
+        double atLeastMs = Math.min(callTookMs, MAX_COUNTED_WAIT_MS);
+        double jitter = 0.4 + 0.8 * context.random.nextDouble();
+        pollAtMs = context.nowMs + Math.max(backoffMs, atLeastMs) * jitter;
+        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
+        if (fleetMs > LARGE_FLEET_MS) {
+            double nextTickMs = context.nowMs + context.tickPeriodMs;
+            pollAtMs = callTookMs > WAITED_IN_VAIN_MS
+                    ? nextTurnAfter(nextTickMs, Math.min(FLEET_ROUND_MS, fleetMs))
+                    : nextTickMs + ownShareOf(LARGE_FLEET_MS);
         }
-        return now - aim - meanAll() / a.worker.speed > Math.max(expect, stalledAt);
     }
 
-    private void probe(Worker w) {
-        if (!w.probing) {
-            actions.probe(w.id);
+    /** Subscribes if a call is due; without an answer by half the list's greatest age it is due again. */
+    private void pollIfDue() {
+        if (context.nowMs >= pollAtMs && context.settings.pollsDiscovery()) {
+            context.actions.watchEndpointList();
+            polledAtMs = context.nowMs;
+            pollAtMs = context.nowMs + context.rules.maxListAgeMs() / 2;
         }
-        w.probing = true;
+    }
+
+    /** This dispatcher's next turn in the fleet's round of calls, by the clock that all machines read. */
+    private double nextTurnAfter(double fromMs, double roundMs) {
+        return fromMs + Math.floorMod(Math.round(ownShareOf(roundMs) - fromMs), Math.round(roundMs));
+    }
+
+    /** This dispatcher's place, by its index, in a time that all share. */
+    private double ownShareOf(double sharedMs) {
+        int dispatchers = context.settings.dispatcherCount();
+        return sharedMs * (context.settings.dispatcherIndex() % dispatchers) / dispatchers;
     }
 }
--- /dev/null
+++ b/src/main/java/maplespread/policy/Eligibility.java
@@ -0,0 +1,49 @@
+package maplespread.policy;
+
+/**
+ * Whether a request may be sent to a worker at this moment: the first of the conditions that fails, in the order in
+ * which {@link EligibilityFilter} and {@link RetryPolicy} ask. Each condition is asked again at every send.
+ */
+enum Eligibility {
+    /** All conditions hold. */
+    ELIGIBLE,
+
+    /** The list shows the worker as draining or removed. Rule 3: only active workers get requests. */
+    WORKER_NOT_ACTIVE,
+
+    /**
+     * The list may be out of date (see {@link EndpointListFreshness}): it may name workers whose removal counts as
+     * notified.
+     */
+    LIST_NOT_CONFIRMED,
+
+    /** The request's class needs another kind of worker ({@link RequestClass#requiredWorkerKind}). */
+    WRONG_WORKER_KIND,
+
+    /** The request needs more slots or memory units than the worker has slots. */
+    REQUEST_TOO_LARGE,
+
+    /** The request is restricted to other workers ({@link PolicyRequest#eligibleWorkers}). */
+    NOT_AMONG_ALLOWED_WORKERS,
+
+    /** The request has ended, or its response has started. Rule 1: one final answer. */
+    REQUEST_ENDED,
+
+    /** The request's deadline has passed. Rule 1. */
+    DEADLINE_PASSED,
+
+    /** Another attempt of the request is in flight. Rule 2: one at a time. */
+    ATTEMPT_IN_FLIGHT,
+
+    /** The request has had all attempts that its settings allow ({@link SitePermissions#maxAttempts}). */
+    ATTEMPTS_USED,
+
+    /** An earlier attempt may have run, and its class may not be repeated, or not any more. Rule 2. */
+    MAY_HAVE_RUN,
+
+    /** An earlier attempt may have run, and this worker does not drop its repeat ({@link DeduplicationScope}). Rule 2. */
+    OUTSIDE_DEDUPLICATION_SCOPE,
+
+    /** The worker is in slow start, and this dispatcher's share of what it may be sent is used. Rule 4. */
+    SLOW_START_BUDGET_USED
+}
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -15,7 +15,7 @@
     }
 
     /** From a change until it counts as notified, by the protocol, whether or not it arrived. */
-    private static final double NOTIFIED_WITHIN_MS = 6000;
+    static final double NOTIFIED_WITHIN_MS = 6000;
 
     /** The same for what another address of discovery has, from the moment when that address counts. */
     private static final double NOTIFIED_AFTER_MOVE_MS = 4000;
--- /dev/null
+++ b/src/main/java/maplespread/policy/HintCalibration.java
@@ -0,0 +1,62 @@
+package maplespread.policy;
+
+/**
+ * How far the work hints of requests are to be believed. Small requests tend to run longer than hinted and large ones
+ * shorter; taken at their word, slow workers, which are given the small ones, would look ever slower. The slope of
+ * log run time on log hint, within each worker, says how much of a hint's distance from the middle is real.
+ */
+final class HintCalibration {
+    /** One worker's recent means of log hint and log run time, over at most {@link #MAX_RUNS} runs. */
+    static final class WorkerMeans {
+        private double logHint;
+        private double logRunMs;
+        private double runs;
+    }
+
+    private static final double MAX_RUNS = 20;
+    private static final double MAX_HINTS = 200;
+
+    /** The slope starts at one, as if this much variance had been seen: about ten requests. */
+    private static final double PRIOR_VARIANCE = 10;
+
+    private static final double VARIANCE_KEPT = 0.995;
+    private static final double MIN_SLOPE = 0.2;
+
+    /** A run longer than this many estimator memories is a measuring error. */
+    private static final double MAX_RUN_MEMORIES = 1e3;
+
+    private final PolicyContext context;
+    private double meanLogHint;
+    private double hints;
+    private double variance;
+    private double covariance;
+    private double slope = 1;
+
+    HintCalibration(PolicyContext context) {
+        this.context = context;
+    }
+
+    /** Counts a hint, given as its logarithm, and returns the work to expect, ms on a standard core. */
+    double expectedWorkMs(double logHint) {
+        meanLogHint += (logHint - meanLogHint) / Math.min(++hints, MAX_HINTS);
+        return Math.exp(meanLogHint + slope * (logHint - meanLogHint));
+    }
+
+    /** A request with this hint (NaN: it had none) ran so long at the worker with these means. */
+    void observeRun(WorkerMeans means, double logHint, double runMs) {
+        if (Double.isNaN(logHint) || !(runMs > 0 && runMs < MAX_RUN_MEMORIES * context.memoryMs)) {
+            return;
+        }
+        double logRunMs = Math.log(runMs);
+        double step = 1 / Math.min(++means.runs, MAX_RUNS);
+        double hintOffset = logHint - means.logHint;
+        double runOffset = logRunMs - means.logRunMs;
+        means.logHint += step * hintOffset;
+        means.logRunMs += step * runOffset;
+        if (means.runs > 1) {
+            variance = VARIANCE_KEPT * variance + hintOffset * hintOffset;
+            covariance = VARIANCE_KEPT * covariance + hintOffset * runOffset;
+            slope = PolicyMath.clamp((covariance + PRIOR_VARIANCE) / (variance + PRIOR_VARIANCE), MIN_SLOPE, 1);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -0,0 +1,74 @@
+package maplespread.policy;
+
+/** One attempt of a request at one worker, from its sending to its end. Times are ms on the host's clock. */
+final class InFlightAttempt {
+    final PendingRequest request;
+    final Worker worker;
+
+    /** The request's expected work when it was sent, ms on a standard core. */
+    final double workMs;
+
+    /** The time that fetching the request's data set was expected to take. */
+    final double fetchMs;
+
+    /** Work that it keeps from others: its own and the fetch, times its slots. */
+    final double reservedWorkMs;
+
+    final double sentAtMs;
+
+    /** Expected wait in the worker's queue. */
+    final double expectedWaitMs;
+
+    /** When it was expected to be done. */
+    final double expectedEndMs;
+
+    /** A slot was free when it was sent. */
+    final boolean hadFreeSlot;
+
+    /** No idle connection was open to the worker. */
+    final boolean openedConnection;
+
+    /** When the worker told that it runs; NaN while it has not. */
+    double startedAtMs = Double.NaN;
+
+    /** When the worker last told of its progress. */
+    double progressedAtMs;
+
+    /** Share of the work that is done, by the worker's word. */
+    double doneShare;
+
+    boolean ended;
+
+    /** Its end proved that it never ran. */
+    boolean neverRan;
+
+    /** It was overdue and has been counted as a failure. */
+    boolean countedAsFailure;
+
+    /** A request sent well after it has started: its connection is taken for dead. */
+    boolean overtaken;
+
+    InFlightAttempt(PendingRequest request, Worker worker, double nowMs, double fetchMs) {
+        this.request = request;
+        this.worker = worker;
+        this.fetchMs = fetchMs;
+        double speed = worker.speed();
+        workMs = request.workMs;
+        reservedWorkMs = (workMs + fetchMs * speed) * request.slots;
+        sentAtMs = nowMs;
+        hadFreeSlot = worker.hasFreeSlot(request);
+        openedConnection = !worker.hasIdle();
+        expectedWaitMs = hadFreeSlot ? 0 : worker.waitMs();
+        expectedEndMs = nowMs + expectedWaitMs + workMs / speed + fetchMs;
+    }
+
+    boolean hasStarted() {
+        return !Double.isNaN(startedAtMs);
+    }
+
+    /** Time since it was last told of, without what the fetch is likely to have taken of it. */
+    double runTimeMs(double nowMs) {
+        double tookMs = nowMs - progressedAtMs;
+        return doneShare > 0 ? tookMs : Math.max(tookMs / 2, tookMs - fetchMs);
+    }
+}
--- /dev/null
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -0,0 +1,728 @@
+package maplespread.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * One worker as this dispatcher knows it: what the endpoint list says of it, and the estimates, each of which has a
+ * module of its own. It hands the events of its attempts to them. Times are ms on the host's clock.
+ */
+final class Worker extends WorkerTable.Indexed {
+    /** A report with more active requests or free slots than this is wrong, and no part of it is believed. */
+    private static final double MAX_REPORTED = 1e4;
+
+    /** Free slots of a report above this: a slot is free. */
+    private static final double MIN_FREE_SLOT = 0.5;
+
+    final String id;
+    final long idHash;
+    final CachedKeys cachedKeys = new CachedKeys();
+    final ShadowQueue shadowQueue = new ShadowQueue();
+
+    WorkerKind kind;
+    int kindNumber;
+    int cell;
+    int zone;
+    EndpointLifecycle lifecycle;
+
+    /** Work done a ms by all slots: speed, slots and warmth together, as of the last refresh. */
+    double capacity = 1;
+
+    /** When the last load report came. */
+    double reportedAtMs = Double.NEGATIVE_INFINITY;
+
+    private final PolicyContext context;
+    private final ArrivalStatistics arrivals;
+    private final FailureStatistics failures;
+    private final HintCalibration hints;
+    private final HintCalibration.WorkerMeans hintMeans = new HintCalibration.WorkerMeans();
+    private double startedAtMs;
+    private boolean probePending;
+
+    Worker(
+            String id,
+            PolicyContext context,
+            ArrivalStatistics arrivals,
+            HintCalibration hints,
+            FailureStatistics failures) {
+        this.id = id;
+        this.context = context;
+        this.hints = hints;
+        this.arrivals = arrivals;
+        this.failures = failures;
+        idHash = StableHash.hash(id);
+    }
+
+    /** Takes up what the list says, but for the lifecycle. */
+    void listed(EndpointEntry entry, WorkerKind entryKind) {
+        kindNumber = entry.workerKind();
+        kind = entryKind;
+        cell = entry.cell();
+        zone = entry.zone();
+        if (entry.startedAtMs() > 0 && entry.startedAtMs() != startedAtMs) {
+            startedAtMs = entry.startedAtMs();
+            restartSlowStart(Math.min(context.nowMs, startedAtMs));
+            restarted(startedAtMs);
+        }
+        refresh();
+    }
+
+    /** Brings the estimates up to date: when the worker is looked at, and at its events. */
+    void refresh() {
+        refreshSpeed();
+        capacity = speed() * slots() * capacityShare();
+        refreshBacklog();
+        refillSlowStart();
+    }
+
+    /** What of its capacity may be used. */
+    double usableCapacity() {
+        return lifecycle == EndpointLifecycle.ACTIVE && !isEjected() ? capacity : 0;
+    }
+
+    /** Probes the worker, unless a probe is out. */
+    void probe() {
+        if (!probePending) {
+            context.actions.probe(id);
+        }
+        probePending = true;
+    }
+
+    /** Its probe ended. */
+    void probeEnded(AttemptOutcome outcome, double lagMs, LoadReport report) {
+        probePending = false;
+        if (outcome == AttemptOutcome.CONNECT_FAILED) {
+            connectionFailed(lagMs);
+        } else if (outcome == AttemptOutcome.SERVED) {
+            reportReceived(report);
+            connectionUsed(!hasIdle());
+            refresh();
+            probeAnswered();
+        }
+    }
+
+    /** Takes up a load report; null: there was none. */
+    void reportReceived(LoadReport report) {
+        if (report == null || report.activeRequests() > MAX_REPORTED || report.freeSlots() > MAX_REPORTED) {
+            return;
+        }
+        reportedAtMs = context.nowMs;
+        observeFreeMemory(report.freeMemoryUnits());
+        observeServiceTime(report.meanServiceMs());
+        double remoteRequests = remoteRequestsBy(report);
+        if (report.activeRequests() >= 0) {
+            if (report.freeSlots() > MIN_FREE_SLOT) {
+                observeSlots(report.activeRequests() + report.freeSlots());
+            }
+        } else if (report.freeSlots() >= 0 && inFlight().isEmpty()) {
+            observeSlots(Math.max(report.freeSlots(), slots()));
+        }
+        observeRemoteRequests(report, remoteRequests);
+    }
+
+    /** An attempt is sent to it. */
+    void attemptSent(InFlightAttempt attempt) {
+        addToBacklog(attempt);
+        cachedKeys.add(attempt.request.keyHash, slots());
+        spendSlowStart(attempt.workMs);
+        refresh();
+    }
+
+    /** An attempt has started, with share 0, or has done this share of its work. */
+    void attemptProgressed(InFlightAttempt attempt, double doneShare) {
+        if (!attempt.hasStarted()) {
+            attempt.startedAtMs = context.nowMs;
+            cancelOvertakenBy(attempt);
+            observeRunningSlots(runningSlots());
+            learnFromStart(attempt);
+        } else if (doneShare > attempt.doneShare) {
+            double workMs = attempt.workMs * (doneShare - attempt.doneShare);
+            learn(workMs, attempt.runTimeMs(context.nowMs));
+        }
+        attempt.progressedAtMs = context.nowMs;
+        progressedInBacklog(attempt, doneShare);
+    }
+
+    /** The one end of every attempt. */
+    void attemptEnded(InFlightAttempt attempt, AttemptOutcome outcome, double lagMs) {
+        attempt.ended = true;
+        attempt.request.attemptsInFlight--;
+        attempt.neverRan = outcome.provesNeverRan();
+        removeFromBacklog(attempt);
+        boolean tellsOfWorker = !attempt.neverRan
+                && outcome != AttemptOutcome.CANCELLED
+                && outcome != AttemptOutcome.STALE_CONNECTION_RESET;
+        if (tellsOfWorker && !attempt.countedAsFailure) {
+            failureRateObserved(attempt.request.classIndex, outcome != AttemptOutcome.SERVED);
+        }
+        switch (outcome) {
+            case SERVED -> attemptServed(attempt, lagMs);
+            case CONNECT_FAILED -> connectionFailed(lagMs);
+            case RESET -> connectionFailed(0);
+            case REJECTED -> backOff();
+            case TIMED_OUT -> timedOut(attempt);
+            default -> {}
+        }
+        refresh();
+    }
+
+    private void attemptServed(InFlightAttempt attempt, double lagMs) {
+        boolean started = attempt.hasStarted();
+        if (started || attempt.hadFreeSlot) {
+            double runMs = started ? context.nowMs - attempt.startedAtMs : lagMs;
+            hints.observeRun(hintMeans, attempt.request.logHint, runMs);
+        }
+        if (started) {
+            double workMs = attempt.workMs * (1 - attempt.doneShare);
+            learn(workMs, attempt.runTimeMs(context.nowMs));
+        } else if (attempt.hadFreeSlot && !hasReportedServiceTime()) {
+            learn(attempt.workMs, lagMs);
+        }
+        aliveSeen();
+        connectionUsed(attempt.openedConnection);
+    }
+
+    /** A start, a wait or a report this much of the objective off is no sign of a queue. */
+    private static final double TOLERATED_OBJECTIVES = 1.0 / 8;
+
+    /** An attempt is overtaken when one that was sent this much of the objective later has started. */
+    private static final double OVERTAKEN_OBJECTIVES = 1.0 / 2;
+
+    /** What is known of others' work fades over this many mean requests. */
+    private static final double REMOTE_MEMORY_REQUESTS = 2;
+
+    /** Weight of the earlier estimate against a report of the same moment. */
+    private static final double REMOTE_KEPT = 0.5;
+
+    /** Share of a late start's excess that is booked as others' work. */
+    private static final double LATE_START_SHARE = 0.5;
+
+    /** Least weight of a late start in the kind's usual unobserved wait. */
+    private static final double MIN_LATE_START_STEP = 0.05;
+
+    /** Weight of a report in the kind's usual unobserved wait, where workers report no starts. */
+    private static final double REPORT_STEP = 0.05;
+
+    /** Half a slot: slots are compared by it, as the remote requests are an estimate. */
+    private static final double HALF_SLOT = 0.5;
+
+    private final List<InFlightAttempt> inFlight = new ArrayList<>();
+    private double localWorkMs;
+    private double slotsInUse;
+    private double localMemory;
+    private double remoteRequests;
+    private double remoteAtMs = Double.NEGATIVE_INFINITY;
+    private double remoteMemory;
+    private double remoteWorkMs;
+    private double waitMs;
+
+    /** This dispatcher's attempts at the worker, by the order of their sending. */
+    List<InFlightAttempt> inFlight() {
+        return inFlight;
+    }
+
+    /** This dispatcher's work that is sent and not finished. */
+    double localWorkMs() {
+        return localWorkMs;
+    }
+
+    /** The other dispatchers' work, as of the last refreshBacklog. */
+    double remoteWorkMs() {
+        return remoteWorkMs;
+    }
+
+    /** How long a request sent now is expected to wait where no slot is free, as of the last refreshBacklog, ms. */
+    double waitMs() {
+        return waitMs;
+    }
+
+    /** Brings the estimates up to date. Takes a random number where other dispatchers share the  */
+    void refreshBacklog() {
+        remoteWorkMs = estimateRemoteWorkMs();
+        waitMs = (localWorkMs + remoteWorkMs) / capacity + unexpectedWaitMs();
+    }
+
+    /** Whether a request would start at once, as far as own sends and reports tell. */
+    boolean hasFreeSlot(PendingRequest request) {
+        return slotsInUse + remoteWorkMs / arrivals.meanWorkMs() + request.slots - HALF_SLOT < slots();
+    }
+
+    /** Whether the worker has memory for a request now, by own sends and its last report. */
+    boolean hasMemoryFor(PendingRequest request) {
+        return request.memoryUnits == 0
+                || request.memoryUnits
+                                + localMemory
+                                + remoteMemory
+                                        * PolicyMath.decay((context.nowMs - reportedAtMs) / arrivals.meanWorkMs())
+                        <= slots();
+    }
+
+    void addToBacklog(InFlightAttempt attempt) {
+        inFlight.add(attempt);
+        localWorkMs += attempt.reservedWorkMs;
+        slotsInUse += attempt.request.slots;
+        localMemory += attempt.request.memoryUnits;
+    }
+
+    /** The one end of every attempt: what is left of its work leaves the backlog. */
+    void removeFromBacklog(InFlightAttempt attempt) {
+        inFlight.remove(attempt);
+        boolean idle = inFlight.isEmpty(); // then sums are exactly zero, whatever rounding has left
+        localMemory = idle ? 0 : localMemory - attempt.request.memoryUnits;
+        double remainingMs = attempt.reservedWorkMs * (1 - attempt.doneShare);
+        slotsInUse = idle ? 0 : slotsInUse - attempt.request.slots;
+        localWorkMs = idle ? 0 : Math.max(0, localWorkMs - remainingMs);
+    }
+
+    /** So much of an attempt is done: that share leaves the backlog, never by time alone. */
+    void progressedInBacklog(InFlightAttempt attempt, double doneShare) {
+        localWorkMs -= attempt.reservedWorkMs * Math.max(0, doneShare - attempt.doneShare);
+        attempt.doneShare = Math.max(doneShare, attempt.doneShare);
+    }
+
+    /**
+     * An attempt has started. Workers start in the order of arrival, so what was sent well before it must have started
+     * too: that nothing was heard of it tells of its connection, not of a queue. Where a repeat is harmless, it is
+     * cancelled here and placed anew.
+     */
+    void cancelOvertakenBy(InFlightAttempt started) {
+        if (!context.settings.fifoWorkers()) {
+            return;
+        }
+        for (InFlightAttempt other : List.copyOf(inFlight)) {
+            if (!other.hasStarted()
+                    && !other.overtaken
+                    && started.sentAtMs - other.sentAtMs > context.objectiveMs * OVERTAKEN_OBJECTIVES) {
+                other.overtaken = true;
+                PendingRequest request = other.request;
+                if (context.permissions.cancellation()
+                        && request.requestClass.idempotency() == Idempotency.READ_LIKE
+                        && !request.ended) {
+                    context.actions.cancelAttempt(request.id(), request.attempts.indexOf(other));
+                }
+            }
+        }
+    }
+
+    /** Slots of this dispatcher's attempts that are known to run. */
+    double runningSlots() {
+        return inFlight.stream()
+                .filter(InFlightAttempt::hasStarted)
+                .mapToDouble(attempt -> attempt.request.slots)
+                .sum();
+    }
+
+    /** An attempt started later than estimated: there was a queue that no report showed, of the others' work. */
+    void learnFromStart(InFlightAttempt attempt) {
+        double excessMs = context.nowMs - attempt.sentAtMs - attempt.expectedWaitMs;
+        double lateMs = excessMs - PolicyMath.clamp(excessMs, 0, context.objectiveMs * TOLERATED_OBJECTIVES);
+        double meanWorkMs = arrivals.meanWorkMs();
+        remoteRequests = Math.max(0, remoteRequests + LATE_START_SHARE * lateMs * capacity / meanWorkMs);
+        remoteAtMs = context.nowMs;
+        double step = Math.max(MIN_LATE_START_STEP, 1 - PolicyMath.decay(ageInRequests(kind.unobservedAtMs)));
+        kind.unobservedWaitMs += step * (remoteRequests * meanWorkMs / capacity - kind.unobservedWaitMs);
+        kind.unobservedAtMs = context.nowMs;
+    }
+
+    /** A report told the free memory units; NaN: it did not. */
+    void observeFreeMemory(double freeUnits) {
+        remoteMemory = freeUnits >= 0 ? Math.max(0, slots() - freeUnits - localMemory) : 0;
+    }
+
+    /** The others' requests at the worker by a report, negative where it is older than own sends; NaN: it tells none. */
+    double remoteRequestsBy(LoadReport report) {
+        if (report.activeRequests() >= 0) {
+            return report.activeRequests() - inFlight.size();
+        }
+        double slots = slots();
+        return slots - report.freeSlots() - Math.min(slotsInUse, slots);
+    }
+
+    /** Takes up the others' requests by a report, as told by {@link #remoteRequestsBy} before the slots were learnt. */
+    void observeRemoteRequests(LoadReport report, double reported) {
+        if (Double.isNaN(reported)) {
+            return;
+        }
+        double meanWorkMs = arrivals.meanWorkMs();
+        if (report.activeRequests() >= 0 || report.freeSlots() > HALF_SLOT) {
+            double keep = REMOTE_KEPT * PolicyMath.decay(ageInRequests(remoteAtMs));
+            remoteRequests = keep * remoteRequests + (1 - keep) * Math.max(0, reported);
+        } else {
+            // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
+            double usual = kind.unobservedWaitMs * capacity / meanWorkMs;
+            remoteRequests = Math.max(Math.max(remoteRequests, reported), usual);
+        }
+        remoteAtMs = context.nowMs;
+        if (!context.settings.workersReportStart()) {
+            double reportedWaitMs = remoteRequests * meanWorkMs / capacity;
+            kind.unobservedWaitMs += REPORT_STEP * (reportedWaitMs - kind.unobservedWaitMs);
+        }
+    }
+
+    /**
+     * Others' work by the reports, fading. What is too old to know is drawn anew, from half the kind's mean on: with
+     * the mean itself all dispatchers would rush the same fast workers, and from zero on the least of many draws is
+     * none.
+     */
+    private double estimateRemoteWorkMs() {
+        double keep = PolicyMath.decay(ageInRequests(remoteAtMs));
+        double drawnMs = context.settings.dispatcherCount() == 1
+                ? 0
+                : kind.unobservedWaitMs * capacity * (1 + PolicyMath.drawExponential(context.random)) / 2;
+        return keep * remoteRequests * arrivals.meanWorkMs() + (1 - keep) * drawnMs;
+    }
+
+    /** By how much the longest waiting own attempt outwaits its estimate: a queue that no report shows, ms. */
+    private double unexpectedWaitMs() {
+        if (!context.settings.workersReportStart()) {
+            return 0;
+        }
+        double longestMs = 0;
+        for (InFlightAttempt attempt : inFlight) {
+            if (!attempt.hasStarted() && !attempt.overtaken) {
+                double toleratedMs = context.objectiveMs * TOLERATED_OBJECTIVES;
+                double excessMs = context.nowMs - toleratedMs - attempt.sentAtMs - attempt.expectedWaitMs;
+                longestMs = Math.max(longestMs, excessMs);
+            }
+        }
+        return longestMs;
+    }
+
+    /** Time since then at the worker's speed, in time constants of two mean requests. */
+    private double ageInRequests(double sinceMs) {
+        return (context.nowMs - sinceMs) * speed() / (REMOTE_MEMORY_REQUESTS * arrivals.meanWorkMs());
+    }
+
+    private double openUntilMs;
+    private double count;
+
+    boolean hasIdle() {
+        return context.nowMs < openUntilMs && inFlight().size() < count;
+    }
+
+    /** A response came over a connection, which is idle now. {@code opened}: it was a new one. */
+    void connectionUsed(boolean opened) {
+        double known = context.nowMs < openUntilMs ? count : 0;
+        count = Math.max(known, inFlight().size() + 1);
+        openUntilMs = context.nowMs + context.permissions.idleConnectionMs();
+        if (opened) {
+            failures.connectionAttempted(false);
+        }
+    }
+
+    /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
+    private static final double SLOW_CONNECT_SHARE = 0.5;
+
+    /** When this share of new connections fails slowly, that tells of the network, and ejects nobody. */
+    private static final double NETWORK_FAULT_SHARE = 0.25;
+
+    /** Weight of an attempt in the worker's own rate: a memory of about two. */
+    private static final double OWN_CLASS_STEP = 0.5;
+
+    /** The worker's own rate fades over this many estimator memories. */
+    private static final double CLASS_MEMORIES = 4;
+
+    /** A difference from the other workers' rate that is no more than chance. */
+    private static final double MIN_DIFFERENCE = 0.1;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
+
+    private final DoublesByIndex failureRateByClass = new DoublesByIndex();
+    private final DoublesByIndex classFailureRateAtMs = new DoublesByIndex();
+    private int consecutiveFailures;
+    private boolean ejected;
+    private double retryNotBeforeMs;
+    private double connectionLostAtMs;
+    private double lastAliveMs;
+
+    boolean isEjected() {
+        return ejected;
+    }
+
+    /** Neither ejected nor backing off. */
+    boolean isReady() {
+        return !ejected && !isBackingOff();
+    }
+
+    boolean isBackingOff() {
+        return context.nowMs < retryNotBeforeMs;
+    }
+
+    /**
+     * How likely a request of the class is to fail at this worker, 0 to 1: all workers' rate, and the worker's own where
+     * it differs by more than chance. It chooses among workers and rejects nothing.
+     */
+    double failureRate(int classIndex) {
+        double ageMs = context.nowMs - classFailureRateAtMs.get(classIndex);
+        double difference = (failureRateByClass.get(classIndex) - failures.failureRate(classIndex))
+                * PolicyMath.decay(ageMs / (CLASS_MEMORIES * context.memoryMs));
+        return failures.failureRate(classIndex) + (Math.abs(difference) > MIN_DIFFERENCE ? difference : 0);
+    }
+
+    /** An attempt of the class ended here, or is overdue. */
+    void failureRateObserved(int classIndex, boolean failed) {
+        double rate = OWN_CLASS_STEP * failureRate(classIndex) + OWN_CLASS_STEP * (failed ? 1 : 0);
+        failureRateByClass.set(classIndex, rate);
+        classFailureRateAtMs.set(classIndex, context.nowMs);
+        failures.attemptEnded(classIndex, failed);
+    }
+
+    /** A sign of life: no ejection, and the backoff starts anew with the next failure. */
+    void aliveSeen() {
+        lastAliveMs = context.nowMs;
+        consecutiveFailures = 0;
+        ejected = false;
+    }
+
+    /** A probe of an ejected worker was answered: it takes requests again, in slow start if it may be a new process. */
+    void probeAnswered() {
+        if (ejected) {
+            aliveSeen();
+            retryNotBeforeMs = context.nowMs;
+            if (context.nowMs - connectionLostAtMs > context.objectiveMs) {
+                restartSlowStart(context.nowMs);
+            }
+        }
+    }
+
+    /** The list says that the worker has started then: what was lost before tells nothing of the new process. */
+    void restarted(double startedAtMs) {
+        ejected &= connectionLostAtMs >= startedAtMs;
+    }
+
+    /** Not to be tried again before a while that doubles from one objective with each failure in a row. */
+    void backOff() {
+        int doublings = Math.min(consecutiveFailures++, MAX_BACKOFF_DOUBLINGS);
+        retryNotBeforeMs = context.nowMs + Math.min(context.memoryMs / 2, context.objectiveMs * (1 << doublings));
+    }
+
+    /** An attempt timed out. The worker may hang, or that connection alone: only without a later sign of life it counts. */
+    void timedOut(InFlightAttempt attempt) {
+        if (lastAliveMs < attempt.sentAtMs) {
+            backOff();
+        }
+    }
+
+    /**
+     * No connection could be had after this time, or one broke (0 ms). One connection that breaks proves no restart:
+     * taken for one, it would cost a healthy worker's capacity; a second one without a sign of life in between does. A
+     * slow failure tells of this worker only where others can be connected to.
+     */
+    void connectionFailed(double lagMs) {
+        boolean slow = lagMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
+        if (!slow || failures.slowConnectShare() < NETWORK_FAULT_SHARE) {
+            if (ejected || !context.permissions.probing()) {
+                restartSlowStart(context.nowMs);
+            } else {
+                connectionLostAtMs = context.nowMs;
+                ejected = true;
+                probe();
+            }
+        }
+        backOff();
+        failures.connectionAttempted(slow);
+    }
+
+    /**
+     * Counts every attempt in flight that is overdue as failed, once.
+     *
+     * @param pauseEndedMs when this process last stood still: what it slept through itself does not count
+     */
+    void countOverdue(double pauseEndedMs) {
+        for (InFlightAttempt attempt : inFlight()) {
+            if (!attempt.countedAsFailure && isOverdue(attempt, pauseEndedMs)) {
+                attempt.countedAsFailure = true;
+                failureRateObserved(attempt.request.classIndex, true);
+            }
+        }
+    }
+
+    /**
+     * Whether a start, progress or a response is overdue by as long again as it should have taken. That notices
+     * hangs, cut links, stopped processes and a harsh slowing.
+     */
+    private boolean isOverdue(InFlightAttempt attempt, double pauseEndedMs) {
+        double graceMs = attempt.expectedEndMs - attempt.sentAtMs;
+        double progressMs = context.settings.progressIntervalMs();
+        double signDueMs = attempt.expectedEndMs + graceMs;
+        if (context.settings.workersReportStart() && !attempt.hasStarted()) {
+            signDueMs = attempt.expectedEndMs + Math.max(progressMs, graceMs);
+        } else if (context.settings.workersReportStart() && progressMs > 0) {
+            signDueMs = Math.min(signDueMs, attempt.progressedAtMs + progressMs);
+        }
+        double meanRunMs = arrivals.meanWorkMs() / speed();
+        return context.nowMs - context.objectiveMs - meanRunMs > Math.max(signDueMs, pauseEndedMs);
+    }
+
+    /** Share of the limit that is handed out. */
+    private static final double SAFETY_SHARE = 0.5;
+
+    private double slowStartAtMs = Double.NEGATIVE_INFINITY;
+    private double availableMs;
+    private double refilledAtMs;
+    private double lastNotFullMs;
+
+    /** Whether the worker is still in slow start. */
+    boolean inSlowStart() {
+        return context.nowMs - slowStartAtMs < context.rules.slowStartMs();
+    }
+
+    /** Share of its full capacity that the worker has now, up to 1. */
+    double capacityShare() {
+        if (!inSlowStart()) {
+            return 1;
+        }
+        double initial = context.rules.slowStartCapacityShare();
+        return initial + (1 - initial) * Math.max(0, context.nowMs - slowStartAtMs) / context.rules.slowStartMs();
+    }
+
+    /** The worker has started at this time, or may have. */
+    void restartSlowStart(double sinceMs) {
+        slowStartAtMs = Math.max(slowStartAtMs, sinceMs);
+        availableMs = Math.max(context.random.nextDouble() * arrivals.meanWorkMs(), perWindowMs() / 2);
+        refilledAtMs = context.nowMs;
+        lastNotFullMs = context.nowMs;
+    }
+
+    /** Brings the bucket up to date. */
+    void refillSlowStart() {
+        if (!inSlowStart()) {
+            return;
+        }
+        double addedMs = perWindowMs() * (context.nowMs - refilledAtMs) / context.rules.overloadWindowMs();
+        availableMs = Math.min(availableMs + addedMs, maxMs());
+        lastNotFullMs = availableMs < maxMs() ? context.nowMs : lastNotFullMs;
+        availableMs = context.nowMs - lastNotFullMs > context.rules.overloadWindowMs() ? 0 : availableMs;
+        refilledAtMs = context.nowMs;
+    }
+
+    /** Whether a request of this work may be sent now. Every attempt counts as a mean request at least. */
+    boolean slowStartAllows(double workMs) {
+        double countedMs = Math.max(workMs, arrivals.meanWorkMs());
+        return !inSlowStart()
+                || availableMs >= Math.min(countedMs, maxMs())
+                        && countedMs <= perWindowMs() * context.settings.dispatcherCount() / 2;
+    }
+
+    /** A request of this work was sent; a rejected one counts as well. */
+    void spendSlowStart(double workMs) {
+        availableMs -= Math.max(workMs, arrivals.meanWorkMs());
+    }
+
+    /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
+    private double perWindowMs() {
+        double speed = Math.min(kind.speed, speed());
+        double capacity = speed * slots() * capacityShare();
+        return SAFETY_SHARE
+                * context.rules.overloadFactor()
+                * capacity
+                * context.rules.overloadWindowMs()
+                / context.settings.dispatcherCount();
+    }
+
+    private double maxMs() {
+        return Math.max(perWindowMs() / 2, arrivals.meanWorkMs());
+    }
+
+    private static final double MIN_SPEED = 0.02;
+    private static final double MAX_SPEED = 50;
+
+    /** The kind's speed counts as this many mean requests. */
+    private static final double PRIOR_REQUESTS = 2;
+
+    /** A run counts as at most so many times off: a pause, a hang or a wild hint is not a speed. */
+    private static final double MAX_DEVIATION = 4;
+
+    /** The worker's memory, in mean requests; its time constant is that of the estimators times two. */
+    private static final double REMEMBERED_REQUESTS = 4;
+
+    /** Weight of a run in the kind's speed: a memory of about fifty. */
+    private static final double KIND_STEP = 0.02;
+
+    private double doneWorkMs;
+    private double runTimeMs;
+    private double learnedAtMs;
+    private double reportedServiceMs = Double.NaN;
+    private double speed = 1;
+
+    /** Work done a ms in one slot, as of the last refreshSpeed. */
+    double speed() {
+        return speed;
+    }
+
+    /** Brings the estimate up to date: what was learnt fades in favour of the kind's speed. */
+    void refreshSpeed() {
+        double priorMs = PRIOR_REQUESTS * arrivals.meanWorkMs();
+        double keep = memoryKept();
+        speed = PolicyMath.clamp(
+                (doneWorkMs * keep + priorMs) / (runTimeMs * keep + priorMs / kind.speed), MIN_SPEED, MAX_SPEED);
+    }
+
+    /** So much work took so long in one slot. */
+    void learn(double workMs, double tookMs) {
+        if (!(workMs > 0 && tookMs > 0)) {
+            return;
+        }
+        // Of the time of a worker in slow start only its present capacity counts, as its warmth is applied elsewhere.
+        double timeMs = PolicyMath.clamp(
+                tookMs * capacityShare(), workMs / (MAX_DEVIATION * speed), MAX_DEVIATION * workMs / speed);
+        double keep = memoryKept() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
+        learnedAtMs = context.nowMs;
+        doneWorkMs = doneWorkMs * keep + workMs;
+        runTimeMs = runTimeMs * keep + timeMs;
+        double pooled = inSlowStart() ? 0 : 1; // slow starts tell nothing of the kind
+        kind.doneWorkMs = kind.doneWorkMs * (1 - KIND_STEP * pooled) + pooled * workMs;
+        kind.runTimeMs = kind.runTimeMs * (1 - KIND_STEP * pooled) + pooled * timeMs;
+        kind.speed = (kind.doneWorkMs + arrivals.meanWorkMs()) / (kind.runTimeMs + arrivals.meanWorkMs());
+    }
+
+    /** A report told the mean service time of all dispatchers' requests, ms; used where no starts are reported. */
+    void observeServiceTime(double serviceMs) {
+        if (!context.settings.workersReportStart()
+                && serviceMs > 0
+                && serviceMs < context.memoryMs
+                && serviceMs != reportedServiceMs) {
+            reportedServiceMs = serviceMs;
+            learn(arrivals.meanWorkMs() / 2, reportedServiceMs / 2); // a mean over many requests counts as half a one
+        }
+    }
+
+    /** Whether reports tell service times, so that this dispatcher's response times need not. */
+    boolean hasReportedServiceTime() {
+        return !Double.isNaN(reportedServiceMs);
+    }
+
+    private double memoryKept() {
+        return PolicyMath.decay((context.nowMs - learnedAtMs) / (2 * context.memoryMs));
+    }
+
+    /** Where neither the worker nor its kind has told. */
+    private static final double DEFAULT_SLOTS = 2;
+
+    private static final double SLOT_STEP = 0.1;
+    private static final double KIND_SLOT_STEP = 0.05;
+
+    private double slotEstimate; // 0: unknown
+
+    /** The slots, a whole number of at least one: the worker's own slotEstimate, else its kind's. */
+    double slots() {
+        double best = slotEstimate;
+        if (!(best > 0)) {
+            best = kind.slots > 0 ? kind.slots : DEFAULT_SLOTS;
+        }
+        return Math.max(1, Math.rint(best));
+    }
+
+    /** A report told this number. */
+    void observeSlots(double slots) {
+        slotEstimate = slotEstimate > 0 ? slotEstimate + SLOT_STEP * (slots - slotEstimate) : Math.max(1, slots);
+        kind.slots = kind.slots > 0 ? kind.slots + KIND_SLOT_STEP * (slots - kind.slots) : Math.max(1, slots);
+    }
+
+    /** So many slots of this dispatcher's requests are seen running at once: there are at least as many. */
+    void observeRunningSlots(double slots) {
+        if (slots > slots()) {
+            slotEstimate = slots;
+        }
+    }
+}
