--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -622,7 +622,7 @@
         if (requiredKind >= 0 && requiredKind != worker.kindNumber) {
             return Eligibility.WRONG_WORKER_KIND;
         }
-        if (Math.max(request.slots, request.memoryUnits) > Math.max(1, worker.slots())) {
+        if (Math.max(request.slots, request.memoryUnits) > Math.max(1, worker.slotEstimator.slots())) {
             return Eligibility.REQUEST_TOO_LARGE;
         }
         if (!request.accepted.mayGoTo(worker.id)) {
--- /dev/null
+++ b/src/main/java/maplespread/policy/SlotEstimator.java
@@ -0,0 +1,40 @@
+package maplespread.policy;
+
+/** How many requests a worker runs at a time, learnt from its reports and from what was seen running at once. */
+final class SlotEstimator {
+    /** Where neither the worker nor its kind has told. */
+    private static final double DEFAULT_SLOTS = 2;
+
+    private static final double STEP = 0.1;
+    private static final double KIND_STEP = 0.05;
+
+    private final Worker worker;
+    private double estimate; // 0: unknown
+
+    SlotEstimator(Worker worker) {
+        this.worker = worker;
+    }
+
+    /** The slots, a whole number of at least one: the worker's own estimate, else its kind's. */
+    double slots() {
+        double best = estimate;
+        if (!(best > 0)) {
+            best = worker.kind.slots > 0 ? worker.kind.slots : DEFAULT_SLOTS;
+        }
+        return Math.max(1, Math.rint(best));
+    }
+
+    /** A report told this number. */
+    void observe(double slots) {
+        WorkerKind kind = worker.kind;
+        estimate = estimate > 0 ? estimate + STEP * (slots - estimate) : Math.max(1, slots);
+        kind.slots = kind.slots > 0 ? kind.slots + KIND_STEP * (slots - kind.slots) : Math.max(1, slots);
+    }
+
+    /** So many slots of this dispatcher's requests are seen running at once: there are at least as many. */
+    void observeRunning(double slots) {
+        if (slots > slots()) {
+            estimate = slots;
+        }
+    }
+}
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -16,6 +16,7 @@
 
     final String id;
     final long idHash;
+    final SlotEstimator slotEstimator;
     final CachedKeys cachedKeys = new CachedKeys();
     final ShadowQueue shadowQueue = new ShadowQueue();
 
@@ -51,6 +52,7 @@
         this.arrivals = arrivals;
         this.failures = failures;
         idHash = StableHash.hash(id);
+        slotEstimator = new SlotEstimator(this);
     }
 
     /** Takes up what the list says, but for the lifecycle. */
@@ -70,7 +72,7 @@
     /** Brings the estimates up to date: when the worker is looked at, and at its events. */
     void refresh() {
         refreshSpeed();
-        capacity = speed() * slots() * capacityShare();
+        capacity = speed() * slotEstimator.slots() * capacityShare();
         refreshBacklog();
         refillSlowStart();
     }
@@ -112,10 +114,10 @@
         double remoteRequests = remoteRequestsBy(report);
         if (report.activeRequests() >= 0) {
             if (report.freeSlots() > MIN_FREE_SLOT) {
-                observeSlots(report.activeRequests() + report.freeSlots());
+                slotEstimator.observe(report.activeRequests() + report.freeSlots());
             }
         } else if (report.freeSlots() >= 0 && inFlight().isEmpty()) {
-            observeSlots(Math.max(report.freeSlots(), slots()));
+            slotEstimator.observe(Math.max(report.freeSlots(), slotEstimator.slots()));
         }
         observeRemoteRequests(report, remoteRequests);
     }
@@ -123,7 +125,7 @@
     /** An attempt is sent to it. */
     void attemptSent(InFlightAttempt attempt) {
         addToBacklog(attempt);
-        cachedKeys.add(attempt.request.keyHash, slots());
+        cachedKeys.add(attempt.request.keyHash, slotEstimator.slots());
         spendSlowStart(attempt.workMs);
         refresh();
     }
@@ -133,7 +135,7 @@
         if (!attempt.hasStarted()) {
             attempt.startedAtMs = context.nowMs;
             cancelOvertakenBy(attempt);
-            observeRunningSlots(runningSlots());
+            slotEstimator.observeRunning(runningSlots());
             learnFromStart(attempt);
         } else if (doneShare > attempt.doneShare) {
             double workMs = attempt.workMs * (doneShare - attempt.doneShare);
@@ -244,7 +246,7 @@
 
     /** Whether a request would start at once, as far as own sends and reports tell. */
     boolean hasFreeSlot(PendingRequest request) {
-        return slotsInUse + remoteWorkMs / arrivals.meanWorkMs() + request.slots - HALF_SLOT < slots();
+        return slotsInUse + remoteWorkMs / arrivals.meanWorkMs() + request.slots - HALF_SLOT < slotEstimator.slots();
     }
 
     /** Whether the worker has memory for a request now, by own sends and its last report. */
@@ -254,7 +256,7 @@
                                 + localMemory
                                 + remoteMemory
                                         * PolicyMath.decay((context.nowMs - reportedAtMs) / arrivals.meanWorkMs())
-                        <= slots();
+                        <= slotEstimator.slots();
     }
 
     void addToBacklog(InFlightAttempt attempt) {
@@ -326,7 +328,7 @@
 
     /** A report told the free memory units; NaN: it did not. */
     void observeFreeMemory(double freeUnits) {
-        remoteMemory = freeUnits >= 0 ? Math.max(0, slots() - freeUnits - localMemory) : 0;
+        remoteMemory = freeUnits >= 0 ? Math.max(0, slotEstimator.slots() - freeUnits - localMemory) : 0;
     }
 
     /** The others' requests at the worker by a report, negative where it is older than own sends; NaN: it tells none. */
@@ -334,7 +336,7 @@
         if (report.activeRequests() >= 0) {
             return report.activeRequests() - inFlight.size();
         }
-        double slots = slots();
+        double slots = slotEstimator.slots();
         return slots - report.freeSlots() - Math.min(slotsInUse, slots);
     }
 
@@ -612,7 +614,7 @@
     /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
     private double perWindowMs() {
         double speed = Math.min(kind.speed, speed());
-        double capacity = speed * slots() * capacityShare();
+        double capacity = speed * slotEstimator.slots() * capacityShare();
         return SAFETY_SHARE
                 * context.rules.overloadFactor()
                 * capacity
@@ -695,34 +697,4 @@
     private double memoryKept() {
         return PolicyMath.decay((context.nowMs - learnedAtMs) / (2 * context.memoryMs));
     }
-
-    /** Where neither the worker nor its kind has told. */
-    private static final double DEFAULT_SLOTS = 2;
-
-    private static final double SLOT_STEP = 0.1;
-    private static final double KIND_SLOT_STEP = 0.05;
-
-    private double slotEstimate; // 0: unknown
-
-    /** The slots, a whole number of at least one: the worker's own slotEstimate, else its kind's. */
-    double slots() {
-        double best = slotEstimate;
-        if (!(best > 0)) {
-            best = kind.slots > 0 ? kind.slots : DEFAULT_SLOTS;
-        }
-        return Math.max(1, Math.rint(best));
-    }
-
-    /** A report told this number. */
-    void observeSlots(double slots) {
-        slotEstimate = slotEstimate > 0 ? slotEstimate + SLOT_STEP * (slots - slotEstimate) : Math.max(1, slots);
-        kind.slots = kind.slots > 0 ? kind.slots + KIND_SLOT_STEP * (slots - kind.slots) : Math.max(1, slots);
-    }
-
-    /** So many slots of this dispatcher's requests are seen running at once: there are at least as many. */
-    void observeRunningSlots(double slots) {
-        if (slots > slots()) {
-            slotEstimate = slots;
-        }
-    }
 }
