--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -548,12 +548,13 @@
         double waitMs = worker.waitMs();
         double late = lateness(request, worker, expectedWaitMs(request, worker));
         // A response past the objective but before the deadline keeps a share of its weight.
-        double endMs = context.nowMs + waitMs + request.workMs / worker.speed();
+        double endMs = context.nowMs + waitMs + request.workMs / worker.speedEstimator.speed();
         late *= endMs < request.deadlineMs ? 1 - request.requestClass.lateWeightShare() : 1;
         // The increase counts mean requests; it is set against rejecting this one, at one.
         double waitObjectiveMs = arrivals.waitObjectiveMs(request);
-        double reservedMs =
-                (request.workMs + fetchCostMs(request, worker) * worker.speed()) * request.slots / worker.capacity;
+        double reservedMs = (request.workMs + fetchCostMs(request, worker) * worker.speedEstimator.speed())
+                * request.slots
+                / worker.capacity;
         double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
         return cost < REJECTION_COST || mayTryAnyway()
                 ? cost + preference(request, worker, waitObjectiveMs) + worker.failureRate(request.classIndex)
@@ -570,7 +571,7 @@
         double objectiveMs = requestClass.latencyObjectiveMs() + requestClass.stretchFactor() * request.workMs;
         double leftMs =
                 Math.min(objectiveMs - (context.nowMs - request.acceptedAtMs), request.deadlineMs - context.nowMs);
-        double takesMs = waitMs + request.workMs / worker.speed() + fetchCostMs(request, worker);
+        double takesMs = waitMs + request.workMs / worker.speedEstimator.speed() + fetchCostMs(request, worker);
         return PolicyMath.clamp(0.5 + LATENESS_SLOPE * (takesMs - leftMs) / takesMs, 0, 1);
     }
 
--- a/src/main/java/maplespread/policy/InFlightAttempt.java
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -52,7 +52,7 @@
         this.request = request;
         this.worker = worker;
         this.fetchMs = fetchMs;
-        double speed = worker.speed();
+        double speed = worker.speedEstimator.speed();
         workMs = request.workMs;
         reservedWorkMs = (workMs + fetchMs * speed) * request.slots;
         sentAtMs = nowMs;
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -16,6 +16,7 @@
 
     final String id;
     final long idHash;
+    final SpeedEstimator speedEstimator;
     final SlotEstimator slotEstimator;
     final CachedKeys cachedKeys = new CachedKeys();
     final ShadowQueue shadowQueue = new ShadowQueue();
@@ -52,6 +53,7 @@
         this.arrivals = arrivals;
         this.failures = failures;
         idHash = StableHash.hash(id);
+        speedEstimator = new SpeedEstimator(context, arrivals, this);
         slotEstimator = new SlotEstimator(this);
     }
 
@@ -71,8 +73,8 @@
 
     /** Brings the estimates up to date: when the worker is looked at, and at its events. */
     void refresh() {
-        refreshSpeed();
-        capacity = speed() * slotEstimator.slots() * capacityShare();
+        speedEstimator.refresh();
+        capacity = speedEstimator.speed() * slotEstimator.slots() * capacityShare();
         refreshBacklog();
         refillSlowStart();
     }
@@ -110,7 +112,7 @@
         }
         reportedAtMs = context.nowMs;
         observeFreeMemory(report.freeMemoryUnits());
-        observeServiceTime(report.meanServiceMs());
+        speedEstimator.observeServiceTime(report.meanServiceMs());
         double remoteRequests = remoteRequestsBy(report);
         if (report.activeRequests() >= 0) {
             if (report.freeSlots() > MIN_FREE_SLOT) {
@@ -139,7 +141,7 @@
             learnFromStart(attempt);
         } else if (doneShare > attempt.doneShare) {
             double workMs = attempt.workMs * (doneShare - attempt.doneShare);
-            learn(workMs, attempt.runTimeMs(context.nowMs));
+            speedEstimator.learn(workMs, attempt.runTimeMs(context.nowMs));
         }
         attempt.progressedAtMs = context.nowMs;
         progressedInBacklog(attempt, doneShare);
@@ -176,9 +178,9 @@
         }
         if (started) {
             double workMs = attempt.workMs * (1 - attempt.doneShare);
-            learn(workMs, attempt.runTimeMs(context.nowMs));
-        } else if (attempt.hadFreeSlot && !hasReportedServiceTime()) {
-            learn(attempt.workMs, lagMs);
+            speedEstimator.learn(workMs, attempt.runTimeMs(context.nowMs));
+        } else if (attempt.hadFreeSlot && !speedEstimator.hasReportedServiceTime()) {
+            speedEstimator.learn(attempt.workMs, lagMs);
         }
         aliveSeen();
         connectionUsed(attempt.openedConnection);
@@ -392,7 +394,7 @@
 
     /** Time since then at the worker's speed, in time constants of two mean requests. */
     private double ageInRequests(double sinceMs) {
-        return (context.nowMs - sinceMs) * speed() / (REMOTE_MEMORY_REQUESTS * arrivals.meanWorkMs());
+        return (context.nowMs - sinceMs) * speedEstimator.speed() / (REMOTE_MEMORY_REQUESTS * arrivals.meanWorkMs());
     }
 
     private double openUntilMs;
@@ -552,7 +554,7 @@
         } else if (context.settings.workersReportStart() && progressMs > 0) {
             signDueMs = Math.min(signDueMs, attempt.progressedAtMs + progressMs);
         }
-        double meanRunMs = arrivals.meanWorkMs() / speed();
+        double meanRunMs = arrivals.meanWorkMs() / speedEstimator.speed();
         return context.nowMs - context.objectiveMs - meanRunMs > Math.max(signDueMs, pauseEndedMs);
     }
 
@@ -613,7 +615,7 @@
 
     /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
     private double perWindowMs() {
-        double speed = Math.min(kind.speed, speed());
+        double speed = Math.min(kind.speed, speedEstimator.speed());
         double capacity = speed * slotEstimator.slots() * capacityShare();
         return SAFETY_SHARE
                 * context.rules.overloadFactor()
@@ -625,76 +627,4 @@
     private double maxMs() {
         return Math.max(perWindowMs() / 2, arrivals.meanWorkMs());
     }
-
-    private static final double MIN_SPEED = 0.02;
-    private static final double MAX_SPEED = 50;
-
-    /** The kind's speed counts as this many mean requests. */
-    private static final double PRIOR_REQUESTS = 2;
-
-    /** A run counts as at most so many times off: a pause, a hang or a wild hint is not a speed. */
-    private static final double MAX_DEVIATION = 4;
-
-    /** The worker's memory, in mean requests; its time constant is that of the estimators times two. */
-    private static final double REMEMBERED_REQUESTS = 4;
-
-    /** Weight of a run in the kind's speed: a memory of about fifty. */
-    private static final double KIND_STEP = 0.02;
-
-    private double doneWorkMs;
-    private double runTimeMs;
-    private double learnedAtMs;
-    private double reportedServiceMs = Double.NaN;
-    private double speed = 1;
-
-    /** Work done a ms in one slot, as of the last refreshSpeed. */
-    double speed() {
-        return speed;
-    }
-
-    /** Brings the estimate up to date: what was learnt fades in favour of the kind's speed. */
-    void refreshSpeed() {
-        double priorMs = PRIOR_REQUESTS * arrivals.meanWorkMs();
-        double keep = memoryKept();
-        speed = PolicyMath.clamp(
-                (doneWorkMs * keep + priorMs) / (runTimeMs * keep + priorMs / kind.speed), MIN_SPEED, MAX_SPEED);
-    }
-
-    /** So much work took so long in one slot. */
-    void learn(double workMs, double tookMs) {
-        if (!(workMs > 0 && tookMs > 0)) {
-            return;
-        }
-        // Of the time of a worker in slow start only its present capacity counts, as its warmth is applied elsewhere.
-        double timeMs = PolicyMath.clamp(
-                tookMs * capacityShare(), workMs / (MAX_DEVIATION * speed), MAX_DEVIATION * workMs / speed);
-        double keep = memoryKept() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
-        learnedAtMs = context.nowMs;
-        doneWorkMs = doneWorkMs * keep + workMs;
-        runTimeMs = runTimeMs * keep + timeMs;
-        double pooled = inSlowStart() ? 0 : 1; // slow starts tell nothing of the kind
-        kind.doneWorkMs = kind.doneWorkMs * (1 - KIND_STEP * pooled) + pooled * workMs;
-        kind.runTimeMs = kind.runTimeMs * (1 - KIND_STEP * pooled) + pooled * timeMs;
-        kind.speed = (kind.doneWorkMs + arrivals.meanWorkMs()) / (kind.runTimeMs + arrivals.meanWorkMs());
-    }
-
-    /** A report told the mean service time of all dispatchers' requests, ms; used where no starts are reported. */
-    void observeServiceTime(double serviceMs) {
-        if (!context.settings.workersReportStart()
-                && serviceMs > 0
-                && serviceMs < context.memoryMs
-                && serviceMs != reportedServiceMs) {
-            reportedServiceMs = serviceMs;
-            learn(arrivals.meanWorkMs() / 2, reportedServiceMs / 2); // a mean over many requests counts as half a one
-        }
-    }
-
-    /** Whether reports tell service times, so that this dispatcher's response times need not. */
-    boolean hasReportedServiceTime() {
-        return !Double.isNaN(reportedServiceMs);
-    }
-
-    private double memoryKept() {
-        return PolicyMath.decay((context.nowMs - learnedAtMs) / (2 * context.memoryMs));
-    }
 }
