--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -633,7 +633,7 @@
         if (retry != Eligibility.ELIGIBLE) {
             return retry;
         }
-        if (!worker.slowStartAllows(request.workMs)) {
+        if (!worker.slowStart.allows(request.workMs)) {
             return Eligibility.SLOW_START_BUDGET_USED;
         }
         return Eligibility.ELIGIBLE;
--- a/src/main/java/maplespread/policy/SpeedEstimator.java
+++ b/src/main/java/maplespread/policy/SpeedEstimator.java
@@ -56,13 +56,15 @@
         }
         // Of the time of a worker in slow start only its present capacity counts, as its warmth is applied elsewhere.
         double timeMs = PolicyMath.clamp(
-                tookMs * worker.capacityShare(), workMs / (MAX_DEVIATION * speed), MAX_DEVIATION * workMs / speed);
+                tookMs * worker.slowStart.capacityShare(),
+                workMs / (MAX_DEVIATION * speed),
+                MAX_DEVIATION * workMs / speed);
         double keep = memoryKept() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
         learnedAtMs = context.nowMs;
         doneWorkMs = doneWorkMs * keep + workMs;
         runTimeMs = runTimeMs * keep + timeMs;
         WorkerKind kind = worker.kind;
-        double pooled = worker.inSlowStart() ? 0 : 1; // slow starts tell nothing of the kind
+        double pooled = worker.slowStart.isActive() ? 0 : 1; // slow starts tell nothing of the kind
         kind.doneWorkMs = kind.doneWorkMs * (1 - KIND_STEP * pooled) + pooled * workMs;
         kind.runTimeMs = kind.runTimeMs * (1 - KIND_STEP * pooled) + pooled * timeMs;
         kind.speed = (kind.doneWorkMs + arrivals.meanWorkMs()) / (kind.runTimeMs + arrivals.meanWorkMs());
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -18,6 +18,7 @@
     final long idHash;
     final SpeedEstimator speedEstimator;
     final SlotEstimator slotEstimator;
+    final SlowStartBudget slowStart;
     final CachedKeys cachedKeys = new CachedKeys();
     final ShadowQueue shadowQueue = new ShadowQueue();
 
@@ -55,6 +56,7 @@
         idHash = StableHash.hash(id);
         speedEstimator = new SpeedEstimator(context, arrivals, this);
         slotEstimator = new SlotEstimator(this);
+        slowStart = new SlowStartBudget(context, arrivals, this);
     }
 
     /** Takes up what the list says, but for the lifecycle. */
@@ -65,7 +67,7 @@
         zone = entry.zone();
         if (entry.startedAtMs() > 0 && entry.startedAtMs() != startedAtMs) {
             startedAtMs = entry.startedAtMs();
-            restartSlowStart(Math.min(context.nowMs, startedAtMs));
+            slowStart.restart(Math.min(context.nowMs, startedAtMs));
             restarted(startedAtMs);
         }
         refresh();
@@ -74,9 +76,9 @@
     /** Brings the estimates up to date: when the worker is looked at, and at its events. */
     void refresh() {
         speedEstimator.refresh();
-        capacity = speedEstimator.speed() * slotEstimator.slots() * capacityShare();
+        capacity = speedEstimator.speed() * slotEstimator.slots() * slowStart.capacityShare();
         refreshBacklog();
-        refillSlowStart();
+        slowStart.refill();
     }
 
     /** What of its capacity may be used. */
@@ -128,7 +130,7 @@
     void attemptSent(InFlightAttempt attempt) {
         addToBacklog(attempt);
         cachedKeys.add(attempt.request.keyHash, slotEstimator.slots());
-        spendSlowStart(attempt.workMs);
+        slowStart.spend(attempt.workMs);
         refresh();
     }
 
@@ -484,7 +486,7 @@
             aliveSeen();
             retryNotBeforeMs = context.nowMs;
             if (context.nowMs - connectionLostAtMs > context.objectiveMs) {
-                restartSlowStart(context.nowMs);
+                slowStart.restart(context.nowMs);
             }
         }
     }
@@ -516,7 +518,7 @@
         boolean slow = lagMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
         if (!slow || failures.slowConnectShare() < NETWORK_FAULT_SHARE) {
             if (ejected || !context.permissions.probing()) {
-                restartSlowStart(context.nowMs);
+                slowStart.restart(context.nowMs);
             } else {
                 connectionLostAtMs = context.nowMs;
                 ejected = true;
@@ -557,74 +559,4 @@
         double meanRunMs = arrivals.meanWorkMs() / speedEstimator.speed();
         return context.nowMs - context.objectiveMs - meanRunMs > Math.max(signDueMs, pauseEndedMs);
     }
-
-    /** Share of the limit that is handed out. */
-    private static final double SAFETY_SHARE = 0.5;
-
-    private double slowStartAtMs = Double.NEGATIVE_INFINITY;
-    private double availableMs;
-    private double refilledAtMs;
-    private double lastNotFullMs;
-
-    /** Whether the worker is still in slow start. */
-    boolean inSlowStart() {
-        return context.nowMs - slowStartAtMs < context.rules.slowStartMs();
-    }
-
-    /** Share of its full capacity that the worker has now, up to 1. */
-    double capacityShare() {
-        if (!inSlowStart()) {
-            return 1;
-        }
-        double initial = context.rules.slowStartCapacityShare();
-        return initial + (1 - initial) * Math.max(0, context.nowMs - slowStartAtMs) / context.rules.slowStartMs();
-    }
-
-    /** The worker has started at this time, or may have. */
-    void restartSlowStart(double sinceMs) {
-        slowStartAtMs = Math.max(slowStartAtMs, sinceMs);
-        availableMs = Math.max(context.random.nextDouble() * arrivals.meanWorkMs(), perWindowMs() / 2);
-        refilledAtMs = context.nowMs;
-        lastNotFullMs = context.nowMs;
-    }
-
-    /** Brings the bucket up to date. */
-    void refillSlowStart() {
-        if (!inSlowStart()) {
-            return;
-        }
-        double addedMs = perWindowMs() * (context.nowMs - refilledAtMs) / context.rules.overloadWindowMs();
-        availableMs = Math.min(availableMs + addedMs, maxMs());
-        lastNotFullMs = availableMs < maxMs() ? context.nowMs : lastNotFullMs;
-        availableMs = context.nowMs - lastNotFullMs > context.rules.overloadWindowMs() ? 0 : availableMs;
-        refilledAtMs = context.nowMs;
-    }
-
-    /** Whether a request of this work may be sent now. Every attempt counts as a mean request at least. */
-    boolean slowStartAllows(double workMs) {
-        double countedMs = Math.max(workMs, arrivals.meanWorkMs());
-        return !inSlowStart()
-                || availableMs >= Math.min(countedMs, maxMs())
-                        && countedMs <= perWindowMs() * context.settings.dispatcherCount() / 2;
-    }
-
-    /** A request of this work was sent; a rejected one counts as well. */
-    void spendSlowStart(double workMs) {
-        availableMs -= Math.max(workMs, arrivals.meanWorkMs());
-    }
-
-    /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
-    private double perWindowMs() {
-        double speed = Math.min(kind.speed, speedEstimator.speed());
-        double capacity = speed * slotEstimator.slots() * capacityShare();
-        return SAFETY_SHARE
-                * context.rules.overloadFactor()
-                * capacity
-                * context.rules.overloadWindowMs()
-                / context.settings.dispatcherCount();
-    }
-
-    private double maxMs() {
-        return Math.max(perWindowMs() / 2, arrivals.meanWorkMs());
-    }
 }
