--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -158,7 +158,7 @@
         advanceTo(nowUs);
         InFlightAttempt attempt = findAttempt(id, number);
         if (attempt != null) {
-            attempt.worker.aliveSeen();
+            attempt.worker.outliers.aliveSeen();
         }
         return attempt;
     }
@@ -251,7 +251,7 @@
         freshness.usable(context.nowMs); // its change of state is told in time
         pollIfDue();
         for (Worker worker : directory.busy()) {
-            worker.countOverdue(pauseEndedMs());
+            worker.outliers.countOverdue(pauseEndedMs());
         }
         placeParked();
         expectTick(context.tickPeriodMs);
@@ -269,7 +269,7 @@
     public int avoidedWorkers() {
         int avoided = 0;
         for (Worker worker : workers.all()) {
-            if (worker.lifecycle != EndpointLifecycle.ACTIVE || !worker.isReady()) {
+            if (worker.lifecycle != EndpointLifecycle.ACTIVE || !worker.outliers.isReady()) {
                 avoided++;
             }
         }
@@ -394,7 +394,7 @@
         }
         Worker stalest = null;
         for (Worker worker : workers.all()) {
-            if (!worker.isEjected()
+            if (!worker.outliers.isEjected()
                     && context.nowMs - worker.reportedAtMs > context.objectiveMs
                     && (stalest == null || worker.reportedAtMs < stalest.reportedAtMs)) {
                 stalest = worker;
@@ -451,7 +451,7 @@
             return false;
         }
         for (Worker silent : request.awaitingReply) {
-            silent.backOff();
+            silent.outliers.backOff();
         }
         request.awaitingReply.clear();
         if (areOf(request)) {
@@ -542,7 +542,7 @@
      * @return {@link #INELIGIBLE}, {@link #DEARER_THAN_REJECTION} or the cost
      */
     private double cost(PendingRequest request, Worker worker, boolean anyState) {
-        if (!anyState && !worker.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
+        if (!anyState && !worker.outliers.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
             return INELIGIBLE;
         }
         double waitMs = worker.waitMs();
@@ -557,7 +557,7 @@
                 / worker.capacity;
         double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
         return cost < REJECTION_COST || mayTryAnyway()
-                ? cost + preference(request, worker, waitObjectiveMs) + worker.failureRate(request.classIndex)
+                ? cost + preference(request, worker, waitObjectiveMs) + worker.outliers.failureRate(request.classIndex)
                 : DEARER_THAN_REJECTION;
     }
 
@@ -731,7 +731,7 @@
         long secondaryRank = 0;
         for (Worker worker : workers.all()) {
             if (worker.lifecycle != EndpointLifecycle.ACTIVE
-                    || worker.isEjected()
+                    || worker.outliers.isEjected()
                     || !request.accepted.mayGoTo(worker.id)) {
                 continue;
             }
--- a/src/main/java/maplespread/policy/FleetLoadEstimate.java
+++ b/src/main/java/maplespread/policy/FleetLoadEstimate.java
@@ -66,16 +66,16 @@
             if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
                 continue;
             }
-            if (worker.isReady()) {
+            if (worker.outliers.isReady()) {
                 shortestWaitMs = Math.min(shortestWaitMs, worker.waitMs());
                 waitsMs += worker.waitMs();
                 ready++;
             }
-            if (!worker.isEjected()) {
+            if (!worker.outliers.isEjected()) {
                 localMs += worker.localWorkMs();
                 unobservedMs += worker.remoteWorkMs();
-            } else if (!worker.isBackingOff()) {
-                worker.backOff();
+            } else if (!worker.outliers.isBackingOff()) {
+                worker.outliers.backOff();
                 worker.probe();
             }
         }
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -19,6 +19,7 @@
     final SpeedEstimator speedEstimator;
     final SlotEstimator slotEstimator;
     final SlowStartBudget slowStart;
+    final OutlierDetector outliers;
     final CachedKeys cachedKeys = new CachedKeys();
     final ShadowQueue shadowQueue = new ShadowQueue();
 
@@ -57,6 +58,7 @@
         speedEstimator = new SpeedEstimator(context, arrivals, this);
         slotEstimator = new SlotEstimator(this);
         slowStart = new SlowStartBudget(context, arrivals, this);
+        outliers = new OutlierDetector(context, arrivals, failures, this);
     }
 
     /** Takes up what the list says, but for the lifecycle. */
@@ -68,7 +70,7 @@
         if (entry.startedAtMs() > 0 && entry.startedAtMs() != startedAtMs) {
             startedAtMs = entry.startedAtMs();
             slowStart.restart(Math.min(context.nowMs, startedAtMs));
-            restarted(startedAtMs);
+            outliers.restarted(startedAtMs);
         }
         refresh();
     }
@@ -83,7 +85,7 @@
 
     /** What of its capacity may be used. */
     double usableCapacity() {
-        return lifecycle == EndpointLifecycle.ACTIVE && !isEjected() ? capacity : 0;
+        return lifecycle == EndpointLifecycle.ACTIVE && !outliers.isEjected() ? capacity : 0;
     }
 
     /** Probes the worker, unless a probe is out. */
@@ -98,12 +100,12 @@
     void probeEnded(AttemptOutcome outcome, double lagMs, LoadReport report) {
         probePending = false;
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
-            connectionFailed(lagMs);
+            outliers.connectionFailed(lagMs);
         } else if (outcome == AttemptOutcome.SERVED) {
             reportReceived(report);
             connectionUsed(!hasIdle());
             refresh();
-            probeAnswered();
+            outliers.probeAnswered();
         }
     }
 
@@ -159,14 +161,14 @@
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.STALE_CONNECTION_RESET;
         if (tellsOfWorker && !attempt.countedAsFailure) {
-            failureRateObserved(attempt.request.classIndex, outcome != AttemptOutcome.SERVED);
+            outliers.attemptEnded(attempt.request.classIndex, outcome != AttemptOutcome.SERVED);
         }
         switch (outcome) {
             case SERVED -> attemptServed(attempt, lagMs);
-            case CONNECT_FAILED -> connectionFailed(lagMs);
-            case RESET -> connectionFailed(0);
-            case REJECTED -> backOff();
-            case TIMED_OUT -> timedOut(attempt);
+            case CONNECT_FAILED -> outliers.connectionFailed(lagMs);
+            case RESET -> outliers.connectionFailed(0);
+            case REJECTED -> outliers.backOff();
+            case TIMED_OUT -> outliers.timedOut(attempt);
             default -> {}
         }
         refresh();
@@ -184,7 +186,7 @@
         } else if (attempt.hadFreeSlot && !speedEstimator.hasReportedServiceTime()) {
             speedEstimator.learn(attempt.workMs, lagMs);
         }
-        aliveSeen();
+        outliers.aliveSeen();
         connectionUsed(attempt.openedConnection);
     }
 
@@ -415,148 +417,4 @@
             failures.connectionAttempted(false);
         }
     }
-
-    /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
-    private static final double SLOW_CONNECT_SHARE = 0.5;
-
-    /** When this share of new connections fails slowly, that tells of the network, and ejects nobody. */
-    private static final double NETWORK_FAULT_SHARE = 0.25;
-
-    /** Weight of an attempt in the worker's own rate: a memory of about two. */
-    private static final double OWN_CLASS_STEP = 0.5;
-
-    /** The worker's own rate fades over this many estimator memories. */
-    private static final double CLASS_MEMORIES = 4;
-
-    /** A difference from the other workers' rate that is no more than chance. */
-    private static final double MIN_DIFFERENCE = 0.1;
-
-    private static final int MAX_BACKOFF_DOUBLINGS = 5;
-
-    private final DoublesByIndex failureRateByClass = new DoublesByIndex();
-    private final DoublesByIndex classFailureRateAtMs = new DoublesByIndex();
-    private int consecutiveFailures;
-    private boolean ejected;
-    private double retryNotBeforeMs;
-    private double connectionLostAtMs;
-    private double lastAliveMs;
-
-    boolean isEjected() {
-        return ejected;
-    }
-
-    /** Neither ejected nor backing off. */
-    boolean isReady() {
-        return !ejected && !isBackingOff();
-    }
-
-    boolean isBackingOff() {
-        return context.nowMs < retryNotBeforeMs;
-    }
-
-    /**
-     * How likely a request of the class is to fail at this worker, 0 to 1: all workers' rate, and the worker's own where
-     * it differs by more than chance. It chooses among workers and rejects nothing.
-     */
-    double failureRate(int classIndex) {
-        double ageMs = context.nowMs - classFailureRateAtMs.get(classIndex);
-        double difference = (failureRateByClass.get(classIndex) - failures.failureRate(classIndex))
-                * PolicyMath.decay(ageMs / (CLASS_MEMORIES * context.memoryMs));
-        return failures.failureRate(classIndex) + (Math.abs(difference) > MIN_DIFFERENCE ? difference : 0);
-    }
-
-    /** An attempt of the class ended here, or is overdue. */
-    void failureRateObserved(int classIndex, boolean failed) {
-        double rate = OWN_CLASS_STEP * failureRate(classIndex) + OWN_CLASS_STEP * (failed ? 1 : 0);
-        failureRateByClass.set(classIndex, rate);
-        classFailureRateAtMs.set(classIndex, context.nowMs);
-        failures.attemptEnded(classIndex, failed);
-    }
-
-    /** A sign of life: no ejection, and the backoff starts anew with the next failure. */
-    void aliveSeen() {
-        lastAliveMs = context.nowMs;
-        consecutiveFailures = 0;
-        ejected = false;
-    }
-
-    /** A probe of an ejected worker was answered: it takes requests again, in slow start if it may be a new process. */
-    void probeAnswered() {
-        if (ejected) {
-            aliveSeen();
-            retryNotBeforeMs = context.nowMs;
-            if (context.nowMs - connectionLostAtMs > context.objectiveMs) {
-                slowStart.restart(context.nowMs);
-            }
-        }
-    }
-
-    /** The list says that the worker has started then: what was lost before tells nothing of the new process. */
-    void restarted(double startedAtMs) {
-        ejected &= connectionLostAtMs >= startedAtMs;
-    }
-
-    /** Not to be tried again before a while that doubles from one objective with each failure in a row. */
-    void backOff() {
-        int doublings = Math.min(consecutiveFailures++, MAX_BACKOFF_DOUBLINGS);
-        retryNotBeforeMs = context.nowMs + Math.min(context.memoryMs / 2, context.objectiveMs * (1 << doublings));
-    }
-
-    /** An attempt timed out. The worker may hang, or that connection alone: only without a later sign of life it counts. */
-    void timedOut(InFlightAttempt attempt) {
-        if (lastAliveMs < attempt.sentAtMs) {
-            backOff();
-        }
-    }
-
-    /**
-     * No connection could be had after this time, or one broke (0 ms). One connection that breaks proves no restart:
-     * taken for one, it would cost a healthy worker's capacity; a second one without a sign of life in between does. A
-     * slow failure tells of this worker only where others can be connected to.
-     */
-    void connectionFailed(double lagMs) {
-        boolean slow = lagMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
-        if (!slow || failures.slowConnectShare() < NETWORK_FAULT_SHARE) {
-            if (ejected || !context.permissions.probing()) {
-                slowStart.restart(context.nowMs);
-            } else {
-                connectionLostAtMs = context.nowMs;
-                ejected = true;
-                probe();
-            }
-        }
-        backOff();
-        failures.connectionAttempted(slow);
-    }
-
-    /**
-     * Counts every attempt in flight that is overdue as failed, once.
-     *
-     * @param pauseEndedMs when this process last stood still: what it slept through itself does not count
-     */
-    void countOverdue(double pauseEndedMs) {
-        for (InFlightAttempt attempt : inFlight()) {
-            if (!attempt.countedAsFailure && isOverdue(attempt, pauseEndedMs)) {
-                attempt.countedAsFailure = true;
-                failureRateObserved(attempt.request.classIndex, true);
-            }
-        }
-    }
-
-    /**
-     * Whether a start, progress or a response is overdue by as long again as it should have taken. That notices
-     * hangs, cut links, stopped processes and a harsh slowing.
-     */
-    private boolean isOverdue(InFlightAttempt attempt, double pauseEndedMs) {
-        double graceMs = attempt.expectedEndMs - attempt.sentAtMs;
-        double progressMs = context.settings.progressIntervalMs();
-        double signDueMs = attempt.expectedEndMs + graceMs;
-        if (context.settings.workersReportStart() && !attempt.hasStarted()) {
-            signDueMs = attempt.expectedEndMs + Math.max(progressMs, graceMs);
-        } else if (context.settings.workersReportStart() && progressMs > 0) {
-            signDueMs = Math.min(signDueMs, attempt.progressedAtMs + progressMs);
-        }
-        double meanRunMs = arrivals.meanWorkMs() / speedEstimator.speed();
-        return context.nowMs - context.objectiveMs - meanRunMs > Math.max(signDueMs, pauseEndedMs);
-    }
 }
