--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -591,7 +591,7 @@
     /** What chooses among workers and rejects nothing: another zone, and the time that a new connection may lose. */
     private double preference(PendingRequest request, Worker worker, double waitObjectiveMs) {
         double cost = worker.zone == context.settings.zone() ? 0 : context.settings.crossZoneCost() / request.weight;
-        boolean connectsSafely = !failures.slowConnectsSeen() || worker.hasIdle();
+        boolean connectsSafely = !failures.slowConnectsSeen() || worker.connections.hasIdle();
         return cost
                 + (connectsSafely
                         ? 0
--- a/src/main/java/maplespread/policy/InFlightAttempt.java
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -57,7 +57,7 @@
         reservedWorkMs = (workMs + fetchMs * speed) * request.slots;
         sentAtMs = nowMs;
         hadFreeSlot = worker.hasFreeSlot(request);
-        openedConnection = !worker.hasIdle();
+        openedConnection = !worker.connections.hasIdle();
         expectedWaitMs = hadFreeSlot ? 0 : worker.waitMs();
         expectedEndMs = nowMs + expectedWaitMs + workMs / speed + fetchMs;
     }
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -20,6 +20,7 @@
     final SlotEstimator slotEstimator;
     final SlowStartBudget slowStart;
     final OutlierDetector outliers;
+    final IdleConnections connections;
     final CachedKeys cachedKeys = new CachedKeys();
     final ShadowQueue shadowQueue = new ShadowQueue();
 
@@ -59,6 +60,7 @@
         slotEstimator = new SlotEstimator(this);
         slowStart = new SlowStartBudget(context, arrivals, this);
         outliers = new OutlierDetector(context, arrivals, failures, this);
+        connections = new IdleConnections(context, failures, this);
     }
 
     /** Takes up what the list says, but for the lifecycle. */
@@ -103,7 +105,7 @@
             outliers.connectionFailed(lagMs);
         } else if (outcome == AttemptOutcome.SERVED) {
             reportReceived(report);
-            connectionUsed(!hasIdle());
+            connections.used(!connections.hasIdle());
             refresh();
             outliers.probeAnswered();
         }
@@ -187,7 +189,7 @@
             speedEstimator.learn(attempt.workMs, lagMs);
         }
         outliers.aliveSeen();
-        connectionUsed(attempt.openedConnection);
+        connections.used(attempt.openedConnection);
     }
 
     /** A start, a wait or a report this much of the objective off is no sign of a queue. */
@@ -400,21 +402,4 @@
     private double ageInRequests(double sinceMs) {
         return (context.nowMs - sinceMs) * speedEstimator.speed() / (REMOTE_MEMORY_REQUESTS * arrivals.meanWorkMs());
     }
-
-    private double openUntilMs;
-    private double count;
-
-    boolean hasIdle() {
-        return context.nowMs < openUntilMs && inFlight().size() < count;
-    }
-
-    /** A response came over a connection, which is idle now. {@code opened}: it was a new one. */
-    void connectionUsed(boolean opened) {
-        double known = context.nowMs < openUntilMs ? count : 0;
-        count = Math.max(known, inFlight().size() + 1);
-        openUntilMs = context.nowMs + context.permissions.idleConnectionMs();
-        if (opened) {
-            failures.connectionAttempted(false);
-        }
-    }
 }
