--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -306,7 +306,9 @@
 
     /** Whether a worker that was probed for the request serves it in time without a wait. */
     private boolean isCertain(PendingRequest request, Worker probed) {
-        return probed != null && probed.hasFreeSlot(request) && lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
+        return probed != null
+                && probed.backlog.hasFreeSlot(request)
+                && lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
     }
 
     private void parkOrEnd(PendingRequest request) {
@@ -545,7 +547,7 @@
         if (!anyState && !worker.outliers.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
             return INELIGIBLE;
         }
-        double waitMs = worker.waitMs();
+        double waitMs = worker.backlog.waitMs();
         double late = lateness(request, worker, expectedWaitMs(request, worker));
         // A response past the objective but before the deadline keeps a share of its weight.
         double endMs = context.nowMs + waitMs + request.workMs / worker.speedEstimator.speed();
@@ -577,10 +579,10 @@
 
     /** A request starts at once only where a slot is free and its memory has room too, by own sends and reports. */
     private double expectedWaitMs(PendingRequest request, Worker worker) {
-        if (!worker.hasMemoryFor(request)) {
-            return Math.max(worker.waitMs(), arrivals.meanWorkMs() / worker.capacity);
+        if (!worker.backlog.hasMemoryFor(request)) {
+            return Math.max(worker.backlog.waitMs(), arrivals.meanWorkMs() / worker.capacity);
         }
-        return worker.hasFreeSlot(request) ? 0 : worker.waitMs();
+        return worker.backlog.hasFreeSlot(request) ? 0 : worker.backlog.waitMs();
     }
 
     /** Who sends nothing learns nothing, and would reject all for ever: after half the memory it tries the cheapest. */
--- a/src/main/java/maplespread/policy/FleetLoadEstimate.java
+++ b/src/main/java/maplespread/policy/FleetLoadEstimate.java
@@ -67,13 +67,13 @@
                 continue;
             }
             if (worker.outliers.isReady()) {
-                shortestWaitMs = Math.min(shortestWaitMs, worker.waitMs());
-                waitsMs += worker.waitMs();
+                shortestWaitMs = Math.min(shortestWaitMs, worker.backlog.waitMs());
+                waitsMs += worker.backlog.waitMs();
                 ready++;
             }
             if (!worker.outliers.isEjected()) {
-                localMs += worker.localWorkMs();
-                unobservedMs += worker.remoteWorkMs();
+                localMs += worker.backlog.localWorkMs();
+                unobservedMs += worker.backlog.remoteWorkMs();
             } else if (!worker.outliers.isBackingOff()) {
                 worker.outliers.backOff();
                 worker.probe();
--- a/src/main/java/maplespread/policy/IdleConnections.java
+++ b/src/main/java/maplespread/policy/IdleConnections.java
@@ -18,13 +18,13 @@
     }
 
     boolean hasIdle() {
-        return context.nowMs < openUntilMs && worker.inFlight().size() < count;
+        return context.nowMs < openUntilMs && worker.backlog.inFlight().size() < count;
     }
 
     /** A response came over a connection, which is idle now. {@code opened}: it was a new one. */
     void used(boolean opened) {
         double known = context.nowMs < openUntilMs ? count : 0;
-        count = Math.max(known, worker.inFlight().size() + 1);
+        count = Math.max(known, worker.backlog.inFlight().size() + 1);
         openUntilMs = context.nowMs + context.permissions.idleConnectionMs();
         if (opened) {
             failures.connectionAttempted(false);
--- a/src/main/java/maplespread/policy/InFlightAttempt.java
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -56,9 +56,9 @@
         workMs = request.workMs;
         reservedWorkMs = (workMs + fetchMs * speed) * request.slots;
         sentAtMs = nowMs;
-        hadFreeSlot = worker.hasFreeSlot(request);
+        hadFreeSlot = worker.backlog.hasFreeSlot(request);
         openedConnection = !worker.connections.hasIdle();
-        expectedWaitMs = hadFreeSlot ? 0 : worker.waitMs();
+        expectedWaitMs = hadFreeSlot ? 0 : worker.backlog.waitMs();
         expectedEndMs = nowMs + expectedWaitMs + workMs / speed + fetchMs;
     }
 
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -144,7 +144,7 @@
      * @param pauseEndedMs when this process last stood still: what it slept through itself does not count
      */
     void countOverdue(double pauseEndedMs) {
-        for (InFlightAttempt attempt : worker.inFlight()) {
+        for (InFlightAttempt attempt : worker.backlog.inFlight()) {
             if (!attempt.countedAsFailure && isOverdue(attempt, pauseEndedMs)) {
                 attempt.countedAsFailure = true;
                 attemptEnded(attempt.request.classIndex, true);
--- a/src/main/java/maplespread/policy/WorkerDirectory.java
+++ b/src/main/java/maplespread/policy/WorkerDirectory.java
@@ -67,7 +67,9 @@
     /** Forgets workers that have left, once they are many. */
     void forgetUnlisted() {
         if (byId.size() > 2 * listed.size() + MAX_UNLISTED) {
-            byId.values().removeIf(worker -> worker.at < 0 && worker.inFlight().isEmpty());
+            byId.values()
+                    .removeIf(
+                            worker -> worker.at < 0 && worker.backlog.inFlight().isEmpty());
         }
     }
 
@@ -78,14 +80,14 @@
 
     /** An attempt is about to be sent to the worker. */
     void attemptStarting(Worker worker) {
-        if (worker.inFlight().isEmpty()) {
+        if (worker.backlog.inFlight().isEmpty()) {
             busy.add(worker);
         }
     }
 
     /** An attempt at the worker has ended. */
     void attemptEnded(Worker worker) {
-        if (worker.inFlight().isEmpty()) {
+        if (worker.backlog.inFlight().isEmpty()) {
             busy.remove(worker);
         }
     }
