--- a/src/main/java/maplespread/registry/CallOutcome.java
+++ b/src/main/java/maplespread/registry/CallOutcome.java
@@ -1,10 +1,10 @@
 package maplespread.registry;
 
-/** How a call to the registry ended, as the shell saw it. */
+/** How a call to a registry ended, as its client saw it. Log lines and messages show the constants' names. */
 public enum CallOutcome {
     /** Its answer was whole. */
     DONE,
-    /** The core had it stopped. */
+    /** The watcher had it stopped. */
     STOPPED,
     /** The connection was refused or never came up: it cost the registry nothing. */
     REFUSED,
@@ -12,12 +12,17 @@
     SILENT,
     /** The connection ended inside an answer, or a watch ended. */
     BROKEN,
-    /** An answer that says so: any status but 200 that is no other of these. */
+    /** The status was not 200 and has no constant of its own here. */
     ERROR,
-    /** 401 or 403, or etcd's words for them. */
+    /** Status 401 or 403, or etcd's words for them. */
     DENIED,
-    /** Not this dialect: content type, JSON, a missing member. */
+    /** The answer is not of the dialect: its content type, its JSON, or a missing member. */
     MALFORMED,
-    /** More than can be held at once: a page must be smaller. */
-    TOO_LARGE
+    /** The answer is more than can be held at once: a page must be smaller. */
+    TOO_LARGE;
+
+    /** Whether the connection was lost, or was never there: another registry may answer next time. */
+    boolean isConnectionLoss() {
+        return this == BROKEN || this == SILENT || this == REFUSED;
+    }
 }
--- a/src/main/java/maplespread/registry/EndpointView.java
+++ b/src/main/java/maplespread/registry/EndpointView.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -14,363 +15,397 @@
 import maplespread.facade.EndpointUpdate;
 
 /**
- * What the registry says of the workers, by key and by worker, and what the dispatcher has been told of it. A
- * change costs what it touches, not the fleet. May serve several cores, each with parts of its own; whoever
- * shares it guards it.
+ * The workers by what the registry holds, by key and by worker, and what the dispatcher has been told of them. A
+ * change costs what it touches, not the fleet. Several watchers, each with targets of its own, may share a view;
+ * whoever shares it guards it.
  *
- * <p>Several keys may claim one worker. The claim with the latest start counts; of equals, one that drains;
- * then the first key. So what is shown depends only on what is held, not on the order in which it came.
+ * <p>Several keys may claim one worker. The claim with the latest start counts; of equal ones, one that drains;
+ * then the first key. So the result depends only on what is held, not on the order in which it came.
  *
- * <p>After another history (a restored registry) two things that were told before still count. A drain
- * ({@code drains}): it holds until that worker is written again or has another start, also for one that had
- * gone meanwhile. A worker that the new
- * history does not know ({@code orphans}): its absence is lost data and not somebody's word, so it stays for
- * a time in which it can register anew.
+ * <p>After another history (a registry restored from a backup) drains hold, see {@link DrainMemory}, and workers
+ * that the new history lacks stay for a time in which they can register anew ("orphans"): their absence may be
+ * lost data.
  */
 public final class EndpointView {
+    private static final long NOT_ORPHANED = Long.MAX_VALUE;
+
+    /** What one key says. */
     private static final class Claim {
-        final int part;
+        final int target;
         final String key;
         long revision;
-        int print; // of the value last seen, readable or not
-        long readAt; // when its route was last read, as a count
-        Endpoint route; // null: no value of it could be read yet
-        long orphanUntil = Long.MAX_VALUE;
+        /** Of the value that came last, readable or not. */
+        int valueHash;
+        /** The number of the reading at which the endpoint was decoded last. */
+        long reading;
+        /** Null until a value of it could be decoded. */
+        Endpoint endpoint;
+
+        long orphanUntilMs = NOT_ORPHANED;
 
-        Claim(int part, String key) {
-            this.part = part;
+        Claim(int target, String key) {
+            this.target = target;
             this.key = key;
         }
-    }
 
-    private static final int MOST_DRAINS = 50_000;
+        boolean isOrphan() {
+            return orphanUntilMs < NOT_ORPHANED;
+        }
 
-    /** One start of a worker that was told to be draining. */
-    private record DrainedStart(String worker, double startedAtMs) {}
+        boolean holds(RegistryEntry entry) {
+            return revision == entry.revision() && valueHash == entry.valueHash();
+        }
 
-    /** What a rebuild has changed, in workers. */
-    public record ChangeCounts(int added, int removed, int drained, int restarted, int changed) {
-        boolean none() {
-            return added + removed + drained + restarted + changed == 0;
+        /** Whether this claim counts rather than the other one. */
+        boolean precedes(Claim other) {
+            int byStart = Double.compare(endpoint.startedAtMs(), other.endpoint.startedAtMs());
+            if (byStart != 0) {
+                return byStart > 0;
+            }
+            boolean drains = endpoint.state() != Endpoint.State.SERVING;
+            if (drains != (other.endpoint.state() != Endpoint.State.SERVING)) {
+                return drains;
+            }
+            return target != other.target ? target < other.target : key.compareTo(other.key) < 0;
         }
     }
 
-    private final EntryDecoder reader;
-    private final RegistryListener sink;
-    private final long forgetAfterMs;
-    private final List<Map<String, Claim>> parts = new ArrayList<>();
-    private final BitSet unread = new BitSet(); // parts that have never been whole
-    private final Map<String, List<Claim>> byWorker = new HashMap<>();
-    private final Map<String, Endpoint> publishedEndpoints = new LinkedHashMap<>();
-    /** Drains told, and up to which reading each holds whatever the registry says; 0: none. */
-    private final Map<DrainedStart, Long> drains = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
+    /** How many workers a replacement has changed, and how. */
+    public record ChangeCounts(int added, int removed, int drained, int restarted, int changed) {
+        static final ChangeCounts NONE = new ChangeCounts(0, 0, 0, 0, 0);
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<DrainedStart, Long> eldest) {
-            return size() > MOST_DRAINS;
+        ChangeCounts plus(ChangeCounts other) {
+            return new ChangeCounts(
+                    added + other.added,
+                    removed + other.removed,
+                    drained + other.drained,
+                    restarted + other.restarted,
+                    changed + other.changed);
         }
-    };
+    }
 
-    private long reading;
+    private final EntryDecoder decoder;
+    private final RegistryListener listener;
+    private final long forgetAfterMs;
+    private final List<Map<String, Claim>> targets = new ArrayList<>();
+    private final BitSet unreadTargets = new BitSet();
+    private final Map<String, List<Claim>> claimsByWorker = new HashMap<>();
+    private final Map<String, Endpoint> publishedEndpoints = new LinkedHashMap<>();
+    private final DrainMemory drains = new DrainMemory();
     private final Set<Claim> orphans = new LinkedHashSet<>();
-    private long orphansUntil = Long.MAX_VALUE;
-    private long generation;
+    private long earliestOrphanEndMs = NOT_ORPHANED;
+    private long readings;
+    private long listVersion;
     private boolean published;
 
-    public EndpointView(int parts, EntryDecoder reader, long forgetAfterMs, RegistryListener sink) {
-        this.reader = reader;
+    /** {@code forgetAfterMs}: for how long workers absent from a restored history stay; 0: not at all. */
+    public EndpointView(int targets, EntryDecoder decoder, long forgetAfterMs, RegistryListener listener) {
+        this.decoder = decoder;
         this.forgetAfterMs = forgetAfterMs;
-        this.sink = sink;
-        for (int i = 0; i < parts; i++) {
-            this.parts.add(new HashMap<>());
+        this.listener = listener;
+        for (int i = 0; i < targets; i++) {
+            this.targets.add(new HashMap<>());
         }
-        unread.set(0, parts);
+        unreadTargets.set(0, targets);
     }
 
-    /** Whether every part has been read whole, so that the dispatcher has been told. */
+    /** Whether every target has been read whole, so that the dispatcher has been told. */
     public boolean published() {
         return published;
     }
 
     /** What the dispatcher has been told, by worker. */
     public Map<String, Endpoint> publishedEndpoints() {
-        return java.util.Collections.unmodifiableMap(publishedEndpoints);
+        return Collections.unmodifiableMap(publishedEndpoints);
+    }
+
+    /** How many workers are kept though a restored registry does not know them. */
+    public int orphanCount() {
+        return orphans.size();
     }
 
-    /** How many keys the registry is held to have in a part. */
-    long entryCount(int part) {
-        return parts.get(part).size()
-                - orphans.stream().filter(h -> h.part == part).count();
+    // ------------------------------------------------------------ comparing with what is held
+
+    /** How many keys the registry is held to have in a target. */
+    long entryCount(int target) {
+        long orphaned = orphans.stream().filter(claim -> claim.target == target).count();
+        return targets.get(target).size() - orphaned;
     }
 
-    /** The key of a part that was changed last; null where it has none. */
-    String newestKey(int part) {
-        Claim best = null;
-        for (Claim h : parts.get(part).values()) {
-            if (h.orphanUntil == Long.MAX_VALUE
-                    && (best == null
-                            || h.revision > best.revision
-                            || h.revision == best.revision && h.key.compareTo(best.key) < 0)) {
-                best = h;
+    /** The key of a target that was changed last, the first one of equals; null where it has none. */
+    String newestKey(int target) {
+        Claim newest = null;
+        for (Claim claim : targets.get(target).values()) {
+            boolean newer = newest == null
+                    || claim.revision > newest.revision
+                    || claim.revision == newest.revision && claim.key.compareTo(newest.key) < 0;
+            if (!claim.isOrphan() && newer) {
+                newest = claim;
             }
         }
-        return best == null ? null : best.key;
+        return newest == null ? null : newest.key;
     }
 
-    /** Whether an item is what is held under the newest key; null: none is held. */
-    boolean newestEntryIs(int part, RegistryEntry item) {
-        String key = newestKey(part);
-        return key == null
-                ? item == null
-                : item != null && key.equals(item.key()) && same(parts.get(part).get(key), item);
+    /** Whether an entry is what is held under the newest key; null: whether none is held. */
+    boolean newestEntryIs(int target, RegistryEntry entry) {
+        String key = newestKey(target);
+        if (key == null || entry == null) {
+            return key == null && entry == null;
+        }
+        return key.equals(entry.key()) && targets.get(target).get(key).holds(entry);
     }
 
-    /** How many keys of a part have gone, where it has so many now and these have changed. */
-    long countDeleted(int part, List<RegistryEntry> changed, long count) {
-        long fresh = changed.stream()
-                .map(item -> parts.get(part).get(item.key()))
-                .filter(h -> h == null || h.orphanUntil < Long.MAX_VALUE)
+    /** How many keys of a target have been deleted, where it has {@code count} now and these have changed. */
+    long countDeleted(int target, List<RegistryEntry> changed, long count) {
+        long added = changed.stream()
+                .map(entry -> targets.get(target).get(entry.key()))
+                .filter(claim -> claim == null || claim.isOrphan())
                 .count();
-        return entryCount(part) + fresh - count;
+        return entryCount(target) + added - count;
     }
 
-    /** Workers kept though a restored registry does not know them. */
-    public int orphans() {
-        return orphans.size();
+    /**
+     * Whether a snapshot cannot be of the history held up to {@code revision}: whether it has a key that was
+     * changed before that and is not held so. The revisions alone look right where a registry was restored and
+     * has come further since.
+     */
+    boolean contradicts(int target, Map<String, RegistryEntry> snapshot, long revision) {
+        Map<String, Claim> held = targets.get(target);
+        for (RegistryEntry entry : snapshot.values()) {
+            Claim claim = held.get(entry.key());
+            boolean contradiction;
+            if (claim == null || claim.isOrphan()) {
+                contradiction = entry.revision() <= revision;
+            } else {
+                contradiction =
+                        entry.revision() < claim.revision || entry.revision() == claim.revision && !claim.holds(entry);
+            }
+            if (contradiction) {
+                return true;
+            }
+        }
+        return false;
     }
 
-    /** The changes of one or more whole revisions. */
-    void apply(int part, List<RegistryEntry> items, long revision) {
-        Set<String> touched = new LinkedHashSet<>();
-        for (RegistryEntry item : items) {
-            if (item.isDeleted()) {
-                remove(part, item.key(), touched);
+    // ------------------------------------------------------------ changing what is held
+
+    /** Takes the changes of one or more whole revisions. */
+    void apply(int target, List<RegistryEntry> changes, long revision) {
+        Set<String> touchedWorkers = new LinkedHashSet<>();
+        for (RegistryEntry entry : changes) {
+            if (entry.isDeleted()) {
+                remove(target, entry.key(), touchedWorkers);
             } else {
-                put(part, item, touched);
+                put(target, entry, touchedWorkers);
             }
         }
-        publish(touched, revision);
+        publish(touchedWorkers, revision);
     }
 
-    /**
-     * All of a part as it stands. {@code other}: by another history than the one held so far.
-     */
-    ChangeCounts replace(int part, Map<String, RegistryEntry> fresh, boolean other, long revision, long now) {
-        Set<String> touched = new LinkedHashSet<>();
-        Map<String, Claim> held = parts.get(part);
-        for (Claim h : List.copyOf(held.values())) {
-            if (fresh.containsKey(h.key) || h.orphanUntil < Long.MAX_VALUE && !other) {
+    /** Takes a target's full snapshot. {@code otherHistory}: by another history than the one held so far. */
+    ChangeCounts replace(
+            int target, Map<String, RegistryEntry> snapshot, boolean otherHistory, long revision, long nowMs) {
+        Set<String> touchedWorkers = new LinkedHashSet<>();
+        Map<String, Claim> held = targets.get(target);
+        for (Claim claim : List.copyOf(held.values())) {
+            boolean stays = snapshot.containsKey(claim.key) || claim.isOrphan() && !otherHistory;
+            if (stays) {
                 continue;
             }
-            if (other && h.route != null && forgetAfterMs > 0) {
-                if (h.orphanUntil == Long.MAX_VALUE) {
-                    h.orphanUntil = now + forgetAfterMs;
-                    orphans.add(h);
-                    orphansUntil = Math.min(orphansUntil, h.orphanUntil);
-                }
+            if (otherHistory && claim.endpoint != null && forgetAfterMs > 0) {
+                orphan(claim, nowMs);
             } else {
-                remove(part, h.key, touched);
+                remove(target, claim.key, touchedWorkers);
             }
         }
-        for (RegistryEntry item : fresh.values()) {
-            Claim h = held.get(item.key());
-            if (other || h == null || h.orphanUntil < Long.MAX_VALUE || !same(h, item)) {
-                put(part, item, touched);
+        for (RegistryEntry entry : snapshot.values()) {
+            Claim claim = held.get(entry.key());
+            if (otherHistory || claim == null || claim.isOrphan() || !claim.holds(entry)) {
+                put(target, entry, touchedWorkers);
             }
         }
-        if (other) {
-            drains.replaceAll((drain, upTo) -> reading);
+        if (otherHistory) {
+            drains.holdBefore(readings);
         }
-        unread.clear(part);
-        return publish(touched, revision);
+        unreadTargets.clear(target);
+        return publish(touchedWorkers, revision);
     }
 
-    /**
-     * Whether what is read cannot be of the history held up to {@code revision}: a key that was changed
-     * before that and is not held so. Guards against a registry that was restored and has come further
-     * since, whose revisions alone look right.
-     */
-    boolean contradicts(int part, Map<String, RegistryEntry> fresh, long revision) {
-        Map<String, Claim> held = parts.get(part);
-        for (RegistryEntry item : fresh.values()) {
-            Claim h = held.get(item.key());
-            if (h == null || h.orphanUntil < Long.MAX_VALUE
-                    ? item.revision() <= revision
-                    : item.revision() < h.revision || item.revision() == h.revision && !same(h, item)) {
-                return true;
-            }
+    private void orphan(Claim claim, long nowMs) {
+        if (!claim.isOrphan()) {
+            claim.orphanUntilMs = nowMs + forgetAfterMs;
+            orphans.add(claim);
+            earliestOrphanEndMs = Math.min(earliestOrphanEndMs, claim.orphanUntilMs);
         }
-        return false;
-    }
-
-    private static boolean same(Claim h, RegistryEntry item) {
-        return h.revision == item.revision() && h.print == item.valueHash();
     }
 
     /**
-     * Lets go of a part's workers that a restored registry has not come to know in time. {@code heardAt}: up
-     * to when all that it says of the part is known; time alone does not say that nobody came back.
+     * Removes a target's workers that a restored registry has not come to know in time. {@code confirmedAtMs}:
+     * up to when everything that it says of the target is known; time alone does not say that nobody came back.
      */
-    void releaseOrphans(int part, long heardAt) {
-        if (heardAt < orphansUntil) {
+    void releaseOrphans(int target, long confirmedAtMs) {
+        if (confirmedAtMs < earliestOrphanEndMs) {
             return;
         }
-        Set<String> touched = new LinkedHashSet<>();
-        orphansUntil = Long.MAX_VALUE;
-        for (Claim h : List.copyOf(orphans)) {
-            if (h.part == part && h.orphanUntil <= heardAt) {
-                remove(h.part, h.key, touched);
+        Set<String> touchedWorkers = new LinkedHashSet<>();
+        earliestOrphanEndMs = NOT_ORPHANED;
+        for (Claim claim : List.copyOf(orphans)) {
+            if (claim.target == target && claim.orphanUntilMs <= confirmedAtMs) {
+                remove(claim.target, claim.key, touchedWorkers);
             } else {
-                orphansUntil = Math.min(orphansUntil, h.orphanUntil);
+                earliestOrphanEndMs = Math.min(earliestOrphanEndMs, claim.orphanUntilMs);
             }
         }
-        if (!touched.isEmpty()) {
-            sink.eventOccurred(true, "registry.forgotten", "workers", touched.size());
-            publish(touched, generation);
+        if (!touchedWorkers.isEmpty()) {
+            listener.eventOccurred(true, "registry.forgotten", "workers", touchedWorkers.size());
+            publish(touchedWorkers, listVersion);
         }
     }
 
-    private void put(int part, RegistryEntry item, Set<String> touched) {
-        Claim h = parts.get(part).computeIfAbsent(item.key(), k -> new Claim(part, k));
-        h.revision = item.revision();
-        h.print = item.valueHash();
-        if (orphans.remove(h)) {
-            h.orphanUntil = Long.MAX_VALUE;
+    private void put(int target, RegistryEntry entry, Set<String> touchedWorkers) {
+        Claim claim = targets.get(target).computeIfAbsent(entry.key(), key -> new Claim(target, key));
+        claim.revision = entry.revision();
+        claim.valueHash = entry.valueHash();
+        if (orphans.remove(claim)) {
+            claim.orphanUntilMs = NOT_ORPHANED;
         }
-        Endpoint route;
+        Endpoint endpoint;
         try {
-            route = Objects.requireNonNull(reader.decode(item.key(), item.value()));
+            endpoint = Objects.requireNonNull(decoder.decode(entry.key(), entry.value()));
         } catch (RuntimeException e) {
-            // Costs this change only: what the key said before still counts.
-            sink.eventOccurred(
-                    true, "registry.unreadable", "key", item.key(), "revision", item.revision(), "why", e.getMessage());
+            // Only this change is lost: what the key said before still counts.
+            listener.eventOccurred(
+                    true,
+                    "registry.unreadable",
+                    "key",
+                    entry.key(),
+                    "revision",
+                    entry.revision(),
+                    "why",
+                    e.getMessage());
             return;
         }
-        if (h.route != null && !h.route.worker().equals(route.worker())) {
-            leave(h, touched);
-        }
-        if (h.route == null) {
-            List<Claim> claims = byWorker.computeIfAbsent(route.worker(), w -> new ArrayList<>(1));
-            claims.add(h);
-            if (claims.size() > 1) {
-                sink.eventOccurred(
-                        true,
-                        "registry.claimed_twice",
-                        "worker",
-                        route.worker(),
-                        "key",
-                        item.key(),
-                        "other",
-                        claims.get(0).key);
-            }
+        if (claim.endpoint != null && !claim.endpoint.worker().equals(endpoint.worker())) {
+            withdraw(claim, touchedWorkers);
         }
-        h.route = route;
-        h.readAt = ++reading;
-        touched.add(route.worker());
+        if (claim.endpoint == null) {
+            addClaim(endpoint.worker(), claim);
+        }
+        claim.endpoint = endpoint;
+        claim.reading = ++readings;
+        touchedWorkers.add(endpoint.worker());
     }
 
-    private void remove(int part, String key, Set<String> touched) {
-        Claim h = parts.get(part).remove(key);
-        if (h != null) {
-            orphans.remove(h);
-            leave(h, touched);
+    private void addClaim(String worker, Claim claim) {
+        List<Claim> claims = claimsByWorker.computeIfAbsent(worker, w -> new ArrayList<>(1));
+        claims.add(claim);
+        if (claims.size() > 1) {
+            listener.eventOccurred(
+                    true, "registry.claimed_twice", "worker", worker, "key", claim.key, "other", claims.get(0).key);
         }
     }
 
-    private void leave(Claim h, Set<String> touched) {
-        if (h.route == null) {
+    private void remove(int target, String key, Set<String> touchedWorkers) {
+        Claim claim = targets.get(target).remove(key);
+        if (claim != null) {
+            orphans.remove(claim);
+            withdraw(claim, touchedWorkers);
+        }
+    }
+
+    private void withdraw(Claim claim, Set<String> touchedWorkers) {
+        if (claim.endpoint == null) {
             return;
         }
-        String worker = h.route.worker();
-        List<Claim> claims = byWorker.get(worker);
-        claims.remove(h);
+        String worker = claim.endpoint.worker();
+        List<Claim> claims = claimsByWorker.get(worker);
+        claims.remove(claim);
         if (claims.isEmpty()) {
-            byWorker.remove(worker);
+            claimsByWorker.remove(worker);
         }
-        h.route = null;
-        touched.add(worker);
+        claim.endpoint = null;
+        touchedWorkers.add(worker);
     }
 
-    private Endpoint winner(String worker) {
+    // ------------------------------------------------------------ publishing
+
+    /** The worker's endpoint by the claim that counts; null where nothing claims it. */
+    private Endpoint effectiveEndpoint(String worker) {
         Claim best = null;
-        for (Claim h : byWorker.getOrDefault(worker, List.of())) {
-            best = best == null || before(h, best) ? h : best;
+        for (Claim claim : claimsByWorker.getOrDefault(worker, List.of())) {
+            if (best == null || claim.precedes(best)) {
+                best = claim;
+            }
         }
         if (best == null) {
             return null;
         }
-        Endpoint r = best.route;
-        if (best.readAt > drains.getOrDefault(new DrainedStart(worker, r.startedAtMs()), 0L)) {
-            return r; // nothing is held against it, or it is newer
-        }
-        return new Endpoint(
-                r.worker(),
-                r.address(),
-                Endpoint.State.DRAINING,
-                r.weight(),
-                r.kind(),
-                r.cell(),
-                r.zone(),
-                r.startedAtMs());
+        return drains.holds(worker, best.endpoint.startedAtMs(), best.reading)
+                ? withState(best.endpoint, Endpoint.State.DRAINING)
+                : best.endpoint;
     }
 
-    private static boolean before(Claim a, Claim b) {
-        int byStart = Double.compare(a.route.startedAtMs(), b.route.startedAtMs());
-        int byDrain =
-                Boolean.compare(a.route.state() != Endpoint.State.SERVING, b.route.state() != Endpoint.State.SERVING);
-        int byKey = a.part != b.part ? b.part - a.part : b.key.compareTo(a.key);
-        return (byStart != 0 ? byStart : byDrain != 0 ? byDrain : byKey) > 0;
+    private static Endpoint withState(Endpoint endpoint, Endpoint.State state) {
+        return new Endpoint(
+                endpoint.worker(),
+                endpoint.address(),
+                state,
+                endpoint.weight(),
+                endpoint.kind(),
+                endpoint.cell(),
+                endpoint.zone(),
+                endpoint.startedAtMs());
     }
 
-    /** Tells what differs from what was told; nothing before all parts have been read. */
-    private ChangeCounts publish(Collection<String> touched, long revision) {
-        generation = Math.max(generation, revision);
-        if (!unread.isEmpty()) {
-            return new ChangeCounts(0, 0, 0, 0, 0);
+    /** Publishes what differs from what was published; nothing before all targets have been read. */
+    private ChangeCounts publish(Collection<String> touchedWorkers, long revision) {
+        listVersion = Math.max(listVersion, revision);
+        if (!unreadTargets.isEmpty()) {
+            return ChangeCounts.NONE;
         }
-        int added = 0, gone = 0, drained = 0, restarted = 0, other = 0;
+        ChangeCounts counts = ChangeCounts.NONE;
         List<Endpoint> changes = new ArrayList<>();
-        for (String worker : published ? touched : List.copyOf(byWorker.keySet())) {
-            Endpoint now = winner(worker);
+        Collection<String> workers = published ? touchedWorkers : List.copyOf(claimsByWorker.keySet());
+        for (String worker : workers) {
+            Endpoint now = effectiveEndpoint(worker);
             Endpoint before = now == null ? publishedEndpoints.remove(worker) : publishedEndpoints.put(worker, now);
             if (Objects.equals(before, now)) {
                 continue;
             }
-            if (now != null && now.state() == Endpoint.State.SERVING) {
-                drains.remove(new DrainedStart(worker, now.startedAtMs()));
-            } else if (now != null) {
-                drains.putIfAbsent(new DrainedStart(worker, now.startedAtMs()), 0L);
-            }
-            changes.add(
-                    now != null
-                            ? now
-                            : new Endpoint(
-                                    worker,
-                                    before.address(),
-                                    Endpoint.State.DELETED,
-                                    before.weight(),
-                                    before.kind(),
-                                    before.cell(),
-                                    before.zone(),
-                                    before.startedAtMs()));
-            if (before == null) {
-                added++;
-            } else if (now == null) {
-                gone++;
-            } else if (now.startedAtMs() != before.startedAtMs()) {
-                restarted++;
-            } else if (now.state() != before.state() && now.state() != Endpoint.State.SERVING) {
-                drained++;
-            } else {
-                other++;
+            if (now != null) {
+                recordState(now);
             }
+            changes.add(now != null ? now : withState(before, Endpoint.State.DELETED));
+            counts = counts.plus(countOf(before, now));
         }
         if (!published || !changes.isEmpty()) {
             EndpointUpdate.Kind kind = published ? EndpointUpdate.Kind.DELTA : EndpointUpdate.Kind.FULL_SNAPSHOT;
             published = true;
-            sink.endpointsChanged(new EndpointUpdate(kind, generation, changes));
+            listener.endpointsChanged(new EndpointUpdate(kind, listVersion, changes));
+        }
+        return counts;
+    }
+
+    private void recordState(Endpoint endpoint) {
+        if (endpoint.state() == Endpoint.State.SERVING) {
+            drains.recordServing(endpoint.worker(), endpoint.startedAtMs());
+        } else {
+            drains.recordDrain(endpoint.worker(), endpoint.startedAtMs());
+        }
+    }
+
+    /** One of these differs from the other; null: the worker is not listed. */
+    private static ChangeCounts countOf(Endpoint before, Endpoint now) {
+        if (before == null) {
+            return new ChangeCounts(1, 0, 0, 0, 0);
+        }
+        if (now == null) {
+            return new ChangeCounts(0, 1, 0, 0, 0);
+        }
+        if (now.startedAtMs() != before.startedAtMs()) {
+            return new ChangeCounts(0, 0, 0, 1, 0);
         }
-        return new ChangeCounts(added, gone, drained, restarted, other);
+        boolean drained = now.state() != before.state() && now.state() != Endpoint.State.SERVING;
+        return drained ? new ChangeCounts(0, 0, 1, 0, 0) : new ChangeCounts(0, 0, 0, 0, 1);
     }
 }
--- a/src/main/java/maplespread/registry/EntryDecoder.java
+++ b/src/main/java/maplespread/registry/EntryDecoder.java
@@ -2,8 +2,8 @@
 
 import maplespread.facade.Endpoint;
 
-/** Makes a route of a key and its text. */
+/** Decodes a registry's entry to the worker's endpoint that it stands for. */
 public interface EntryDecoder {
-    /** Any runtime exception: the value cannot be read; its message says why. */
-    Endpoint decode(String key, String text);
+    /** The endpoint; any runtime exception: the value cannot be read, its message says why. */
+    Endpoint decode(String key, String value);
 }
--- a/src/main/java/maplespread/registry/RegistryEntry.java
+++ b/src/main/java/maplespread/registry/RegistryEntry.java
@@ -3,45 +3,50 @@
 import java.util.function.Supplier;
 
 /**
- * One key as the registry holds it: its text, and the revision of its last change. A null text: deleted at
- * that revision. The text is made when it is first needed, since most keys of a whole answer are old news.
+ * One key as the registry holds it: its value and the revision of its last change, or its deletion at that
+ * revision. The value is decoded when it is first asked for, since most keys of a full snapshot have not changed.
+ * Not thread-safe.
  */
 public final class RegistryEntry {
     private final String key;
     private final long revision;
     private final boolean deleted;
     private final int valueHash;
-    private Supplier<String> source;
+    private Supplier<String> source; // null once the value is decoded
     private String value;
 
-    private RegistryEntry(String key, long revision, boolean deleted, int print, Supplier<String> source) {
+    private RegistryEntry(String key, long revision, boolean deleted, int valueHash, Supplier<String> source) {
         this.key = key;
         this.revision = revision;
         this.deleted = deleted;
-        this.valueHash = print;
+        this.valueHash = valueHash;
         this.source = source;
     }
 
-    public static RegistryEntry of(String key, String text, long revision) {
-        return new RegistryEntry(key, revision, false, text.hashCode(), () -> text);
+    /** An entry with a value that is decoded already. */
+    public static RegistryEntry of(String key, String value, long revision) {
+        return new RegistryEntry(key, revision, false, value.hashCode(), () -> value);
     }
 
     /**
-     * {@code text} may fail with any runtime exception: the value is then one that cannot be read. {@code
-     * print}: a hash of the value as it came, the same whenever the value is.
+     * An entry whose value is decoded later. {@code valueHash}: of the value as it came, the same whenever the
+     * value is; {@code value}: may throw any runtime exception where the value cannot be decoded.
      */
-    public static RegistryEntry lazy(String key, long revision, int print, Supplier<String> text) {
-        return new RegistryEntry(key, revision, false, print, text);
+    public static RegistryEntry lazy(String key, long revision, int valueHash, Supplier<String> value) {
+        return new RegistryEntry(key, revision, false, valueHash, value);
     }
 
+    /** A key that was deleted at the revision. */
     public static RegistryEntry deleted(String key, long revision) {
         return new RegistryEntry(key, revision, true, 0, null);
     }
 
+    /** The whole key. */
     public String key() {
         return key;
     }
 
+    /** The number of the revision that changed it last. */
     public long revision() {
         return revision;
     }
@@ -55,6 +60,7 @@
         return valueHash;
     }
 
+    /** The value; null where the key was deleted. Any runtime exception: it cannot be decoded. */
     public String value() {
         if (source != null) {
             value = source.get();
--- a/src/main/java/maplespread/registry/RegistryListener.java
+++ b/src/main/java/maplespread/registry/RegistryListener.java
@@ -2,11 +2,14 @@
 
 import maplespread.facade.EndpointUpdate;
 
-/** Where a core's words go. Called while the core handles what it heard; must not call back into it. */
+/**
+ * Notified by a {@link RegistryWatcher} of what has changed, on the thread that reports an answer to it and under
+ * the lock that guards it. Must not call back into the watcher.
+ */
 public interface RegistryListener {
-    /** Whole once, when all parts have first been read; changes after that. */
-    void endpointsChanged(EndpointUpdate news);
+    /** The workers have changed: a full snapshot once, when all targets have first been read, then deltas. */
+    void endpointsChanged(EndpointUpdate update);
 
-    /** Something that operators may want to know; {@code pairs}: a key and its value, in turn. */
+    /** Something for the operators' log; {@code pairs}: a key and its value, in turn. */
     void eventOccurred(boolean warning, String name, Object... pairs);
 }
--- a/src/main/java/maplespread/registry/RegistryServerSelector.java
+++ b/src/main/java/maplespread/registry/RegistryServerSelector.java
@@ -1,59 +1,78 @@
 package maplespread.registry;
 
+import java.util.OptionalInt;
+
 /**
- * The registry's endpoints in the order of preference, and which of them rest. One that refuses connections
- * is tried again soon, since that costs nothing and resuming is to be quick; one that accepts and then
- * fails, or says nothing, rests longer each time.
+ * Chooses the registry server to call. Servers are numbered in the order of preference. A server that refuses
+ * connections is retried soon, since that costs the registry nothing; one that accepts and then fails or stays
+ * silent backs off longer each time. From a server that is not the first, calls return to a better one after
+ * {@code preferAgainMs}. Not thread-safe.
  */
 final class RegistryServerSelector {
-    private static final long SOON_BASE_MS = 20, SOON_CAP_MS = 80;
-    private static final long BASE_MS = 50, CAP_MS = 1000;
-    private static final long DENIED_BASE_MS = 1000, DENIED_CAP_MS = 30_000;
-
-    private final RequestRateLimiter pace;
-    private final long[] restUntil;
-    private final long[] lastRest;
-    private final boolean[] proved; // it has been of use since it last failed
-    private final long[] failed; // as a count of all failures; 0: it is well
+    private static final long REFUSED_BASE_MS = 20;
+    private static final long REFUSED_CAP_MS = 80;
+    private static final long FAILED_BASE_MS = 50;
+    private static final long FAILED_CAP_MS = 1000;
+    private static final long DENIED_BASE_MS = 1000;
+    private static final long DENIED_CAP_MS = 30_000;
+    private static final int MAX_DOUBLINGS = 5;
+    private static final long NEVER = Long.MAX_VALUE;
+
+    private final DecorrelatedJitter jitter;
+    private final long preferAgainMs;
+    private final long[] retryNotBeforeMs;
+    private final long[] lastBackoffMs;
+    private final boolean[] succeeded;
+    /** By server the number of its last failure among all failures; 0 while it is healthy. */
+    private final long[] failureNumber;
+
     private long failures;
     private int current;
+    private long returnAtMs = NEVER;
+    private int returnsSinceSuccess;
 
-    RegistryServerSelector(int count, RequestRateLimiter pace) {
-        this.pace = pace;
-        restUntil = new long[count];
-        lastRest = new long[count];
-        proved = new boolean[count];
-        failed = new long[count];
+    RegistryServerSelector(int servers, long preferAgainMs, DecorrelatedJitter jitter) {
+        this.preferAgainMs = preferAgainMs;
+        this.jitter = jitter;
+        retryNotBeforeMs = new long[servers];
+        lastBackoffMs = new long[servers];
+        succeeded = new boolean[servers];
+        failureNumber = new long[servers];
     }
 
     /**
-     * The endpoint to ask; -1: none yet. The present one while it holds, else of those that do not rest the
-     * one whose failure is longest ago: were the first taken, two dead ones would take turns for good.
+     * The server to call, or empty where all back off. The current one while it is healthy, else, of those that
+     * do not back off, the one whose last failure is oldest: by preference alone two dead servers would take
+     * turns and a healthy third one would never be reached.
      */
-    int select(long now) {
-        if (failed[current] == 0) {
-            return restUntil[current] <= now ? current : -1;
+    OptionalInt select(long nowMs) {
+        if (failureNumber[current] == 0) {
+            return retryNotBeforeMs[current] <= nowMs ? OptionalInt.of(current) : OptionalInt.empty();
         }
-        int best = -1;
-        for (int i = 0; i < restUntil.length; i++) {
-            if (restUntil[i] <= now && (best < 0 || failed[i] < failed[best])) {
-                best = i;
+        int oldest = -1;
+        for (int server = 0; server < retryNotBeforeMs.length; server++) {
+            boolean ready = retryNotBeforeMs[server] <= nowMs;
+            if (ready && (oldest < 0 || failureNumber[server] < failureNumber[oldest])) {
+                oldest = server;
             }
         }
-        current = best < 0 ? current : best;
-        return best;
+        if (oldest < 0) {
+            return OptionalInt.empty();
+        }
+        current = oldest;
+        return OptionalInt.of(oldest);
     }
 
-    /** When the first of them may be asked again. */
+    /** When the first server may be called again, after {@link #select} found none. */
     long earliestRetryAtMs() {
-        if (failed[current] == 0) {
-            return restUntil[current];
+        if (failureNumber[current] == 0) {
+            return retryNotBeforeMs[current];
         }
-        long least = Long.MAX_VALUE;
-        for (long until : restUntil) {
-            least = Math.min(least, until);
+        long earliest = NEVER;
+        for (long notBeforeMs : retryNotBeforeMs) {
+            earliest = Math.min(earliest, notBeforeMs);
         }
-        return least;
+        return earliest;
     }
 
     int current() {
@@ -61,57 +80,89 @@
     }
 
     int size() {
-        return restUntil.length;
+        return retryNotBeforeMs.length;
+    }
+
+    /** Whether the server has answered usefully since its last failure. */
+    boolean hasSucceeded(int server) {
+        return succeeded[server];
     }
 
-    /** It has answered to the purpose. */
-    void recordSuccess(int endpoint) {
-        lastRest[endpoint] = 0;
-        proved[endpoint] = true;
-        failed[endpoint] = 0;
+    /** The current server has given a useful answer. */
+    void recordSuccess() {
+        lastBackoffMs[current] = 0;
+        succeeded[current] = true;
+        failureNumber[current] = 0;
+        if (current == 0) {
+            returnsSinceSuccess = 0;
+        }
+    }
+
+    /** A call to the current server has failed; {@code kind} decides how long the server backs off. */
+    void recordFailure(long nowMs, CallOutcome kind) {
+        succeeded[current] = false;
+        failureNumber[current] = ++failures;
+        long baseMs = FAILED_BASE_MS;
+        long capMs = FAILED_CAP_MS;
+        if (kind == CallOutcome.REFUSED) {
+            baseMs = REFUSED_BASE_MS;
+            capMs = REFUSED_CAP_MS;
+        } else if (kind == CallOutcome.DENIED) {
+            baseMs = DENIED_BASE_MS;
+            capMs = DENIED_CAP_MS;
+        }
+        lastBackoffMs[current] = jitter.nextBackoffMs(baseMs, lastBackoffMs[current], capMs);
+        retryNotBeforeMs[current] = nowMs + lastBackoffMs[current];
     }
 
-    boolean proved(int endpoint) {
-        return proved[endpoint];
+    /** A useful call to the current server has ended without a fault: it is called again after a moment. */
+    void recordNormalEnd(long nowMs) {
+        retryNotBeforeMs[current] = nowMs + jitter.nextBackoffMs(1, 2, REFUSED_BASE_MS);
     }
 
-    void failed(int endpoint, long now, CallOutcome how) {
-        proved[endpoint] = false;
-        failed[endpoint] = ++failures;
-        long base = how == CallOutcome.REFUSED ? SOON_BASE_MS : how == CallOutcome.DENIED ? DENIED_BASE_MS : BASE_MS;
-        long cap = how == CallOutcome.REFUSED ? SOON_CAP_MS : how == CallOutcome.DENIED ? DENIED_CAP_MS : CAP_MS;
-        lastRest[endpoint] = pace.nextBackoffMs(base, lastRest[endpoint], cap);
-        restUntil[endpoint] = now + lastRest[endpoint];
+    /** The current server's answer is older than what is known: others are called for up to {@code capMs}. */
+    void recordStaleAnswer(long nowMs, long capMs) {
+        failureNumber[current] = ++failures;
+        retryNotBeforeMs[current] =
+                nowMs + jitter.nextBackoffMs(Math.min(FAILED_BASE_MS, capMs), FAILED_BASE_MS, Math.max(1, capMs));
     }
 
-    /** It was of use and has ended without a fault: asked again after a moment. */
-    void recordNormalEnd(int endpoint, long now) {
-        restUntil[endpoint] = now + pace.nextBackoffMs(1, 2, SOON_BASE_MS);
+    /** A call to the current server begins: where a better one exists, the return to it is scheduled. */
+    void callStarts(long nowMs) {
+        if (current > 0 && returnAtMs == NEVER) {
+            // A better server that fails whenever it is tried costs a while without updates each time.
+            long waitMs = preferAgainMs << Math.min(returnsSinceSuccess, MAX_DOUBLINGS);
+            returnAtMs = nowMs + jitter.jittered(waitMs);
+        }
     }
 
-    /** Its answers lie behind what is known; others are asked meanwhile. */
-    void recordStaleAnswer(int endpoint, long now, long cap) {
-        failed[endpoint] = ++failures;
-        restUntil[endpoint] = now + pace.nextBackoffMs(Math.min(BASE_MS, cap), BASE_MS, Math.max(1, cap));
+    /** When a watch at the current server is to end in favour of a better one; the maximum value: never. */
+    long watchEndsAtMs() {
+        return current > 0 ? returnAtMs : NEVER;
     }
 
-    /** Whether a better one than the present may be tried; if so, it is the present one from now on. */
-    boolean switchToPreferred(long now) {
-        for (int i = 0; i < current; i++) {
-            if (restUntil[i] <= now) {
-                current = i;
-                failed[i] = 0;
+    /** Makes a better server the current one where that is due; whether it did. */
+    boolean returnToPreferred(long nowMs) {
+        if (nowMs < returnAtMs) {
+            return false;
+        }
+        returnAtMs = NEVER;
+        for (int server = 0; server < current; server++) {
+            if (retryNotBeforeMs[server] <= nowMs) {
+                current = server;
+                failureNumber[server] = 0;
+                returnsSinceSuccess++;
                 return true;
             }
         }
         return false;
     }
 
-    /** All may be asked at once: for when the reason of their refusals may be gone. */
-    void clearBackoffs(long now) {
-        for (int i = 0; i < restUntil.length; i++) {
-            restUntil[i] = Math.min(restUntil[i], now);
-            lastRest[i] = 0;
+    /** Lets all servers be called at once, since the reason for their refusals may be gone. */
+    void clearBackoffs(long nowMs) {
+        for (int server = 0; server < retryNotBeforeMs.length; server++) {
+            retryNotBeforeMs[server] = Math.min(retryNotBeforeMs[server], nowMs);
+            lastBackoffMs[server] = 0;
         }
     }
 }
--- a/src/main/java/maplespread/registry/RegistryWatcher.java
+++ b/src/main/java/maplespread/registry/RegistryWatcher.java
@@ -1,125 +1,68 @@
 package maplespread.registry;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.OptionalInt;
 import java.util.SplittableRandom;
 
 /**
- * Follows one registry: says what to ask next, hears what came of it, and keeps its parts of the view. One
- * call is out at a time. Not for several threads at once.
+ * Follows one registry: says which call to make next, takes what came of it, and keeps its targets of the view
+ * up to date. One call is out at a time. It does no input or output; the client that makes the calls passes the
+ * time in. Not thread-safe: the client guards the watcher and the view with one lock.
  *
- * <p>The methods that hear return whether the call may go on; where they say no, the shell ends it and tells
- * {@link CallOutcome#STOPPED}.
+ * <p>The methods that take an answer return whether the call may go on; where they return false, the client
+ * ends it and reports {@link CallOutcome#STOPPED}.
  */
 public final class RegistryWatcher {
-    /**
-     * REBUILDING: all keys are read, page by page, while the view held so far stays. CHECKING: a watch has
-     * ended; whether the registry's history is still the one that the view is of. CATCHING_UP: it is, and has
-     * gone on; what was missed is read and not left to the next watch, which may be as silent as the last.
-     * FOLLOWING: changes come as they are made, from the revision after the last whole one.
-     */
+    /** What a watcher does at present. */
     public enum Phase {
+        /** Every key is read, page by page, while the view held so far stays. */
         REBUILDING,
+        /** A watch has ended; whether the registry's history is still the one that the view is of. */
         CHECKING,
+        /** It is, and it has gone on: the changes since are read. */
         CATCHING_UP,
+        /** Changes come as they are made, from the revision after the last whole one. */
         FOLLOWING
     }
 
-    private static final long NONE = Long.MIN_VALUE;
-    private static final int MOST_PAGE_GROWTH = 16;
-    private static final int MOST_DOUBLINGS = 5;
-    private static final long REBUILD_BASE_MS = 20, REBUILD_CAP_MS = 200, REBUILD_PEER_MS = 50;
-    private static final long REBUILD_MOST_MS = 1000;
-    private static final long SLOW_ANSWER_MS = 3000; // where answer_ms has been too little
-    private static final int SPREAD = 4; // silences differ by a quarter
-
-    /** A rebuild under way. */
-    private final class Paging {
-        final List<Map<String, RegistryEntry>> fresh = new ArrayList<>();
-        final long startedAt;
-        final int endpoint;
-        long wordAt; // its first page came then
-        String after = "";
-        Revision history;
-
-        Paging(long now, int endpoint) {
-            startedAt = now;
-            this.endpoint = endpoint;
-            fresh.add(new LinkedHashMap<>());
-        }
-    }
-
-    private final RegistrySettings settings;
-    private final boolean whole;
-    private final int firstPart, parts;
-    private final EndpointView view;
-    private final RegistryListener sink;
-    private final RequestRateLimiter pace;
-    private final RegistryServerSelector endpoints;
-
-    private Phase phase = Phase.REBUILDING;
-    private Revision held; // null: nothing has been read yet
-    private String gone; // the newest change's key, if it deleted it
-    private int goneFrom;
-    private final long[] at; // by part: all up to it is held
-    private final List<List<RegistryEntry>> fragments = new ArrayList<>();
-    private Paging paging;
-    private int onPage;
-    private final long rebuildCap; // a drain may lie unread for as long
-    private long rebuildAt, rebuildRest;
-    private long doubtSince = NONE;
-    private boolean otherHistory; // the doubt is over: it is another one
-    private boolean proved; // and no answer can change that any more
-    private boolean consistent; // Consul: ask the leader itself for all
-    private long preferAt = Long.MAX_VALUE;
-    private int preferred; // tries of a better endpoint since it served
-    private final long[] wordAt; // by part: nothing was missing then
-    private long askedAt, silence;
-    private int onWatchCreated; // watches of the stream that are on
-    private int silent; // calls without an answer, in a row
-    private int onHistoryVerified; // the endpoint that was checked last
-    private boolean stale;
+    private final boolean fullSnapshots;
+    private final WatchState state;
+    private final RequestRateLimiter limiter;
+    private final HistoryGuard guard;
+    private final SnapshotRebuild rebuild;
+    private final HistoryVerification verification;
+    private final MissedChanges missedChanges;
+    private final ChangeStream changeStream;
+    private final SnapshotPolling polling;
+    private RegistryCall currentCall;
     private boolean denied;
-    private boolean broke; // since the last event about the watch
-    private RegistryCall out;
 
     /**
-     * Follows the parts from {@code firstPart} on, so many of them. {@code peers}: dispatchers that share the
-     * registry and so the requests that it is to bear. {@code now}: this core's first moment.
+     * Follows {@code targets} targets of the settings from {@code firstTarget} on. {@code peers}: dispatchers
+     * that share the registry, and so the rate of requests. {@code nowMs}: the watcher's first moment.
      */
     public RegistryWatcher(
             RegistrySettings settings,
-            int firstPart,
-            int parts,
+            int firstTarget,
+            int targets,
             int peers,
             EndpointView view,
             long seed,
-            long now,
-            RegistryListener sink) {
-        this.settings = settings;
-        this.whole = settings.dialect().returnsFullSnapshots();
-        this.firstPart = firstPart;
-        this.parts = parts;
-        this.view = view;
-        this.sink = sink;
-        SplittableRandom random = new SplittableRandom(seed);
-        pace = new RequestRateLimiter((double) settings.requestsPerS() / Math.max(1, peers), random);
-        endpoints = new RegistryServerSelector(settings.endpoints().size(), pace);
-        rebuildCap = Math.min(REBUILD_MOST_MS, REBUILD_CAP_MS + REBUILD_PEER_MS * (peers - 1L));
-        onPage = settings.page();
-        at = new long[parts];
-        wordAt = new long[parts];
-        Arrays.fill(wordAt, now);
-        for (int i = 0; i < parts; i++) {
-            fragments.add(new ArrayList<>());
-        }
-        phase = whole ? Phase.FOLLOWING : Phase.REBUILDING;
+            long nowMs,
+            RegistryListener listener) {
+        fullSnapshots = settings.dialect().returnsFullSnapshots();
+        DecorrelatedJitter jitter = new DecorrelatedJitter(new SplittableRandom(seed));
+        state = new WatchState(settings, firstTarget, targets, view, jitter, nowMs, listener);
+        limiter = new RequestRateLimiter((double) settings.requestsPerS() / Math.max(1, peers));
+        guard = new HistoryGuard(state);
+        rebuild = new SnapshotRebuild(state, guard, peers);
+        verification = new HistoryVerification(state);
+        missedChanges = new MissedChanges(state);
+        changeStream = new ChangeStream(state);
+        polling = new SnapshotPolling(state);
+        state.phase = fullSnapshots ? Phase.FOLLOWING : Phase.REBUILDING;
         if (!settings.rateKeepsStalenessLimit(peers)) {
-            sink.eventOccurred(
-                    true,
+            state.warn(
                     "registry.share_small",
                     "key",
                     "registry.requests_per_s",
@@ -132,691 +75,325 @@
         }
     }
 
+    /** What the watcher does at present; a registry with full snapshots is always followed. */
     public Phase phase() {
-        return phase;
+        return state.phase;
     }
 
-    /** When nothing was last missing from what is held, in its part that is worst off. */
+    /** When nothing was last missing from what is held, in the target that is worst off. */
     public long confirmedAtMs() {
-        long least = wordAt[0];
-        for (long at : wordAt) {
-            least = Math.min(least, at);
-        }
-        return least;
+        return state.freshness.confirmedAtMs();
     }
 
     /**
-     * When the call that is out is silent: without its whole answer, or, where a watch is on, without a line
-     * for each of its parts. A part that speaks says nothing of another.
+     * When the call that is out is silent: without its whole answer or, where a watch is on, without a line for
+     * each of its targets.
      */
     public long callTimeoutAtMs() {
-        // A registry that is slower than answer_ms is to be followed all the same, late as it is.
-        long answer = Math.max(
-                settings.answerMs(),
-                Math.min(SLOW_ANSWER_MS, settings.answerMs() << Math.min(MOST_DOUBLINGS, silent / endpoints.size())));
-        long limit = askedAt + settings.dialMs() + answer;
-        if (out instanceof RegistryCall.BlockingQuery q && q.index() > 0) {
-            return limit + q.waitMs() + q.waitMs() / RegistrySettings.CONSUL_EXTRA;
+        if (currentCall instanceof RegistryCall.BlockingQuery query && query.index() > 0) {
+            return state.timeout.blockingAnswerDueAtMs(query.waitMs());
         }
-        return out instanceof RegistryCall.Watch && onWatchCreated == parts
-                ? Math.max(askedAt, confirmedAtMs()) + silence
-                : limit;
+        return currentCall instanceof RegistryCall.Watch && changeStream.established()
+                ? changeStream.silentAtMs()
+                : state.timeout.answerDueAtMs();
     }
 
-    /** Whether the token is refused. */
+    /** Whether the registry refuses the token. */
     public boolean denied() {
         return denied;
     }
 
-    /** The revision up to which all is held; 0: nothing yet. */
+    /** The revision up to which everything is held; 0: nothing has been read yet. */
     public long revision() {
-        return held == null ? 0 : held.number();
+        return state.position.number();
     }
 
-    // ------------------------------------------------------------ what to do next
+    // ------------------------------------------------------------ the next call
 
-    /** Whatever is to be done now. */
-    public RegistryCall nextCall(long now) {
-        if (!stale && held != null && now - confirmedAtMs() > settings.stalenessLimitMs()) {
-            stale = true;
-            sink.eventOccurred(
-                    true,
-                    "registry.stale",
-                    "endpoint",
-                    endpointName(),
-                    "revision",
-                    revision(),
-                    "unheard_ms",
-                    now - confirmedAtMs());
-        }
-        int endpoint = endpoints.select(now);
-        if (endpoint < 0) {
-            return new RegistryCall.Pause(Math.max(now + 1, endpoints.earliestRetryAtMs()));
-        }
-        if (paging != null && paging.endpoint != endpoint) {
-            beginAgain(); // the pages would be of two members
-        }
-        if (phase == Phase.CATCHING_UP && onHistoryVerified != endpoint) {
-            phase = Phase.CHECKING; // the check was of another member
-        }
-        if (phase == Phase.REBUILDING && paging == null && now < rebuildAt) {
-            return new RegistryCall.Pause(rebuildAt);
-        }
-        long later = pace.acquire(now);
-        if (later > 0) {
-            return new RegistryCall.Pause(later);
+    /** The call to make now, or a pause. */
+    public RegistryCall nextCall(long nowMs) {
+        state.reportStaleness(nowMs);
+        OptionalInt selected = state.servers.select(nowMs);
+        if (selected.isEmpty()) {
+            return new RegistryCall.Pause(Math.max(nowMs + 1, state.servers.earliestRetryAtMs()));
         }
-        if (endpoint > 0 && preferAt == Long.MAX_VALUE) {
-            // A better endpoint that fails whenever it is tried costs a while of blindness each time.
-            preferAt = now + pace.jittered(settings.preferAgainMs() << Math.min(preferred, MOST_DOUBLINGS));
+        int server = selected.getAsInt();
+        rebuild.requireServer(server);
+        verification.requireServer(server);
+        if (state.phase == Phase.REBUILDING && rebuild.backsOff(nowMs)) {
+            return new RegistryCall.Pause(rebuild.notBeforeMs());
         }
-        askedAt = now;
-        out = whole
-                ? question(endpoint)
-                : switch (phase) {
-                    case REBUILDING -> range(endpoint, now);
-                    case CHECKING -> check(endpoint);
-                    case CATCHING_UP ->
-                        new RegistryCall.ReadMissedChanges(
-                                endpoint, Arrays.stream(at).boxed().toList());
-                    case FOLLOWING -> watch(endpoint);
-                };
-        return out;
-    }
-
-    private RegistryCall question(int endpoint) {
-        // After a break all is read at once: a registry restored meanwhile may stand at the same index.
-        long index = consistent || broke || held == null ? 0 : at[0];
-        return new RegistryCall.BlockingQuery(
-                endpoint, firstPart, index, pace.shortened(settings.askedWaitMs(), SPREAD), consistent);
-    }
-
-    private RegistryCall range(int endpoint, long now) {
-        if (paging == null) {
-            paging = new Paging(now, endpoint);
-            rebuildRest = now - rebuildAt > 2 * rebuildCap ? 0 : rebuildRest;
-            rebuildRest = pace.nextBackoffMs(REBUILD_BASE_MS, rebuildRest, rebuildCap);
-            rebuildAt = now + rebuildRest;
+        long permittedAtMs = limiter.acquire(nowMs);
+        if (permittedAtMs > 0) {
+            return new RegistryCall.Pause(permittedAtMs);
         }
-        return new RegistryCall.RangePage(
-                endpoint,
-                firstPart + paging.fresh.size() - 1,
-                paging.after,
-                paging.history == null ? 0 : paging.history.number(),
-                onPage);
-    }
-
-    private RegistryCall check(int endpoint) {
-        List<RegistryCall.HistoryProof> proofs = new ArrayList<>();
-        for (int i = 0; i < parts; i++) {
-            proofs.add(new RegistryCall.HistoryProof(at[i], view.newestKey(firstPart + i)));
-        }
-        return new RegistryCall.VerifyHistory(endpoint, proofs, gone, gone == null ? 0 : at[goneFrom]);
+        state.servers.callStarts(nowMs);
+        state.timeout.callStarts(nowMs);
+        currentCall = call(server, nowMs);
+        return currentCall;
     }
 
-    private RegistryCall watch(int endpoint) {
-        fragments.forEach(List::clear); // half a revision is none
-        onWatchCreated = 0;
-        silence = pace.shortened(settings.silenceMs(), SPREAD);
-        List<Long> from = new ArrayList<>();
-        for (long done : at) {
-            from.add(done + 1);
+    private RegistryCall call(int server, long nowMs) {
+        if (fullSnapshots) {
+            return polling.nextCall(server);
         }
-        return new RegistryCall.Watch(endpoint, from, endpoint > 0 ? preferAt : Long.MAX_VALUE);
+        return switch (state.phase) {
+            case REBUILDING -> rebuild.nextCall(server, nowMs);
+            case CHECKING -> verification.nextCall(server);
+            case CATCHING_UP -> missedChanges.nextCall(server);
+            case FOLLOWING -> changeStream.nextCall(server);
+        };
     }
 
     /** The token has changed: what was refused may be granted now. */
-    public void onTokenChanged(long now) {
+    public void onTokenChanged(long nowMs) {
         denied = false;
-        endpoints.clearBackoffs(now);
+        state.servers.clearBackoffs(nowMs);
     }
 
-    // ------------------------------------------------------------ what came
+    // ------------------------------------------------------------ answers
 
-    /** A page of the present range. {@code more}: keys are left behind its last one. */
-    public boolean onPage(long now, Revision history, List<RegistryEntry> items, boolean more) {
-        if (!trusted(now, history)) {
+    /** A page of the present rebuild. {@code more}: keys are left behind its last one. */
+    public boolean onPage(long nowMs, Revision answered, List<RegistryEntry> entries, boolean more) {
+        if (!accepts(nowMs, answered)) {
             return false;
         }
-        if (paging.history != null && !paging.history.mayPrecede(history)) {
-            return onFutureRevision(now, history); // the pages would be of two registries
-        }
-        if (paging.history == null) {
-            paging.history = history;
-            paging.wordAt = now;
-        }
-        Map<String, RegistryEntry> fresh = paging.fresh.get(paging.fresh.size() - 1);
-        for (RegistryEntry item : items) {
-            fresh.put(item.key(), item);
-        }
-        if (more && !items.isEmpty()) {
-            paging.after = items.get(items.size() - 1).key();
-        } else if (paging.fresh.size() < parts) {
-            paging.fresh.add(new LinkedHashMap<>());
-            paging.after = "";
-        } else {
-            rebuilt(now);
+        if (!rebuild.mayContinueAt(answered)) {
+            return onFutureRevision(nowMs, answered); // the pages would be of two registries
         }
+        rebuild.addPage(nowMs, answered, entries, more);
         return true;
     }
 
-    private void rebuilt(long now) {
-        Revision next = paging.history;
-        boolean first = held == null;
-        boolean other = !first && (otherHistory || proved);
-        for (int i = 0; i < parts && !first && !other; i++) {
-            if (view.contradicts(firstPart + i, paging.fresh.get(i), at[i])) {
-                other = true;
-                sink.eventOccurred(
-                        true,
-                        "registry.history_changed",
-                        "endpoint",
-                        endpointName(),
-                        "revision",
-                        next.number(),
-                        "held",
-                        held.number(),
-                        "why",
-                        "old keys are not those that are held");
-            }
-        }
-        held = next;
-        gone = null;
-        int[] sum = new int[5];
-        for (int i = 0; i < parts; i++) {
-            at[i] = next.number();
-            EndpointView.ChangeCounts d = view.replace(firstPart + i, paging.fresh.get(i), other, next.number(), now);
-            sum[0] += d.added();
-            sum[1] += d.removed();
-            sum[2] += d.drained();
-            sum[3] += d.restarted();
-            sum[4] += d.changed();
-        }
-        sink.eventOccurred(
-                false,
-                first ? "registry.built" : "registry.rebuilt",
-                "revision",
-                next.number(),
-                "endpoint",
-                endpointName(),
-                "added",
-                sum[0],
-                "gone",
-                sum[1],
-                "drained",
-                sum[2],
-                "restarted",
-                sum[3],
-                "other",
-                sum[4],
-                "ms",
-                now - paging.startedAt,
-                "orphans",
-                view.orphans());
-        word(paging.wordAt, now);
-        paging = null;
-        otherHistory = false;
-        proved = false;
-        doubtSince = NONE;
-        onPage = settings.page();
-        phase = Phase.FOLLOWING;
-    }
-
     /**
-     * What was checked: by part the number of keys and the key asked for (null: it is not there), and whether
-     * the key that had gone is there. A registry that was restored and has since come as far as what is held
-     * shows here: its cluster and revisions alone would look right.
+     * The answer to a verification: by target the number of keys and the key asked for (null: it is not there),
+     * and whether the last deleted key is there.
      */
     public boolean onHistoryVerified(
-            long now, Revision history, List<Long> counts, List<RegistryEntry> found, boolean gone) {
-        if (!trusted(now, history)) {
+            long nowMs, Revision answered, List<Long> counts, List<RegistryEntry> found, boolean deletedKeyFound) {
+        if (!accepts(nowMs, answered)) {
             return false;
         }
-        boolean same = !gone;
-        for (int i = 0; i < parts; i++) {
-            same &= counts.get(i) == view.entryCount(firstPart + i) && view.newestEntryIs(firstPart + i, found.get(i));
-        }
-        if (!same) {
-            proved = true;
-            believe(now, history, "the last changes held are not in it");
+        if (!verification.matchesView(counts, found, deletedKeyFound)) {
+            guard.prove(answered, "the last changes held are not in it");
+            rebuild.enterAtOnce(nowMs);
             return false;
         }
-        onHistoryVerified = endpoint();
-        phase = Arrays.stream(at).allMatch(done -> done >= history.number()) ? Phase.FOLLOWING : Phase.CATCHING_UP;
-        if (phase == Phase.FOLLOWING) {
-            word(now, now);
-        }
+        verification.complete(nowMs, answered);
         return true;
     }
 
-    /**
-     * By part how many keys it has at the answer's revision, and those that have changed since what is held.
-     * That tells every put; which keys have gone only a rebuild can tell.
-     */
-    public boolean onMissedChanges(long now, Revision history, List<Long> counts, List<List<RegistryEntry>> changed) {
-        if (!trusted(now, history)) {
+    /** By target how many keys it has at the answer's revision, and those changed since what is held. */
+    public boolean onMissedChanges(
+            long nowMs, Revision answered, List<Long> counts, List<List<RegistryEntry>> changed) {
+        if (!accepts(nowMs, answered)) {
             return false;
         }
-        for (int i = 0; i < parts; i++) {
-            if (view.countDeleted(firstPart + i, changed.get(i), counts.get(i)) != 0) {
-                phase = Phase.REBUILDING;
-                paging = null;
-                return true;
-            }
-        }
-        for (int i = 0; i < parts; i++) {
-            at[i] = history.number();
-            if (!changed.get(i).isEmpty()) {
-                gone = null; // the newest change is a put
-                view.apply(firstPart + i, changed.get(i), at[i]);
-            }
+        if (missedChanges.includeDeletions(counts, changed)) {
+            rebuild.enter();
+        } else {
+            missedChanges.apply(nowMs, answered, changed);
         }
-        reached(history, history.number());
-        word(now, now);
-        phase = Phase.FOLLOWING;
         return true;
     }
 
-    /** At {@code then} nothing was missing in any part. */
-    private void word(long then, long now) {
-        Arrays.fill(wordAt, then);
-        if (now - askedAt <= settings.dialMs() + settings.answerMs()) {
-            silent = 0; // no longer slow
-        }
-        fresh(now);
-    }
-
-    private void fresh(long now) {
-        for (int i = 0; i < parts; i++) {
-            view.releaseOrphans(firstPart + i, wordAt[i]);
-        }
-        if (stale && now - confirmedAtMs() <= settings.stalenessLimitMs()) {
-            stale = false;
-            sink.eventOccurred(false, "registry.fresh", "endpoint", endpointName(), "revision", revision());
-        }
-    }
-
-    /** The revision that a range or a check asked for has been compacted away. */
-    public boolean onCompacted(long now) {
-        if (phase == Phase.CHECKING) {
-            lost(0); // nothing can be proved any more
-        } else if (paging != null) {
-            sink.eventOccurred(
-                    true,
-                    "registry.compacted",
-                    "while",
-                    "rebuilding",
-                    "revision",
-                    paging.history == null ? 0 : paging.history.number());
-            beginAgain();
+    /** The revision that a page or a verification asked for has been compacted away. */
+    public boolean onCompacted(long nowMs) {
+        if (state.phase == Phase.CHECKING) {
+            onHistoryLost(0); // nothing can be verified any more
+        } else {
+            rebuild.onCompacted();
         }
         return true;
     }
 
-    private void lost(long oldest) {
-        sink.eventOccurred(true, "registry.compacted", "while", phase, "revision", held.number(), "oldest", oldest);
-        phase = Phase.REBUILDING;
-        paging = null;
-    }
-
-    /** The pages read so far are worth nothing; with larger ones the next rebuild is more likely to end. */
-    private void beginAgain() {
-        paging = null;
-        onPage = Math.min(onPage * 2, settings.page() * MOST_PAGE_GROWTH);
+    private void onHistoryLost(long oldestRevision) {
+        state.warn(
+                "registry.compacted",
+                "while",
+                state.phase,
+                "revision",
+                state.position.number(),
+                "oldest",
+                oldestRevision);
+        rebuild.enter();
     }
 
-    /** The revision that was asked for lies ahead of this member. */
-    public boolean onFutureRevision(long now, Revision history) {
-        paging = null;
-        if (held != null) {
-            doubt(now, history == null ? new Revision("", 0, 0) : history);
+    /** The revision that was asked for lies ahead of this server; {@code answered} may be null. */
+    public boolean onFutureRevision(long nowMs, Revision answered) {
+        rebuild.dropPages();
+        if (state.position.isEmpty()) {
+            guard.leaveServerAlone(nowMs);
         } else {
-            endpoints.recordStaleAnswer(endpoint(), now, settings.restoreAfterMs() / 4);
+            doubt(nowMs, answered == null ? Revision.UNKNOWN : answered);
         }
         return false;
     }
 
-    /** The watch of a part is on. */
-    public boolean onWatchCreated(long now, Revision history, int part) {
-        if (!trusted(now, history)) {
+    /** The watch of a target is on. */
+    public boolean onWatchCreated(long nowMs, Revision answered, int target) {
+        if (!accepts(nowMs, answered)) {
             return false;
         }
-        onWatchCreated++;
-        useful();
-        if (part == firstPart + parts - 1) {
-            sink.eventOccurred(
-                    false,
-                    broke ? "registry.resumed" : "registry.following",
-                    "endpoint",
-                    endpointName(),
-                    "revision",
-                    held.number());
-            broke = false;
-        }
+        changeStream.onCreated(target);
         return true;
     }
 
     /**
-     * Changes of a part. {@code more}: the answer is one of several that belong together, and the next holds
-     * the rest. A revision is never split across answers other than by that.
+     * Changes of a target. {@code more}: the answer is one of several that belong together, and the next holds
+     * the rest. A revision is never split across answers in another way.
      */
-    public boolean onChanges(long now, Revision history, int part, List<RegistryEntry> items, boolean more) {
-        if (!history.clusterId().equals(held.clusterId())) {
-            doubt(now, history);
+    public boolean onChanges(long nowMs, Revision answered, int target, List<RegistryEntry> entries, boolean more) {
+        if (!isOfHeldCluster(nowMs, answered)) {
             return false;
         }
-        List<RegistryEntry> batch = fragments.get(part - firstPart);
-        batch.addAll(items);
-        if (more) {
-            return true;
-        }
-        wordAt[part - firstPart] = now;
-        long done = at[part - firstPart];
-        batch.removeIf(item -> item.revision() <= done); // replays
-        if (batch.isEmpty()) {
-            fresh(now);
-            return true;
-        }
-        List<RegistryEntry> all = List.copyOf(batch);
-        batch.clear();
-        RegistryEntry newest = all.get(all.size() - 1);
-        at[part - firstPart] = newest.revision();
-        gone = newest.isDeleted() ? newest.key() : null;
-        goneFrom = part - firstPart;
-        reached(history, newest.revision());
-        view.apply(part, all, newest.revision());
-        fresh(now);
+        changeStream.onChanges(nowMs, answered, target, entries, more);
         return true;
     }
 
-    /** Nothing that is not told has changed in this part up to the answer's revision. */
-    public boolean onProgress(long now, Revision history, int part) {
-        if (!history.clusterId().equals(held.clusterId())) {
-            doubt(now, history);
+    /** Nothing that has not come has changed in this target up to the answer's revision. */
+    public boolean onProgress(long nowMs, Revision answered, int target) {
+        if (!isOfHeldCluster(nowMs, answered)) {
             return false;
         }
-        int i = part - firstPart;
-        if (fragments.get(i).isEmpty()) {
-            wordAt[i] = now;
-            fresh(now);
-            at[i] = Math.max(at[i], history.number());
-            reached(history, history.number());
-        }
+        changeStream.onProgress(nowMs, answered, target);
         return true;
     }
 
-    private void reached(Revision history, long revision) {
-        held = new Revision(
-                held.clusterId(), Math.max(held.number(), revision), Math.max(held.raftTerm(), history.raftTerm()));
+    private boolean isOfHeldCluster(long nowMs, Revision answered) {
+        if (answered.clusterId().equals(state.position.held().clusterId())) {
+            return true;
+        }
+        doubt(nowMs, answered);
+        return false;
     }
 
-    /** A watch was ended by the registry. {@code compactRevision}: the oldest left, if that is why. */
-    public boolean onWatchCanceled(long now, long compactRevision, String reason) {
+    /** The registry has ended a watch. {@code compactRevision}: the oldest one left, if that is why; else 0. */
+    public boolean onWatchCanceled(long nowMs, long compactRevision, String reason) {
         if (compactRevision > 0) {
-            lost(compactRevision);
+            onHistoryLost(compactRevision);
         } else {
-            sink.eventOccurred(true, "registry.canceled", "endpoint", endpointName(), "why", reason);
-            endpoints.failed(endpoint(), now, CallOutcome.ERROR);
-            phase = Phase.CHECKING;
+            state.warn("registry.canceled", "endpoint", state.serverName(), "why", reason);
+            state.servers.recordFailure(nowMs, CallOutcome.ERROR);
+            verification.enter();
         }
         return false;
     }
 
-    /**
-     * Consul's answer. {@code lastContactMs}: how long this server has not heard its leader.
-     */
-    public boolean onQueryResult(long now, long index, boolean leader, long lastContactMs, List<RegistryEntry> items) {
-        if (!leader) {
-            return failing(now, "it knows no leader");
-        }
-        long reached = Math.max(1, index); // below 1 a question would not block
-        boolean back = held != null && reached < at[0];
-        if (lastContactMs > settings.answerMs() && !consistent) {
-            return failing(now, "it has not heard its leader for " + lastContactMs + " ms");
-        }
-        if (back && !consistent) {
-            // Either this server lags or the index was reset: the leader itself is asked for the whole.
-            sink.eventOccurred(true, "registry.doubt", "endpoint", endpointName(), "revision", reached, "held", at[0]);
-            consistent = true;
-            return false;
+    /** The answer to a blocking query. {@code lastContactMs}: how long its server has not heard its leader. */
+    public boolean onQueryResult(
+            long nowMs, long index, boolean leaderKnown, long lastContactMs, List<RegistryEntry> entries) {
+        return polling.onResult(nowMs, index, leaderKnown, lastContactMs, entries);
+    }
+
+    /** Whether an answer may follow what is held; where not, it changes nothing. */
+    private boolean accepts(long nowMs, Revision answered) {
+        HistoryGuard.Judgement judgement = guard.judge(nowMs, answered);
+        rebuildIfOtherHistory(nowMs, judgement);
+        return judgement == HistoryGuard.Judgement.ACCEPTED;
+    }
+
+    private void doubt(long nowMs, Revision answered) {
+        rebuildIfOtherHistory(nowMs, guard.doubt(nowMs, answered));
+    }
+
+    private void rebuildIfOtherHistory(long nowMs, HistoryGuard.Judgement judgement) {
+        if (judgement == HistoryGuard.Judgement.OTHER_HISTORY) {
+            rebuild.enterAtOnce(nowMs);
         }
-        boolean first = held == null;
-        if (back) {
-            sink.eventOccurred(
-                    true,
-                    "registry.history_changed",
-                    "endpoint",
-                    endpointName(),
-                    "revision",
-                    reached,
-                    "held",
-                    at[0],
-                    "why",
-                    "the leader's index is lower");
+    }
+
+    // ------------------------------------------------------------ the end of a call
+
+    /** The call that was out is over. */
+    public void onCallEnded(long nowMs, CallOutcome outcome) {
+        denied = outcome == CallOutcome.DENIED;
+        if (outcome.isConnectionLoss() && rebuild.hasPages()) {
+            rebuild.startOver(); // another history may answer from now on
         }
-        useful();
-        consistent = false;
-        if (first || reached != at[0] || broke) {
-            Map<String, RegistryEntry> fresh = new LinkedHashMap<>();
-            items.forEach(item -> fresh.put(item.key(), item));
-            // An instance's index may fall when one of its checks is removed: it proves nothing.
-            if (!first
-                    && !back
-                    && settings.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH
-                    && view.contradicts(firstPart, fresh, at[0])) {
-                back = true;
-                sink.eventOccurred(
-                        true,
-                        "registry.history_changed",
-                        "endpoint",
-                        endpointName(),
-                        "revision",
-                        reached,
-                        "held",
-                        at[0],
-                        "why",
-                        "old keys are not those that are held");
-            }
-            at[0] = reached;
-            held = new Revision("", reached, 0);
-            EndpointView.ChangeCounts d = view.replace(firstPart, fresh, back, reached, now);
-            if (first || back) {
-                sink.eventOccurred(
-                        false,
-                        first ? "registry.built" : "registry.rebuilt",
-                        "revision",
-                        reached,
-                        "endpoint",
-                        endpointName(),
-                        "added",
-                        d.added(),
-                        "gone",
-                        d.removed(),
-                        "drained",
-                        d.drained(),
-                        "restarted",
-                        d.restarted(),
-                        "other",
-                        d.changed(),
-                        "orphans",
-                        view.orphans());
-            }
+        boolean silentWatch = outcome == CallOutcome.SILENT && watching() && changeStream.established();
+        recordOutcome(nowMs, outcome, silentWatch);
+        reportOutcome(nowMs, outcome, silentWatch);
+        if (state.servers.returnToPreferred(nowMs)) {
+            state.info("registry.prefer", "endpoint", state.serverName());
         }
-        word(now, now);
-        if (broke) {
-            sink.eventOccurred(false, "registry.resumed", "endpoint", endpointName(), "revision", reached);
-            broke = false;
+        boolean watchEnded = watching() && state.phase == Phase.FOLLOWING;
+        boolean catchUpEnded =
+                currentCall instanceof RegistryCall.ReadMissedChanges && state.phase == Phase.CATCHING_UP;
+        if (watchEnded || catchUpEnded) {
+            verification.enter();
         }
-        return true;
     }
 
-    private boolean failing(long now, String why) {
-        sink.eventOccurred(true, "registry.failing", "endpoint", endpointName(), "why", why);
-        endpoints.failed(endpoint(), now, CallOutcome.ERROR);
-        return false;
+    private boolean watching() {
+        return currentCall instanceof RegistryCall.Watch;
     }
 
-    /** The call is over. */
-    public void onCallEnded(long now, CallOutcome how) {
-        int endpoint = endpoint();
-        boolean watching = out instanceof RegistryCall.Watch;
-        denied = how == CallOutcome.DENIED;
-        boolean quiet = false;
-        boolean cut = how == CallOutcome.BROKEN || how == CallOutcome.SILENT || how == CallOutcome.REFUSED;
-        if (cut && paging != null && paging.history != null) {
-            beginAgain(); // another history may answer from now on
-        }
-        switch (how) {
-            case DONE, STOPPED -> {
-                if (watching && how == CallOutcome.DONE) {
-                    endpoints.recordNormalEnd(endpoint, now);
-                }
-                if (!watching && how == CallOutcome.DONE) {
-                    useful();
-                }
-            }
-            case BROKEN -> {
-                // A connection that was of use may break once at no price: resuming is to be quick.
-                if (endpoints.proved(endpoint)) {
-                    endpoints.failed(endpoint, now, CallOutcome.REFUSED);
+    /** Decides how long the server is left alone, and whether the next answer must be smaller. */
+    private void recordOutcome(long nowMs, CallOutcome outcome, boolean silentWatch) {
+        switch (outcome) {
+            case DONE -> {
+                if (watching()) {
+                    state.servers.recordNormalEnd(nowMs);
                 } else {
-                    endpoints.failed(endpoint, now, how);
+                    state.servers.recordSuccess();
                 }
             }
+            case STOPPED -> {}
+            case BROKEN -> recordBreak(nowMs);
             case SILENT -> {
-                // A watch may rightly be silent; it is replaced all the same, and first asked where it was.
-                if (watching && onWatchCreated == parts) {
-                    endpoints.recordNormalEnd(endpoint, now);
-                    quiet = true;
+                if (silentWatch) {
+                    // A watch may rightly be silent; it is replaced all the same, at the same server first.
+                    state.servers.recordNormalEnd(nowMs);
                 } else {
-                    silent++;
-                    endpoints.failed(endpoint, now, how);
+                    state.timeout.recordSilence();
+                    state.servers.recordFailure(nowMs, outcome);
                 }
             }
-            case TOO_LARGE -> {
-                onPage = Math.max(1, onPage / 4);
-                if (out instanceof RegistryCall.RangePage) {
-                    endpoints.recordNormalEnd(endpoint, now);
-                } else if (phase == Phase.CATCHING_UP) {
-                    phase = Phase.REBUILDING; // in pages it is not too large
-                    paging = null;
-                } else {
-                    endpoints.failed(endpoint, now, how);
-                }
-            }
-            default -> endpoints.failed(endpoint, now, how);
-        }
-        if (quiet) {
-            sink.eventOccurred(false, "registry.silent", "endpoint", endpointName(), "revision", revision());
-        } else if (how != CallOutcome.DONE && how != CallOutcome.STOPPED) {
-            sink.eventOccurred(
-                    true,
-                    how == CallOutcome.DENIED ? "registry.denied" : "registry.broken",
-                    "endpoint",
-                    endpointName(),
-                    "how",
-                    how,
-                    "phase",
-                    phase,
-                    "revision",
-                    revision(),
-                    "unheard_ms",
-                    now - confirmedAtMs());
-            broke = true;
-        }
-        if (now >= preferAt) {
-            preferAt = Long.MAX_VALUE;
-            if (endpoints.switchToPreferred(now)) {
-                preferred++;
-                sink.eventOccurred(false, "registry.prefer", "endpoint", endpointName());
-            }
-        }
-        if (watching && phase == Phase.FOLLOWING
-                || out instanceof RegistryCall.ReadMissedChanges && phase == Phase.CATCHING_UP) {
-            phase = Phase.CHECKING;
+            case TOO_LARGE -> recordTooLarge(nowMs);
+            case REFUSED, ERROR, DENIED, MALFORMED -> state.servers.recordFailure(nowMs, outcome);
         }
     }
 
-    // ------------------------------------------------------------ whose history it is
+    /** A connection that was of use may break once without a longer backoff, so that resuming is quick. */
+    private void recordBreak(long nowMs) {
+        boolean wasOfUse = state.servers.hasSucceeded(state.servers.current());
+        state.servers.recordFailure(nowMs, wasOfUse ? CallOutcome.REFUSED : CallOutcome.BROKEN);
+    }
 
-    /** Whether an answer may follow what is held; where not, it changes nothing. */
-    private boolean trusted(long now, Revision history) {
-        if (proved) {
-            return true;
-        }
-        if (held == null || held.mayPrecede(history)) {
-            otherHistory = false;
-            doubtSince = NONE;
-            return true;
-        }
-        if (otherHistory) {
-            return true;
+    private void recordTooLarge(long nowMs) {
+        rebuild.shrinkPages();
+        if (currentCall instanceof RegistryCall.RangePage) {
+            state.servers.recordNormalEnd(nowMs);
+        } else if (state.phase == Phase.CATCHING_UP) {
+            rebuild.enter(); // in pages it is not too large
+        } else {
+            state.servers.recordFailure(nowMs, CallOutcome.TOO_LARGE);
         }
-        doubt(now, history);
-        return false;
     }
 
-    /**
-     * An answer that goes back: a member that lags, one of another cluster, or a registry restored from a
-     * backup. Only the last shows at every endpoint for long: until then the view stays as it is.
-     */
-    private void doubt(long now, Revision history) {
-        if (doubtSince == NONE) {
-            doubtSince = now;
-            sink.eventOccurred(
-                    true,
-                    "registry.doubt",
+    private void reportOutcome(long nowMs, CallOutcome outcome, boolean silentWatch) {
+        if (silentWatch) {
+            state.info("registry.silent", "endpoint", state.serverName(), "revision", revision());
+        } else if (outcome != CallOutcome.DONE && outcome != CallOutcome.STOPPED) {
+            state.warn(
+                    denied ? "registry.denied" : "registry.broken",
                     "endpoint",
-                    endpointName(),
-                    "cluster",
-                    history.clusterId(),
+                    state.serverName(),
+                    "how",
+                    outcome,
+                    "phase",
+                    state.phase,
                     "revision",
-                    history.number(),
-                    "held",
-                    held.number());
-        }
-        if (now - doubtSince >= settings.restoreAfterMs()) {
-            believe(now, history, "all endpoints have said so for " + (now - doubtSince) + " ms");
-        } else {
-            endpoints.recordStaleAnswer(endpoint(), now, settings.restoreAfterMs() / 4);
+                    revision(),
+                    "unheard_ms",
+                    nowMs - confirmedAtMs());
+            state.interrupted = true;
         }
     }
 
-    private void believe(long now, Revision history, String why) {
-        sink.eventOccurred(
-                true,
-                "registry.history_changed",
-                "endpoint",
-                endpointName(),
-                "cluster",
-                history.clusterId(),
-                "revision",
-                history.number(),
-                "held",
-                held.number(),
-                "why",
-                why);
-        otherHistory = true;
-        phase = Phase.REBUILDING;
-        paging = null;
-        rebuildAt = now;
-    }
-
-    private void useful() {
-        endpoints.recordSuccess(endpoint());
-        preferred = endpoint() == 0 ? 0 : preferred;
-    }
-
-    private int endpoint() {
-        return endpoints.current();
-    }
-
-    private String endpointName() {
-        return settings.endpoints().get(endpoint());
-    }
-
     @Override
     public String toString() {
-        return phase + " at " + Arrays.toString(at) + (doubtSince == NONE ? "" : ", in doubt");
+        return state.phase + " at " + state.position.reached() + (guard.inDoubt() ? ", in doubt" : "");
     }
 }
--- a/src/main/java/maplespread/registry/RequestRateLimiter.java
+++ b/src/main/java/maplespread/registry/RequestRateLimiter.java
@@ -1,51 +1,31 @@
 package maplespread.registry;
 
-import java.util.SplittableRandom;
-
-/**
- * Holds requests to a rate, and spreads repeated attempts by decorrelated jitter (Brooker, "Exponential
- * Backoff And Jitter", AWS Architecture Blog 2015): dispatchers that lose one registry together must
- * not return in step.
- */
+/** A token bucket: holds requests to a registry to a rate, with a burst of two. Not thread-safe. */
 final class RequestRateLimiter {
-    private static final double BURST = 2; // a check and its watch go together
-    private final SplittableRandom random;
-    private final double perMs;
-    private double tokens = BURST;
-    private long filledAt;
+    /** A history verification and the watch after it are sent together. */
+    private static final double BURST_REQUESTS = 2;
+
+    private static final double MS_PER_SECOND = 1000;
+
+    private final double permitsPerMs;
+    private double permits = BURST_REQUESTS;
+    private long refilledAtMs;
 
-    /** {@code perS}: requests a second; may be below one. */
-    RequestRateLimiter(double perS, SplittableRandom random) {
-        this.perMs = perS / 1000;
-        this.random = random;
+    /** {@code requestsPerSecond} may be below one. */
+    RequestRateLimiter(double requestsPerSecond) {
+        permitsPerMs = requestsPerSecond / MS_PER_SECOND;
     }
 
-    /** 0 where a request may go now, and it is counted; else when to ask again. */
-    long acquire(long now) {
-        if (filledAt != 0) {
-            tokens = Math.min(BURST, tokens + Math.max(0, now - filledAt) * perMs);
+    /** Takes a permit and returns 0, or returns the time at which to ask again. */
+    long acquire(long nowMs) {
+        if (refilledAtMs != 0) {
+            permits = Math.min(BURST_REQUESTS, permits + Math.max(0, nowMs - refilledAtMs) * permitsPerMs);
         }
-        filledAt = now;
-        if (tokens >= 1) {
-            tokens--;
+        refilledAtMs = nowMs;
+        if (permits >= 1) {
+            permits--;
             return 0;
         }
-        return now + Math.max(1, (long) Math.ceil((1 - tokens) / perMs));
-    }
-
-    /** The wait after one of {@code last}: from base to three times the last, cap at most. */
-    long nextBackoffMs(long base, long last, long cap) {
-        long top = Math.min(cap, Math.max(base + 1, last * 3));
-        return top <= base ? top : base + random.nextLong(top - base + 1);
-    }
-
-    /** At most the span, less by up to this part of it: what begins in step does not end so. */
-    long shortened(long span, int part) {
-        return Math.max(1, span - random.nextLong(span / part + 1));
-    }
-
-    /** Within a tenth of the span, so that long waits do not end in step either. */
-    long jittered(long span) {
-        return Math.max(1, span - span / 10 + random.nextLong(Math.max(1, span / 5)));
+        return nowMs + Math.max(1, (long) Math.ceil((1 - permits) / permitsPerMs));
     }
 }
--- a/src/test/java/maplespread/registry/RegistryTraceGoldenTest.java
+++ b/src/test/java/maplespread/registry/RegistryTraceGoldenTest.java
@@ -29,7 +29,7 @@
         final Store store = new Store();
         final List<VirtualRegistry.Member> members = new ArrayList<>();
         final List<VirtualRegistry.Conversation> conversations = new ArrayList<>();
-        final List<RegistryWatcher> cores = new ArrayList<>();
+        final List<RegistryWatcher> watchers = new ArrayList<>();
         final SplittableRandom random;
         Store.Backup backup;
         long now = 1;
@@ -57,9 +57,9 @@
             VirtualRegistry registry = new VirtualRegistry(settings, members);
             RegistryListener sink = new RegistryListener() {
                 @Override
-                public void endpointsChanged(EndpointUpdate news) {
-                    trace.append(recordedName(news.kind())).append(' ').append(news.version());
-                    for (Endpoint r : news.endpoints()) {
+                public void endpointsChanged(EndpointUpdate update) {
+                    trace.append(recordedName(update.kind())).append(' ').append(update.version());
+                    for (Endpoint r : update.endpoints()) {
                         trace.append(' ').append(r.worker()).append(' ').append(r.state());
                         trace.append(' ').append(r.cell()).append(' ').append(r.startedAtMs());
                     }
@@ -76,9 +76,9 @@
             EndpointView view = new EndpointView(2, Play::claim, settings.forgetAfterMs(), sink);
             int each = dialect.returnsFullSnapshots() ? 1 : 2;
             for (int first = 0; first < 2; first += each) {
-                RegistryWatcher core = new RegistryWatcher(settings, first, each, 3, view, seed + first, now, sink);
-                cores.add(core);
-                conversations.add(registry.new Conversation(core, seed + 9 + first));
+                RegistryWatcher watcher = new RegistryWatcher(settings, first, each, 3, view, seed + first, now, sink);
+                watchers.add(watcher);
+                conversations.add(registry.new Conversation(watcher, seed + 9 + first));
             }
         }
 
@@ -151,18 +151,26 @@
                     }
                 }
                 case 20 -> conversations.forEach(c -> c.cut(now, random.nextInt(2) == 0));
-                default -> cores.forEach(core -> core.onTokenChanged(now));
+                default -> watchers.forEach(watcher -> watcher.onTokenChanged(now));
             }
         }
 
         private void step() {
             long next = Long.MAX_VALUE;
-            for (int i = 0; i < cores.size(); i++) {
+            for (int i = 0; i < watchers.size(); i++) {
                 next = Math.min(next, conversations.get(i).step(now));
-                RegistryWatcher core = cores.get(i);
-                trace.append(now).append(' ').append(core.phase()).append(' ').append(core.revision());
-                trace.append(' ').append(core.confirmedAtMs()).append(' ').append(core.callTimeoutAtMs());
-                trace.append(' ').append(core.denied()).append(' ').append(next).append('\n');
+                RegistryWatcher watcher = watchers.get(i);
+                trace.append(now)
+                        .append(' ')
+                        .append(watcher.phase())
+                        .append(' ')
+                        .append(watcher.revision());
+                trace.append(' ').append(watcher.confirmedAtMs()).append(' ').append(watcher.callTimeoutAtMs());
+                trace.append(' ')
+                        .append(watcher.denied())
+                        .append(' ')
+                        .append(next)
+                        .append('\n');
             }
             now = Math.max(now + 1, Math.min(next, now + 50));
         }
--- a/src/test/java/maplespread/registry/RegistryWatcherModelTest.java
+++ b/src/test/java/maplespread/registry/RegistryWatcherModelTest.java
@@ -38,9 +38,9 @@
         final VirtualRegistry registry;
         final List<VirtualRegistry.Member> members = new ArrayList<>();
         final List<VirtualRegistry.Conversation> conversations = new ArrayList<>();
-        final List<RegistryWatcher> cores = new ArrayList<>();
+        final List<RegistryWatcher> watchers = new ArrayList<>();
         final EndpointView view;
-        final Map<String, Endpoint> told = new TreeMap<>();
+        final Map<String, Endpoint> published = new TreeMap<>();
         final Map<String, Double> drained = new HashMap<>(); // told as draining, and since when up
         final List<String> events = new ArrayList<>();
         long now = 1;
@@ -72,8 +72,8 @@
             registry = new VirtualRegistry(settings, members);
             RegistryListener sink = new RegistryListener() {
                 @Override
-                public void endpointsChanged(EndpointUpdate news) {
-                    hear(news);
+                public void endpointsChanged(EndpointUpdate update) {
+                    onUpdate(update);
                 }
 
                 @Override
@@ -84,9 +84,9 @@
             view = new EndpointView(2, World::claim, settings.forgetAfterMs(), sink);
             int each = dialect.returnsFullSnapshots() ? 1 : 2;
             for (int first = 0; first < 2; first += each) {
-                RegistryWatcher core = new RegistryWatcher(settings, first, each, 1, view, 5 + first, now, sink);
-                cores.add(core);
-                conversations.add(registry.new Conversation(core, 9 + first));
+                RegistryWatcher watcher = new RegistryWatcher(settings, first, each, 1, view, 5 + first, now, sink);
+                watchers.add(watcher);
+                conversations.add(registry.new Conversation(watcher, 9 + first));
             }
             for (int i = 0; i < 10; i++) { // even one that lags sees workers
                 pair();
@@ -125,15 +125,15 @@
             store.change(Map.of("/a/p0", "p0 SERVING 1 " + cell + " 1", "/a/p1", "p1 SERVING 1 " + cell + " 2"), 0);
         }
 
-        void hear(EndpointUpdate news) {
-            boolean whole = news.kind() == EndpointUpdate.Kind.FULL_SNAPSHOT;
-            assertEquals(told.isEmpty() && !lost, whole && !lost, "whole once, and first");
-            for (Endpoint r : news.endpoints()) {
+        void onUpdate(EndpointUpdate update) {
+            boolean whole = update.kind() == EndpointUpdate.Kind.FULL_SNAPSHOT;
+            assertEquals(published.isEmpty() && !lost, whole && !lost, "whole once, and first");
+            for (Endpoint r : update.endpoints()) {
                 if (r.state() == Endpoint.State.DELETED) {
-                    assertTrue(told.remove(r.worker()) != null, "deleted what was never told " + r);
+                    assertTrue(published.remove(r.worker()) != null, "deleted what was never told " + r);
                     continue;
                 }
-                Endpoint before = told.put(r.worker(), r);
+                Endpoint before = published.put(r.worker(), r);
                 if (r.state() == Endpoint.State.DRAINING) {
                     drained.put(r.worker(), r.startedAtMs());
                 } else {
@@ -146,8 +146,8 @@
                         restored || twice || before == null || before.startedAtMs() <= r.startedAtMs(),
                         "back in time: " + before + " then " + r);
             }
-            assertFalse(told.isEmpty() && !lost, "empty where the truth was not");
-            Endpoint a = told.get("p0"), b = told.get("p1");
+            assertFalse(published.isEmpty() && !lost, "empty where the truth was not");
+            Endpoint a = published.get("p0"), b = published.get("p1");
             assertEquals(a == null ? -1 : a.cell(), b == null ? -1 : b.cell(), "half a revision");
         }
 
@@ -236,10 +236,10 @@
                 run(1);
                 now += 35;
                 done = view.published()
-                        && view.orphans() == 0
+                        && view.orphanCount() == 0
                         && conversations.stream().allMatch(VirtualRegistry.Conversation::upToDate);
             }
-            assertTrue(done, "not settled: " + cores + events);
+            assertTrue(done, "not settled: " + watchers + events);
             Map<String, Endpoint> truth = truth();
             Set<String> doubtful = new HashSet<>();
             for (int i = 0; i < WORKERS; i++) {
@@ -249,10 +249,10 @@
                 }
             }
             Set<String> all = new HashSet<>(truth.keySet());
-            all.addAll(told.keySet());
+            all.addAll(published.keySet());
             all.removeAll(doubtful);
             for (String worker : all) {
-                Endpoint is = told.get(worker), should = truth.get(worker);
+                Endpoint is = published.get(worker), should = truth.get(worker);
                 if (restored
                         && should != null
                         && is != null
--- a/src/test/java/maplespread/registry/RegistryWatcherTest.java
+++ b/src/test/java/maplespread/registry/RegistryWatcherTest.java
@@ -21,17 +21,17 @@
 import maplespread.registry.RegistrySettings.Dialect;
 import org.junit.jupiter.api.Test;
 
-/** The core alone: what single moments need that the random histories would meet only by luck. */
+/** The watcher alone: what single moments need that the random histories would meet only by luck. */
 class RegistryWatcherTest {
-    private final List<EndpointUpdate> news = new ArrayList<>();
+    private final List<EndpointUpdate> updates = new ArrayList<>();
     private final List<String> events = new ArrayList<>();
     private final Store store = new Store();
     private long now = 1;
 
     private final RegistryListener sink = new RegistryListener() {
         @Override
-        public void endpointsChanged(EndpointUpdate n) {
-            news.add(n);
+        public void endpointsChanged(EndpointUpdate update) {
+            updates.add(update);
         }
 
         @Override
@@ -40,7 +40,7 @@
         }
     };
 
-    private static Endpoint route(String key, String text) {
+    private static Endpoint endpoint(String key, String text) {
         String[] f = text.split(" ");
         return new Endpoint(
                 key,
@@ -57,8 +57,8 @@
         return RegistrySettings.withDefaults(dialect, List.of("a:1", "b:1"), List.of("/w/"));
     }
 
-    private RegistryWatcher core(RegistrySettings s, int peers) {
-        EndpointView view = new EndpointView(1, RegistryWatcherTest::route, s.forgetAfterMs(), sink);
+    private RegistryWatcher watcher(RegistrySettings s, int peers) {
+        EndpointView view = new EndpointView(1, RegistryWatcherTest::endpoint, s.forgetAfterMs(), sink);
         return new RegistryWatcher(s, 0, 1, peers, view, 3, now, sink);
     }
 
@@ -68,76 +68,79 @@
 
     /** As far as a watch that is on, with one worker at revision 10. */
     private RegistryWatcher following() {
-        RegistryWatcher core = core(settings(Dialect.ETCD), 1);
-        assertInstanceOf(RegistryCall.RangePage.class, core.nextCall(now));
-        assertTrue(core.onPage(now, history(10), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false));
-        core.onCallEnded(now, CallOutcome.DONE);
-        RegistryCall.Watch watch = assertInstanceOf(RegistryCall.Watch.class, core.nextCall(now));
+        RegistryWatcher watcher = watcher(settings(Dialect.ETCD), 1);
+        assertInstanceOf(RegistryCall.RangePage.class, watcher.nextCall(now));
+        assertTrue(watcher.onPage(now, history(10), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false));
+        watcher.onCallEnded(now, CallOutcome.DONE);
+        RegistryCall.Watch watch = assertInstanceOf(RegistryCall.Watch.class, watcher.nextCall(now));
         assertEquals(List.of(11L), watch.fromRevisions());
-        assertTrue(core.onWatchCreated(now, history(10), 0));
-        return core;
+        assertTrue(watcher.onWatchCreated(now, history(10), 0));
+        return watcher;
     }
 
     @Test
     void aRevisionIsTakenWholeOrNotAtAll() {
-        RegistryWatcher core = following();
-        core.onChanges(now, history(12), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 11)), true);
-        assertEquals(1, news.size(), "the rest of the revision has not come");
-        core.onCallEnded(now, CallOutcome.BROKEN);
+        RegistryWatcher watcher = following();
+        watcher.onChanges(now, history(12), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 11)), true);
+        assertEquals(1, updates.size(), "the rest of the revision has not come");
+        watcher.onCallEnded(now, CallOutcome.BROKEN);
         now += 1000;
-        RegistryCall.VerifyHistory check = assertInstanceOf(RegistryCall.VerifyHistory.class, core.nextCall(now));
+        RegistryCall.VerifyHistory check = assertInstanceOf(RegistryCall.VerifyHistory.class, watcher.nextCall(now));
         assertEquals(new RegistryCall.HistoryProof(10, "/w/a"), check.proofs().get(0));
-        core.onHistoryVerified(now, history(12), List.of(1L), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false);
-        core.onCallEnded(now, CallOutcome.DONE);
+        watcher.onHistoryVerified(
+                now, history(12), List.of(1L), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false);
+        watcher.onCallEnded(now, CallOutcome.DONE);
         now += 1000;
         assertEquals(
-                new RegistryCall.ReadMissedChanges(1, List.of(10L)), core.nextCall(now), "all of revision 11 again");
-        core.onMissedChanges(now, history(12), List.of(1L), List.of(List.of(RegistryEntry.of("/w/a", "DRAINING", 11))));
-        core.onCallEnded(now, CallOutcome.DONE);
-        assertEquals(Endpoint.State.DRAINING, news.get(1).endpoints().get(0).state());
+                new RegistryCall.ReadMissedChanges(1, List.of(10L)), watcher.nextCall(now), "all of revision 11 again");
+        watcher.onMissedChanges(
+                now, history(12), List.of(1L), List.of(List.of(RegistryEntry.of("/w/a", "DRAINING", 11))));
+        watcher.onCallEnded(now, CallOutcome.DONE);
+        assertEquals(Endpoint.State.DRAINING, updates.get(1).endpoints().get(0).state());
         now += 1000;
-        assertEquals(List.of(13L), ((RegistryCall.Watch) core.nextCall(now)).fromRevisions(), "it was as far as 12");
+        assertEquals(List.of(13L), ((RegistryCall.Watch) watcher.nextCall(now)).fromRevisions(), "it was as far as 12");
     }
 
     @Test
     void theHeaderOfAnAnswerIsNoPlaceToResumeFrom() {
-        RegistryWatcher core = following();
-        core.onChanges(now, history(90), 0, List.of(RegistryEntry.of("/w/b", "SERVING", 11)), false);
-        assertEquals(11, core.revision(), "events up to 90 may yet be on their way");
-        core.onProgress(now, history(90), 0);
-        assertEquals(90, core.revision());
+        RegistryWatcher watcher = following();
+        watcher.onChanges(now, history(90), 0, List.of(RegistryEntry.of("/w/b", "SERVING", 11)), false);
+        assertEquals(11, watcher.revision(), "events up to 90 may yet be on their way");
+        watcher.onProgress(now, history(90), 0);
+        assertEquals(90, watcher.revision());
     }
 
     @Test
     void aRebuildFromAMemberThatLagsChangesNothing() {
-        RegistryWatcher core = following();
-        core.onChanges(now, history(20), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 20)), false);
-        core.onWatchCanceled(now, 30, "");
-        core.onCallEnded(now, CallOutcome.STOPPED);
+        RegistryWatcher watcher = following();
+        watcher.onChanges(now, history(20), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 20)), false);
+        watcher.onWatchCanceled(now, 30, "");
+        watcher.onCallEnded(now, CallOutcome.STOPPED);
         now += 1000;
-        assertInstanceOf(RegistryCall.RangePage.class, core.nextCall(now));
-        assertFalse(core.onPage(now, history(15), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false));
-        core.onCallEnded(now, CallOutcome.STOPPED);
-        assertEquals(2, news.size());
-        assertEquals(20, core.revision());
+        assertInstanceOf(RegistryCall.RangePage.class, watcher.nextCall(now));
+        assertFalse(watcher.onPage(now, history(15), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), false));
+        watcher.onCallEnded(now, CallOutcome.STOPPED);
+        assertEquals(2, updates.size());
+        assertEquals(20, watcher.revision());
     }
 
     @Test
     void pagesReadBeforeABreakAreOfNoUse() {
-        RegistryWatcher core = core(RegistrySettings.withDefaults(Dialect.ETCD, List.of("a:1"), List.of("/w/")), 1);
-        core.nextCall(now);
-        assertTrue(core.onPage(now, history(10), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), true));
-        core.onCallEnded(now, CallOutcome.DONE);
-        assertEquals(new RegistryCall.RangePage(0, 0, "/w/a", 10, 1000), core.nextCall(now));
-        core.onCallEnded(now, CallOutcome.BROKEN);
+        RegistryWatcher watcher =
+                watcher(RegistrySettings.withDefaults(Dialect.ETCD, List.of("a:1"), List.of("/w/")), 1);
+        watcher.nextCall(now);
+        assertTrue(watcher.onPage(now, history(10), List.of(RegistryEntry.of("/w/a", "SERVING", 10)), true));
+        watcher.onCallEnded(now, CallOutcome.DONE);
+        assertEquals(new RegistryCall.RangePage(0, 0, "/w/a", 10, 1000), watcher.nextCall(now));
+        watcher.onCallEnded(now, CallOutcome.BROKEN);
         now += 10_000;
-        assertEquals(new RegistryCall.RangePage(0, 0, "", 0, 2000), core.nextCall(now));
+        assertEquals(new RegistryCall.RangePage(0, 0, "", 0, 2000), watcher.nextCall(now));
     }
 
     @Test
     void aValueThatCannotBeReadCostsItsOwnChangeOnly() {
-        RegistryWatcher core = following();
-        core.onChanges(
+        RegistryWatcher watcher = following();
+        watcher.onChanges(
                 now,
                 history(11),
                 0,
@@ -145,98 +148,99 @@
                 false);
         assertEquals(
                 List.of("/w/b"),
-                news.get(1).endpoints().stream().map(Endpoint::worker).toList());
+                updates.get(1).endpoints().stream().map(Endpoint::worker).toList());
         assertTrue(events.contains("registry.unreadable"));
-        core.onChanges(now, history(12), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 12)), false);
-        assertEquals(Endpoint.State.DRAINING, news.get(2).endpoints().get(0).state());
+        watcher.onChanges(now, history(12), 0, List.of(RegistryEntry.of("/w/a", "DRAINING", 12)), false);
+        assertEquals(Endpoint.State.DRAINING, updates.get(2).endpoints().get(0).state());
     }
 
     @Test
     void absenceFromARestoredHistoryIsNobodysWordForAWhile() {
-        RegistryWatcher core = following();
-        core.onCallEnded(now, CallOutcome.BROKEN);
+        RegistryWatcher watcher = following();
+        watcher.onCallEnded(now, CallOutcome.BROKEN);
         now += 1000;
-        core.nextCall(now);
-        core.onHistoryVerified(now, history(20), List.of(0L), java.util.Collections.singletonList(null), false);
-        core.onCallEnded(now, CallOutcome.STOPPED);
+        watcher.nextCall(now);
+        watcher.onHistoryVerified(now, history(20), List.of(0L), java.util.Collections.singletonList(null), false);
+        watcher.onCallEnded(now, CallOutcome.STOPPED);
         now += 1000;
-        assertInstanceOf(RegistryCall.RangePage.class, core.nextCall(now));
-        core.onPage(now, history(20), List.of(RegistryEntry.of("/w/b", "SERVING", 15)), false);
-        core.onCallEnded(now, CallOutcome.DONE);
+        assertInstanceOf(RegistryCall.RangePage.class, watcher.nextCall(now));
+        watcher.onPage(now, history(20), List.of(RegistryEntry.of("/w/b", "SERVING", 15)), false);
+        watcher.onCallEnded(now, CallOutcome.DONE);
         assertEquals(
                 List.of("/w/b"),
-                news.get(1).endpoints().stream().map(Endpoint::worker).toList());
+                updates.get(1).endpoints().stream().map(Endpoint::worker).toList());
         now += 15_000;
-        core.nextCall(now);
-        assertEquals(2, news.size(), "nobody has said that it did not come back");
-        core.onWatchCreated(now, history(20), 0);
-        core.onProgress(now, history(20), 0);
-        assertEquals(Endpoint.State.DELETED, news.get(2).endpoints().get(0).state());
-        assertEquals("/w/a", news.get(2).endpoints().get(0).worker());
+        watcher.nextCall(now);
+        assertEquals(2, updates.size(), "nobody has said that it did not come back");
+        watcher.onWatchCreated(now, history(20), 0);
+        watcher.onProgress(now, history(20), 0);
+        assertEquals(Endpoint.State.DELETED, updates.get(2).endpoints().get(0).state());
+        assertEquals("/w/a", updates.get(2).endpoints().get(0).worker());
     }
 
     @Test
     void anotherClusterIsBelievedOnlyAfterAWhile() {
-        RegistryWatcher core = following();
-        core.onCallEnded(now, CallOutcome.BROKEN);
+        RegistryWatcher watcher = following();
+        watcher.onCallEnded(now, CallOutcome.BROKEN);
         long began = now += 1000;
         Revision other = new Revision("other", 500, 9);
         while (events.stream().noneMatch("registry.history_changed"::equals)) {
-            RegistryCall ask = core.nextCall(now);
-            if (ask instanceof RegistryCall.Pause p) {
+            RegistryCall call = watcher.nextCall(now);
+            if (call instanceof RegistryCall.Pause p) {
                 now = p.untilMs();
             } else {
-                assertInstanceOf(RegistryCall.VerifyHistory.class, ask);
-                assertFalse(core.onHistoryVerified(
+                assertInstanceOf(RegistryCall.VerifyHistory.class, call);
+                assertFalse(watcher.onHistoryVerified(
                         now, other, List.of(0L), java.util.Collections.singletonList(null), false));
-                core.onCallEnded(now, CallOutcome.STOPPED);
+                watcher.onCallEnded(now, CallOutcome.STOPPED);
             }
         }
         assertTrue(now - began >= 3000, "after " + (now - began));
-        assertEquals(1, news.size(), "nothing has changed until then");
+        assertEquals(1, updates.size(), "nothing has changed until then");
     }
 
     @Test
     void aRefusedTokenIsAskedAboutSeldomAndAtOnceWhenItChanges() {
-        RegistryWatcher core = core(settings(Dialect.ETCD), 1);
+        RegistryWatcher watcher = watcher(settings(Dialect.ETCD), 1);
         int asked = 0;
         while (now < 60_000) {
-            RegistryCall ask = core.nextCall(now);
-            if (ask instanceof RegistryCall.Pause p) {
+            RegistryCall call = watcher.nextCall(now);
+            if (call instanceof RegistryCall.Pause p) {
                 now = p.untilMs();
             } else {
                 asked++;
-                core.onCallEnded(now, CallOutcome.DENIED);
+                watcher.onCallEnded(now, CallOutcome.DENIED);
             }
         }
         assertTrue(asked <= 40, "asked " + asked + " times in a minute at two endpoints");
-        assertTrue(core.denied());
-        core.onTokenChanged(now);
-        assertInstanceOf(RegistryCall.RangePage.class, core.nextCall(now));
+        assertTrue(watcher.denied());
+        watcher.onTokenChanged(now);
+        assertInstanceOf(RegistryCall.RangePage.class, watcher.nextCall(now));
     }
 
     @Test
     void anAnswerTooLargeMakesPagesSmaller() {
-        RegistryWatcher core = core(settings(Dialect.ETCD), 1);
-        assertEquals(1000, ((RegistryCall.RangePage) core.nextCall(now)).limit());
-        core.onCallEnded(now, CallOutcome.TOO_LARGE);
+        RegistryWatcher watcher = watcher(settings(Dialect.ETCD), 1);
+        assertEquals(1000, ((RegistryCall.RangePage) watcher.nextCall(now)).limit());
+        watcher.onCallEnded(now, CallOutcome.TOO_LARGE);
         now += 100;
-        assertEquals(250, ((RegistryCall.RangePage) core.nextCall(now)).limit());
+        assertEquals(250, ((RegistryCall.RangePage) watcher.nextCall(now)).limit());
     }
 
     @Test
     void consulWithoutALeaderOrWithAnIndexOfZeroIsNotTakenAtItsWord() {
-        RegistryWatcher core = core(settings(Dialect.CONSUL_KV), 1);
-        core.nextCall(now);
-        assertFalse(core.onQueryResult(now, 7, false, 0, List.of()), "an empty list without a leader");
-        core.onCallEnded(now, CallOutcome.STOPPED);
-        assertEquals(0, news.size());
+        RegistryWatcher watcher = watcher(settings(Dialect.CONSUL_KV), 1);
+        watcher.nextCall(now);
+        assertFalse(watcher.onQueryResult(now, 7, false, 0, List.of()), "an empty list without a leader");
+        watcher.onCallEnded(now, CallOutcome.STOPPED);
+        assertEquals(0, updates.size());
         now += 10_000;
-        core.nextCall(now);
-        core.onQueryResult(now, 0, true, 0, List.of(RegistryEntry.of("/w/a", "SERVING", 1)));
-        core.onCallEnded(now, CallOutcome.DONE);
+        watcher.nextCall(now);
+        watcher.onQueryResult(now, 0, true, 0, List.of(RegistryEntry.of("/w/a", "SERVING", 1)));
+        watcher.onCallEnded(now, CallOutcome.DONE);
         now += 1000;
-        assertEquals(1, ((RegistryCall.BlockingQuery) core.nextCall(now)).index(), "an index of zero would not block");
+        assertEquals(
+                1, ((RegistryCall.BlockingQuery) watcher.nextCall(now)).index(), "an index of zero would not block");
     }
 
     /** Two hundred that lose one registry together keep to the rate that they are to share. */
@@ -263,11 +267,11 @@
         VirtualRegistry.Member member = new VirtualRegistry.Member(store);
         VirtualRegistry registry = new VirtualRegistry(s, List.of(member));
         List<VirtualRegistry.Conversation> all = new ArrayList<>();
-        List<RegistryWatcher> cores = new ArrayList<>();
+        List<RegistryWatcher> watchers = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            cores.add(new RegistryWatcher(
-                    s, 0, 1, 200, new EndpointView(1, RegistryWatcherTest::route, 1000, sink), i, now, sink));
-            all.add(registry.new Conversation(cores.get(i), i));
+            watchers.add(new RegistryWatcher(
+                    s, 0, 1, 200, new EndpointView(1, RegistryWatcherTest::endpoint, 1000, sink), i, now, sink));
+            all.add(registry.new Conversation(watchers.get(i), i));
         }
         run(all, 8000);
         member.down = true;
@@ -282,7 +286,7 @@
             most = Math.max(most, registry.requests() - before);
         }
         assertTrue(most <= 2 * 400, "requests in one second: " + most);
-        assertTrue(cores.stream().allMatch(c -> c.revision() == store.revision()));
+        assertTrue(watchers.stream().allMatch(c -> c.revision() == store.revision()));
     }
 
     private void run(List<VirtualRegistry.Conversation> all, long ms) {
@@ -299,10 +303,10 @@
                                 java.nio.file.Files.readString(java.nio.file.Path.of("example/config.json")), Map.of())
                         .settings(),
                 7);
-        RegistryWatcher core = core(settings(Dialect.ETCD), 1);
+        RegistryWatcher watcher = watcher(settings(Dialect.ETCD), 1);
         VirtualRegistry registry = new VirtualRegistry(
                 settings(Dialect.ETCD), List.of(new VirtualRegistry.Member(store), new VirtualRegistry.Member(store)));
-        VirtualRegistry.Conversation c = registry.new Conversation(core, 1);
+        VirtualRegistry.Conversation c = registry.new Conversation(watcher, 1);
         long lease = store.grant(1000, 0);
         for (int i = 0; i < 20; i++) {
             store.put("/w/old" + i, "SERVING 0", lease);
@@ -315,7 +319,7 @@
         }
         run(List.of(c), 50);
         d.report(new EndpointUpdate(EndpointUpdate.Kind.CACHED_SNAPSHOT, 0, List.of()));
-        news.forEach(d::report);
+        updates.forEach(d::report);
         Map<String, Integer> sent = new HashMap<>();
         long begun = System.nanoTime();
         for (int i = 0; i < 400; i++) {
--- a/src/test/java/maplespread/registry/StalenessLimitTest.java
+++ b/src/test/java/maplespread/registry/StalenessLimitTest.java
@@ -31,7 +31,7 @@
         final List<VirtualRegistry.Member> members;
         final VirtualRegistry registry;
         final List<VirtualRegistry.Conversation> conversations = new ArrayList<>();
-        final List<Map<String, Long>> told = new ArrayList<>();
+        final List<Map<String, Long>> published = new ArrayList<>();
         final List<String> events = new ArrayList<>();
         long now = 1;
 
@@ -46,11 +46,11 @@
             }
             for (int d = 0; d < dispatchers; d++) {
                 Map<String, Long> mine = new HashMap<>();
-                told.add(mine);
+                published.add(mine);
                 RegistryListener sink = new RegistryListener() {
                     @Override
-                    public void endpointsChanged(EndpointUpdate news) {
-                        news.endpoints().forEach(r -> mine.putIfAbsent(r.worker() + r.state(), now));
+                    public void endpointsChanged(EndpointUpdate update) {
+                        update.endpoints().forEach(r -> mine.putIfAbsent(r.worker() + r.state(), now));
                     }
 
                     @Override
@@ -91,7 +91,7 @@
             until(ms + STEP_MS, () -> now >= end);
         }
 
-        /** Drains it or deletes it; what is to be told. */
+        /** Drains it or deletes it; what is to be published. */
         String change(int worker, boolean delete) {
             if (delete) {
                 store.delete(key(worker));
@@ -138,7 +138,7 @@
         }
         world.run(s.stalenessLimitMs());
         due.forEach((what, since) -> {
-            Long at = world.told.get(0).get(what);
+            Long at = world.published.get(0).get(what);
             assertTrue(
                     at != null && at - since < s.stalenessLimitMs(),
                     () -> what + " after " + (at == null ? "never" : at - since) + " of " + s.stalenessLimitMs()
@@ -158,7 +158,7 @@
             world.run(100);
             most = Math.max(most, world.registry.requests() - before);
         }
-        for (Map<String, Long> mine : world.told) {
+        for (Map<String, Long> mine : world.published) {
             assertTrue(mine.containsKey(drain) && mine.containsKey(gone));
         }
         assertTrue(most <= 300, "requests in a tenth of a second: " + most);
@@ -178,7 +178,7 @@
         world.members.forEach(m -> m.down = m.silent = false);
         world.until(
                 refuses ? 1500 : 7500,
-                () -> world.told.stream().allMatch(t -> t.containsKey(drain))
+                () -> world.published.stream().allMatch(t -> t.containsKey(drain))
                         && world.events.stream()
                                         .filter("registry.stale"::equals)
                                         .count()
@@ -196,7 +196,7 @@
             m.muted = 3;
         });
         String drain = world.change(4, false);
-        world.until(60_000, () -> world.told.get(0).containsKey(drain));
+        world.until(60_000, () -> world.published.get(0).containsKey(drain));
     }
 
     /** The settings that are asked for are the loosest that keep the clock. */
