--- a/src/main/java/maplespread/registry/client/RegistryAdmin.java
+++ b/src/main/java/maplespread/registry/client/RegistryAdmin.java
@@ -6,87 +6,56 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import maplespread.registry.CallOutcome;
 import maplespread.registry.RegistryEntry;
 import maplespread.registry.RegistrySettings;
-import maplespread.registry.RegistrySettings.Dialect;
-import maplespread.registry.wire.ConsulProtocol;
-import maplespread.registry.wire.EtcdProtocol;
 import maplespread.registry.wire.RegistryProtocolException;
-import maplespread.registry.wire.RegistryRequest;
 
-/** What operators and workers write into a registry: single calls, to the first endpoint that answers. */
+/**
+ * What operators and workers write into a registry: single calls, each to the first server that answers. Used by
+ * one thread, but for {@link #close}.
+ */
 public final class RegistryAdmin implements Closeable {
-    /** It could not be done; the message says why. */
+    /** A task could not be done; the message says why, and whether it may have been done. */
     public static final class RegistryAdminException extends Exception {
         private static final long serialVersionUID = 1;
 
-        RegistryAdminException(String why) {
-            super(why);
+        RegistryAdminException(String reason) {
+            super(reason);
         }
     }
 
-    private static final int SWAPS = 5;
-    private static final long ANSWER_MS = 3000; // a person waits: no clock runs here
-    private static final String RECALLED = "leaveTakenBack";
+    private static final int MAX_SWAP_ATTEMPTS = 5;
+    private static final String WORKER_MEMBER = "instanceId";
+    private static final String STATE_MEMBER = "lifecycle";
+    private static final String STARTED_MEMBER = "startedAtMs";
+    /** At a worker: the newest planned outage whose drain was cancelled. */
+    private static final String CANCELLED_OUTAGE_MEMBER = "leaveTakenBack";
+
+    private static final String SERVING = "SERVING";
+    private static final String DRAINING = "DRAINING";
+
     private final RegistrySettings settings;
-    private final RegistryConnection link;
-    private final boolean etcd, health;
+    private final RegistryConnection connection;
+    private final AdminDialect dialect;
 
+    /** Connects when the first call is made. */
     public RegistryAdmin(RegistrySettings settings) {
         this.settings = settings;
-        link = new RegistryConnection(settings, new TokenFile(settings.tokenFile()));
-        etcd = settings.dialect() == Dialect.ETCD;
-        health = settings.dialect() == Dialect.CONSUL_HEALTH;
-    }
-
-    /**
-     * Asks one endpoint after the other. Reads may be asked again elsewhere; a write whose answer was lost
-     * may have been made, so that is said and not tried again.
-     */
-    private String call(RegistryRequest request, boolean read, boolean orNone) throws RegistryAdminException {
-        String why = "";
-        for (String endpoint : settings.endpoints()) {
-            try {
-                return link.call(endpoint, request, RegistryClient.nowMs() + ANSWER_MS, orNone)
-                        .body();
-            } catch (RegistryConnection.CallFailedException e) {
-                why += (why.isEmpty() ? "" : "; ") + endpoint + ": " + e.getMessage();
-                if (!read
-                        && e.how != CallOutcome.REFUSED
-                        && e.how != CallOutcome.DENIED
-                        && e.how != CallOutcome.ERROR) {
-                    throw new RegistryAdminException(why + " (it may have been done)");
-                }
-            }
-        }
-        throw new RegistryAdminException(why);
+        connection = new RegistryConnection(settings, new TokenFile(settings.tokenFile()));
+        AdminCalls calls = new AdminCalls(settings, connection);
+        dialect = switch (settings.dialect()) {
+            case ETCD -> new EtcdAdminDialect(calls, settings.page());
+            case CONSUL_KV -> new ConsulKeysAdminDialect(calls);
+            case CONSUL_HEALTH -> new ConsulHealthAdminDialect(calls);
+        };
     }
 
-    /** All keys with their values. */
+    /** All entries that the settings follow, with their values. */
     public List<RegistryEntry> entries() throws RegistryAdminException {
         try {
             List<RegistryEntry> all = new ArrayList<>();
-            for (String name : settings.follow()) {
-                if (!etcd) {
-                    RegistryRequest ask =
-                            health ? ConsulProtocol.health(name, 0, 0, true) : ConsulProtocol.keys(name, 0, 0, true);
-                    String body = call(ask, true, !health);
-                    all.addAll(health ? ConsulProtocol.health(body) : ConsulProtocol.keys(body));
-                    continue;
-                }
-                String after = "";
-                long revision = 0;
-                while (true) {
-                    EtcdProtocol.RangeResponse page = EtcdProtocol.page(
-                            call(EtcdProtocol.range(name, after, revision, settings.page()), true, false));
-                    all.addAll(page.entries());
-                    if (!page.more()) {
-                        break;
-                    }
-                    after = page.entries().get(page.entries().size() - 1).key();
-                    revision = revision == 0 ? page.revision().number() : revision;
-                }
+            for (String followed : settings.follow()) {
+                all.addAll(dialect.entries(followed));
             }
             return all;
         } catch (RegistryProtocolException e) {
@@ -94,177 +63,159 @@
         }
     }
 
-    /** The key under which a worker stands; null where it does not. */
+    /** The worker's entry; null where there is none. */
     private RegistryEntry find(String worker) throws RegistryAdminException {
         RegistryEntry found = null;
-        for (RegistryEntry item : entries()) {
-            String id;
-            try {
-                JsonObject o = JsonParser.parseString(item.value()).getAsJsonObject();
-                id = o.has("instanceId") ? o.get("instanceId").getAsString() : last(item.key());
-            } catch (RuntimeException unreadable) {
-                id = last(item.key());
-            }
-            if (id.equals(worker)) {
+        for (RegistryEntry entry : entries()) {
+            if (workerOf(entry).equals(worker)) {
                 if (found != null) {
-                    throw new RegistryAdminException(worker + " stands twice: " + found.key() + " and " + item.key());
+                    throw new RegistryAdminException(worker + " stands twice: " + found.key() + " and " + entry.key());
                 }
-                found = item;
+                found = entry;
             }
         }
         return found;
     }
 
-    private static String last(String key) {
-        return key.substring(key.lastIndexOf('/') + 1);
+    private static String workerOf(RegistryEntry entry) {
+        try {
+            JsonObject value = JsonParser.parseString(entry.value()).getAsJsonObject();
+            if (value.has(WORKER_MEMBER)) {
+                return value.get(WORKER_MEMBER).getAsString();
+            }
+        } catch (RuntimeException unreadable) {
+            // the key names the worker
+        }
+        return entry.key().substring(entry.key().lastIndexOf('/') + 1);
     }
 
     /** The key that a worker gets where none is named. */
     public String keyOf(String worker) {
-        String first = settings.follow().get(0);
-        return health ? worker : first + (first.endsWith("/") ? "" : "/") + worker;
+        return dialect.keyOf(settings.follow().get(0), worker);
     }
 
-    /** Writes a worker in discovery's form; {@code lease}: from {@link #grantLease}, or empty. */
+    /** The worker's key under a prefix, which may lack the last slash. */
+    static String keyUnder(String prefix, String worker) {
+        return prefix + (prefix.endsWith("/") ? "" : "/") + worker;
+    }
+
+    /**
+     * Writes a worker in discovery's form. {@code lease}: from {@link #grantLease}, or empty; {@code ttlSeconds}:
+     * of a check, where the dialect has these; 0: none.
+     */
     public void put(String worker, JsonObject value, String lease, long ttlSeconds) throws RegistryAdminException {
-        String text = value.toString();
-        if (health) {
-            call(ConsulProtocol.register(settings.follow().get(0), worker, text, ttlSeconds), false, false);
-        } else if (etcd) {
-            call(EtcdProtocol.put(keyOf(worker), text, lease.isEmpty() ? 0 : Long.parseLong(lease)), false, false);
-        } else if (!call(ConsulProtocol.put(keyOf(worker), text, -1, lease), false, false)
-                .strip()
-                .equals("true")) {
-            throw new RegistryAdminException(keyOf(worker) + " is held by another session");
-        }
+        dialect.put(settings.follow().get(0), worker, value.toString(), lease, ttlSeconds);
     }
 
     /** Has the worker drain; false where it is not there. Other changes made meanwhile are not undone. */
     public boolean drain(String worker) throws RegistryAdminException {
         return change(worker, value -> {
-            value.addProperty("lifecycle", "DRAINING");
+            value.addProperty(STATE_MEMBER, DRAINING);
             return true;
         });
     }
 
     /**
-     * Has this run of the worker (its start, 1: long ago) drain by a leave; false where it is not there, or
-     * the leave was taken back. The mark that {@link #cancelDrain} leaves at the worker is read and heeded in one
-     * swap with the drain.
+     * Has an incarnation of the worker (its start in Unix ms, 1: long ago) drain for a planned outage; false
+     * where it is not there, or the outage was cancelled. The mark that {@link #cancelDrain} leaves at the worker
+     * is read in one swap with the drain.
      */
-    public boolean drain(String worker, long run, long leave) throws RegistryAdminException {
+    public boolean drain(String worker, long incarnation, long outage) throws RegistryAdminException {
         return change(worker, value -> {
-            if (run(value) != run || mark(value) >= leave) {
+            if (incarnationOf(value) != incarnation || cancelledOutage(value) >= outage) {
                 return false;
             }
-            value.addProperty("lifecycle", "DRAINING");
+            value.addProperty(STATE_MEMBER, DRAINING);
             return true;
         });
     }
 
     /**
-     * Has this run of the worker serve on, or again, and marks the leave as taken back; false where that run
-     * is not there. After it no {@link #drain(String, long, long)} by that leave or an earlier one is made.
+     * Has an incarnation of the worker serve on, or again, and marks the outage as cancelled; false where that
+     * incarnation is not there. After it no {@link #drain(String, long, long)} for that outage or an earlier one
+     * is made.
      */
-    public boolean cancelDrain(String worker, long run, long leave) throws RegistryAdminException {
+    public boolean cancelDrain(String worker, long incarnation, long outage) throws RegistryAdminException {
         return change(worker, value -> {
-            if (run(value) != run) {
+            if (incarnationOf(value) != incarnation) {
                 return false;
             }
-            value.addProperty("lifecycle", "SERVING");
-            value.addProperty(RECALLED, Math.max(leave, mark(value)));
+            value.addProperty(STATE_MEMBER, SERVING);
+            value.addProperty(CANCELLED_OUTAGE_MEMBER, Math.max(outage, cancelledOutage(value)));
             return true;
         });
     }
 
-    private static long run(JsonObject value) {
-        return Math.max(1, value.has("startedAtMs") ? value.get("startedAtMs").getAsLong() : 0);
+    private static long incarnationOf(JsonObject value) {
+        return Math.max(1, value.has(STARTED_MEMBER) ? value.get(STARTED_MEMBER).getAsLong() : 0);
     }
 
-    private static long mark(JsonObject value) {
-        return value.has(RECALLED) ? value.get(RECALLED).getAsLong() : 0;
+    private static long cancelledOutage(JsonObject value) {
+        return value.has(CANCELLED_OUTAGE_MEMBER)
+                ? value.get(CANCELLED_OUTAGE_MEMBER).getAsLong()
+                : 0;
     }
 
-    /** {@code change}: false where the worker is to stay as it is. */
+    /** {@code change}: changes the value, or returns false where the worker is to stay as it is. */
     private boolean change(String worker, Predicate<JsonObject> change) throws RegistryAdminException {
-        for (int i = 0; i < SWAPS; i++) {
-            RegistryEntry item = find(worker);
-            if (item == null) {
+        for (int attempt = 0; attempt < MAX_SWAP_ATTEMPTS; attempt++) {
+            RegistryEntry entry = find(worker);
+            if (entry == null) {
                 return false;
             }
-            if (health) {
-                call(ConsulProtocol.maintenance(worker, true), false, false);
+            if (!dialect.hasWritableValues()) {
+                dialect.startMaintenance(worker);
                 return true;
             }
             JsonObject value;
             boolean wanted;
             try {
-                value = JsonParser.parseString(item.value()).getAsJsonObject();
+                value = JsonParser.parseString(entry.value()).getAsJsonObject();
                 wanted = change.test(value);
             } catch (RuntimeException e) {
-                throw new RegistryAdminException(item.key() + " cannot be read: " + e.getMessage());
+                throw new RegistryAdminException(entry.key() + " cannot be read: " + e.getMessage());
             }
             if (!wanted) {
                 return false;
             }
-            try {
-                boolean done = etcd
-                        ? EtcdProtocol.swapped(
-                                call(EtcdProtocol.swap(item.key(), value.toString(), item.revision()), false, false))
-                        : call(ConsulProtocol.put(item.key(), value.toString(), item.revision(), ""), false, false)
-                                .strip()
-                                .equals("true");
-                if (done) {
-                    return true;
-                }
-            } catch (RegistryProtocolException e) {
-                throw new RegistryAdminException(e.getMessage());
+            if (compareAndSwap(entry, value)) {
+                return true;
             }
         }
         throw new RegistryAdminException(worker + " was changed by others each time");
     }
 
+    private boolean compareAndSwap(RegistryEntry entry, JsonObject value) throws RegistryAdminException {
+        try {
+            return dialect.compareAndSwap(entry, value.toString());
+        } catch (RegistryProtocolException e) {
+            throw new RegistryAdminException(e.getMessage());
+        }
+    }
+
     /** Removes the worker; false where it is not there. */
     public boolean remove(String worker) throws RegistryAdminException {
-        RegistryEntry item = find(worker);
-        if (item == null) {
+        RegistryEntry entry = find(worker);
+        if (entry == null) {
             return false;
         }
-        call(
-                health
-                        ? ConsulProtocol.deregister(worker)
-                        : etcd ? EtcdProtocol.delete(item.key()) : ConsulProtocol.delete(item.key()),
-                false,
-                false);
+        dialect.remove(entry, worker);
         return true;
     }
 
-    /** A lease, or session, that ends by itself unless it is kept; empty where a check does its work. */
+    /** A lease, or session, that ends by itself unless it is renewed; empty where a check does its work. */
     public String grantLease(long seconds) throws RegistryAdminException {
         try {
-            return health
-                    ? ""
-                    : etcd
-                            ? Long.toString(EtcdProtocol.lease(call(EtcdProtocol.grant(seconds), false, false)))
-                            : ConsulProtocol.session(call(ConsulProtocol.session(seconds), false, false));
+            return dialect.grantLease(seconds);
         } catch (RegistryProtocolException e) {
             throw new RegistryAdminException(e.getMessage());
         }
     }
 
-    /** Keeps the lease for its length again; false where it has ended. */
+    /** Has the lease last for its full length again; false where it has ended. */
     public boolean renewLease(String lease, String worker) throws RegistryAdminException {
-        if (health) {
-            call(ConsulProtocol.pass(worker), true, false);
-            return true;
-        }
-        if (!etcd) {
-            return !call(ConsulProtocol.renew(lease), true, true).isEmpty();
-        }
         try {
-            return EtcdProtocol.left(call(EtcdProtocol.keepAlive(Long.parseLong(lease)), true, false)
-                            .strip())
-                    > 0;
+            return dialect.renewLease(lease, worker);
         } catch (RegistryProtocolException e) {
             throw new RegistryAdminException(e.getMessage());
         }
@@ -272,17 +223,11 @@
 
     /** Ends the lease, and with it what was written under it. */
     public void revokeLease(String lease, String worker) throws RegistryAdminException {
-        if (health) {
-            call(ConsulProtocol.deregister(worker), false, false);
-        } else if (etcd) {
-            call(EtcdProtocol.revoke(Long.parseLong(lease)), false, false);
-        } else {
-            call(ConsulProtocol.destroy(lease), false, false);
-        }
+        dialect.revokeLease(lease, worker);
     }
 
     @Override
     public void close() {
-        link.close();
+        connection.close();
     }
 }
--- a/src/main/java/maplespread/registry/client/RegistryClient.java
+++ b/src/main/java/maplespread/registry/client/RegistryClient.java
@@ -1,6 +1,7 @@
 package maplespread.registry.client;
 
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import maplespread.log.Event;
 import maplespread.registry.CallOutcome;
 import maplespread.registry.RegistryCall;
@@ -8,247 +9,281 @@
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistrySettings.Dialect;
 import maplespread.registry.RegistryWatcher;
-import maplespread.registry.wire.ConsulProtocol;
-import maplespread.registry.wire.EtcdProtocol;
+import maplespread.registry.wire.ConsulRequests;
+import maplespread.registry.wire.ConsulResponses;
+import maplespread.registry.wire.EtcdRequests;
+import maplespread.registry.wire.EtcdResponses;
 import maplespread.registry.wire.RegistryProtocolException;
 import maplespread.registry.wire.RegistryRequest;
 
-/** One core's conversation: carries out what it asks for, and tells it what came. One thread. */
+/**
+ * Makes the calls that one {@link RegistryWatcher} asks for and reports what came of them. Runs on a thread of
+ * its own; the watcher and the view behind it are guarded by the lock that is passed in.
+ */
 final class RegistryClient implements Runnable {
-    private static final long TOKEN_LOOK_MS = 250;
+    /** How often the token's file is looked at while the registry refuses the token. */
+    private static final long TOKEN_CHECK_MS = 250;
+
+    private static final String INDEX_HEADER = "X-Consul-Index";
+    private static final String KNOWN_LEADER_HEADER = "X-Consul-KnownLeader";
+    private static final String LAST_CONTACT_HEADER = "X-Consul-LastContact";
+
     private final RegistrySettings settings;
-    private final RegistryWatcher core;
-    private final Object lock; // guards the core and the view behind it
-    private final RegistryConnection link;
+    private final RegistryWatcher watcher;
+    private final Object lock;
+    private final RegistryConnection connection;
     private final TokenFile token;
     private final Thread thread;
-    private boolean over;
+    private boolean closed; // guarded by the lock
 
-    RegistryClient(RegistrySettings settings, RegistryWatcher core, Object lock, String name, long stack) {
+    RegistryClient(
+            RegistrySettings settings, RegistryWatcher watcher, Object lock, String threadName, long stackBytes) {
         this.settings = settings;
-        this.core = core;
+        this.watcher = watcher;
         this.lock = lock;
         token = new TokenFile(settings.tokenFile());
-        link = new RegistryConnection(settings, token);
-        thread = new Thread(null, this, name, stack);
+        connection = new RegistryConnection(settings, token);
+        thread = new Thread(null, this, threadName, stackBytes);
         thread.setDaemon(true);
     }
 
+    /** The clock of all registry code: milliseconds from an arbitrary origin. */
     static long nowMs() {
-        return System.nanoTime() / 1_000_000;
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     void start() {
         thread.start();
     }
 
+    /** Ends the thread and whatever call is out. */
     void close() {
         synchronized (lock) {
-            over = true;
+            closed = true;
             lock.notifyAll();
         }
-        link.close();
+        connection.close();
     }
 
     @Override
     public void run() {
         while (true) {
             try {
-                RegistryCall ask;
+                RegistryCall call;
                 synchronized (lock) {
-                    if (over) {
+                    if (closed) {
                         return;
                     }
-                    ask = core.nextCall(nowMs());
-                    if (ask instanceof RegistryCall.Pause pause) {
-                        pause(pause.untilMs());
+                    call = watcher.nextCall(nowMs());
+                    if (call instanceof RegistryCall.Pause pause) {
+                        waitUntil(pause.untilMs());
                         continue;
                     }
                 }
-                carryOut(ask);
+                reportEnd(execute(call));
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException | Error e) { // without this thread drains would go unseen
+            } catch (RuntimeException | Error e) { // without this thread no drain would be seen
                 Event.of("registry.fault", "why", e).error();
-                ended(CallOutcome.MALFORMED);
+                reportEnd(CallOutcome.MALFORMED);
             }
         }
     }
 
-    private void pause(long untilMs) throws InterruptedException {
-        long left = untilMs - nowMs();
-        lock.wait(Math.max(1, core.denied() ? Math.min(left, TOKEN_LOOK_MS) : left));
-        if (core.denied() && token.changed()) {
-            core.onTokenChanged(nowMs());
+    /** Waits once, under the lock; the caller asks the watcher again after it, whatever ended the wait. */
+    private void waitUntil(long untilMs) throws InterruptedException {
+        long remainingMs = untilMs - nowMs();
+        lock.wait(Math.max(1, watcher.denied() ? Math.min(remainingMs, TOKEN_CHECK_MS) : remainingMs));
+        if (watcher.denied() && token.changed()) {
+            watcher.onTokenChanged(nowMs());
+        }
+    }
+
+    private void reportEnd(CallOutcome outcome) {
+        synchronized (lock) {
+            if (!closed) {
+                watcher.onCallEnded(nowMs(), outcome);
+            }
         }
     }
 
-    private void carryOut(RegistryCall ask) {
-        CallOutcome how;
+    private CallOutcome execute(RegistryCall call) {
         try {
-            how = settings.dialect() == Dialect.ETCD ? etcd(ask) : consul((RegistryCall.BlockingQuery) ask);
+            return settings.dialect() == Dialect.ETCD
+                    ? executeAtEtcd(call)
+                    : queryConsul((RegistryCall.BlockingQuery) call);
         } catch (RegistryConnection.CallFailedException e) {
-            how = e.how;
-            if (how != CallOutcome.STOPPED && how != CallOutcome.REFUSED) {
+            if (e.outcome != CallOutcome.STOPPED && e.outcome != CallOutcome.REFUSED) {
                 Event.of("registry.call_failed", "why", e.getMessage()).info();
             }
+            return e.outcome;
         } catch (RegistryProtocolException e) {
-            how = CallOutcome.MALFORMED;
             Event.of("registry.malformed", "why", e.getMessage()).warn();
+            return CallOutcome.MALFORMED;
         }
-        ended(how);
     }
 
-    private void ended(CallOutcome how) {
-        synchronized (lock) {
-            if (!over) {
-                core.onCallEnded(nowMs(), how);
-            }
-        }
+    private static CallOutcome outcome(boolean goesOn) {
+        return goesOn ? CallOutcome.DONE : CallOutcome.STOPPED;
+    }
+
+    private String address(int server) {
+        return settings.endpoints().get(server);
     }
 
     // ------------------------------------------------------------ etcd
 
-    private CallOutcome etcd(RegistryCall ask)
+    private CallOutcome executeAtEtcd(RegistryCall call)
             throws RegistryConnection.CallFailedException, RegistryProtocolException {
-        if (ask instanceof RegistryCall.Watch watch) {
+        if (call instanceof RegistryCall.Watch watch) {
             return watch(watch);
         }
-        RegistryCall.VerifyHistory check = ask instanceof RegistryCall.VerifyHistory c ? c : null;
-        RegistryCall.ReadMissedChanges missed = ask instanceof RegistryCall.ReadMissedChanges m ? m : null;
-        RegistryRequest request = check != null
-                ? EtcdProtocol.check(settings.follow(), check.proofs(), check.deletedKey(), check.deletedAtRevision())
-                : missed != null
-                        ? EtcdProtocol.missed(settings.follow(), missed.sinceRevisions())
-                        : range((RegistryCall.RangePage) ask);
-        String endpoint = endpoint(
-                check != null
-                        ? check.server()
-                        : missed != null ? missed.server() : ((RegistryCall.RangePage) ask).server());
-        String body;
         try {
-            body = link.call(endpoint, request, core.callTimeoutAtMs(), false).body();
-        } catch (RegistryConnection.CallFailedException e) {
-            EtcdProtocol.ErrorKind fault =
-                    e.how == CallOutcome.ERROR ? EtcdProtocol.fault(e.status, e.body) : EtcdProtocol.ErrorKind.OTHER;
-            synchronized (lock) {
-                switch (fault) {
-                    case COMPACTED -> {
-                        return core.onCompacted(nowMs()) ? CallOutcome.DONE : CallOutcome.STOPPED;
-                    }
-                    case AHEAD -> {
-                        return core.onFutureRevision(nowMs(), null) ? CallOutcome.DONE : CallOutcome.STOPPED;
-                    }
-                    case DENIED -> {
-                        return CallOutcome.DENIED;
-                    }
-                    default -> throw e;
-                }
+            if (call instanceof RegistryCall.VerifyHistory verification) {
+                return verifyHistory(verification);
             }
-        }
-        if (check != null) {
-            EtcdProtocol.HistoryResponse c = EtcdProtocol.checked(body, check.proofs(), check.deletedKey() != null);
-            synchronized (lock) {
-                return core.onHistoryVerified(nowMs(), c.revision(), c.counts(), c.found(), c.deletedKeyFound())
-                        ? CallOutcome.DONE
-                        : CallOutcome.STOPPED;
+            if (call instanceof RegistryCall.ReadMissedChanges missed) {
+                return readMissedChanges(missed);
             }
+            return readPage((RegistryCall.RangePage) call);
+        } catch (RegistryConnection.CallFailedException e) {
+            return reportEtcdError(e);
         }
-        if (missed != null) {
-            EtcdProtocol.MissedChangesResponse m = EtcdProtocol.missed(body);
-            synchronized (lock) {
-                return core.onMissedChanges(nowMs(), m.revision(), m.counts(), m.changed())
-                        ? CallOutcome.DONE
-                        : CallOutcome.STOPPED;
-            }
+    }
+
+    private String callEtcd(int server, RegistryRequest request) throws RegistryConnection.CallFailedException {
+        return connection
+                .call(address(server), request, watcher.callTimeoutAtMs(), false)
+                .body();
+    }
+
+    private CallOutcome verifyHistory(RegistryCall.VerifyHistory call)
+            throws RegistryConnection.CallFailedException, RegistryProtocolException {
+        String body = callEtcd(
+                call.server(),
+                EtcdRequests.verifyHistory(
+                        settings.follow(), call.proofs(), call.deletedKey(), call.deletedAtRevision()));
+        EtcdResponses.HistoryResponse response = EtcdResponses.history(body, call.proofs(), call.deletedKey() != null);
+        synchronized (lock) {
+            return outcome(watcher.onHistoryVerified(
+                    nowMs(), response.revision(), response.counts(), response.found(), response.deletedKeyFound()));
+        }
+    }
+
+    private CallOutcome readMissedChanges(RegistryCall.ReadMissedChanges call)
+            throws RegistryConnection.CallFailedException, RegistryProtocolException {
+        String body = callEtcd(call.server(), EtcdRequests.missedChanges(settings.follow(), call.sinceRevisions()));
+        EtcdResponses.MissedChangesResponse response = EtcdResponses.missedChanges(body);
+        synchronized (lock) {
+            return outcome(
+                    watcher.onMissedChanges(nowMs(), response.revision(), response.counts(), response.changed()));
+        }
+    }
+
+    private CallOutcome readPage(RegistryCall.RangePage call)
+            throws RegistryConnection.CallFailedException, RegistryProtocolException {
+        String prefix = settings.follow().get(call.target());
+        String body =
+                callEtcd(call.server(), EtcdRequests.range(prefix, call.afterKey(), call.revision(), call.limit()));
+        EtcdResponses.RangeResponse response = EtcdResponses.range(body);
+        synchronized (lock) {
+            return outcome(watcher.onPage(nowMs(), response.revision(), response.entries(), response.more()));
         }
-        EtcdProtocol.RangeResponse page = EtcdProtocol.page(body);
+    }
+
+    /** An error of etcd's own that the watcher knows what to do about; any other one is thrown on. */
+    private CallOutcome reportEtcdError(RegistryConnection.CallFailedException failure)
+            throws RegistryConnection.CallFailedException {
         synchronized (lock) {
-            return core.onPage(nowMs(), page.revision(), page.entries(), page.more())
-                    ? CallOutcome.DONE
-                    : CallOutcome.STOPPED;
+            return switch (errorKind(failure)) {
+                case COMPACTED -> outcome(watcher.onCompacted(nowMs()));
+                case AHEAD -> outcome(watcher.onFutureRevision(nowMs(), null));
+                case DENIED -> CallOutcome.DENIED;
+                case OTHER -> throw failure;
+            };
         }
     }
 
-    private RegistryRequest range(RegistryCall.RangePage r) {
-        return EtcdProtocol.range(settings.follow().get(r.target()), r.afterKey(), r.revision(), r.limit());
+    private static EtcdResponses.ErrorKind errorKind(RegistryConnection.CallFailedException failure) {
+        return failure.outcome == CallOutcome.ERROR
+                ? EtcdResponses.errorKind(failure.status, failure.body)
+                : EtcdResponses.ErrorKind.OTHER;
     }
 
-    private CallOutcome watch(RegistryCall.Watch ask)
+    private CallOutcome watch(RegistryCall.Watch call)
             throws RegistryConnection.CallFailedException, RegistryProtocolException {
-        RegistryProtocolException[] bad = new RegistryProtocolException[1];
+        RegistryProtocolException[] malformed = new RegistryProtocolException[1];
         try {
-            CallOutcome end = link.stream(
-                    endpoint(ask.server()),
-                    EtcdProtocol.watch(settings.follow(), ask.fromRevisions()),
-                    core::callTimeoutAtMs,
-                    ask.endAtMs(),
+            CallOutcome outcome = connection.stream(
+                    address(call.server()),
+                    EtcdRequests.watch(settings.follow(), call.fromRevisions()),
+                    watcher::callTimeoutAtMs,
+                    call.endAtMs(),
                     line -> {
                         try {
-                            return line(line);
+                            return takeWatchLine(line);
                         } catch (RegistryProtocolException e) {
-                            bad[0] = e;
+                            malformed[0] = e;
                             return false;
                         }
                     });
-            if (bad[0] != null) {
-                throw bad[0];
+            if (malformed[0] != null) {
+                throw malformed[0];
             }
-            return end;
+            return outcome;
         } catch (RegistryConnection.CallFailedException e) {
-            throw e.how == CallOutcome.ERROR && EtcdProtocol.fault(e.status, e.body) == EtcdProtocol.ErrorKind.DENIED
+            throw errorKind(e) == EtcdResponses.ErrorKind.DENIED
                     ? new RegistryConnection.CallFailedException(CallOutcome.DENIED, e.status, e.body)
                     : e;
         }
     }
 
-    private boolean line(String text) throws RegistryProtocolException {
-        EtcdProtocol.WatchResponse n = EtcdProtocol.notice(text);
-        int part = (int) n.watchId() - 1;
+    /** Hands a line of the stream to the watcher; false ends the stream. */
+    private boolean takeWatchLine(String line) throws RegistryProtocolException {
+        EtcdResponses.WatchResponse response = EtcdResponses.watchLine(line);
+        int target = (int) response.watchId() - 1;
         synchronized (lock) {
-            if (over) {
+            if (closed) {
                 return false;
             }
-            long now = nowMs();
-            if (n.canceled()) {
-                return core.onWatchCanceled(now, n.compactRevision(), n.cancelReason());
+            long nowMs = nowMs();
+            if (response.canceled()) {
+                return watcher.onWatchCanceled(nowMs, response.compactRevision(), response.cancelReason());
             }
-            if (part < 0 || part >= settings.follow().size()) {
+            if (target < 0 || target >= settings.follow().size()) {
                 return true; // no watch of this stream
             }
-            if (n.created()) {
-                return core.onWatchCreated(now, n.revision(), part);
+            if (response.created()) {
+                return watcher.onWatchCreated(nowMs, response.revision(), target);
             }
-            return !n.entries().isEmpty() || n.fragment()
-                    ? core.onChanges(now, n.revision(), part, n.entries(), n.fragment())
-                    : core.onProgress(now, n.revision(), part);
+            boolean hasChanges = !response.entries().isEmpty() || response.fragment();
+            return hasChanges
+                    ? watcher.onChanges(nowMs, response.revision(), target, response.entries(), response.fragment())
+                    : watcher.onProgress(nowMs, response.revision(), target);
         }
     }
 
     // ------------------------------------------------------------ Consul
 
-    private CallOutcome consul(RegistryCall.BlockingQuery ask)
+    private CallOutcome queryConsul(RegistryCall.BlockingQuery call)
             throws RegistryConnection.CallFailedException, RegistryProtocolException {
         boolean keys = settings.dialect() == Dialect.CONSUL_KV;
-        String name = settings.follow().get(ask.target());
+        String name = settings.follow().get(call.target());
         RegistryRequest request = keys
-                ? ConsulProtocol.keys(name, ask.index(), ask.waitMs(), ask.consistent())
-                : ConsulProtocol.health(name, ask.index(), ask.waitMs(), ask.consistent());
-        RegistryConnection.Response answer = link.call(endpoint(ask.server()), request, core.callTimeoutAtMs(), keys);
-        long index = answer.number("X-Consul-Index", -1);
+                ? ConsulRequests.keys(name, call.index(), call.waitMs(), call.consistent())
+                : ConsulRequests.health(name, call.index(), call.waitMs(), call.consistent());
+        RegistryConnection.Response response =
+                connection.call(address(call.server()), request, watcher.callTimeoutAtMs(), keys);
+        long index = response.number(INDEX_HEADER, -1);
         if (index < 0) {
-            throw new RegistryConnection.CallFailedException(CallOutcome.MALFORMED, 0, "no X-Consul-Index");
+            throw new RegistryConnection.CallFailedException(CallOutcome.MALFORMED, 0, "no " + INDEX_HEADER);
         }
-        List<RegistryEntry> items = keys ? ConsulProtocol.keys(answer.body()) : ConsulProtocol.health(answer.body());
-        boolean leader = !"false".equalsIgnoreCase(answer.head().get("X-Consul-KnownLeader"));
+        List<RegistryEntry> entries =
+                keys ? ConsulResponses.keys(response.body()) : ConsulResponses.health(response.body());
+        boolean leaderKnown = !"false".equalsIgnoreCase(response.head().get(KNOWN_LEADER_HEADER));
         synchronized (lock) {
-            return core.onQueryResult(nowMs(), index, leader, answer.number("X-Consul-LastContact", 0), items)
-                    ? CallOutcome.DONE
-                    : CallOutcome.STOPPED;
+            return outcome(watcher.onQueryResult(
+                    nowMs(), index, leaderKnown, response.number(LAST_CONTACT_HEADER, 0), entries));
         }
     }
-
-    private String endpoint(int place) {
-        return settings.endpoints().get(place);
-    }
 }
--- a/src/main/java/maplespread/registry/client/RegistryEndpointSource.java
+++ b/src/main/java/maplespread/registry/client/RegistryEndpointSource.java
@@ -17,23 +17,45 @@
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.RegistryWatcher;
 
-/** Workers from a registry. One conversation for all of etcd's prefixes, one for each of Consul's names. */
+/**
+ * Learns the workers from a registry: one conversation for all of etcd's prefixes, one for each of Consul's
+ * names. The watchers share one view, whose monitor guards them all. Thread-safe.
+ */
 public final class RegistryEndpointSource implements EndpointSource {
-    private static final long STACK = 256 * 1024; // Gson recurses once a level
+    /** Gson recurses once for each level of a text. */
+    private static final long STACK_BYTES = 256 * 1024;
+
+    private static final long MS_PER_SECOND = 1000;
+    private static final String WORKER_MEMBER = "instanceId";
+
     private final RegistrySettings settings;
     private final EndpointView view;
-    private final List<RegistryWatcher> cores = new ArrayList<>();
-    private final List<RegistryClient> followers = new ArrayList<>();
-    private final long startedAt = RegistryClient.nowMs();
+    private final List<RegistryWatcher> watchers = new ArrayList<>();
+    private final List<RegistryClient> clients = new ArrayList<>();
 
-    /** {@code peers}: dispatchers that share the registry. */
+    /** {@code peers}: dispatchers that share the registry; {@code listener}: notified from {@link #start} on. */
     public RegistryEndpointSource(
-            RegistrySettings settings, EndpointParser reader, int peers, long seed, EndpointListener to) {
+            RegistrySettings settings, EndpointParser parser, int peers, long seed, EndpointListener listener) {
         this.settings = settings;
-        RegistryListener sink = new RegistryListener() {
+        RegistryListener registryListener = logAndPassOn(listener);
+        int targets = settings.follow().size();
+        view = new EndpointView(targets, entryDecoder(parser), settings.forgetAfterMs(), registryListener);
+        long nowMs = RegistryClient.nowMs();
+        int targetsEach = settings.dialect().returnsFullSnapshots() ? 1 : targets;
+        for (int first = 0; first < targets; first += targetsEach) {
+            RegistryWatcher watcher = new RegistryWatcher(
+                    settings, first, targetsEach, peers, view, seed + first, nowMs, registryListener);
+            watchers.add(watcher);
+            String threadName = "registry " + settings.follow().get(first);
+            clients.add(new RegistryClient(settings, watcher, view, threadName, STACK_BYTES));
+        }
+    }
+
+    private static RegistryListener logAndPassOn(EndpointListener listener) {
+        return new RegistryListener() {
             @Override
-            public void endpointsChanged(EndpointUpdate news) {
-                to.endpointsChanged(news);
+            public void endpointsChanged(EndpointUpdate update) {
+                listener.endpointsChanged(update);
             }
 
             @Override
@@ -41,47 +63,42 @@
                 Event.write(warning, name, pairs);
             }
         };
-        int parts = settings.follow().size();
-        view = new EndpointView(parts, entryDecoder(reader), settings.forgetAfterMs(), sink);
-        int each = settings.dialect().returnsFullSnapshots() ? 1 : parts;
-        for (int first = 0; first < parts; first += each) {
-            RegistryWatcher core =
-                    new RegistryWatcher(settings, first, each, peers, view, seed + first, startedAt, sink);
-            cores.add(core);
-            followers.add(new RegistryClient(
-                    settings, core, view, "registry " + settings.follow().get(first), STACK));
-        }
     }
 
-    /** A value is in discovery's form; where it names no worker, the key's last segment does. */
-    public static EntryDecoder entryDecoder(EndpointParser reader) {
-        return (key, text) -> {
+    /** Decodes values in discovery's form; where one names no worker, the key's last segment does. */
+    public static EntryDecoder entryDecoder(EndpointParser parser) {
+        return (key, value) -> {
             try {
-                JsonObject o = JsonParser.parseString(text).getAsJsonObject();
-                if (!o.has("instanceId")) {
-                    o.addProperty("instanceId", key.substring(key.lastIndexOf('/') + 1));
-                }
-                Endpoint route = reader.parseEndpoint(o);
-                if (route.state() == Endpoint.State.DELETED) {
-                    throw new IllegalArgumentException("a key that is there cannot be DELETED");
-                }
-                if (route.worker().isEmpty()) {
-                    throw new IllegalArgumentException("it names no worker");
-                }
-                return route;
-            } catch (RuntimeException e) { // the text may be long, and not for the log
-                throw new IllegalArgumentException(e.getClass().getSimpleName() + ": "
-                        + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+                return decode(parser, key, value);
+            } catch (RuntimeException e) { // the value may be long: only the first line is for the log
+                String firstLine =
+                        String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+                throw new IllegalArgumentException(e.getClass().getSimpleName() + ": " + firstLine);
             }
         };
     }
 
+    private static Endpoint decode(EndpointParser parser, String key, String value) {
+        JsonObject worker = JsonParser.parseString(value).getAsJsonObject();
+        if (!worker.has(WORKER_MEMBER)) {
+            worker.addProperty(WORKER_MEMBER, key.substring(key.lastIndexOf('/') + 1));
+        }
+        Endpoint endpoint = parser.parseEndpoint(worker);
+        if (endpoint.state() == Endpoint.State.DELETED) {
+            throw new IllegalArgumentException("a key that is there cannot be DELETED");
+        }
+        if (endpoint.worker().isEmpty()) {
+            throw new IllegalArgumentException("it names no worker");
+        }
+        return endpoint;
+    }
+
     @Override
     public void start() {
-        followers.forEach(RegistryClient::start);
+        clients.forEach(RegistryClient::start);
     }
 
-    /** The core keeps its own pace. */
+    /** Does nothing: the watchers decide when to call. */
     @Override
     public void watch() {}
 
@@ -92,28 +109,28 @@
 
     @Override
     public String notReadyReason() {
-        long most = settings.notReadyAfterMs();
+        long limitMs = settings.notReadyAfterMs();
         synchronized (view) {
-            for (RegistryWatcher core : cores) {
-                long age = RegistryClient.nowMs() - core.confirmedAtMs();
-                if (most > 0 && age > most) {
-                    return "the registry has said nothing for " + age / 1000 + " s"
-                            + (core.denied() ? ": it refuses the token" : "");
+            for (RegistryWatcher watcher : watchers) {
+                long ageMs = RegistryClient.nowMs() - watcher.confirmedAtMs();
+                if (limitMs > 0 && ageMs > limitMs) {
+                    return "the registry has said nothing for " + ageMs / MS_PER_SECOND + " s"
+                            + (watcher.denied() ? ": it refuses the token" : "");
                 }
             }
             return null;
         }
     }
 
-    /** The revision up to which the first conversation holds all. */
+    /** The revision up to which the first conversation holds everything. */
     public long revision() {
         synchronized (view) {
-            return cores.get(0).revision();
+            return watchers.get(0).revision();
         }
     }
 
     @Override
     public void close() {
-        followers.forEach(RegistryClient::close);
+        clients.forEach(RegistryClient::close);
     }
 }
--- a/src/main/java/maplespread/registry/wire/RegistryRequest.java
+++ b/src/main/java/maplespread/registry/wire/RegistryRequest.java
@@ -2,8 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** One request to a registry. */
+/** One HTTP request to a registry; {@code target}: its path and query. */
 public record RegistryRequest(String method, String target, String body) {
+    /** The body as it is sent. */
     public byte[] bytes() {
         return body.getBytes(StandardCharsets.UTF_8);
     }
--- a/src/test/java/maplespread/registry/wire/RegistryWireGoldenTest.java
+++ b/src/test/java/maplespread/registry/wire/RegistryWireGoldenTest.java
@@ -67,49 +67,49 @@
     @Test
     void requestsToEtcd() throws Exception {
         List<String> prefixes = List.of("/a/", "/b\u00ff", "");
-        request("first page", EtcdProtocol.range("/a/", "", 0, 1000));
-        request("later page", EtcdProtocol.range("/a/", "/a/w-9", 42, 1));
+        request("first page", EtcdRequests.range("/a/", "", 0, 1000));
+        request("later page", EtcdRequests.range("/a/", "/a/w-9", 42, 1));
         List<RegistryCall.HistoryProof> proofs = List.of(
                 new RegistryCall.HistoryProof(41, "/a/w"),
                 new RegistryCall.HistoryProof(42, null),
                 new RegistryCall.HistoryProof(0, "k"));
-        request("check", EtcdProtocol.check(prefixes, proofs, null, 0));
-        request("check of a deleted key", EtcdProtocol.check(prefixes, proofs, "/a/x", 40));
-        request("missed", EtcdProtocol.missed(prefixes, List.of(41L, 42L, 0L)));
-        request("get", EtcdProtocol.get("/a/w-1", 0));
-        request("get at a revision", EtcdProtocol.get("/a/w-1", 42));
-        request("watch", EtcdProtocol.watch(prefixes, List.of(43L, 44L, 0L)));
-        request("put", EtcdProtocol.put("/a/w-1", "{\"a\":1}", 0));
-        request("put with a lease", EtcdProtocol.put("/a/w-1", "x", 7001));
-        request("swap", EtcdProtocol.swap("/a/w-1", "{\"a\":\"\u00e9\"}", 42));
-        request("delete", EtcdProtocol.delete("/a/w-1"));
-        request("grant", EtcdProtocol.grant(10));
-        request("keep alive", EtcdProtocol.keepAlive(7001));
-        request("revoke", EtcdProtocol.revoke(7001));
+        request("check", EtcdRequests.verifyHistory(prefixes, proofs, null, 0));
+        request("check of a deleted key", EtcdRequests.verifyHistory(prefixes, proofs, "/a/x", 40));
+        request("missed", EtcdRequests.missedChanges(prefixes, List.of(41L, 42L, 0L)));
+        request("get", EtcdRequests.key("/a/w-1", 0));
+        request("get at a revision", EtcdRequests.key("/a/w-1", 42));
+        request("watch", EtcdRequests.watch(prefixes, List.of(43L, 44L, 0L)));
+        request("put", EtcdRequests.put("/a/w-1", "{\"a\":1}", 0));
+        request("put with a lease", EtcdRequests.put("/a/w-1", "x", 7001));
+        request("swap", EtcdRequests.compareAndSwap("/a/w-1", "{\"a\":\"\u00e9\"}", 42));
+        request("delete", EtcdRequests.delete("/a/w-1"));
+        request("grant", EtcdRequests.grantLease(10));
+        request("keep alive", EtcdRequests.keepLeaseAlive(7001));
+        request("revoke", EtcdRequests.revokeLease(7001));
         GoldenOutput.assertMatches("registry/etcd-requests.txt", seen.toString());
     }
 
     @Test
     void requestsToConsul() throws Exception {
-        request("keys", ConsulProtocol.keys("a b/\u00e9", 0, 2000, false));
-        request("keys, consistent", ConsulProtocol.keys("a", 0, 2000, true));
-        request("keys, blocking", ConsulProtocol.keys("a", 42, 2000, false));
-        request("health", ConsulProtocol.health("web+x", 0, 2000, false));
-        request("health, blocking and consistent", ConsulProtocol.health("web", 42, 9000, true));
-        request("get", ConsulProtocol.get("a/w-1"));
-        request("put", ConsulProtocol.put("a/w-1", "x", -1, ""));
-        request("put by index", ConsulProtocol.put("a/w-1", "x", 0, "s"));
-        request("put by session", ConsulProtocol.put("a/w-1", "x", -1, "s-1"));
-        request("delete", ConsulProtocol.delete("a/w-1"));
-        request("session", ConsulProtocol.session(10));
-        request("renew", ConsulProtocol.renew("s-1"));
-        request("destroy", ConsulProtocol.destroy("s-1"));
-        request("maintenance", ConsulProtocol.maintenance("w 1", true));
-        request("maintenance ends", ConsulProtocol.maintenance("w-1", false));
-        request("register", ConsulProtocol.register("web", "w-1", WORKER, 0));
-        request("register with a check", ConsulProtocol.register("web", "w-1", "{\"hostPort\":\"[::1]:9\"}", 15));
-        request("deregister", ConsulProtocol.deregister("w-1"));
-        request("pass", ConsulProtocol.pass("w-1"));
+        request("keys", ConsulRequests.keys("a b/\u00e9", 0, 2000, false));
+        request("keys, consistent", ConsulRequests.keys("a", 0, 2000, true));
+        request("keys, blocking", ConsulRequests.keys("a", 42, 2000, false));
+        request("health", ConsulRequests.health("web+x", 0, 2000, false));
+        request("health, blocking and consistent", ConsulRequests.health("web", 42, 9000, true));
+        request("get", ConsulRequests.key("a/w-1"));
+        request("put", ConsulRequests.put("a/w-1", "x", ""));
+        request("put by index", ConsulRequests.compareAndSwap("a/w-1", "x", 0));
+        request("put by session", ConsulRequests.put("a/w-1", "x", "s-1"));
+        request("delete", ConsulRequests.delete("a/w-1"));
+        request("session", ConsulRequests.createSession(10));
+        request("renew", ConsulRequests.renewSession("s-1"));
+        request("destroy", ConsulRequests.destroySession("s-1"));
+        request("maintenance", ConsulRequests.maintenance("w 1", true));
+        request("maintenance ends", ConsulRequests.maintenance("w-1", false));
+        request("register", ConsulRequests.register("web", "w-1", WORKER, 0));
+        request("register with a check", ConsulRequests.register("web", "w-1", "{\"hostPort\":\"[::1]:9\"}", 15));
+        request("deregister", ConsulRequests.deregister("w-1"));
+        request("pass", ConsulRequests.passCheck("w-1"));
         GoldenOutput.assertMatches("registry/consul-requests.txt", seen.toString());
     }
 
@@ -125,14 +125,14 @@
 
     private void page(String body) {
         answer("page", () -> {
-            EtcdProtocol.RangeResponse page = EtcdProtocol.page(body);
+            EtcdResponses.RangeResponse page = EtcdResponses.range(body);
             return history(page.revision()) + ' ' + items(page.entries()) + ' ' + page.more();
         });
     }
 
     private void notice(String line) {
         answer("notice", () -> {
-            EtcdProtocol.WatchResponse n = EtcdProtocol.notice(line);
+            EtcdResponses.WatchResponse n = EtcdResponses.watchLine(line);
             return history(n.revision()) + ' ' + n.watchId() + ' ' + n.created() + ' ' + n.canceled() + ' '
                     + n.compactRevision() + " '" + n.cancelReason() + "' " + n.fragment() + ' ' + items(n.entries());
         });
@@ -153,22 +153,23 @@
                 + ranged("1") + "," + ranged("") + "," + ranged("", kv("/gone", 5, null));
         for (boolean gone : new boolean[] {false, true}) {
             answer("checked", () -> {
-                EtcdProtocol.HistoryResponse c =
-                        EtcdProtocol.checked("{" + HEADER + ",\"responses\":[" + responses + "]}", proofs, gone);
+                EtcdResponses.HistoryResponse c =
+                        EtcdResponses.history("{" + HEADER + ",\"responses\":[" + responses + "]}", proofs, gone);
                 return history(c.revision()) + ' ' + c.counts() + ' ' + items(c.found()) + ' ' + c.deletedKeyFound();
             });
         }
-        answer("checked", () -> EtcdProtocol.checked("{" + HEADER + ",\"responses\":[]}", proofs, true));
+        answer("checked", () -> EtcdResponses.history("{" + HEADER + ",\"responses\":[]}", proofs, true));
         answer("missed", () -> {
-            EtcdProtocol.MissedChangesResponse m = EtcdProtocol.missed("{" + HEADER + ",\"responses\":[" + ranged("3")
-                    + "," + ranged("", kv("/a/1", 9, base64("y"))) + "," + ranged("0") + "," + ranged("") + "]}");
+            EtcdResponses.MissedChangesResponse m =
+                    EtcdResponses.missedChanges("{" + HEADER + ",\"responses\":[" + ranged("3") + ","
+                            + ranged("", kv("/a/1", 9, base64("y"))) + "," + ranged("0") + "," + ranged("") + "]}");
             return history(m.revision())
                     + ' '
                     + m.counts()
                     + ' '
                     + m.changed().stream().map(RegistryWireGoldenTest::items).toList();
         });
-        answer("missed", () -> EtcdProtocol.missed("{" + HEADER + "}"));
+        answer("missed", () -> EtcdResponses.missedChanges("{" + HEADER + "}"));
         notice("{\"result\":{" + HEADER + ",\"created\":true,\"watch_id\":\"1\"}}");
         notice("{\"result\":{" + HEADER + ",\"watch_id\":\"2\",\"canceled\":true,\"compact_revision\":\"30\","
                 + "\"cancel_reason\":\"compacted\"}}");
@@ -185,16 +186,17 @@
             "no JSON"
         };
         for (String body : faults) {
-            answer("fault", () -> EtcdProtocol.fault(400, body) + " " + EtcdProtocol.fault(403, body));
+            answer("fault", () -> EtcdResponses.errorKind(400, body) + " " + EtcdResponses.errorKind(403, body));
         }
-        answer("lease", () -> EtcdProtocol.lease("{\"ID\":\"7001\"}") + " " + EtcdProtocol.lease("{}"));
-        answer("lease", () -> EtcdProtocol.lease("x"));
+        answer("lease", () -> EtcdResponses.lease("{\"ID\":\"7001\"}") + " " + EtcdResponses.lease("{}"));
+        answer("lease", () -> EtcdResponses.lease("x"));
         answer(
                 "left",
-                () -> EtcdProtocol.left("{\"result\":{\"TTL\":\"9\"}}") + " " + EtcdProtocol.left("{\"result\":{}}"));
-        answer("left", () -> EtcdProtocol.left("{}"));
-        answer("swapped", () -> EtcdProtocol.swapped("{\"succeeded\":true}") + " " + EtcdProtocol.swapped("{}"));
-        answer("swapped", () -> EtcdProtocol.swapped("[]"));
+                () -> EtcdResponses.remainingLeaseSeconds("{\"result\":{\"TTL\":\"9\"}}") + " "
+                        + EtcdResponses.remainingLeaseSeconds("{\"result\":{}}"));
+        answer("left", () -> EtcdResponses.remainingLeaseSeconds("{}"));
+        answer("swapped", () -> EtcdResponses.swapped("{\"succeeded\":true}") + " " + EtcdResponses.swapped("{}"));
+        answer("swapped", () -> EtcdResponses.swapped("[]"));
         GoldenOutput.assertMatches("registry/etcd-answers.txt", seen.toString());
     }
 
@@ -220,20 +222,20 @@
             "{}"
         };
         for (String body : keys) {
-            answer("keys", () -> items(ConsulProtocol.keys(body)));
+            answer("keys", () -> items(ConsulResponses.keys(body)));
         }
         String bare = "{\"ID\":\"w-1\",\"Service\":\"web\",\"Port\":80,\"ModifyIndex\":10}";
         String full = "{\"ID\":\"w-2\",\"Service\":\"web\",\"Address\":\"10.0.0.1\",\"Port\":81,\"ModifyIndex\":20,"
                 + "\"Weights\":{\"Passing\":3},\"Meta\":{\"zone\":\"a\",\"cell\":\"4\",\"machineType\":\"m\","
                 + "\"startedAtMs\":\"5\",\"other\":\"x\"}}";
-        answer("health", () -> items(ConsulProtocol.health("")));
-        answer("health", () -> items(ConsulProtocol.health(instance(bare))));
-        answer("health", () -> items(ConsulProtocol.health(instance(full, "passing", "warning"))));
-        answer("health", () -> items(ConsulProtocol.health(instance(full, "passing", "critical"))));
-        answer("health", () -> items(ConsulProtocol.health(instance("{}"))));
-        answer("health", () -> items(ConsulProtocol.health("[1]")));
-        answer("session", () -> ConsulProtocol.session("{\"ID\":\"s-1\"}"));
-        answer("session", () -> ConsulProtocol.session("{}"));
+        answer("health", () -> items(ConsulResponses.health("")));
+        answer("health", () -> items(ConsulResponses.health(instance(bare))));
+        answer("health", () -> items(ConsulResponses.health(instance(full, "passing", "warning"))));
+        answer("health", () -> items(ConsulResponses.health(instance(full, "passing", "critical"))));
+        answer("health", () -> items(ConsulResponses.health(instance("{}"))));
+        answer("health", () -> items(ConsulResponses.health("[1]")));
+        answer("session", () -> ConsulResponses.session("{\"ID\":\"s-1\"}"));
+        answer("session", () -> ConsulResponses.session("{}"));
         GoldenOutput.assertMatches("registry/consul-answers.txt", seen.toString());
     }
 }
