--- a/src/main/java/maplespread/lab/release/ExhaustiveInterleavings.java
+++ b/src/main/java/maplespread/lab/release/ExhaustiveInterleavings.java
@@ -6,11 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import maplespread.release.FaultCommands;
 import maplespread.release.FleetView;
 import maplespread.release.FleetView.Member;
 import maplespread.release.FleetView.Role;
 import maplespread.release.FleetView.ServiceLevel;
 import maplespread.release.FleetView.Status;
+import maplespread.release.InstanceCommands;
 import maplespread.release.Limits;
 import maplespread.release.OperatorCommands;
 import maplespread.release.ReleaseCommand;
@@ -194,12 +196,12 @@
         List<Member> serving = new ArrayList<>();
         for (Member m : view.members()) {
             PlannedOutage held = known.plannedOutages().get(m.id());
-            apply(w, false, OperatorCommands.grantOutage("x", m.id(), calm, view));
+            apply(w, false, InstanceCommands.grantOutage("x", m.id(), calm, view));
             if (held != null && m.incarnation() > held.incarnation()) {
-                apply(w, false, OperatorCommands.confirmReturn("x", held.number(), m));
+                apply(w, false, InstanceCommands.confirmReturn("x", held.number(), m));
             }
             if (held != null && truth.get(IDS.indexOf(m.id())).recalled >= held.number()) {
-                apply(w, false, OperatorCommands.relinquishOutage("x", held.number()));
+                apply(w, false, InstanceCommands.relinquishOutage("x", held.number()));
             }
             if (m.serving()) {
                 serving.add(m);
@@ -207,9 +209,9 @@
                 out.add(m.id());
             }
         }
-        apply(w, false, OperatorCommands.recordObservations("x", calm, out, serving));
-        apply(w, false, OperatorCommands.finish("x", view));
-        apply(w, false, OperatorCommands.haltAutomatically("x", "itself", acts));
+        apply(w, false, FaultCommands.recordObservations("x", calm, out, serving));
+        apply(w, false, InstanceCommands.finish("x", view));
+        apply(w, false, FaultCommands.haltAutomatically("x", "itself", acts));
         if (w.state.controlVersion() < MOST_ACTS) {
             apply(w, false, OperatorCommands.halt("op", ""));
             apply(w, acts == w.state.controlVersion(), OperatorCommands.resume("op", "", acts));
--- /dev/null
+++ b/src/main/java/maplespread/release/DrainPermission.java
@@ -0,0 +1,53 @@
+package maplespread.release;
+
+import maplespread.release.ReleaseRejectedException.Reason;
+import maplespread.release.RolloutState.PlannedOutage;
+
+/** Whether a member may be drained, by the agreed state. */
+public final class DrainPermission {
+    private DrainPermission() {}
+
+    /**
+     * Whether the outage {@code number} of this member's incarnation is still granted and its drain may begin. An
+     * outage of a release is called back by a halt, and once the release goes in another direction than it was granted
+     * for.
+     */
+    public static boolean isPermitted(RolloutState state, String member, long incarnation, long number) {
+        PlannedOutage outage = state.plannedOutages().get(member);
+        return outage != null
+                && outage.number() == number
+                && outage.incarnation() == incarnation
+                && (outage.release().isEmpty() || isReleaseAsGranted(state, outage));
+    }
+
+    private static boolean isReleaseAsGranted(RolloutState state, PlannedOutage outage) {
+        return state.halt() == null
+                && state.inProgress()
+                && outage.why().equals(state.release().activePhase().name());
+    }
+
+    /**
+     * Returns where the member may be drained: its outage is granted, or neither a release, a limit nor a halt is in
+     * force.
+     *
+     * @throws ReleaseRejectedException why not
+     */
+    public static void require(RolloutState state, String member) throws ReleaseRejectedException {
+        PlannedOutage outage = state.plannedOutages().get(member);
+        if (outage == null) {
+            if (isRequired(state)) {
+                String cause =
+                        state.inProgress() ? "release " + state.release().plan().id() + " is on" : "limits are on";
+                throw new ReleaseRejectedException(Reason.NO_LEAVE, member + " has no leave to be out, and " + cause);
+            }
+        } else if (!isPermitted(state, member, outage.incarnation(), outage.number())) {
+            Reason reason = state.halt() != null ? Reason.HALTED : Reason.STALE;
+            throw new ReleaseRejectedException(reason, "the leave of " + member + " is called back");
+        }
+    }
+
+    /** Whether a drain needs a granted outage: a release is in progress, limits are in force, or there is a halt. */
+    public static boolean isRequired(RolloutState state) {
+        return state.inProgress() || !state.limitsInForce().isEmpty() || state.halt() != null;
+    }
+}
--- a/src/main/java/maplespread/release/ReleaseCommand.java
+++ b/src/main/java/maplespread/release/ReleaseCommand.java
@@ -1,7 +1,16 @@
 package maplespread.release;
 
-/** A change of the newest state, whoever proposes it and however late; pure. */
+/**
+ * A change proposed to the agreed state. Pure: it depends on the state that it is applied to alone, so that it does
+ * not matter which instance proposes it, how often, or how late. May be applied several times to states that are never
+ * decided.
+ */
+@FunctionalInterface
 public interface ReleaseCommand {
-    /** The state after it; the same one where nothing is to change. */
-    RolloutState apply(RolloutState now) throws ReleaseRejectedException;
+    /**
+     * Returns the state after the change, or the same instance where nothing is to change.
+     *
+     * @throws ReleaseRejectedException where the state does not allow the change; nothing has changed then
+     */
+    RolloutState apply(RolloutState state) throws ReleaseRejectedException;
 }
--- a/src/main/java/maplespread/release/ReleasePlan.java
+++ b/src/main/java/maplespread/release/ReleasePlan.java
@@ -1,25 +1,25 @@
 package maplespread.release;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import maplespread.release.FleetView.Role;
 import maplespread.release.ReleaseRejectedException.Reason;
 import maplespread.release.RolloutState.KnownMember;
 
 /**
- * What a release is to change. Empty lists of zones, kinds, cells and names: all. {@code from}, {@code to}:
- * versions; {@code to} empty or the same: a restart, told by runs alone. {@code first}: "workers" or
- * "dispatchers"; {@code order}: of "zone", "kind", "cell", by which members stand, then by name;
- * {@code steps}: sizes of the steps, the last one repeats. {@code limits}: of its own, beside the standing
- * ones, or null.
+ * What a release is to change, and in which steps. An empty list of zones, kinds, cells or names: all of them. The
+ * component names are JSON names of the agreed state.
+ *
+ * @param id unlike that of any of the last releases
+ * @param from the version before; empty: not told
+ * @param to the version after; empty or as before: a restart, which is told by incarnations alone
+ * @param first "workers" or "dispatchers": whose steps come first
+ * @param order of "zone", "kind" and "cell": what members are sorted by before their name
+ * @param steps how many members change at a time; the last size repeats
+ * @param limits that count beside the standing ones while the release is in progress; null: none
  */
 public record ReleasePlan(
         String id,
@@ -35,183 +35,118 @@
         List<String> order,
         List<Integer> steps,
         Limits limits) {
-    private static final Set<String> KEYS = Set.of(
-            "id",
-            "from",
-            "to",
-            "dispatchers",
-            "workers",
-            "zones",
-            "kinds",
-            "cells",
-            "names",
-            "first",
-            "order",
-            "steps",
-            "limits");
-    private static final List<String> LIMITS = List.of(
-            "dispatchers_out",
-            "workers_out",
-            "workers_out_zone",
-            "workers_out_kind",
-            "least_capacity",
-            "quiet_ms",
-            "back_ms",
-            "worse_refused",
-            "worse_errors",
-            "worse_wait");
-
-    /** Reads the console's JSON; what is not named has its default. */
+    static final String WORKERS = "workers";
+    static final String DISPATCHERS = "dispatchers";
+    static final String ZONE = "zone";
+    static final String KIND = "kind";
+    static final String CELL = "cell";
+
+    private static final Comparator<List<String>> BY_ELEMENTS = ReleasePlan::compareElements;
+
+    /**
+     * Reads the JSON of an admin call; a key that is missing has its default.
+     *
+     * @throws ReleaseRejectedException with {@link Reason#BAD_PLAN} and the key at fault
+     */
     public static ReleasePlan read(String json) throws ReleaseRejectedException {
-        try {
-            JsonObject o = JsonParser.parseString(json).getAsJsonObject();
-            known("", o, KEYS);
-            ReleasePlan p = new ReleasePlan(
-                    text(o, "id", ""),
-                    text(o, "from", ""),
-                    text(o, "to", ""),
-                    flag(o, "dispatchers"),
-                    flag(o, "workers"),
-                    list(o, "zones"),
-                    list(o, "kinds"),
-                    list(o, "cells"),
-                    list(o, "names"),
-                    text(o, "first", "workers"),
-                    list(o, "order"),
-                    sizes(o),
-                    o.has("limits") ? limits(o.getAsJsonObject("limits")) : null);
-            p.check();
-            return p;
-        } catch (JsonParseException
-                | IllegalStateException
-                | ClassCastException
-                | UnsupportedOperationException
-                | IllegalArgumentException e) {
-            throw bad("the plan cannot be read: " + e.getMessage());
-        }
+        ReleasePlan plan = ReleasePlanParser.parse(json);
+        plan.validate();
+        return plan;
     }
 
-    void check() throws ReleaseRejectedException {
+    void validate() throws ReleaseRejectedException {
         if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
-            throw bad("id: 1 to 64 letters, digits, dots, lines");
+            throw invalid("id: 1 to 64 letters, digits, dots, lines");
         }
         if (!dispatchers && !workers) {
-            throw bad("neither dispatchers nor workers are to change");
+            throw invalid("neither dispatchers nor workers are to change");
         }
-        if (!List.of("workers", "dispatchers").contains(first)) {
-            throw bad("first: workers or dispatchers");
+        if (!List.of(WORKERS, DISPATCHERS).contains(first)) {
+            throw invalid("first: workers or dispatchers");
         }
-        if (!List.of("zone", "kind", "cell").containsAll(order)) {
-            throw bad("order: of zone, kind, cell");
+        if (!List.of(ZONE, KIND, CELL).containsAll(order)) {
+            throw invalid("order: of zone, kind, cell");
         }
-        if (steps.isEmpty() || steps.stream().anyMatch(s -> s < 1)) {
-            throw bad("steps: sizes of 1 or more");
+        if (steps.isEmpty() || steps.stream().anyMatch(size -> size < 1)) {
+            throw invalid("steps: sizes of 1 or more");
         }
     }
 
-    /** Whether versions tell who is changed; else runs do. */
-    boolean byVersion() {
+    private static ReleaseRejectedException invalid(String problem) {
+        return new ReleaseRejectedException(Reason.BAD_PLAN, problem);
+    }
+
+    /** Whether versions tell which members are updated; else incarnations do. */
+    boolean comparesVersions() {
         return !to.isEmpty() && !to.equals(from);
     }
 
-    boolean names(String member, KnownMember m) {
-        return (m.role() == Role.DISPATCHER ? dispatchers : workers)
-                && of(zones, m.zone())
-                && of(kinds, m.kind())
-                && of(cells, m.cell())
-                && of(names, member);
+    /** Whether the plan is about this member. */
+    boolean includes(String name, KnownMember member) {
+        return (member.role() == Role.DISPATCHER ? dispatchers : workers)
+                && isAmong(zones, member.zone())
+                && isAmong(kinds, member.kind())
+                && isAmong(cells, member.cell())
+                && isAmong(names, name);
     }
 
-    private static boolean of(List<String> list, String x) {
-        return list.isEmpty() || list.contains(x);
+    private static boolean isAmong(List<String> wanted, String value) {
+        return wanted.isEmpty() || wanted.contains(value);
     }
 
-    /** The members that it names, cut into steps; no step mixes roles, nor what they are ordered by first. */
+    /**
+     * The members that the plan is about, in order and cut into steps. A step mixes neither roles nor values of the
+     * first key of {@link #order}.
+     */
     List<List<String>> splitIntoSteps(Map<String, KnownMember> members) {
-        Map<String, KnownMember> mine = new TreeMap<>(members);
-        mine.entrySet().removeIf(e -> !names(e.getKey(), e.getValue()));
-        List<String> all = new ArrayList<>(mine.keySet());
-        all.sort(Comparator.comparing((String m) -> place(mine.get(m)), RolloutState::compare)
+        Map<String, KnownMember> included = new TreeMap<>(members);
+        included.entrySet().removeIf(entry -> !includes(entry.getKey(), entry.getValue()));
+        List<String> sorted = new ArrayList<>(included.keySet());
+        sorted.sort(Comparator.comparing((String name) -> sortKey(included.get(name)), BY_ELEMENTS)
                 .thenComparing(Comparator.naturalOrder()));
-        List<List<String>> cut = new ArrayList<>();
+        List<List<String>> split = new ArrayList<>();
         List<String> step = new ArrayList<>();
-        List<String> before = List.of();
-        for (String m : all) {
-            List<String> head = place(mine.get(m)).subList(0, Math.min(2, order.size() + 1));
-            int size = steps.get(Math.min(cut.size(), steps.size() - 1));
-            if (!step.isEmpty() && (step.size() >= size || !head.equals(before))) {
-                cut.add(List.copyOf(step));
+        List<String> stepKey = List.of();
+        for (String name : sorted) {
+            List<String> sortKey = sortKey(included.get(name));
+            List<String> memberKey = sortKey.subList(0, Math.min(2, sortKey.size()));
+            int size = steps.get(Math.min(split.size(), steps.size() - 1));
+            if (!step.isEmpty() && (step.size() >= size || !memberKey.equals(stepKey))) {
+                split.add(List.copyOf(step));
                 step.clear();
             }
-            before = head;
-            step.add(m);
+            stepKey = memberKey;
+            step.add(name);
         }
         if (!step.isEmpty()) {
-            cut.add(List.copyOf(step));
-        }
-        return cut;
-    }
-
-    private List<String> place(KnownMember m) {
-        List<String> by = new ArrayList<>();
-        by.add(m.role() == (first.equals("workers") ? Role.WORKER : Role.DISPATCHER) ? "0" : "1");
-        for (String key : order) {
-            by.add(key.equals("zone") ? m.zone() : key.equals("kind") ? m.kind() : m.cell());
+            split.add(List.copyOf(step));
         }
-        return by;
+        return split;
     }
 
-    private static ReleaseRejectedException bad(String wrong) {
-        return new ReleaseRejectedException(Reason.BAD_PLAN, wrong);
-    }
-
-    private static void known(String where, JsonObject o, Iterable<String> keys) throws ReleaseRejectedException {
-        Set<String> left = new java.util.TreeSet<>(o.keySet());
-        keys.forEach(left::remove);
-        if (!left.isEmpty()) {
-            throw bad("unknown key " + where + left.iterator().next());
+    /** What members are sorted by: whether their role comes first, then the values that {@link #order} names. */
+    private List<String> sortKey(KnownMember member) {
+        Role firstRole = first.equals(WORKERS) ? Role.WORKER : Role.DISPATCHER;
+        List<String> sortKey = new ArrayList<>();
+        sortKey.add(member.role() == firstRole ? "0" : "1");
+        for (String attribute : order) {
+            sortKey.add(
+                    switch (attribute) {
+                        case ZONE -> member.zone();
+                        case KIND -> member.kind();
+                        default -> member.cell();
+                    });
         }
+        return sortKey;
     }
 
-    private static String text(JsonObject o, String key, String none) {
-        return o.has(key) ? o.get(key).getAsString() : none;
-    }
-
-    private static boolean flag(JsonObject o, String key) {
-        return o.has(key) && o.get(key).getAsBoolean();
-    }
-
-    private static List<String> list(JsonObject o, String key) {
-        List<String> all = new ArrayList<>();
-        if (o.has(key)) {
-            for (JsonElement e : o.getAsJsonArray(key)) {
-                all.add(e.getAsString());
+    private static int compareElements(List<String> left, List<String> right) {
+        for (int i = 0; i < Math.min(left.size(), right.size()); i++) {
+            int comparison = left.get(i).compareTo(right.get(i));
+            if (comparison != 0) {
+                return comparison;
             }
         }
-        return List.copyOf(all);
-    }
-
-    private static List<Integer> sizes(JsonObject o) {
-        return o.has("steps") ? list(o, "steps").stream().map(Integer::valueOf).toList() : List.of(1);
-    }
-
-    private static Limits limits(JsonObject o) throws ReleaseRejectedException {
-        known("limits.", o, LIMITS);
-        Limits n = Limits.NONE;
-        return new Limits(
-                number(o, 0, n.dispatchersOut()),
-                number(o, 1, n.workersOut()),
-                number(o, 2, n.workersOutZone()),
-                number(o, 3, n.workersOutKind()),
-                number(o, 4, 0),
-                (long) number(o, 5, 0),
-                (long) number(o, 6, n.backMs()),
-                number(o, 7, n.worseRefused()),
-                number(o, 8, n.worseErrors()),
-                number(o, 9, n.worseWait()));
-    }
-
-    private static double number(JsonObject o, int key, double none) {
-        return o.has(LIMITS.get(key)) ? o.get(LIMITS.get(key)).getAsDouble() : none;
+        return Integer.compare(left.size(), right.size());
     }
 }
--- a/src/main/java/maplespread/release/RolloutAction.java
+++ b/src/main/java/maplespread/release/RolloutAction.java
@@ -1,27 +1,28 @@
 package maplespread.release;
 
 /**
- * What a driver's host carries out. A dispatcher's is for this instance itself; a worker's for the registry,
- * or for the operator's hand. Both may come again and again, and late.
+ * What a {@link RolloutController} wants carried out: for a dispatcher by that instance itself, for a worker at the
+ * registry or by an operator's hand. An action may come again and again, and late.
  */
 public sealed interface RolloutAction {
+    /** The name of the member that it is about. */
     String member();
 
-    /** The run that it is about: any other run refuses it. */
+    /** The incarnation that it is about: any other one refuses it. */
     long incarnation();
 
-    /** The number of the leave. */
+    /** The number of the planned outage. */
     long outageNumber();
 
     /**
-     * Drain. Refused once a {@link CancelDrain} of this or a later number was carried out; the host then says
-     * {@link RolloutController#drainCancelled} again, for the one that was told may be gone.
+     * Drain. To be refused once a {@link CancelDrain} of this or a later number was carried out; whoever refuses it
+     * reports {@link RolloutController#drainCancelled} again, as the instance that it was reported to may be gone.
      */
     record Drain(String member, long incarnation, long outageNumber) implements RolloutAction {}
 
     /**
-     * Serve on, or again, and refuse every later {@link Drain} up to this number. When that is sure, the host
-     * says so by {@link RolloutController#drainCancelled}.
+     * Serve on, or again, and refuse every later {@link Drain} up to this number. Whoever carries it out reports
+     * {@link RolloutController#drainCancelled} once that is certain.
      */
     record CancelDrain(String member, long incarnation, long outageNumber) implements RolloutAction {}
 }
--- a/src/main/java/maplespread/release/RolloutController.java
+++ b/src/main/java/maplespread/release/RolloutController.java
@@ -1,7 +1,6 @@
 package maplespread.release;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -15,321 +14,342 @@
 import maplespread.release.RolloutState.PlannedOutage;
 
 /**
- * One instance's part. Every instance has one and all do the same, staggered by their place among those that
- * serve; nobody leads. What depends on time is here, by this instance's own monotonic clock, and a new driver
- * begins every wait anew, as does one that stood still. What is proposed is decided by the newest state: a
- * driver that is late or wrong is refused there.
+ * One instance's part in a release. Every instance has a controller and all do the same, staggered by their place among
+ * the serving dispatchers; none is the leader. All that depends on time is here, by this instance's own monotonic
+ * clock: a new controller begins every wait anew, as does one whose process was paused. What it proposes is decided by
+ * the newest state, which rejects what is late or wrong. No threads; not thread-safe.
  */
 public final class RolloutController {
-    private static final long ENOUGH = 100; // answers, for shares and waits to be judged
+    /** A process that has not evaluated for this many detection times was paused. */
+    private static final int PAUSE_DETECTION_TIMES = 3;
+    /** A worker's warm capacity is taken up where it is larger than the known one by this factor. */
+    private static final double CAPACITY_GROWTH = 1.1;
+    /** The same where it is smaller, while no release is in progress. */
+    private static final double CAPACITY_DECLINE = 0.9;
+    /** No version has been seen yet. */
+    private static final long NONE_SEEN = -1;
 
     /**
-     * {@code staggerMs}: by how much later each next instance acts; {@code missMs}: how long one has to be
-     * seen out, or serving, before that is told; {@code beatMs}: how often somebody shows that there is a
-     * majority; {@code splitMs}: without one for so long halts. One that has not looked for three times
-     * {@code missMs} stood still.
+     * Times in ms.
+     *
+     * @param staggerMs by how much later each next instance acts
+     * @param detectionMs how long a member has to be seen unavailable, or serving, before that is reported
+     * @param heartbeatMs how often some instance shows that there is a majority
+     * @param quorumLossMs a loss of the majority for this long halts a release
      */
     public record Settings(long staggerMs, long detectionMs, long heartbeatMs, long quorumLossMs) {
+        /** What a running dispatcher uses. */
         public static final Settings DEFAULT = new Settings(250, 1_000, 2_000, 10_000);
     }
 
     /**
-     * {@code propose}: to the register, in this order and before the next look, a refusal is no fault;
-     * {@code orders}: to be carried out; {@code again}: when to look again at the latest (a new state or
-     * view: at once); {@code waits}: for what, in words, empty where nothing is on.
+     * What came of one evaluation.
+     *
+     * @param proposals to be put to the register in this order, before the next evaluation; a rejection is no fault
+     * @param actions to be carried out
+     * @param nextCheckAtMs when to evaluate again at the latest; after a new state or view: at once
+     * @param waitingFor what the release waits for, as operators read it; empty where none is in progress
      */
     public record Decision(
             List<ReleaseCommand> proposals, List<RolloutAction> actions, long nextCheckAtMs, String waitingFor) {}
 
-    private final Settings set;
+    private final Settings settings;
     private final String self;
-    private long lookedAt;
-    private long calm = -1;
-    private long calmSince;
-    private long acts = -1;
-    private long aloneSince = -1;
-    private RolloutState aloneAt;
-    private long alone;
-    private ServiceLevel before;
-    private Map<String, Long> since = new HashMap<>(); // what is waited for -> since when
-    private Set<String> wanted = new HashSet<>();
-    private final Set<Long> drainCancelled = new HashSet<>();
+    private final ConditionTimers timers;
+    private final QuorumLossTimer quorumLoss = new QuorumLossTimer();
+    private final HaltConditions haltConditions;
+    private final Set<Long> cancelledOutages = new HashSet<>();
+    private long lastEvaluationMs;
+    private long seenStabilityVersion = NONE_SEEN;
+    private long stableSinceMs;
+    private long seenControlVersion = NONE_SEEN;
+    /** The service level at the last moment without a release, or when an operator resumed it; null: neither yet. */
+    private ServiceLevel baseline;
+
+    // What the current evaluation looks at.
     private RolloutState state;
     private FleetView view;
-    private long now;
-    private long place;
+    private long nowMs;
 
-    /** {@code self}: this dispatcher's member name; {@code now}: of a monotonic clock, in ms. */
-    public RolloutController(Settings set, String self, long now) {
-        this.set = set;
+    /** {@code self}: this dispatcher's member name; {@code nowMs}: of a monotonic clock. */
+    public RolloutController(Settings settings, String self, long nowMs) {
+        this.settings = settings;
         this.self = self;
-        lookedAt = now;
-        calmSince = now;
+        timers = new ConditionTimers(settings.staggerMs);
+        haltConditions = new HaltConditions(settings, timers);
+        lastEvaluationMs = nowMs;
+        stableSinceMs = nowMs;
     }
 
-    /** {@link RolloutAction.CancelDrain} of this leave was carried out: a later drain by it is refused there. */
-    public void drainCancelled(long leave) {
-        drainCancelled.add(leave);
+    /** {@link RolloutAction.CancelDrain} of this outage was carried out: a later drain by it is refused there. */
+    public void drainCancelled(long outageNumber) {
+        cancelledOutages.add(outageNumber);
     }
 
-    /** Looks at the newest state known. {@code majority}: whether the last read or write reached one. */
-    public Decision evaluate(long time, RolloutState newest, FleetView seen, boolean majority) {
-        now = time;
+    /**
+     * Evaluates the newest state that this instance knows.
+     *
+     * @param time of the same clock as the constructor's
+     * @param majorityReached whether the last read or write of the state has reached a majority
+     */
+    public Decision evaluate(long time, RolloutState newest, FleetView seen, boolean majorityReached) {
+        nowMs = time;
         state = newest;
         view = seen;
-        wanted = new HashSet<>();
-        if (now - lookedAt >= 3 * set.detectionMs) { // stood still: no wait was whole
-            since.clear();
-            calm = -1;
-            aloneSince = -1;
+        restartAfterPause();
+        trackVersions();
+        timers.beginRound(nowMs, servingDispatchersBefore());
+        long quorumLossMs = quorumLoss.update(nowMs, state, majorityReached);
+        List<ReleaseCommand> proposals = new ArrayList<>();
+        String waitingFor = "";
+        if (!majorityReached) {
+            waitingFor = state.inProgress() ? "for a majority" : "";
+        } else if (isActive() || !state.plannedOutages().isEmpty()) {
+            waitingFor = propose(proposals, quorumLossMs);
         }
-        lookedAt = now;
-        if (state.stabilityVersion() != calm) {
-            calm = state.stabilityVersion();
-            calmSince = now;
+        List<RolloutAction> actions = actions();
+        timers.endRound();
+        forgetEndedOutages();
+        return new Decision(proposals, actions, nowMs + checkIntervalMs(), waitingFor);
+    }
+
+    /** No wait counts that the process has slept through. */
+    private void restartAfterPause() {
+        if (nowMs - lastEvaluationMs >= PAUSE_DETECTION_TIMES * settings.detectionMs) {
+            timers.reset();
+            quorumLoss.reset();
+            seenStabilityVersion = NONE_SEEN;
         }
-        // Worse is worse than before the release, or than when an operator let it go on.
-        if (!state.inProgress() || acts >= 0 && state.controlVersion() != acts && state.halt() == null) {
-            before = view.service();
+        lastEvaluationMs = nowMs;
+    }
+
+    private void trackVersions() {
+        if (state.stabilityVersion() != seenStabilityVersion) {
+            seenStabilityVersion = state.stabilityVersion();
+            stableSinceMs = nowMs;
         }
-        acts = state.controlVersion();
-        place = view.members().stream()
-                .filter(m -> m.role() == Role.DISPATCHER && m.serving() && m.id().compareTo(self) < 0)
-                .count();
-        majority(majority);
-        List<ReleaseCommand> propose = new ArrayList<>();
-        List<RolloutAction> orders = new ArrayList<>();
-        String waits = "";
-        boolean on = state.inProgress();
-        if (!majority) {
-            waits = on ? "for a majority" : "";
-        } else if (on
-                || !state.limitsInForce().isEmpty()
-                || !state.plannedOutages().isEmpty()) {
-            halts(propose);
-            seen(propose);
-            back(propose);
-            waits = !on ? "" : !propose.isEmpty() ? "for what was seen to be told" : goOn(propose);
-            if (on && waited("beat " + state.heartbeats(), set.heartbeatMs, true)) {
-                propose.add(OperatorCommands.recordHeartbeat(state.heartbeats()));
-            }
+        boolean operatorResumed =
+                seenControlVersion != NONE_SEEN && state.controlVersion() != seenControlVersion && state.halt() == null;
+        if (!state.inProgress() || operatorResumed) {
+            baseline = view.service();
         }
-        orders(orders);
-        since.keySet().retainAll(wanted);
-        drainCancelled.removeIf(n -> state.plannedOutages().values().stream().noneMatch(l -> l.number() == n)
-                && n <= state.lastOutageNumber());
-        return new Decision(
-                propose,
-                orders,
-                now
-                        + (on || !state.limitsInForce().isEmpty()
-                                ? Math.min(set.staggerMs, set.detectionMs / 2)
-                                : set.detectionMs / 2),
-                waits);
+        seenControlVersion = state.controlVersion();
     }
 
-    /** Whether this has been so for so long; staggered: and for as long again as stands before this place. */
-    private boolean waited(String what, long ms, boolean staggered) {
-        wanted.add(what);
-        long wait = ms + (staggered ? place * set.staggerMs : 0);
-        return now - since.computeIfAbsent(what, k -> now) >= wait;
+    private long servingDispatchersBefore() {
+        return view.members().stream()
+                .filter(member -> member.role() == Role.DISPATCHER)
+                .filter(member -> member.serving() && member.id().compareTo(self) < 0)
+                .count();
     }
 
-    private void majority(boolean majority) {
-        alone = 0;
-        if (!majority) {
-            if (aloneSince < 0) {
-                aloneSince = now;
-                aloneAt = state;
-            }
-        } else if (aloneSince >= 0) {
-            // Others may have had one meanwhile: then somebody has shown it.
-            boolean none = state.heartbeats() == aloneAt.heartbeats()
-                    && state.stabilityVersion() == aloneAt.stabilityVersion()
-                    && state.lastOutageNumber() == aloneAt.lastOutageNumber();
-            alone = none ? now - aloneSince : 0;
-            aloneSince = -1;
-        }
+    /** Whether there is something to watch: a release, or limits. */
+    private boolean isActive() {
+        return state.inProgress() || !state.limitsInForce().isEmpty();
     }
 
-    // ------------------------------------------------------------ what halts it by itself
+    private long checkIntervalMs() {
+        long idleMs = settings.detectionMs / 2;
+        return isActive() ? Math.min(settings.staggerMs, idleMs) : idleMs;
+    }
 
-    private void halts(List<ReleaseCommand> propose) {
-        boolean moves =
-                state.inProgress() && state.halt() == null && state.release().activePhase() != Phase.ABANDONING;
-        String why = !moves ? "" : halts();
-        if (!why.isEmpty()) {
-            propose.add(OperatorCommands.haltAutomatically(self, why, state.controlVersion()));
-        }
+    private void forgetEndedOutages() {
+        cancelledOutages.removeIf(number -> number <= state.lastOutageNumber()
+                && state.plannedOutages().values().stream().noneMatch(outage -> outage.number() == number));
     }
 
-    private String halts() {
-        if (alone >= set.quorumLossMs) {
-            return "no majority for " + alone + " ms";
-        }
-        for (Limits l : state.limitsInForce()) {
-            String over = l.exceeded(state.members(), state.unavailableMembers());
-            // Whatever the limit and the count: one more accident must not begin the wait anew.
-            if (!over.isEmpty() && waited("over", set.detectionMs, false)) {
-                return "limit exceeded: " + over;
-            }
+    /** Adds to the proposals; returns what the release waits for. */
+    private String propose(List<ReleaseCommand> proposals, long quorumLossMs) {
+        proposeHalt(proposals, quorumLossMs);
+        proposeObservations(proposals);
+        proposeMemberUpdates(proposals);
+        proposeReturns(proposals);
+        if (!state.inProgress()) {
+            return "";
         }
-        for (Map.Entry<String, PlannedOutage> l : state.plannedOutages().entrySet()) {
-            if (!l.getValue().release().isEmpty()
-                    && waited("out " + l.getValue().number() + " " + state.controlVersion(), state.backMs(), false)) {
-                return l.getKey() + " is not back after " + state.backMs() + " ms";
-            }
+        // The next step has to know what was observed.
+        String waitingFor = proposals.isEmpty() ? proposeNextStep(proposals) : "for what was seen to be told";
+        if (timers.heldForStaggered("heartbeat " + state.heartbeats(), settings.heartbeatMs)) {
+            proposals.add(InstanceCommands.recordHeartbeat(state.heartbeats()));
         }
-        // What is bad because of the release must not stand in the way of taking it back.
-        return state.release().activePhase() == Phase.RUNNING ? worse() : "";
+        return waitingFor;
     }
 
-    private String worse() {
-        ServiceLevel is = view.service();
-        ServiceLevel was = before == null ? state.release().baseline() : before;
-        if (is.samples() < ENOUGH || was.samples() < ENOUGH) {
-            return "";
+    private void proposeHalt(List<ReleaseCommand> proposals, long quorumLossMs) {
+        if (!state.inProgress() || state.halt() != null || state.release().activePhase() == Phase.ABANDONING) {
+            return;
         }
-        for (Limits l : state.limitsInForce()) {
-            if (is.refusedShare() > was.refusedShare() + l.worseRefused()) {
-                return "refusals " + is.refusedShare() + ", before the release " + was.refusedShare();
-            }
-            if (is.errorShare() > was.errorShare() + l.worseErrors()) {
-                return "errors " + is.errorShare() + ", before the release " + was.errorShare();
-            }
-            if (is.waitMs() > was.waitMs() * (1 + l.worseWait())) {
-                return "waits " + is.waitMs() + " ms, before the release " + was.waitMs() + " ms";
-            }
+        ServiceLevel comparedWith = baseline == null ? state.release().baseline() : baseline;
+        String reason = haltConditions.reason(state, view.service(), comparedWith, quorumLossMs);
+        if (!reason.isEmpty()) {
+            proposals.add(FaultCommands.haltAutomatically(self, reason, state.controlVersion()));
         }
-        return "";
     }
 
-    // ------------------------------------------------------------ what is seen
-
-    private void seen(List<ReleaseCommand> propose) {
-        List<String> out = new ArrayList<>();
+    /** Reports members that have become unavailable, and those that serve again or in a later incarnation. */
+    private void proposeObservations(List<ReleaseCommand> proposals) {
+        List<String> unavailable = new ArrayList<>();
         List<Member> serving = new ArrayList<>();
-        for (Map.Entry<String, KnownMember> k : state.members().entrySet()) {
-            String id = k.getKey();
-            Member m = view.member(id);
-            boolean serves = m != null && m.serving();
-            boolean told = state.unplannedOutages().containsKey(id);
-            if (!serves && !told && !state.plannedOutages().containsKey(id)) {
-                if (waited("miss " + id, set.detectionMs, false) && waited("tell " + id, 0, true)) {
-                    out.add(id);
-                }
-            } else if (serves
-                    && (told
-                            || state.inProgress()
-                                    && state.release().includes(id)
-                                    && m.incarnation() > k.getValue().incarnation()
-                                    && !state.plannedOutages().containsKey(id))) {
-                if (waited("here " + id + " " + m.incarnation(), set.detectionMs, true)) {
-                    serving.add(m);
+        for (Map.Entry<String, KnownMember> entry : state.members().entrySet()) {
+            String name = entry.getKey();
+            Member seen = view.member(name).filter(Member::serving).orElse(null);
+            if (seen == null) {
+                if (isUnavailabilityToReport(name)) {
+                    unavailable.add(name);
                 }
+            } else if (isServiceToReport(seen, entry.getValue())) {
+                serving.add(seen);
             }
         }
-        if (!out.isEmpty() || !serving.isEmpty()) {
-            propose.add(OperatorCommands.recordObservations(self, state.stabilityVersion(), out, serving));
+        if (!unavailable.isEmpty() || !serving.isEmpty()) {
+            proposals.add(FaultCommands.recordObservations(self, state.stabilityVersion(), unavailable, serving));
         }
-        List<Member> put = new ArrayList<>();
-        for (Member m : view.members()) {
-            KnownMember k = state.members().get(m.id());
-            boolean grown = k != null
-                    && m.warm()
-                    && m.role() == Role.WORKER
-                    && (m.capacity() > k.warmCapacity() * 1.1
-                            || !state.inProgress() && m.capacity() < k.warmCapacity() * 0.9);
-            if (m.serving() && (k == null || grown) && waited("put " + m.id(), set.detectionMs, true)) {
-                put.add(m);
+    }
+
+    private boolean isUnavailabilityToReport(String name) {
+        boolean isReported = state.unplannedOutages().containsKey(name);
+        boolean isPlanned = state.plannedOutages().containsKey(name);
+        return !isReported
+                && !isPlanned
+                && timers.heldFor("unavailable " + name, settings.detectionMs)
+                && timers.heldForStaggered("report unavailable " + name, 0);
+    }
+
+    private boolean isServiceToReport(Member seen, KnownMember known) {
+        String name = seen.id();
+        boolean isReportedUnavailable = state.unplannedOutages().containsKey(name);
+        boolean restartedUnplanned = state.inProgress()
+                && state.release().includes(name)
+                && seen.incarnation() > known.incarnation()
+                && !state.plannedOutages().containsKey(name);
+        String condition = "serving " + name + " in " + seen.incarnation();
+        return (isReportedUnavailable || restartedUnplanned)
+                && timers.heldForStaggered(condition, settings.detectionMs);
+    }
+
+    /** Reports members that are not known yet, and workers whose warm capacity has changed. */
+    private void proposeMemberUpdates(List<ReleaseCommand> proposals) {
+        List<Member> changed = new ArrayList<>();
+        for (Member seen : view.members()) {
+            KnownMember known = state.members().get(seen.id());
+            boolean isChanged = known == null || isCapacityChanged(seen, known);
+            if (seen.serving() && isChanged && timers.heldForStaggered("changed " + seen.id(), settings.detectionMs)) {
+                changed.add(seen);
             }
         }
-        if (!put.isEmpty()) {
-            propose.add(OperatorCommands.updateMembers(self, state.stabilityVersion(), put));
+        if (!changed.isEmpty()) {
+            proposals.add(InstanceCommands.updateMembers(self, state.stabilityVersion(), changed));
         }
     }
 
-    private void back(List<ReleaseCommand> propose) {
-        state.plannedOutages().forEach((id, l) -> {
-            Member m = view.member(id);
-            if (drainCancelled.contains(l.number())) {
-                propose.add(OperatorCommands.relinquishOutage(self, l.number()));
-            } else if (m != null
-                    && m.serving()
-                    && m.warm()
-                    && m.incarnation() > l.incarnation()
-                    && waited("back " + l.number(), 0, true)) {
-                propose.add(OperatorCommands.confirmReturn(self, l.number(), m));
+    private boolean isCapacityChanged(Member seen, KnownMember known) {
+        if (!seen.warm() || seen.role() != Role.WORKER) {
+            return false;
+        }
+        boolean isLarger = seen.capacity() > known.warmCapacity() * CAPACITY_GROWTH;
+        boolean isSmaller = seen.capacity() < known.warmCapacity() * CAPACITY_DECLINE;
+        return isLarger || isSmaller && !state.inProgress();
+    }
+
+    /** Reports planned outages that are over: unused, or with their member back. */
+    private void proposeReturns(List<ReleaseCommand> proposals) {
+        state.plannedOutages().forEach((name, outage) -> {
+            if (cancelledOutages.contains(outage.number())) {
+                proposals.add(InstanceCommands.relinquishOutage(self, outage.number()));
+                return;
             }
+            view.member(name)
+                    .filter(seen -> seen.serving() && seen.warm())
+                    .filter(seen -> seen.incarnation() > outage.incarnation())
+                    .filter(seen -> timers.heldForStaggered("back " + outage.number(), 0))
+                    .ifPresent(seen -> proposals.add(InstanceCommands.confirmReturn(self, outage.number(), seen)));
         });
     }
 
-    // ------------------------------------------------------------ what comes next
-
-    /** Leave for those whose turn it is, or the end. Returns for what it waits. */
-    private String goOn(List<ReleaseCommand> propose) {
+    /** Asks for outages of the members whose turn it is, or for the release's end; returns what it waits for. */
+    private String proposeNextStep(List<ReleaseCommand> proposals) {
         if (state.halt() != null) {
             return "for an operator: halted by " + state.halt().by() + ", "
                     + state.halt().why();
         }
         int step = state.currentStep();
-        boolean opens = step != state.release().openStep();
-        if (opens && now - calmSince < state.quietMs()) {
+        boolean opensStep = step != state.release().openStep();
+        if (opensStep && nowMs - stableSinceMs < state.quietMs()) {
             return "for the quiet time";
         }
-        String calmly = "leave " + state.stabilityVersion() + " " + state.lastOutageNumber();
-        if (step < 0) {
-            return attempt(propose, OperatorCommands.finish(self, view), "finish " + state.stabilityVersion());
-        }
-        String waits = "for those that are out";
-        RolloutState then = state;
-        List<ReleaseCommand> all = new ArrayList<>();
-        for (String id : state.release().steps().get(step)) {
-            if (state.pendingMembers().contains(id) && !state.plannedOutages().containsKey(id)) {
-                ReleaseCommand c = OperatorCommands.grantOutage(self, id, state.stabilityVersion(), view);
-                try {
-                    then = c.apply(then);
-                    all.add(c);
-                } catch (ReleaseRejectedException e) {
-                    waits = e.problem();
-                }
+        return step == RolloutState.NO_STEP ? proposeFinish(proposals) : proposeOutages(proposals, step);
+    }
+
+    private String proposeOutages(List<ReleaseCommand> proposals, int step) {
+        String waitingFor = "for those that are out";
+        RolloutState expected = state;
+        List<ReleaseCommand> grants = new ArrayList<>();
+        for (String name : state.release().steps().get(step)) {
+            if (!state.pendingMembers().contains(name) || state.plannedOutages().containsKey(name)) {
+                continue;
+            }
+            ReleaseCommand grant = InstanceCommands.grantOutage(self, name, state.stabilityVersion(), view);
+            try {
+                expected = grant.apply(expected);
+                grants.add(grant);
+            } catch (ReleaseRejectedException e) {
+                waitingFor = e.problem();
             }
         }
-        if (!all.isEmpty() && waited(calmly, 0, true)) {
-            propose.addAll(all);
+        String condition = "grant at " + state.stabilityVersion() + " after " + state.lastOutageNumber();
+        if (!grants.isEmpty() && timers.heldForStaggered(condition, 0)) {
+            proposals.addAll(grants);
         }
-        return waits;
+        return waitingFor;
     }
 
-    private String attempt(List<ReleaseCommand> propose, ReleaseCommand c, String what) {
+    private String proposeFinish(List<ReleaseCommand> proposals) {
+        ReleaseCommand finish = InstanceCommands.finish(self, view);
         try {
-            c.apply(state);
-            if (waited(what, 0, true)) {
-                propose.add(c);
-            }
-            return "for its end to be told";
+            finish.apply(state);
         } catch (ReleaseRejectedException e) {
             return e.problem();
         }
+        if (timers.heldForStaggered("finish at " + state.stabilityVersion(), 0)) {
+            proposals.add(finish);
+        }
+        return "for its end to be told";
     }
 
-    /** This instance's own, and the workers': a dispatcher is drained by nobody but itself. */
-    private void orders(List<RolloutAction> orders) {
-        state.plannedOutages().forEach((id, l) -> {
-            Member m = view.member(id);
-            boolean mine = id.equals(self) || m != null && m.role() == Role.WORKER;
-            if (!mine || m == null || m.incarnation() != l.incarnation()) {
+    /** For this instance itself, and for the workers: a dispatcher is drained by nobody but itself. */
+    private List<RolloutAction> actions() {
+        List<RolloutAction> actions = new ArrayList<>();
+        state.plannedOutages().forEach((name, outage) -> {
+            Member seen = view.member(name).orElse(null);
+            boolean isResponsible = name.equals(self) || seen != null && seen.role() == Role.WORKER;
+            if (!isResponsible || seen == null || seen.incarnation() != outage.incarnation()) {
                 return;
             }
-            boolean by = !l.release().isEmpty();
-            boolean back = by
-                    && state.inProgress()
-                    && !l.why().equals(state.release().activePhase().name());
-            if (back && (m.serving() || m.status() == Status.DRAINING) || state.halt() != null && by && m.serving()) {
-                orders.add(new RolloutAction.CancelDrain(id, l.incarnation(), l.number()));
-            } else if (m.serving() && waited("order " + l.number(), 0, !id.equals(self))) {
-                orders.add(new RolloutAction.Drain(id, l.incarnation(), l.number()));
+            if (isCalledBack(outage, seen)) {
+                actions.add(new RolloutAction.CancelDrain(name, outage.incarnation(), outage.number()));
+            } else if (seen.serving() && isDrainDue(name, outage)) {
+                actions.add(new RolloutAction.Drain(name, outage.incarnation(), outage.number()));
             }
         });
+        return actions;
+    }
+
+    /** By a halt, where the member still serves; by another direction of the release, where it drains too. */
+    private boolean isCalledBack(PlannedOutage outage, Member seen) {
+        if (outage.release().isEmpty()) {
+            return false;
+        }
+        boolean directionChanged = state.inProgress()
+                && !outage.why().equals(state.release().activePhase().name());
+        if (directionChanged && (seen.serving() || seen.status() == Status.DRAINING)) {
+            return true;
+        }
+        return state.halt() != null && seen.serving();
+    }
+
+    /** This instance drains itself at once; only one instance is to order a worker's drain. */
+    private boolean isDrainDue(String name, PlannedOutage outage) {
+        String condition = "drain " + outage.number();
+        return name.equals(self) ? timers.heldFor(condition, 0) : timers.heldForStaggered(condition, 0);
     }
 }
--- a/src/main/java/maplespread/release/RolloutStateBuilder.java
+++ b/src/main/java/maplespread/release/RolloutStateBuilder.java
@@ -11,37 +11,37 @@
 import maplespread.release.RolloutState.Release;
 import maplespread.release.RolloutState.UnplannedOutage;
 
-/** A state on its way to the next one. */
+/** A mutable copy of a {@link RolloutState}, in which a command prepares the next one. For one thread. */
 final class RolloutStateBuilder {
-    private static final int LOG = 12;
-    private static final int ENDED = 64;
+    private static final int MAX_LOG_ENTRIES = 12;
+    private static final int MAX_PAST_RELEASES = 64;
 
     Limits limits;
     Release release;
     final SortedMap<String, KnownMember> members;
     final SortedMap<String, PlannedOutage> plannedOutages;
     final SortedMap<String, UnplannedOutage> unplannedOutages;
-    Halt halt;
     long stabilityVersion;
-    long lastOutageNumber;
-    long controlVersion;
     long heartbeats;
     final List<String> pastReleases;
-    final List<LogEntry> log;
+    private Halt halt;
+    private long lastOutageNumber;
+    private long controlVersion;
+    private final List<LogEntry> log;
 
-    RolloutStateBuilder(RolloutState s) {
-        limits = s.limits();
-        release = s.release();
-        members = new TreeMap<>(s.members());
-        plannedOutages = new TreeMap<>(s.plannedOutages());
-        unplannedOutages = new TreeMap<>(s.unplannedOutages());
-        halt = s.halt();
-        stabilityVersion = s.stabilityVersion();
-        lastOutageNumber = s.lastOutageNumber();
-        controlVersion = s.controlVersion();
-        heartbeats = s.heartbeats();
-        pastReleases = new ArrayList<>(s.pastReleases());
-        log = new ArrayList<>(s.log());
+    RolloutStateBuilder(RolloutState from) {
+        limits = from.limits();
+        release = from.release();
+        members = new TreeMap<>(from.members());
+        plannedOutages = new TreeMap<>(from.plannedOutages());
+        unplannedOutages = new TreeMap<>(from.unplannedOutages());
+        stabilityVersion = from.stabilityVersion();
+        heartbeats = from.heartbeats();
+        pastReleases = new ArrayList<>(from.pastReleases());
+        halt = from.halt();
+        lastOutageNumber = from.lastOutageNumber();
+        controlVersion = from.controlVersion();
+        log = new ArrayList<>(from.log());
     }
 
     RolloutState build() {
@@ -56,8 +56,12 @@
                 lastOutageNumber,
                 controlVersion,
                 heartbeats,
-                pastReleases.subList(Math.max(0, pastReleases.size() - ENDED), pastReleases.size()),
-                log.subList(Math.max(0, log.size() - LOG), log.size()));
+                newest(pastReleases, MAX_PAST_RELEASES),
+                newest(log, MAX_LOG_ENTRIES));
+    }
+
+    private static <T> List<T> newest(List<T> all, int count) {
+        return all.subList(Math.max(0, all.size() - count), all.size());
     }
 
     RolloutStateBuilder log(String by, String what, String why) {
@@ -65,21 +69,22 @@
         return this;
     }
 
-    /** Whatever waits for quiet waits anew, and the next leave needs a whole quiet time. */
+    /** The next outage of the release needs a whole quiet period, and what others have seen before is out of date. */
     RolloutStateBuilder restartQuietPeriod() {
         stabilityVersion++;
-        release = release == null ? null : release.with(-1);
+        release = release == null ? null : release.withOpenStep(RolloutState.NO_STEP);
         return this;
     }
 
-    /** An operator's act, or a halt: what was called before it is late from here on. */
+    /** An operator's call, or a halt: calls that do not know of it are out of date. {@code next}: null lifts a halt. */
     RolloutStateBuilder setHalt(Halt next) {
         controlVersion++;
         halt = next;
         return restartQuietPeriod();
     }
 
-    void grantOutage(String member, long run, String ofRelease, String why) {
-        plannedOutages.put(member, new PlannedOutage(++lastOutageNumber, run, ofRelease, why));
+    void grantOutage(String member, long incarnation, String releaseId, String why) {
+        lastOutageNumber++;
+        plannedOutages.put(member, new PlannedOutage(lastOutageNumber, incarnation, releaseId, why));
     }
 }
--- a/src/main/java/maplespread/release/client/RolloutService.java
+++ b/src/main/java/maplespread/release/client/RolloutService.java
@@ -22,6 +22,7 @@
 import maplespread.consensus.client.ReplicatedRegister;
 import maplespread.errors.FleetException;
 import maplespread.log.Event;
+import maplespread.release.DrainPermission;
 import maplespread.release.FleetView;
 import maplespread.release.Limits;
 import maplespread.release.OperatorCommands;
@@ -233,7 +234,7 @@
         long asked = now();
         RolloutState newest = newest(register, PROPOSE_MS);
         return newest != null
-                && OperatorCommands.isDrainPermitted(newest, order.member(), order.incarnation(), order.outageNumber())
+                && DrainPermission.isPermitted(newest, order.member(), order.incarnation(), order.outageNumber())
                 && now() - asked <= PROPOSE_MS;
     }
 
@@ -265,7 +266,7 @@
     private void ofWorker(ReplicatedRegister register, RolloutAction order) {
         boolean drain = order instanceof RolloutAction.Drain;
         if (!workers.byRegistry()) {
-            FleetView.Member m = fleet.view().member(order.member());
+            FleetView.Member m = fleet.view().member(order.member()).orElse(null);
             if (!drain || majority && now() - contactAt <= CONTACT_MS) {
                 synchronized (wanted) { // what may be over is asked of nobody
                     wanted.put(order.member(), drain ? "drain" : "serve");
@@ -411,7 +412,7 @@
                     boolean bound = known.inProgress() || !known.limitsInForce().isEmpty() || known.halt() != null;
                     if (bound && (held == null || held.incarnation() != fleet.incarnation())) {
                         if (known.inProgress()) {
-                            OperatorCommands.requireDrainPermitted(known, self);
+                            DrainPermission.require(known, self);
                         }
                         r = put(
                                 register,
@@ -423,7 +424,7 @@
                         }
                         held = state(r.value()).plannedOutages().get(self);
                     } else if (held != null) {
-                        OperatorCommands.requireDrainPermitted(known, self); // its leave may be called back
+                        DrainPermission.require(known, self); // its leave may be called back
                     }
                     synchronized (turn) {
                         if (bound && (held == null || held.number() <= recalled)) {
--- a/src/main/java/maplespread/release/package-info.java
+++ b/src/main/java/maplespread/release/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Who may be out, agreed over the fleet: releases in steps, leave to be out, halts and the way back. Owns the
- * state, the commands that change it and one instance's part in driving it. The state is one text in a
- * register that a majority keeps; a command is a function of the newest state, so that it does not matter who
- * proposes it, how often, or how late. No sockets, files, clock or threads: time is passed in. Calls
- * {@code faults} only.
+ * Which members of the fleet may be unavailable, as all instances agree on it: releases in steps, planned outages, halts
+ * and rollbacks. Owns the agreed state ({@code RolloutState}), the commands that change it ({@code OperatorCommands},
+ * {@code InstanceCommands}, {@code FaultCommands}) and one instance's part in a release ({@code RolloutController}).
+ * The state is one text in a register that a majority keeps; a command is a function of the newest state, so that it
+ * does not matter who proposes it, how often, or how late. No sockets, files, clock or threads: the time is passed in.
+ * May import {@code errors} alone.
  */
 package maplespread.release;
--- a/src/test/java/maplespread/release/ReleaseGoldenTest.java
+++ b/src/test/java/maplespread/release/ReleaseGoldenTest.java
@@ -215,20 +215,20 @@
     }
 
     private void leave(String id) {
-        applied("leave " + id, OperatorCommands.grantOutage("d0", id, state.stabilityVersion(), view()));
+        applied("leave " + id, InstanceCommands.grantOutage("d0", id, state.stabilityVersion(), view()));
     }
 
     private void back(String id, long run, String version) {
         member(id, run, version, Status.SERVING, fleet.get(id).capacity(), true);
         applied(
                 "back " + id,
-                OperatorCommands.confirmReturn(
+                InstanceCommands.confirmReturn(
                         "d0", state.plannedOutages().get(id).number(), fleet.get(id)));
     }
 
     private void drain(String what, String id) {
         applied(what + " drain " + id, now -> {
-            OperatorCommands.requireDrainPermitted(now, id);
+            DrainPermission.require(now, id);
             return now;
         });
     }
@@ -244,10 +244,10 @@
         applied("limits", OperatorCommands.setLimits("op", limits(1, 1, 0.5)));
         applied("limits again", OperatorCommands.setLimits("op", limits(1, 1, 0.5)));
         drain("limits only:", "d0");
-        applied("finish without one", OperatorCommands.finish("d0", view()));
+        applied("finish without one", InstanceCommands.finish("d0", view()));
         applied("roll back without one", OperatorCommands.rollBack("op", "x", state.controlVersion()));
         applied("abandon without one", OperatorCommands.abandon("op", "x", state.controlVersion()));
-        applied("leave without one", OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        applied("leave without one", InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         applied("unknown name", OperatorCommands.begin("op", plan(",names:['x']"), view()));
         applied("nobody named", OperatorCommands.begin("op", plan(",zones:['x']"), view()));
         applied("too small a limit", OperatorCommands.begin("op", plan(",limits:{dispatchers_out:0}"), view()));
@@ -264,35 +264,32 @@
         applied(
                 "leave by hand",
                 OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), "disk"));
-        applied("not due", OperatorCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
-        applied("not quiet", OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
+        applied("not due", InstanceCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
+        applied("not quiet", InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
         member("w0", 1, "1", Status.DOWN, 10, true);
         leave("w0");
         member("w0", 2, "2", Status.SERVING, 10, true);
         leave("w0");
         member("w0", 1, "1", Status.SERVING, 10, true);
-        applied(
-                "seen out",
-                OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of("w1"), List.of()));
+        applied("seen out", FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of("w1"), List.of()));
         leave("w0");
         applied(
                 "seen serving",
-                OperatorCommands.recordObservations(
-                        "d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
+                FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
         member("w1", 1, "1", Status.SERVING, 1, false);
         leave("w0");
         member("w1", 1, "1", Status.SERVING, 10, true);
         applied(
                 "few electors",
-                OperatorCommands.grantOutage(
+                InstanceCommands.grantOutage(
                         "d0", "w0", state.stabilityVersion(), view().withElectors(List.of("w0", "d0"))));
         leave("w0");
         applied("leave again", OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), ""));
         leave("w1");
-        applied("finish early", OperatorCommands.finish("d0", view()));
+        applied("finish early", InstanceCommands.finish("d0", view()));
         for (Status status : Status.values()) {
             member("w0", 1, "1", status, 10, true);
-            applied("back " + status, OperatorCommands.confirmReturn("d0", 1, fleet.get("w0")));
+            applied("back " + status, InstanceCommands.confirmReturn("d0", 1, fleet.get("w0")));
         }
         back("w0", 2, "1");
         leave("w0");
@@ -301,17 +298,17 @@
         back("w0", 4, "1");
         drain("halted:", "w1");
         leave("w0");
-        applied("finish halted", OperatorCommands.finish("d0", view()));
-        applied("halts by itself, late", OperatorCommands.haltAutomatically("d1", "x", state.controlVersion()));
+        applied("finish halted", InstanceCommands.finish("d0", view()));
+        applied("halts by itself, late", FaultCommands.haltAutomatically("d1", "x", state.controlVersion()));
         applied("go on after three", OperatorCommands.resume("op", "y", state.controlVersion()));
-        applied("halts by itself", OperatorCommands.haltAutomatically("d1", "errors", state.controlVersion()));
+        applied("halts by itself", FaultCommands.haltAutomatically("d1", "errors", state.controlVersion()));
         applied("go on after that", OperatorCommands.resume("op", "y", state.controlVersion()));
         leave("w0");
         applied(
                 "given back",
-                OperatorCommands.relinquishOutage(
+                InstanceCommands.relinquishOutage(
                         "d0", state.plannedOutages().get("w0").number()));
-        applied("given back again", OperatorCommands.relinquishOutage("d0", 99));
+        applied("given back again", InstanceCommands.relinquishOutage("d0", 99));
         leave("w0");
         back("w0", 5, "2");
         leave("w1");
@@ -325,10 +322,10 @@
         applied("force, no word", OperatorCommands.forceDrain("op", "d0", " "));
         applied("force", OperatorCommands.forceDrain("op", "d0", "fire"));
         fleet.remove("w1");
-        applied("finish", OperatorCommands.finish("d0", view()));
+        applied("finish", InstanceCommands.finish("d0", view()));
         applied("name used", OperatorCommands.begin("op", plan(""), view()));
-        applied("beat", OperatorCommands.recordHeartbeat(state.heartbeats()));
-        applied("beat late", OperatorCommands.recordHeartbeat(state.heartbeats() - 1));
+        applied("beat", InstanceCommands.recordHeartbeat(state.heartbeats()));
+        applied("beat late", InstanceCommands.recordHeartbeat(state.heartbeats() - 1));
         applied("no limits", OperatorCommands.setLimits("op", null));
         GoldenFile.assertMatches("release/commands.txt", found.toString());
     }
@@ -337,20 +334,20 @@
     void membersComeAndAreReplacedTheSame() throws Exception {
         fleet(1, 2);
         applied("limits", OperatorCommands.setLimits("op", limits(1, 1, 0)));
-        applied("members", OperatorCommands.updateMembers("d0", state.stabilityVersion(), fleet.values()));
+        applied("members", InstanceCommands.updateMembers("d0", state.stabilityVersion(), fleet.values()));
         applied("by hand", OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), "disk"));
         drain("by hand:", "w0");
         applied("begin", OperatorCommands.begin("op", plan(",steps:[9]"), view()));
         member("w9", 1, "1", Status.SERVING, 10, true);
-        applied("not told yet", OperatorCommands.finish("d0", view()));
-        applied("one more", OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w9"))));
-        applied("late", OperatorCommands.updateMembers("d0", state.stabilityVersion() - 1, List.of(fleet.get("w9"))));
+        applied("not told yet", InstanceCommands.finish("d0", view()));
+        applied("one more", InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w9"))));
+        applied("late", InstanceCommands.updateMembers("d0", state.stabilityVersion() - 1, List.of(fleet.get("w9"))));
         Member other = new Member("w7", "at-w0", Role.WORKER, "z7", "k7", "c7", 6, "2", Status.SERVING, 12, true);
-        applied("replaced", OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(other)));
-        applied("back", OperatorCommands.confirmReturn("d0", 1, other));
+        applied("replaced", InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(other)));
+        applied("back", InstanceCommands.confirmReturn("d0", 1, other));
         applied(
                 "an older sight",
-                OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w0"))));
+                InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w0"))));
         fleet.remove("w0");
         fleet.put("w7", other);
         for (String id : List.of("w1", "w9", "d0")) {
@@ -358,10 +355,10 @@
         }
         applied(
                 "in place",
-                OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), fleet.values()));
-        applied("done", OperatorCommands.finish("d0", view()));
+                FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), fleet.values()));
+        applied("done", InstanceCommands.finish("d0", view()));
         member("w1", 2, "2", Status.SERVING, 5, true);
-        applied("slower", OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w1"))));
+        applied("slower", InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w1"))));
         applied("back again", OperatorCommands.rollBack("op", "late", state.controlVersion()));
         leave("d0");
         GoldenFile.assertMatches("release/members.txt", found.toString());
--- a/src/test/java/maplespread/release/ReleaseTest.java
+++ b/src/test/java/maplespread/release/ReleaseTest.java
@@ -70,12 +70,12 @@
     }
 
     private void leave(String id) throws ReleaseRejectedException {
-        does(OperatorCommands.grantOutage("d0", id, state.stabilityVersion(), view()));
+        does(InstanceCommands.grantOutage("d0", id, state.stabilityVersion(), view()));
     }
 
     private void back(String id, String version) throws ReleaseRejectedException {
         set(id, fleet.get(id).incarnation() + 1, version, Status.SERVING);
-        does(OperatorCommands.confirmReturn("d0", state.plannedOutages().get(id).number(), fleet.get(id)));
+        does(InstanceCommands.confirmReturn("d0", state.plannedOutages().get(id).number(), fleet.get(id)));
     }
 
     /** Five of nine may go by the limits; electors that restart know nothing, so their majority stays. */
@@ -85,7 +85,7 @@
             put("d" + i, Role.DISPATCHER, "z0", 1, "1", Status.SERVING, 0, true);
         }
         does(OperatorCommands.setLimits("op", new Limits(5, 2, 1, Limits.ANY, 0.5, 0, 20_000, 0.05, 0.02, 0.5)));
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
         List<String> electors = List.of("d0", "d1", "d2", "d3", "d4");
         set("d4", 1, "1", Status.UNKNOWN); // an accident, seen by the proposer alone
         does(OperatorCommands.grantManualOutage(
@@ -148,8 +148,8 @@
         begun();
         if (phase.equals("DONE")) {
             fleet.keySet().forEach(id -> set(id, 2, "2", Status.SERVING));
-            does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), fleet.values()));
-            does(OperatorCommands.finish("d0", view()));
+            does(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), fleet.values()));
+            does(InstanceCommands.finish("d0", view()));
         } else if (phase.contains("BACK")) {
             does(OperatorCommands.rollBack("op", "", state.controlVersion()));
         } else if (phase.startsWith("ABANDON")) {
@@ -158,7 +158,7 @@
         if (phase.startsWith("HALTED")) {
             does(OperatorCommands.halt("op", "x"));
         } else if (phase.equals("ROLLED_BACK") || phase.equals("ABANDONED")) {
-            does(OperatorCommands.finish("d0", view()));
+            does(InstanceCommands.finish("d0", view()));
         }
         assertEquals(phase.replace("_BACK", ""), state.phase().name().replace("_BACK", ""));
         return state;
@@ -170,26 +170,26 @@
         assertEquals(
                 "[[w0], [w1, w2], [w3], [d0, d1], [d2]]",
                 state.release().steps().toString());
-        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
-        refused(Reason.NOT_QUIET, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
-        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of("w2"), List.of()));
+        refused(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
+        refused(Reason.NOT_QUIET, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
+        does(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of("w2"), List.of()));
         refused(
                 Reason.LIMIT,
-                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // two of zone z0
-        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w2"))));
+                InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // two of zone z0
+        does(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w2"))));
         set("w2", 1, "1", Status.UNKNOWN); // in the view alone
-        refused(Reason.LIMIT, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        refused(Reason.LIMIT, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         set("w2", 1, "1", Status.SERVING);
         for (String cold : List.of("w1", "w2", "w3")) {
             put(cold, Role.WORKER, fleet.get(cold).zone(), 1, "1", Status.SERVING, 6, false);
         }
         refused(
                 Reason.CAPACITY,
-                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // 18 of 40 stays
+                InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // 18 of 40 stays
         set("w3", 1, "1", Status.SERVING);
         put("w3", Role.WORKER, "z1", 1, "1", Status.SERVING, 8, true);
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), fleet.values())); // hides no loss
-        refused(Reason.NOT_QUIET, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), fleet.values())); // hides no loss
+        refused(Reason.NOT_QUIET, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
         leave("w0"); // 20 of 40
         back("w0", "2");
         assertEquals(
@@ -254,7 +254,7 @@
                             .toString(),
                     line);
         }
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
         // Limits of workers over all, of a zone, of a kind; whether w0 may go while w1 is out, and w2 is.
         double[][] limits = {
             {1, 9, 9, 0, 0}, {2, 9, 9, 1, 1}, {9, 1, 9, 1, 0}, {9, 0.5, 9, 1, 0}, {9, 9, 1, 0, 0}, {9, 9, 0.7, 1, 1}
@@ -279,9 +279,9 @@
         begun();
         leave("w0");
         long n = state.plannedOutages().get("w0").number();
-        refused(Reason.MEMBER, OperatorCommands.confirmReturn("d0", n, fleet.get("w0"))); // the run that had it
+        refused(Reason.MEMBER, InstanceCommands.confirmReturn("d0", n, fleet.get("w0"))); // the run that had it
         put("w0", Role.WORKER, "z0", 2, "2", Status.SERVING, 4, false);
-        refused(Reason.MEMBER, OperatorCommands.confirmReturn("d0", n, fleet.get("w0"))); // cold
+        refused(Reason.MEMBER, InstanceCommands.confirmReturn("d0", n, fleet.get("w0"))); // cold
         for (int tries = 1; tries <= 3; tries++) {
             back("w0", "1");
             assertEquals(tries < 3 ? Phase.RUNNING : Phase.HALTED, state.phase());
@@ -294,12 +294,12 @@
         RolloutState held = state;
         set("w0", 9, "2", Status.SERVING);
         assertEquals(
-                state, OperatorCommands.confirmReturn("d1", 99, fleet.get("w0")).apply(state)); // of another leave
+                state, InstanceCommands.confirmReturn("d1", 99, fleet.get("w0")).apply(state)); // of another leave
         back("w0", "2");
         assertTrue(state.updatedMembers().contains("w0") && state.currentStep() == 1);
         assertEquals(
                 state,
-                OperatorCommands.confirmReturn("d1", held.lastOutageNumber(), fleet.get("w0"))
+                InstanceCommands.confirmReturn("d1", held.lastOutageNumber(), fleet.get("w0"))
                         .apply(state)); // told twice
     }
 
@@ -313,14 +313,14 @@
         leave("d0");
         does(OperatorCommands.rollBack("op", "", state.controlVersion()));
         back("d0", "1"); // never was at 2
-        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
-        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
+        refused(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        refused(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
         for (String id : List.of("w3", "w1", "w2", "w0")) {
-            refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
+            refused(Reason.NOT_DUE, InstanceCommands.finish("d0", view()));
             leave(id);
             back(id, "1");
         }
-        does(OperatorCommands.finish("d0", view()));
+        does(InstanceCommands.finish("d0", view()));
         assertEquals(Phase.ROLLED_BACK, state.phase());
     }
 
@@ -334,19 +334,19 @@
                 OperatorCommands.grantManualOutage("op", "w3", state.stabilityVersion(), view(), "disk"));
         leave("w0");
         does(OperatorCommands.abandon("op", "", state.controlVersion()));
-        refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
+        refused(Reason.NOT_DUE, InstanceCommands.finish("d0", view()));
         refused(Reason.RELEASE_ON, OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
-        does(OperatorCommands.relinquishOutage(
+        does(InstanceCommands.relinquishOutage(
                 "d0", state.plannedOutages().get("w0").number()));
-        does(OperatorCommands.finish("d0", view()));
+        does(InstanceCommands.finish("d0", view()));
         refused(Reason.NAME_USED, OperatorCommands.begin("op", plan("r", ""), view()));
         does(OperatorCommands.grantManualOutage("op", "w0", state.stabilityVersion(), view(), "disk"));
         does(OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
         refused(
                 Reason.NOT_DUE,
-                OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // out by hand
+                InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // out by hand
         back("w0", "2");
-        does(OperatorCommands.finish("d0", view()));
+        does(InstanceCommands.finish("d0", view()));
         assertEquals(Phase.DONE, state.phase());
         refused(Reason.NAME_USED, OperatorCommands.begin("op", plan("r", ""), view()));
     }
@@ -363,26 +363,26 @@
         fleet.remove("w0");
         fleet.put("w9", atW0("w9", 5, "2"));
         RolloutState old = state;
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w9"))));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w9"))));
         assertEquals(List.of("w9"), List.copyOf(state.plannedOutages().keySet()));
         assertEquals(List.of("w9"), state.release().steps().get(0));
         refused(
                 Reason.NOT_QUIET,
-                OperatorCommands.updateMembers("d1", old.stabilityVersion(), List.of(fleet.get("w9"))));
-        does(OperatorCommands.confirmReturn("d0", 1, fleet.get("w9")));
+                InstanceCommands.updateMembers("d1", old.stabilityVersion(), List.of(fleet.get("w9"))));
+        does(InstanceCommands.confirmReturn("d0", 1, fleet.get("w9")));
         // An older sight does not bring the old one back.
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(atW0("w0", 1, "1"))));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(atW0("w0", 1, "1"))));
         assertFalse(state.members().containsKey("w0"));
         // Upgraded in place: another run, never out, no leave.
         set("w1", 2, "2", Status.SERVING);
-        refused(Reason.NOT_DUE, OperatorCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
-        does(OperatorCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
+        refused(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
+        does(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
         assertTrue(state.updatedMembers().contains("w1")
                 && state.unavailableMembers().isEmpty());
         // Scaled up, and down.
         put("w7", Role.WORKER, "z1", 6, "1", Status.SERVING, 10, true);
-        refused(Reason.NOT_DUE, OperatorCommands.finish("d0", view()));
-        does(OperatorCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w7"))));
+        refused(Reason.NOT_DUE, InstanceCommands.finish("d0", view()));
+        does(InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(fleet.get("w7"))));
         assertTrue(state.pendingMembers().contains("w7"));
         leave("w2");
         does(OperatorCommands.removeMember("op", "w2"));
@@ -417,14 +417,14 @@
 
     private static ReleaseCommand drainOf(String member) {
         return now -> {
-            OperatorCommands.requireDrainPermitted(now, member);
+            DrainPermission.require(now, member);
             return now;
         };
     }
 
     @Test
     void whatIsLateIsRefusedAndADrainWithoutLeaveNeedsAWord() throws ReleaseRejectedException {
-        OperatorCommands.requireDrainPermitted(state, "d0"); // nothing is on
+        DrainPermission.require(state, "d0"); // nothing is on
         begun();
         refused(Reason.NO_LEAVE, drainOf("d0"));
         refused(Reason.NO_LEAVE, OperatorCommands.forceDrain("op", "d0", " "));
@@ -442,10 +442,10 @@
                 OperatorCommands.abandon("op", "", one))) {
             refused(Reason.STALE, late);
         }
-        refused(Reason.HALTED, OperatorCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
+        refused(Reason.HALTED, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         does(OperatorCommands.resume("op", "", state.controlVersion()));
         leave("w0");
-        OperatorCommands.requireDrainPermitted(state, "w0");
+        DrainPermission.require(state, "w0");
         RolloutState rolls =
                 OperatorCommands.rollBack("op", "", state.controlVersion()).apply(state);
         does(OperatorCommands.halt("op", "three"));
@@ -456,8 +456,7 @@
         state = rolls;
         refused(Reason.STALE, drainOf("w0"));
         state = goesOn;
-        assertEquals(
-                state, OperatorCommands.haltAutomatically("d1", "late", one).apply(state));
+        assertEquals(state, FaultCommands.haltAutomatically("d1", "late", one).apply(state));
     }
 
     @Test
@@ -624,7 +623,7 @@
         long t = 0;
         for (String id : List.of("d1", "w0", "w1", "w2", "w3", "d2")) { // one in 400 ms, told by others
             set(id, 1, "1", Status.DOWN);
-            does(OperatorCommands.recordObservations("d1", state.stabilityVersion(), List.of(id), List.of()));
+            does(FaultCommands.recordObservations("d1", state.stabilityVersion(), List.of(id), List.of()));
             drive(d, t, t + 300, true);
             t += 400;
         }
@@ -641,7 +640,7 @@
         drive(d, 5_100, 5_200, true); // too short
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 5_300, 16_000, false);
-        does(OperatorCommands.recordHeartbeat(state.heartbeats())); // another has had one
+        does(InstanceCommands.recordHeartbeat(state.heartbeats())); // another has had one
         drive(d, 16_100, 16_200, true);
         assertEquals(Phase.RUNNING, state.phase());
         drive(d, 16_300, 16_400, false);
--- a/src/test/java/maplespread/release/client/RolloutServiceTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceTest.java
@@ -178,14 +178,16 @@
             FleetView seen = sight.observe(List.of(u), statuses, config, (int) row[3], 112_000);
             assertEquals(
                     row[4],
-                    seen.member((String) row[0]).status().name(),
+                    seen.member((String) row[0]).orElseThrow().status().name(),
                     List.of(row).toString());
-            assertEquals(2, seen.member("warm").capacity());
-            assertEquals(2 * 0.56, seen.member("cold").capacity(), 1e-9, "12 s of 24, from 0.12");
-            assertTrue(!seen.member("cold").warm() && !seen.member("leaves").serving());
+            assertEquals(2, seen.member("warm").orElseThrow().capacity());
+            assertEquals(2 * 0.56, seen.member("cold").orElseThrow().capacity(), 1e-9, "12 s of 24, from 0.12");
+            assertTrue(!seen.member("cold").orElseThrow().warm()
+                    && !seen.member("leaves").orElseThrow().serving());
             assertEquals(
                     100_001,
-                    seen.member("warm").incarnation() + seen.member("cold").incarnation(),
+                    seen.member("warm").orElseThrow().incarnation()
+                            + seen.member("cold").orElseThrow().incarnation(),
                     "1: long ago");
         }
         FleetView.ServiceLevel both = sight.observe(
