--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,9 +1,6 @@
 package maplespread.policy;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 
 /**
@@ -20,6 +17,9 @@
 
     private final PolicyContext context;
     private final EndpointListFreshness freshness;
+    private final DiscoveryPollSchedule polls;
+    private final ProcessPauseDetector pauses;
+    private final PendingRequests requests = new PendingRequests();
     private final WorkerTable<Worker> workers = new WorkerTable<>();
     private final WorkerDirectory directory;
     private final FailureStatistics failures;
@@ -36,6 +36,8 @@
         Preconditions.require(settings != null && actions != null, "settings and actions are needed");
         context = new PolicyContext(seed, actions);
         freshness = new EndpointListFreshness(actions::listStateChanged);
+        polls = new DiscoveryPollSchedule(context);
+        pauses = new ProcessPauseDetector(context);
         HintCalibration hints = new HintCalibration(context);
         failures = new FailureStatistics(context);
         fleetLoad = new FleetLoadEstimate(context, workers);
@@ -71,19 +73,19 @@
         entries.forEach(directory::update);
         directory.forgetUnlisted();
         invalidate();
-        probing().forEach(request -> request.probed.clear());
+        requests.probing().forEach(request -> request.probed.clear());
         if (kind == EndpointListKind.CACHED_SNAPSHOT) {
-            cachedSnapshotReceived(entries.size());
+            polls.cachedSnapshotReceived(entries.size());
             startTicking();
         } else {
-            listReceived();
+            polls.listReceived();
         }
     }
 
     /** Dispatchers that start together must not tick in step. */
     private void startTicking() {
         double firstMs = context.tickPeriodMs * (0.5 + context.random.nextDouble() / 2);
-        expectTick(firstMs);
+        pauses.expectTick(firstMs);
         context.actions.scheduleTimer(firstMs, TimerLabel.TICK);
     }
 
@@ -111,7 +113,7 @@
     public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
         advanceTo(nowUs);
         freshness.failed(context.nowMs, loss, heardAgoMs);
-        watchFailed(workers.size());
+        polls.watchFailed(workers.size());
     }
 
     /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
@@ -127,9 +129,9 @@
         int classIndex = accepted.classIndex();
         Preconditions.require(
                 classIndex >= 0 && classIndex < context.settings.classes().size(), "no such class: " + classIndex);
-        requireUnknown(accepted.id());
+        requests.requireUnknown(accepted.id());
         PendingRequest request = new PendingRequest(accepted, context);
-        addRequest(request);
+        requests.add(request);
         fleetLoad.refresh();
         arrivals.requestOffered(request);
         place(request);
@@ -156,7 +158,7 @@
 
     private InFlightAttempt signOfLife(long nowUs, long id, int number) {
         advanceTo(nowUs);
-        InFlightAttempt attempt = findAttempt(id, number);
+        InFlightAttempt attempt = requests.findAttempt(id, number);
         if (attempt != null) {
             attempt.worker.outliers.aliveSeen();
         }
@@ -178,7 +180,7 @@
         if (reporter != null) {
             reporter.reportReceived(report);
         }
-        InFlightAttempt attempt = findAttempt(id, number);
+        InFlightAttempt attempt = requests.findAttempt(id, number);
         if (attempt == null) {
             return;
         }
@@ -186,26 +188,26 @@
         attempt.worker.attemptEnded(attempt, outcome, lagMs);
         directory.attemptEnded(attempt.worker);
         if (requestEnded) {
-            endRequest(request);
+            requests.end(request);
         } else if (!request.ended && !request.responseStarted && request.attemptsInFlight == 0) {
             fleetLoad.refresh();
             place(request); // another attempt, or the end
         }
-        forgetIfOver(request);
+        requests.forgetIfOver(request);
     }
 
     @Override
     public void requestAbandoned(long nowUs, long id) {
         advanceTo(nowUs);
-        PendingRequest request = findRequest(id);
+        PendingRequest request = requests.find(id);
         if (request != null) {
-            endRequest(request);
+            requests.end(request);
         }
     }
 
     private void placeParked() {
-        if (hasParked()) {
-            List<PendingRequest> parked = takeParked();
+        if (requests.hasParked()) {
+            List<PendingRequest> parked = requests.takeParked();
             fleetLoad.refresh();
             parked.forEach(this::place);
         }
@@ -221,7 +223,7 @@
             return;
         }
         worker.probeEnded(outcome, lagMs, report);
-        for (PendingRequest request : List.copyOf(probing())) {
+        for (PendingRequest request : List.copyOf(requests.probing())) {
             if (isCompletedBy(worker, request)) {
                 endProbeRound(request);
             }
@@ -241,7 +243,7 @@
             tick();
             return;
         }
-        PendingRequest request = findRequest(TimerLabel.requestIdOf(label));
+        PendingRequest request = requests.find(TimerLabel.requestIdOf(label));
         if (request != null) {
             endProbeRound(request);
         }
@@ -249,12 +251,12 @@
 
     private void tick() {
         freshness.usable(context.nowMs); // its change of state is told in time
-        pollIfDue();
+        polls.pollIfDue();
         for (Worker worker : directory.busy()) {
-            worker.outliers.countOverdue(pauseEndedMs());
+            worker.outliers.countOverdue(pauses.pauseEndedMs());
         }
         placeParked();
-        expectTick(context.tickPeriodMs);
+        pauses.expectTick(context.tickPeriodMs);
         context.actions.scheduleTimer(context.tickPeriodMs, TimerLabel.TICK);
     }
 
@@ -262,7 +264,7 @@
         double nowMs = nowUs / MICROS_PER_MS;
         Preconditions.require(nowMs >= context.nowMs, "time ran backwards");
         context.nowMs = nowMs;
-        eventReceived();
+        pauses.eventReceived();
     }
 
     /** How many listed workers get no new requests at present: draining, ejected or backing off. */
@@ -316,7 +318,7 @@
         if (reason.isPresent()) {
             end(request, reason.get());
         } else {
-            park(request);
+            requests.park(request);
         }
     }
 
@@ -369,7 +371,7 @@
         } else {
             context.actions.fail(request.id(), reason);
         }
-        endRequest(request);
+        requests.end(request);
     }
 
     /** The pause advised to the client: the shortest wait in the fleet, at least half the objective. */
@@ -427,7 +429,7 @@
             exclude(next); // until it has answered
             next = cheapest();
         }
-        startProbing(request);
+        requests.startProbing(request);
         context.actions.scheduleTimer(freshMs, TimerLabel.probeRoundOf(request.id()));
         return true;
     }
@@ -444,12 +446,12 @@
      */
     private boolean endRound(PendingRequest request) {
         boolean answersMissing = !request.awaitingReply.isEmpty();
-        if (answersMissing && pauseEndedMs() > request.acceptedAtMs) {
-            forgetPause();
+        if (answersMissing && pauses.pauseEndedMs() > request.acceptedAtMs) {
+            pauses.forgetPause();
             context.actions.scheduleTimer(context.settings.tickMs(), TimerLabel.probeRoundOf(request.id()));
             return false;
         }
-        if (!stopProbing(request)) {
+        if (!requests.stopProbing(request)) {
             return false;
         }
         for (Worker silent : request.awaitingReply) {
@@ -774,200 +776,4 @@
     private static long rendezvousRank(long keyHash, Worker worker) {
         return StableHash.mix(keyHash ^ worker.idHash) >>> 1;
     }
-
-    // ------------------------------------------------------------ pending requests
-
-    private final Map<Long, PendingRequest> byId = new HashMap<>();
-    private final List<PendingRequest> parked = new ArrayList<>();
-    private final List<PendingRequest> probing = new ArrayList<>();
-
-    /** The request with this id; null: it is unknown, or forgotten. */
-    private PendingRequest findRequest(long id) {
-        return byId.get(id);
-    }
-
-    /** The attempt with this number of this request while it is in flight, else null. */
-    private InFlightAttempt findAttempt(long id, int number) {
-        PendingRequest request = byId.get(id);
-        return request == null ? null : request.inFlight(number);
-    }
-
-    /**
-     * To be asked before a request is added.
-     *
-     * @throws IllegalStateException if the id is in use
-     */
-    private void requireUnknown(long id) {
-        if (byId.containsKey(id)) {
-            throw new IllegalStateException("request " + id + " was taken before");
-        }
-    }
-
-    private void addRequest(PendingRequest request) {
-        byId.put(request.id(), request);
-    }
-
-    /** It waits for a worker that may take it. */
-    private void park(PendingRequest request) {
-        parked.add(request);
-    }
-
-    /** Takes out all parked requests, in the order in which they were parked. */
-    private List<PendingRequest> takeParked() {
-        List<PendingRequest> all = List.copyOf(parked);
-        parked.clear();
-        return all;
-    }
-
-    private boolean hasParked() {
-        return !parked.isEmpty();
-    }
-
-    /** It waits for the answers of a probe round. */
-    private void startProbing(PendingRequest request) {
-        probing.add(request);
-    }
-
-    /** Its probe round is over; returns false if it was in none. */
-    private boolean stopProbing(PendingRequest request) {
-        return probing.remove(request);
-    }
-
-    /** Those that wait for answers to probes. */
-    private List<PendingRequest> probing() {
-        return probing;
-    }
-
-    /** The request has ended: nothing more is done for it. */
-    private void endRequest(PendingRequest request) {
-        request.ended = true;
-        parked.remove(request);
-        probing.remove(request);
-        forgetIfOver(request);
-    }
-
-    /** Forgets the request if it has ended and none of its attempts is in flight. */
-    private void forgetIfOver(PendingRequest request) {
-        if (request.ended && request.attemptsInFlight == 0) {
-            byId.remove(request.id());
-        }
-    }
-
-    // ------------------------------------------------------------ process pauses
-
-    private double tickExpectedMs = Double.POSITIVE_INFINITY;
-    private double pauseEndedMs = Double.NEGATIVE_INFINITY;
-
-    /** To be called at the start of each event. */
-    private void eventReceived() {
-        if (context.nowMs - tickExpectedMs > context.tickPeriodMs) {
-            tickExpectedMs = context.nowMs;
-            pauseEndedMs = context.nowMs;
-        }
-    }
-
-    /** The next tick is due so long from now. */
-    private void expectTick(double delayMs) {
-        tickExpectedMs = context.nowMs + delayMs;
-    }
-
-    /** When the last pause ended; negative infinity while none was seen. */
-    private double pauseEndedMs() {
-        return pauseEndedMs;
-    }
-
-    /** The last pause has been allowed for. */
-    private void forgetPause() {
-        pauseEndedMs = Double.NEGATIVE_INFINITY;
-    }
-
-    // ------------------------------------------------------------ discovery polls
-
-    /** A change counts as notified this long after discovery had it, delivered or not. */
-    private static final double CHANGE_NOTIFIED_MS = EndpointListFreshness.NOTIFIED_WITHIN_MS;
-
-    /** The round in which each dispatcher of a large fleet has its turn: below the time in which changes must come. */
-    private static final double FLEET_ROUND_MS = 5500;
-
-    /** What discovery takes for one line of a full snapshot, with a margin. */
-    private static final double LINE_COST_MS = 0.7;
-
-    /** The first calls of a fleet are spread over at most this long. */
-    private static final double MAX_FIRST_SPREAD_MS = CHANGE_NOTIFIED_MS * 2 / 3;
-
-    /** Taken off the first spread, as a call is due at the tick after its time. */
-    private static final double FIRST_SPREAD_MARGIN_MS = CHANGE_NOTIFIED_MS / 30;
-
-    /** Longest backoff after a failed call, before the jitter. */
-    private static final double MAX_BACKOFF_MS = CHANGE_NOTIFIED_MS / 5;
-
-    /** A call that waited in vain counts with at most this in the backoff. */
-    private static final double MAX_COUNTED_WAIT_MS = CHANGE_NOTIFIED_MS / 3;
-
-    /** A fleet is large when all its full snapshots together take discovery longer than this. */
-    private static final double LARGE_FLEET_MS = CHANGE_NOTIFIED_MS / 2;
-
-    /** A call that took longer than this has waited in vain; a shorter one was refused. */
-    private static final double WAITED_IN_VAIN_MS = CHANGE_NOTIFIED_MS / 6;
-
-    private static final int MAX_BACKOFF_DOUBLINGS = 6;
-
-    /** No call is due: a list came, or none was ever lost. Any real time lies below. */
-    private static final double NEVER = Double.POSITIVE_INFINITY;
-
-    private double pollAtMs = NEVER;
-    private double polledAtMs;
-    private int failedCalls;
-
-    /** This dispatcher has started from a cached list: its first call has a place by its index. */
-    private void cachedSnapshotReceived(int endpoints) {
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        double spreadMs = Math.min(MAX_FIRST_SPREAD_MS, fleetMs) - FIRST_SPREAD_MARGIN_MS;
-        pollAtMs = context.nowMs + ownShareOf(Math.max(0, spreadMs));
-    }
-
-    /** Discovery has answered: no call is due until the watch fails. */
-    private void listReceived() {
-        pollAtMs = NEVER;
-        failedCalls = 0;
-    }
-
-    /** A call failed or the watch broke: schedules the next call, jittered, later with each failure in a row. */
-    private void watchFailed(int endpoints) {
-        double maxBackoffMs = Math.min(context.rules.maxListAgeMs() / 4, MAX_BACKOFF_MS);
-        double callTookMs = pollAtMs < NEVER ? context.nowMs - polledAtMs : 0;
-        int doublings = Math.min(++failedCalls, MAX_BACKOFF_DOUBLINGS);
-        double backoffMs = Math.min(maxBackoffMs, context.memoryMs / 20 * (1L << doublings));
-        // At least as long as this call waited, since discovery works on for calls that have given up.
-        double atLeastMs = Math.min(callTookMs, MAX_COUNTED_WAIT_MS);
-        double jitter = 0.4 + 0.8 * context.random.nextDouble();
-        pollAtMs = context.nowMs + Math.max(backoffMs, atLeastMs) * jitter;
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        if (fleetMs > LARGE_FLEET_MS) {
-            double nextTickMs = context.nowMs + context.tickPeriodMs;
-            pollAtMs = callTookMs > WAITED_IN_VAIN_MS
-                    ? nextTurnAfter(nextTickMs, Math.min(FLEET_ROUND_MS, fleetMs))
-                    : nextTickMs + ownShareOf(LARGE_FLEET_MS);
-        }
-    }
-
-    /** Subscribes if a call is due; without an answer by half the list's greatest age it is due again. */
-    private void pollIfDue() {
-        if (context.nowMs >= pollAtMs && context.settings.pollsDiscovery()) {
-            context.actions.watchEndpointList();
-            polledAtMs = context.nowMs;
-            pollAtMs = context.nowMs + context.rules.maxListAgeMs() / 2;
-        }
-    }
-
-    /** This dispatcher's next turn in the fleet's round of calls, by the clock that all machines read. */
-    private double nextTurnAfter(double fromMs, double roundMs) {
-        return fromMs + Math.floorMod(Math.round(ownShareOf(roundMs) - fromMs), Math.round(roundMs));
-    }
-
-    /** This dispatcher's place, by its index, in a time that all share. */
-    private double ownShareOf(double sharedMs) {
-        int dispatchers = context.settings.dispatcherCount();
-        return sharedMs * (context.settings.dispatcherIndex() % dispatchers) / dispatchers;
-    }
 }
