--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -23,6 +23,9 @@
     private final WorkerTable<Worker> workers = new WorkerTable<>();
     private final WorkerDirectory directory;
     private final FailureStatistics failures;
+    private final RetryPolicy retries;
+    private final EligibilityFilter eligibility;
+    private final KeyAffinity affinity;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
 
@@ -44,6 +47,9 @@
         arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
         fleetLoad.use(arrivals);
         directory = new WorkerDirectory(workers, context, arrivals, hints, failures);
+        retries = new RetryPolicy(context);
+        eligibility = new EligibilityFilter(context, freshness, retries);
+        affinity = new KeyAffinity(workers, arrivals, fleetLoad);
         apply(settings);
     }
 
@@ -324,7 +330,7 @@
 
     private void send(PendingRequest request, Worker worker) {
         attemptSent();
-        double fetchMs = fetchCostMs(request, worker);
+        double fetchMs = affinity.fetchCostMs(request, worker);
         InFlightAttempt attempt = new InFlightAttempt(request, worker, context.nowMs, fetchMs);
         directory.attemptStarting(worker);
         request.attempts.add(attempt);
@@ -347,7 +353,7 @@
         if (request.attempts.size() >= request.maxAttempts) {
             return Optional.of(RejectionReason.ATTEMPTS_USED);
         }
-        boolean mayHaveRun = !mayReject(request);
+        boolean mayHaveRun = !retries.mayReject(request);
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT && mayHaveRun) {
             return Optional.of(RejectionReason.MAY_HAVE_RUN);
         }
@@ -366,7 +372,7 @@
 
     /** Ends the request: rejected where the client may safely try again, else failed. */
     private void end(PendingRequest request, RejectionReason reason) {
-        if (mayReject(request) && context.nowMs < request.deadlineMs) {
+        if (retries.mayReject(request) && context.nowMs < request.deadlineMs) {
             context.actions.reject(request.id(), retryAfterMs(), reason);
         } else {
             context.actions.fail(request.id(), reason);
@@ -483,7 +489,7 @@
     private void priceAll(PendingRequest request, boolean anyState) {
         priced = request;
         anyEligible = false;
-        rankByKey(request);
+        affinity.rank(request);
         for (Worker worker : workers.all()) {
             double cost = cost(request, worker, anyState);
             workers.cost(worker, cost);
@@ -546,7 +552,7 @@
      * @return {@link #INELIGIBLE}, {@link #DEARER_THAN_REJECTION} or the cost
      */
     private double cost(PendingRequest request, Worker worker, boolean anyState) {
-        if (!anyState && !worker.outliers.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
+        if (!anyState && !worker.outliers.isReady() || eligibility.check(request, worker) != Eligibility.ELIGIBLE) {
             return INELIGIBLE;
         }
         double waitMs = worker.backlog.waitMs();
@@ -556,7 +562,7 @@
         late *= endMs < request.deadlineMs ? 1 - request.requestClass.lateWeightShare() : 1;
         // The increase counts mean requests; it is set against rejecting this one, at one.
         double waitObjectiveMs = arrivals.waitObjectiveMs(request);
-        double reservedMs = (request.workMs + fetchCostMs(request, worker) * worker.speedEstimator.speed())
+        double reservedMs = (request.workMs + affinity.fetchCostMs(request, worker) * worker.speedEstimator.speed())
                 * request.slots
                 / worker.capacity;
         double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
@@ -575,7 +581,8 @@
         double objectiveMs = requestClass.latencyObjectiveMs() + requestClass.stretchFactor() * request.workMs;
         double leftMs =
                 Math.min(objectiveMs - (context.nowMs - request.acceptedAtMs), request.deadlineMs - context.nowMs);
-        double takesMs = waitMs + request.workMs / worker.speedEstimator.speed() + fetchCostMs(request, worker);
+        double takesMs =
+                waitMs + request.workMs / worker.speedEstimator.speed() + affinity.fetchCostMs(request, worker);
         return PolicyMath.clamp(0.5 + LATENESS_SLOPE * (takesMs - leftMs) / takesMs, 0, 1);
     }
 
@@ -612,168 +619,4 @@
         return ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs + reservedMs)
                 - ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs);
     }
-
-    // ------------------------------------------------------------ eligibility
-
-    /** Whether the request may be sent to the worker now, or the first condition that fails. */
-    private Eligibility checkEligibility(PendingRequest request, Worker worker) {
-        if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
-            return Eligibility.WORKER_NOT_ACTIVE;
-        }
-        if (!freshness.usable(context.nowMs)) {
-            return Eligibility.LIST_NOT_CONFIRMED;
-        }
-        int requiredKind = request.requestClass.requiredWorkerKind();
-        if (requiredKind >= 0 && requiredKind != worker.kindNumber) {
-            return Eligibility.WRONG_WORKER_KIND;
-        }
-        if (Math.max(request.slots, request.memoryUnits) > Math.max(1, worker.slotEstimator.slots())) {
-            return Eligibility.REQUEST_TOO_LARGE;
-        }
-        if (!request.accepted.mayGoTo(worker.id)) {
-            return Eligibility.NOT_AMONG_ALLOWED_WORKERS;
-        }
-        Eligibility retry = checkRetry(request, worker);
-        if (retry != Eligibility.ELIGIBLE) {
-            return retry;
-        }
-        if (!worker.slowStart.allows(request.workMs)) {
-            return Eligibility.SLOW_START_BUDGET_USED;
-        }
-        return Eligibility.ELIGIBLE;
-    }
-
-    // ------------------------------------------------------------ retries
-
-    /** Whether the request may be sent to the worker, as far as it and its earlier attempts go. */
-    private Eligibility checkRetry(PendingRequest request, Worker worker) {
-        if (request.ended || request.responseStarted) {
-            return Eligibility.REQUEST_ENDED;
-        }
-        if (context.nowMs >= request.deadlineMs) {
-            return Eligibility.DEADLINE_PASSED;
-        }
-        if (request.attemptsInFlight > 0) {
-            return Eligibility.ATTEMPT_IN_FLIGHT;
-        }
-        if (request.attempts.size() >= request.maxAttempts) {
-            return Eligibility.ATTEMPTS_USED;
-        }
-        RequestClass requestClass = request.requestClass;
-        for (InFlightAttempt earlier : request.attempts) {
-            if (earlier.neverRan) {
-                continue;
-            }
-            if (!requestClass.mayRepeatAfter(context.nowMs - earlier.sentAtMs)) {
-                return Eligibility.MAY_HAVE_RUN;
-            }
-            if (!dropsRepeatOf(earlier, worker, requestClass)) {
-                return Eligibility.OUTSIDE_DEDUPLICATION_SCOPE;
-            }
-        }
-        return Eligibility.ELIGIBLE;
-    }
-
-    /** Whether a rejection is safe: the client may then send the request again, to any dispatcher and worker. */
-    private boolean mayReject(PendingRequest request) {
-        RequestClass requestClass = request.requestClass;
-        if (requestClass.idempotency() == Idempotency.READ_LIKE) {
-            return true;
-        }
-        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && requestClass.deduplicationScope() == DeduplicationScope.ALL) {
-            return true;
-        }
-        for (InFlightAttempt attempt : request.attempts) {
-            if (!attempt.neverRan) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** Whether the worker drops a repeat of the earlier attempt, or running twice does no harm. */
-    private static boolean dropsRepeatOf(InFlightAttempt earlier, Worker worker, RequestClass requestClass) {
-        if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
-            return true;
-        }
-        return switch (requestClass.deduplicationScope()) {
-            case ALL -> true;
-            case ZONE -> earlier.worker.zone == worker.zone;
-            case CELL -> earlier.worker.cell == worker.cell;
-        };
-    }
-
-    // ------------------------------------------------------------ affinity of keys
-
-    /**
-     * A miss is priced as this many mean requests. The wait for the fetch is under one, but it also takes of the shared
-     * store's capacity and drives out a set that others will miss.
-     */
-    private static final double MISS_COST_REQUESTS = 3;
-
-    /** Added where workers queue: no slot is free then, and those held by a fetch are missed. */
-    private static final double QUEUEING_MISS_COST_REQUESTS = 3;
-
-    /** How likely a miss is at the key's primary worker. */
-    private static final double PRIMARY_MISS = 0.1;
-
-    /** How likely a miss is where this dispatcher sent the key lately. */
-    private static final double RECENT_MISS = 0.2;
-
-    /** How likely a miss is at the key's secondary worker. */
-    private static final double SECONDARY_MISS = 0.5;
-
-    /** Finds the primary and the secondary worker of a request's key among the active workers that it may go to. */
-    private void rankByKey(PendingRequest request) {
-        request.primary = null;
-        request.secondary = null;
-        if (request.keyHash == 0) {
-            return;
-        }
-        long primaryRank = 0;
-        long secondaryRank = 0;
-        for (Worker worker : workers.all()) {
-            if (worker.lifecycle != EndpointLifecycle.ACTIVE
-                    || worker.outliers.isEjected()
-                    || !request.accepted.mayGoTo(worker.id)) {
-                continue;
-            }
-            long rank = rendezvousRank(request.keyHash, worker);
-            if (request.primary == null || rank > primaryRank) {
-                request.secondary = request.primary;
-                secondaryRank = primaryRank;
-                request.primary = worker;
-                primaryRank = rank;
-            } else if (request.secondary == null || rank > secondaryRank) {
-                request.secondary = worker;
-                secondaryRank = rank;
-            }
-        }
-    }
-
-    /** The price, as time in ms, of the data set that a request may have to wait for at the worker. */
-    private double fetchCostMs(PendingRequest request, Worker worker) {
-        if (request.keyHash == 0) {
-            return 0;
-        }
-        double queueing = PolicyMath.clamp(fleetLoad.queueingFactor() - 1, 0, 1);
-        double missCost = MISS_COST_REQUESTS + QUEUEING_MISS_COST_REQUESTS * queueing;
-        return missCost * missProbability(request, worker) * arrivals.meanWorkMs();
-    }
-
-    private static double missProbability(PendingRequest request, Worker worker) {
-        if (worker == request.primary) {
-            return PRIMARY_MISS;
-        }
-        if (worker.cachedKeys.contains(request.keyHash)) {
-            return RECENT_MISS;
-        }
-        return worker == request.secondary ? SECONDARY_MISS : 1;
-    }
-
-    /** 63 bits, never negative. */
-    private static long rendezvousRank(long keyHash, Worker worker) {
-        return StableHash.mix(keyHash ^ worker.idHash) >>> 1;
-    }
 }
