--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -22,10 +22,9 @@
     private final PendingRequests requests = new PendingRequests();
     private final WorkerTable<Worker> workers = new WorkerTable<>();
     private final WorkerDirectory directory;
-    private final FailureStatistics failures;
     private final RetryPolicy retries;
-    private final EligibilityFilter eligibility;
     private final KeyAffinity affinity;
+    private final CostModel costModel;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
 
@@ -42,14 +41,15 @@
         polls = new DiscoveryPollSchedule(context);
         pauses = new ProcessPauseDetector(context);
         HintCalibration hints = new HintCalibration(context);
-        failures = new FailureStatistics(context);
+        FailureStatistics failures = new FailureStatistics(context);
         fleetLoad = new FleetLoadEstimate(context, workers);
         arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
         fleetLoad.use(arrivals);
         directory = new WorkerDirectory(workers, context, arrivals, hints, failures);
         retries = new RetryPolicy(context);
-        eligibility = new EligibilityFilter(context, freshness, retries);
+        EligibilityFilter eligibility = new EligibilityFilter(context, freshness, retries);
         affinity = new KeyAffinity(workers, arrivals, fleetLoad);
+        costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
         apply(settings);
     }
 
@@ -316,7 +316,7 @@
     private boolean isCertain(PendingRequest request, Worker probed) {
         return probed != null
                 && probed.backlog.hasFreeSlot(request)
-                && lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
+                && costModel.lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
     }
 
     private void parkOrEnd(PendingRequest request) {
@@ -329,7 +329,7 @@
     }
 
     private void send(PendingRequest request, Worker worker) {
-        attemptSent();
+        costModel.attemptSent();
         double fetchMs = affinity.fetchCostMs(request, worker);
         InFlightAttempt attempt = new InFlightAttempt(request, worker, context.nowMs, fetchMs);
         directory.attemptStarting(worker);
@@ -491,16 +491,16 @@
         anyEligible = false;
         affinity.rank(request);
         for (Worker worker : workers.all()) {
-            double cost = cost(request, worker, anyState);
+            double cost = costModel.cost(request, worker, anyState);
             workers.cost(worker, cost);
-            anyEligible |= cost < INELIGIBLE;
+            anyEligible |= cost < CostModel.INELIGIBLE;
         }
     }
 
     /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
     private void repriceProbed(PendingRequest request) {
         for (Worker worker : request.probed) {
-            workers.cost(worker, cost(request, worker, false));
+            workers.cost(worker, costModel.cost(request, worker, false));
         }
         priced = cheapest() == null ? null : request;
     }
@@ -512,111 +512,16 @@
 
     /** Leaves a worker out until it is priced again. */
     private void exclude(Worker worker) {
-        workers.cost(worker, DEARER_THAN_REJECTION);
+        workers.cost(worker, CostModel.DEARER_THAN_REJECTION);
     }
 
     /** The first worker of the least cost below a rejection's; null: there is none. */
     private Worker cheapest() {
-        return workers.cheapest(DEARER_THAN_REJECTION);
+        return workers.cheapest(CostModel.DEARER_THAN_REJECTION);
     }
 
     /** The same among the workers probed for the request. */
     private Worker cheapestProbed(PendingRequest request) {
-        return workers.cheapest(request.probed, DEARER_THAN_REJECTION);
-    }
-
-    // ------------------------------------------------------------ costs
-
-    /** The worker may not take the request at all. */
-    private static final double INELIGIBLE = Double.POSITIVE_INFINITY;
-
-    /** The worker may take the request, but a rejection costs less. */
-    private static final double DEARER_THAN_REJECTION = Double.MAX_VALUE;
-
-    private static final double REJECTION_COST = 1;
-
-    /** The lateness rises about the objective, not in a step, as hints are rough: by its run time over this. */
-    private static final double LATENESS_SLOPE = 2;
-
-    private double lastSentMs = Double.NEGATIVE_INFINITY;
-
-    /** An attempt was sent: see {@link #mayTryAnyway}. */
-    private void attemptSent() {
-        lastSentMs = context.nowMs;
-    }
-
-    /**
-     * The cost of a request at a worker.
-     *
-     * @param anyState also where the worker is ejected or backs off, for a request for which no ready worker is left
-     * @return {@link #INELIGIBLE}, {@link #DEARER_THAN_REJECTION} or the cost
-     */
-    private double cost(PendingRequest request, Worker worker, boolean anyState) {
-        if (!anyState && !worker.outliers.isReady() || eligibility.check(request, worker) != Eligibility.ELIGIBLE) {
-            return INELIGIBLE;
-        }
-        double waitMs = worker.backlog.waitMs();
-        double late = lateness(request, worker, expectedWaitMs(request, worker));
-        // A response past the objective but before the deadline keeps a share of its weight.
-        double endMs = context.nowMs + waitMs + request.workMs / worker.speedEstimator.speed();
-        late *= endMs < request.deadlineMs ? 1 - request.requestClass.lateWeightShare() : 1;
-        // The increase counts mean requests; it is set against rejecting this one, at one.
-        double waitObjectiveMs = arrivals.waitObjectiveMs(request);
-        double reservedMs = (request.workMs + affinity.fetchCostMs(request, worker) * worker.speedEstimator.speed())
-                * request.slots
-                / worker.capacity;
-        double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
-        return cost < REJECTION_COST || mayTryAnyway()
-                ? cost + preference(request, worker, waitObjectiveMs) + worker.outliers.failureRate(request.classIndex)
-                : DEARER_THAN_REJECTION;
-    }
-
-    /**
-     * How late a request would be at a worker, 0 to 1: its own hinted run against its own objective.
-     *
-     * @param waitMs what it would wait in the queue
-     */
-    private double lateness(PendingRequest request, Worker worker, double waitMs) {
-        RequestClass requestClass = request.requestClass;
-        double objectiveMs = requestClass.latencyObjectiveMs() + requestClass.stretchFactor() * request.workMs;
-        double leftMs =
-                Math.min(objectiveMs - (context.nowMs - request.acceptedAtMs), request.deadlineMs - context.nowMs);
-        double takesMs =
-                waitMs + request.workMs / worker.speedEstimator.speed() + affinity.fetchCostMs(request, worker);
-        return PolicyMath.clamp(0.5 + LATENESS_SLOPE * (takesMs - leftMs) / takesMs, 0, 1);
-    }
-
-    /** A request starts at once only where a slot is free and its memory has room too, by own sends and reports. */
-    private double expectedWaitMs(PendingRequest request, Worker worker) {
-        if (!worker.backlog.hasMemoryFor(request)) {
-            return Math.max(worker.backlog.waitMs(), arrivals.meanWorkMs() / worker.capacity);
-        }
-        return worker.backlog.hasFreeSlot(request) ? 0 : worker.backlog.waitMs();
-    }
-
-    /** Who sends nothing learns nothing, and would reject all for ever: after half the memory it tries the cheapest. */
-    private boolean mayTryAnyway() {
-        return context.nowMs - lastSentMs > context.memoryMs / 2;
-    }
-
-    /** What chooses among workers and rejects nothing: another zone, and the time that a new connection may lose. */
-    private double preference(PendingRequest request, Worker worker, double waitObjectiveMs) {
-        double cost = worker.zone == context.settings.zone() ? 0 : context.settings.crossZoneCost() / request.weight;
-        boolean connectsSafely = !failures.slowConnectsSeen() || worker.connections.hasIdle();
-        return cost
-                + (connectsSafely
-                        ? 0
-                        : failures.slowConnectShare() * context.permissions.connectTimeoutMs() / waitObjectiveMs);
-    }
-
-    /** By how much work of this length raises the value of a worker's backlog, in mean requests. */
-    private double valueIncrease(Worker worker, double waitMs, double reservedMs, double waitObjectiveMs) {
-        double ratePerMs = Math.max(arrivals.ratePerMs(), 1 / context.memoryMs);
-        double arrivalRate =
-                ratePerMs * fleetLoad.loadMultiplier() * worker.capacity / Math.max(workers.total(), worker.capacity);
-        double costRate = worker.shadowQueue.lossRate(arrivalRate, arrivals.lostShare());
-        double serviceMs = arrivals.meanWorkMs() / worker.capacity;
-        return ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs + reservedMs)
-                - ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs);
+        return workers.cheapest(request.probed, CostModel.DEARER_THAN_REJECTION);
     }
 }
