--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -27,6 +27,8 @@
     private final CostModel costModel;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
+    private final CandidateCosts costs;
+    private final ProbeScheduler probes;
 
     /**
      * A policy that knows no worker yet.
@@ -50,6 +52,8 @@
         EligibilityFilter eligibility = new EligibilityFilter(context, freshness, retries);
         affinity = new KeyAffinity(workers, arrivals, fleetLoad);
         costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
+        costs = new CandidateCosts(workers, costModel, affinity);
+        probes = new ProbeScheduler(context, requests, workers, fleetLoad, costs, pauses);
         apply(settings);
     }
 
@@ -78,7 +82,7 @@
         fleetLoad.invalidate();
         entries.forEach(directory::update);
         directory.forgetUnlisted();
-        invalidate();
+        costs.invalidate();
         requests.probing().forEach(request -> request.probed.clear());
         if (kind == EndpointListKind.CACHED_SNAPSHOT) {
             polls.cachedSnapshotReceived(entries.size());
@@ -142,7 +146,7 @@
         arrivals.requestOffered(request);
         place(request);
         if (request.probeRounds == 0) {
-            probeStalest();
+            probes.probeStalest();
         }
     }
 
@@ -230,14 +234,14 @@
         }
         worker.probeEnded(outcome, lagMs, report);
         for (PendingRequest request : List.copyOf(requests.probing())) {
-            if (isCompletedBy(worker, request)) {
+            if (probes.isCompletedBy(worker, request)) {
                 endProbeRound(request);
             }
         }
     }
 
     private void endProbeRound(PendingRequest request) {
-        if (endRound(request)) {
+        if (probes.endRound(request)) {
             place(request);
         }
     }
@@ -291,19 +295,19 @@
 
     /** Sends, parks or ends the request, or has workers probed for it first. */
     private void place(PendingRequest request) {
-        if (!areOf(request)) {
-            priceAll(request, false);
+        if (!costs.areOf(request)) {
+            costs.priceAll(request, false);
         }
-        Worker cheapest = cheapest();
-        Worker probed = cheapestProbed(request);
-        if (cheapest != null && !isCertain(request, probed) && startRound(request, cheapest)) {
+        Worker cheapest = costs.cheapest();
+        Worker probed = costs.cheapestProbed(request);
+        if (cheapest != null && !isCertain(request, probed) && probes.startRound(request, cheapest)) {
             return;
         }
-        if (!anyEligible()) {
-            priceAll(request, true);
-            cheapest = cheapest();
+        if (!costs.anyEligible()) {
+            costs.priceAll(request, true);
+            cheapest = costs.cheapest();
         }
-        invalidate();
+        costs.invalidate();
         request.probed.clear();
         if (cheapest != null) {
             send(request, probed == null ? cheapest : probed);
@@ -320,7 +324,7 @@
     }
 
     private void parkOrEnd(PendingRequest request) {
-        Optional<RejectionReason> reason = rejectionReason(request, anyEligible());
+        Optional<RejectionReason> reason = rejectionReason(request, costs.anyEligible());
         if (reason.isPresent()) {
             end(request, reason.get());
         } else {
@@ -385,143 +389,4 @@
         double waitMs = Math.max(fleetLoad.shortestWaitMs(), context.objectiveMs / 2);
         return Math.min(waitMs, context.permissions.maxRetryAfterMs());
     }
-
-    // ------------------------------------------------------------ probes
-
-    private static final int PROBES_A_ROUND = 3;
-    private static final int MAX_ROUNDS = 2;
-
-    /** From this load of all dispatchers over this one's, own sends tell too little. */
-    private static final double MIN_LOAD_MULTIPLIER = 8;
-
-    /** A report is fresh, and an answer in time, for this much of the objective. */
-    private static final double FRESH_OBJECTIVES = 1.0 / 8;
-
-    /** Probes the worker whose last report is the oldest, if that is older than an objective. */
-    private void probeStalest() {
-        if (!context.permissions.probing() || context.settings.dispatcherCount() <= 1) {
-            return;
-        }
-        Worker stalest = null;
-        for (Worker worker : workers.all()) {
-            if (!worker.outliers.isEjected()
-                    && context.nowMs - worker.reportedAtMs > context.objectiveMs
-                    && (stalest == null || worker.reportedAtMs < stalest.reportedAtMs)) {
-                stalest = worker;
-            }
-        }
-        if (stalest != null) {
-            stalest.probe();
-        }
-    }
-
-    /** Starts a round for a request whose cheapest worker is given; false: none is needed or allowed. */
-    private boolean startRound(PendingRequest request, Worker cheapest) {
-        double freshMs = context.objectiveMs * FRESH_OBJECTIVES;
-        if (!context.permissions.probing()
-                || fleetLoad.loadMultiplier() < MIN_LOAD_MULTIPLIER
-                || context.nowMs - cheapest.reportedAtMs < freshMs
-                || request.probeRounds >= MAX_ROUNDS) {
-            return false;
-        }
-        request.probeRounds++;
-        Worker next = cheapest;
-        for (int i = 0; i < PROBES_A_ROUND && next != null; i++) {
-            if (context.nowMs - next.reportedAtMs >= freshMs) {
-                next.probe();
-                request.probed.add(next);
-                request.awaitingReply.add(next);
-            }
-            exclude(next); // until it has answered
-            next = cheapest();
-        }
-        requests.startProbing(request);
-        context.actions.scheduleTimer(freshMs, TimerLabel.probeRoundOf(request.id()));
-        return true;
-    }
-
-    /** A worker has answered a probe, or failed to; returns whether that was the last answer the request waited for. */
-    private boolean isCompletedBy(Worker worker, PendingRequest request) {
-        return request.awaitingReply.remove(worker) && request.awaitingReply.isEmpty();
-    }
-
-    /**
-     * A request's round ends, with all answers or at its timer; returns whether the request is to be placed now.
-     *
-     * <p>If this process stood still meanwhile, the answers may stand behind the timer: the round goes on for a moment.
-     */
-    private boolean endRound(PendingRequest request) {
-        boolean answersMissing = !request.awaitingReply.isEmpty();
-        if (answersMissing && pauses.pauseEndedMs() > request.acceptedAtMs) {
-            pauses.forgetPause();
-            context.actions.scheduleTimer(context.settings.tickMs(), TimerLabel.probeRoundOf(request.id()));
-            return false;
-        }
-        if (!requests.stopProbing(request)) {
-            return false;
-        }
-        for (Worker silent : request.awaitingReply) {
-            silent.outliers.backOff();
-        }
-        request.awaitingReply.clear();
-        if (areOf(request)) {
-            repriceProbed(request);
-        }
-        return true;
-    }
-
-    // ------------------------------------------------------------ costs of one request
-
-    private PendingRequest priced;
-    private boolean anyEligible;
-
-    /** Whether the costs are those of this request. */
-    private boolean areOf(PendingRequest request) {
-        return priced == request;
-    }
-
-    /** Whether any worker may take the request, at whatever cost. */
-    private boolean anyEligible() {
-        return anyEligible;
-    }
-
-    /** Prices the request at all workers; {@code anyState}: also those ejected or backing off. */
-    private void priceAll(PendingRequest request, boolean anyState) {
-        priced = request;
-        anyEligible = false;
-        affinity.rank(request);
-        for (Worker worker : workers.all()) {
-            double cost = costModel.cost(request, worker, anyState);
-            workers.cost(worker, cost);
-            anyEligible |= cost < CostModel.INELIGIBLE;
-        }
-    }
-
-    /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
-    private void repriceProbed(PendingRequest request) {
-        for (Worker worker : request.probed) {
-            workers.cost(worker, costModel.cost(request, worker, false));
-        }
-        priced = cheapest() == null ? null : request;
-    }
-
-    /** The costs hold no longer. */
-    private void invalidate() {
-        priced = null;
-    }
-
-    /** Leaves a worker out until it is priced again. */
-    private void exclude(Worker worker) {
-        workers.cost(worker, CostModel.DEARER_THAN_REJECTION);
-    }
-
-    /** The first worker of the least cost below a rejection's; null: there is none. */
-    private Worker cheapest() {
-        return workers.cheapest(CostModel.DEARER_THAN_REJECTION);
-    }
-
-    /** The same among the workers probed for the request. */
-    private Worker cheapestProbed(PendingRequest request) {
-        return workers.cheapest(request.probed, CostModel.DEARER_THAN_REJECTION);
-    }
 }
