--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,7 +1,6 @@
 package maplespread.policy;
 
 import java.util.List;
-import java.util.Optional;
 
 /**
  * All decisions of one dispatcher: which worker gets a request, whether an attempt is repeated, what is rejected. This
@@ -22,13 +21,11 @@
     private final PendingRequests requests = new PendingRequests();
     private final WorkerTable<Worker> workers = new WorkerTable<>();
     private final WorkerDirectory directory;
-    private final RetryPolicy retries;
-    private final KeyAffinity affinity;
-    private final CostModel costModel;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
     private final CandidateCosts costs;
     private final ProbeScheduler probes;
+    private final WorkerSelector selector;
 
     /**
      * A policy that knows no worker yet.
@@ -48,12 +45,14 @@
         arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
         fleetLoad.use(arrivals);
         directory = new WorkerDirectory(workers, context, arrivals, hints, failures);
-        retries = new RetryPolicy(context);
+        RetryPolicy retries = new RetryPolicy(context);
         EligibilityFilter eligibility = new EligibilityFilter(context, freshness, retries);
-        affinity = new KeyAffinity(workers, arrivals, fleetLoad);
-        costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
+        KeyAffinity affinity = new KeyAffinity(workers, arrivals, fleetLoad);
+        CostModel costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
         costs = new CandidateCosts(workers, costModel, affinity);
         probes = new ProbeScheduler(context, requests, workers, fleetLoad, costs, pauses);
+        AdmissionControl admission = new AdmissionControl(context, requests, retries, freshness, fleetLoad);
+        selector = new WorkerSelector(context, directory, requests, costs, costModel, affinity, probes, admission);
         apply(settings);
     }
 
@@ -144,7 +143,7 @@
         requests.add(request);
         fleetLoad.refresh();
         arrivals.requestOffered(request);
-        place(request);
+        selector.place(request);
         if (request.probeRounds == 0) {
             probes.probeStalest();
         }
@@ -201,7 +200,7 @@
             requests.end(request);
         } else if (!request.ended && !request.responseStarted && request.attemptsInFlight == 0) {
             fleetLoad.refresh();
-            place(request); // another attempt, or the end
+            selector.place(request); // another attempt, or the end
         }
         requests.forgetIfOver(request);
     }
@@ -219,7 +218,7 @@
         if (requests.hasParked()) {
             List<PendingRequest> parked = requests.takeParked();
             fleetLoad.refresh();
-            parked.forEach(this::place);
+            parked.forEach(selector::place);
         }
     }
 
@@ -242,7 +241,7 @@
 
     private void endProbeRound(PendingRequest request) {
         if (probes.endRound(request)) {
-            place(request);
+            selector.place(request);
         }
     }
 
@@ -287,106 +286,4 @@
         }
         return avoided;
     }
-
-    // ------------------------------------------------------------ selection
-
-    /** Below this lateness a probed worker with a free slot is certain enough. */
-    private static final double MAX_CERTAIN_LATENESS = 0.5;
-
-    /** Sends, parks or ends the request, or has workers probed for it first. */
-    private void place(PendingRequest request) {
-        if (!costs.areOf(request)) {
-            costs.priceAll(request, false);
-        }
-        Worker cheapest = costs.cheapest();
-        Worker probed = costs.cheapestProbed(request);
-        if (cheapest != null && !isCertain(request, probed) && probes.startRound(request, cheapest)) {
-            return;
-        }
-        if (!costs.anyEligible()) {
-            costs.priceAll(request, true);
-            cheapest = costs.cheapest();
-        }
-        costs.invalidate();
-        request.probed.clear();
-        if (cheapest != null) {
-            send(request, probed == null ? cheapest : probed);
-        } else {
-            parkOrEnd(request);
-        }
-    }
-
-    /** Whether a worker that was probed for the request serves it in time without a wait. */
-    private boolean isCertain(PendingRequest request, Worker probed) {
-        return probed != null
-                && probed.backlog.hasFreeSlot(request)
-                && costModel.lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
-    }
-
-    private void parkOrEnd(PendingRequest request) {
-        Optional<RejectionReason> reason = rejectionReason(request, costs.anyEligible());
-        if (reason.isPresent()) {
-            end(request, reason.get());
-        } else {
-            requests.park(request);
-        }
-    }
-
-    private void send(PendingRequest request, Worker worker) {
-        costModel.attemptSent();
-        double fetchMs = affinity.fetchCostMs(request, worker);
-        InFlightAttempt attempt = new InFlightAttempt(request, worker, context.nowMs, fetchMs);
-        directory.attemptStarting(worker);
-        request.attempts.add(attempt);
-        request.attemptsInFlight++;
-        worker.attemptSent(attempt);
-        context.actions.sendAttempt(request.id(), worker.id);
-    }
-
-    // ------------------------------------------------------------ admission
-
-    /**
-     * Why no attempt is made for a request for which no worker was chosen; empty: it may wait for one.
-     *
-     * @param anyEligible some worker may take it, at a cost above that of a rejection
-     */
-    private Optional<RejectionReason> rejectionReason(PendingRequest request, boolean anyEligible) {
-        if (anyEligible) {
-            return Optional.of(RejectionReason.OVERLOADED);
-        }
-        if (request.attempts.size() >= request.maxAttempts) {
-            return Optional.of(RejectionReason.ATTEMPTS_USED);
-        }
-        boolean mayHaveRun = !retries.mayReject(request);
-        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT && mayHaveRun) {
-            return Optional.of(RejectionReason.MAY_HAVE_RUN);
-        }
-        // The next tick may come two periods from now, and is the last that may still answer in time.
-        boolean timeLeft = context.nowMs < request.deadlineMs - 2 * context.tickPeriodMs;
-        boolean withinObjective = context.nowMs - request.acceptedAtMs < request.requestClass.latencyObjectiveMs();
-        if (timeLeft && withinObjective) {
-            return Optional.empty();
-        }
-        if (!timeLeft) {
-            return Optional.of(RejectionReason.OUT_OF_TIME);
-        }
-        return Optional.of(
-                freshness.usable(context.nowMs) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED);
-    }
-
-    /** Ends the request: rejected where the client may safely try again, else failed. */
-    private void end(PendingRequest request, RejectionReason reason) {
-        if (retries.mayReject(request) && context.nowMs < request.deadlineMs) {
-            context.actions.reject(request.id(), retryAfterMs(), reason);
-        } else {
-            context.actions.fail(request.id(), reason);
-        }
-        requests.end(request);
-    }
-
-    /** The pause advised to the client: the shortest wait in the fleet, at least half the objective. */
-    private double retryAfterMs() {
-        double waitMs = Math.max(fleetLoad.shortestWaitMs(), context.objectiveMs / 2);
-        return Math.min(waitMs, context.permissions.maxRetryAfterMs());
-    }
 }
