--- a/src/main/java/maplespread/policy/ArrivalStatistics.java
+++ b/src/main/java/maplespread/policy/ArrivalStatistics.java
@@ -20,7 +20,7 @@
     private static final double LOST_SHARE_STEP = 0.02;
 
     private final PolicyContext context;
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private final HintCalibration hints;
     private final FleetLoadEstimate fleetLoad;
     private final DoublesByIndex meanWorkByClass = new DoublesByIndex();
@@ -32,8 +32,7 @@
     private double rateAtMs = Double.NaN;
     private double lostShare;
 
-    ArrivalStatistics(
-            PolicyContext context, WorkerTable<Worker> workers, HintCalibration hints, FleetLoadEstimate fleetLoad) {
+    ArrivalStatistics(PolicyContext context, WorkerTable workers, HintCalibration hints, FleetLoadEstimate fleetLoad) {
         this.context = context;
         this.workers = workers;
         this.hints = hints;
@@ -113,9 +112,9 @@
 
     /** The paper's load-balanced random split: a worker is drawn by its share of the capacity. */
     private void offerToShadowQueue(PendingRequest request) {
-        double rest = context.random.nextDouble() * workers.total();
+        double rest = context.random.nextDouble() * workers.totalCapacity();
         int index = 0;
-        while (index < workers.size() - 1 && (rest -= workers.share(index)) >= 0) {
+        while (index < workers.size() - 1 && (rest -= workers.capacity(index)) >= 0) {
             index++;
         }
         if (index < workers.size()) {
--- a/src/main/java/maplespread/policy/CandidateCosts.java
+++ b/src/main/java/maplespread/policy/CandidateCosts.java
@@ -5,13 +5,13 @@
  * keeps them and prices only the workers that were probed anew.
  */
 final class CandidateCosts {
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private final CostModel costModel;
     private final KeyAffinity affinity;
     private PendingRequest priced;
     private boolean anyEligible;
 
-    CandidateCosts(WorkerTable<Worker> workers, CostModel costModel, KeyAffinity affinity) {
+    CandidateCosts(WorkerTable workers, CostModel costModel, KeyAffinity affinity) {
         this.workers = workers;
         this.costModel = costModel;
         this.affinity = affinity;
@@ -34,7 +34,7 @@
         affinity.rank(request);
         for (Worker worker : workers.all()) {
             double cost = costModel.cost(request, worker, anyState);
-            workers.cost(worker, cost);
+            workers.setCost(worker, cost);
             anyEligible |= cost < CostModel.INELIGIBLE;
         }
     }
@@ -42,7 +42,7 @@
     /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
     void repriceProbed(PendingRequest request) {
         for (Worker worker : request.probed) {
-            workers.cost(worker, costModel.cost(request, worker, false));
+            workers.setCost(worker, costModel.cost(request, worker, false));
         }
         priced = cheapest() == null ? null : request;
     }
@@ -54,7 +54,7 @@
 
     /** Leaves a worker out until it is priced again. */
     void exclude(Worker worker) {
-        workers.cost(worker, CostModel.DEARER_THAN_REJECTION);
+        workers.setCost(worker, CostModel.DEARER_THAN_REJECTION);
     }
 
     /** The first worker of the least cost below a rejection's; null: there is none. */
--- a/src/main/java/maplespread/policy/CostModel.java
+++ b/src/main/java/maplespread/policy/CostModel.java
@@ -19,7 +19,7 @@
     private static final double LATENESS_SLOPE = 2;
 
     private final PolicyContext context;
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private final ArrivalStatistics arrivals;
     private final FleetLoadEstimate fleetLoad;
     private final FailureStatistics failures;
@@ -29,7 +29,7 @@
 
     CostModel(
             PolicyContext context,
-            WorkerTable<Worker> workers,
+            WorkerTable workers,
             ArrivalStatistics arrivals,
             FleetLoadEstimate fleetLoad,
             FailureStatistics failures,
@@ -116,8 +116,10 @@
     /** By how much work of this length raises the value of a worker's backlog, in mean requests. */
     private double valueIncrease(Worker worker, double waitMs, double reservedMs, double waitObjectiveMs) {
         double ratePerMs = Math.max(arrivals.ratePerMs(), 1 / context.memoryMs);
-        double arrivalRate =
-                ratePerMs * fleetLoad.loadMultiplier() * worker.capacity / Math.max(workers.total(), worker.capacity);
+        double arrivalRate = ratePerMs
+                * fleetLoad.loadMultiplier()
+                * worker.capacity
+                / Math.max(workers.totalCapacity(), worker.capacity);
         double costRate = worker.shadowQueue.lossRate(arrivalRate, arrivals.lostShare());
         double serviceMs = arrivals.meanWorkMs() / worker.capacity;
         return ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs + reservedMs)
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -19,7 +19,7 @@
     private final DiscoveryPollSchedule polls;
     private final ProcessPauseDetector pauses;
     private final PendingRequests requests = new PendingRequests();
-    private final WorkerTable<Worker> workers = new WorkerTable<>();
+    private final WorkerTable workers = new WorkerTable();
     private final WorkerDirectory directory;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
--- a/src/main/java/maplespread/policy/FleetLoadEstimate.java
+++ b/src/main/java/maplespread/policy/FleetLoadEstimate.java
@@ -10,7 +10,7 @@
     private static final double FRESH_OBJECTIVES = 1.0 / 8;
 
     private final PolicyContext context;
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private ArrivalStatistics arrivals;
     private double lookedAtMs;
     private double averagedAtMs = Double.NaN;
@@ -20,7 +20,7 @@
     private double queueingFactor;
     private double shortestWaitMs;
 
-    FleetLoadEstimate(PolicyContext context, WorkerTable<Worker> workers) {
+    FleetLoadEstimate(PolicyContext context, WorkerTable workers) {
         this.context = context;
         this.workers = workers;
     }
@@ -62,7 +62,7 @@
         shortestWaitMs = context.permissions.maxRetryAfterMs();
         for (Worker worker : workers.all()) {
             worker.refresh();
-            workers.share(worker, worker.usableCapacity());
+            workers.setCapacity(worker, worker.usableCapacity());
             if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
                 continue;
             }
@@ -79,7 +79,7 @@
                 worker.probe();
             }
         }
-        workers.sum();
+        workers.recomputeTotalCapacity();
         average(localMs, unobservedMs, waitsMs / Math.max(1, ready));
     }
 
--- a/src/main/java/maplespread/policy/KeyAffinity.java
+++ b/src/main/java/maplespread/policy/KeyAffinity.java
@@ -24,11 +24,11 @@
     /** How likely a miss is at the key's secondary worker. */
     private static final double SECONDARY_MISS = 0.5;
 
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private final ArrivalStatistics arrivals;
     private final FleetLoadEstimate fleetLoad;
 
-    KeyAffinity(WorkerTable<Worker> workers, ArrivalStatistics arrivals, FleetLoadEstimate fleetLoad) {
+    KeyAffinity(WorkerTable workers, ArrivalStatistics arrivals, FleetLoadEstimate fleetLoad) {
         this.workers = workers;
         this.arrivals = arrivals;
         this.fleetLoad = fleetLoad;
--- a/src/main/java/maplespread/policy/ProbeScheduler.java
+++ b/src/main/java/maplespread/policy/ProbeScheduler.java
@@ -18,7 +18,7 @@
 
     private final PolicyContext context;
     private final PendingRequests requests;
-    private final WorkerTable<Worker> workers;
+    private final WorkerTable workers;
     private final FleetLoadEstimate fleetLoad;
     private final CandidateCosts costs;
     private final ProcessPauseDetector pauses;
@@ -26,7 +26,7 @@
     ProbeScheduler(
             PolicyContext context,
             PendingRequests requests,
-            WorkerTable<Worker> workers,
+            WorkerTable workers,
             FleetLoadEstimate fleetLoad,
             CandidateCosts costs,
             ProcessPauseDetector pauses) {
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -4,7 +4,10 @@
  * One worker as this dispatcher knows it: what the endpoint list says of it, and the estimates, each of which has a
  * module of its own. It hands the events of its attempts to them. Times are ms on the host's clock.
  */
-final class Worker extends WorkerTable.Indexed {
+final class Worker {
+    /** The place of a worker that is not on the endpoint list. */
+    static final int NOT_LISTED = -1;
+
     /** A report with more active requests or free slots than this is wrong, and no part of it is believed. */
     private static final double MAX_REPORTED = 1e4;
 
@@ -34,6 +37,9 @@
     /** When the last load report came. */
     double reportedAtMs = Double.NEGATIVE_INFINITY;
 
+    /** Its place in the {@link WorkerTable}, which alone writes it. */
+    int tablePlace = NOT_LISTED;
+
     private final PolicyContext context;
     private final HintCalibration hints;
     private final HintCalibration.WorkerMeans hintMeans = new HintCalibration.WorkerMeans();
@@ -58,6 +64,11 @@
         connections = new IdleConnections(context, failures, this);
     }
 
+    /** Whether the endpoint list names it. */
+    boolean isListed() {
+        return tablePlace != NOT_LISTED;
+    }
+
     /** Takes up what the list says, but for the lifecycle. */
     void listed(EndpointEntry entry, WorkerKind entryKind) {
         kindNumber = entry.workerKind();
--- a/src/main/java/maplespread/policy/WorkerDirectory.java
+++ b/src/main/java/maplespread/policy/WorkerDirectory.java
@@ -13,7 +13,7 @@
  */
 final class WorkerDirectory {
     private static final int MAX_UNLISTED = 100;
-    private final WorkerTable<Worker> listed;
+    private final WorkerTable listed;
     private final PolicyContext context;
     private final ArrivalStatistics arrivals;
     private final HintCalibration hints;
@@ -23,7 +23,7 @@
     private final List<Worker> busy = new ArrayList<>();
 
     WorkerDirectory(
-            WorkerTable<Worker> listed,
+            WorkerTable listed,
             PolicyContext context,
             ArrivalStatistics arrivals,
             HintCalibration hints,
@@ -68,8 +68,8 @@
     void forgetUnlisted() {
         if (byId.size() > 2 * listed.size() + MAX_UNLISTED) {
             byId.values()
-                    .removeIf(
-                            worker -> worker.at < 0 && worker.backlog.inFlight().isEmpty());
+                    .removeIf(worker ->
+                            !worker.isListed() && worker.backlog.inFlight().isEmpty());
         }
     }
 
@@ -94,7 +94,11 @@
 
     private void setLifecycle(Worker worker, EndpointLifecycle lifecycle) {
         worker.lifecycle = lifecycle;
-        listed.put(worker, lifecycle != EndpointLifecycle.REMOVED);
-        listed.share(worker, worker.usableCapacity());
+        if (lifecycle == EndpointLifecycle.REMOVED) {
+            listed.remove(worker);
+        } else {
+            listed.add(worker);
+        }
+        listed.setCapacity(worker, worker.usableCapacity());
     }
 }
--- a/src/main/java/maplespread/policy/WorkerTable.java
+++ b/src/main/java/maplespread/policy/WorkerTable.java
@@ -5,102 +5,117 @@
 import java.util.List;
 
 /**
- * The workers in places without gaps, with a share and a cost by place and the shares' sum. Coming and going
- * costs the same whatever their number: the last one takes the place of one that goes. Decides nothing.
+ * The listed workers in places without gaps, with a capacity and a cost by place. A change of the list costs one worker
+ * and no other, whatever their number: the last worker takes the place of one that goes. Decides nothing.
  */
-final class WorkerTable<W extends WorkerTable.Indexed> {
-    /** What has a place; -1 while it has none. */
-    static class Indexed {
-        int at = -1;
-    }
+final class WorkerTable {
+    private static final int EXTRA_PLACES = 8;
 
-    private final List<W> all = new ArrayList<>();
-    private double[] shares = {};
+    private final List<Worker> workers = new ArrayList<>();
+    private double[] capacities = {};
     private double[] costs = {};
-    private double total;
+    private double totalCapacity;
 
     int size() {
-        return all.size();
+        return workers.size();
     }
 
-    W get(int at) {
-        return all.get(at);
+    Worker get(int place) {
+        return workers.get(place);
     }
 
-    List<W> all() {
-        return all;
+    /** All listed workers, by place. */
+    List<Worker> all() {
+        return workers;
     }
 
-    /** Has it in or out. */
-    void put(W w, boolean in) {
-        if (in && w.at < 0) {
-            w.at = all.size();
-            all.add(w);
-            if (w.at >= shares.length) {
-                shares = Arrays.copyOf(shares, 2 * w.at + 8);
-                costs = Arrays.copyOf(costs, shares.length);
-            }
-        } else if (!in && w.at >= 0) {
-            share(w, 0);
-            W last = all.remove(all.size() - 1);
-            if (last != w) {
-                all.set(w.at, last);
-                shares[w.at] = shares[last.at];
-                costs[w.at] = costs[last.at];
-                shares[last.at] = 0;
-                last.at = w.at;
-            }
-            w.at = -1;
+    /** Takes a worker in, unless it is in. */
+    void add(Worker worker) {
+        if (worker.isListed()) {
+            return;
+        }
+        worker.tablePlace = workers.size();
+        workers.add(worker);
+        if (worker.tablePlace >= capacities.length) {
+            capacities = Arrays.copyOf(capacities, 2 * worker.tablePlace + EXTRA_PLACES);
+            costs = Arrays.copyOf(costs, capacities.length);
         }
     }
 
-    /** Sets its share of the sum; passed over for one without a place. */
-    void share(W w, double share) {
-        if (w.at >= 0) {
-            total += share - shares[w.at];
-            shares[w.at] = share;
+    /** Takes a worker out, if it is in. */
+    void remove(Worker worker) {
+        if (!worker.isListed()) {
+            return;
         }
+        setCapacity(worker, 0);
+        int place = worker.tablePlace;
+        Worker last = workers.remove(workers.size() - 1);
+        if (last != worker) {
+            workers.set(place, last);
+            capacities[place] = capacities[last.tablePlace];
+            costs[place] = costs[last.tablePlace];
+            capacities[last.tablePlace] = 0;
+            last.tablePlace = place;
+        }
+        worker.tablePlace = Worker.NOT_LISTED;
     }
 
-    double share(int at) {
-        return shares[at];
+    /** Sets the worker's part of the total; nothing for one that is not in. */
+    void setCapacity(Worker worker, double capacity) {
+        if (worker.isListed()) {
+            totalCapacity += capacity - capacities[worker.tablePlace];
+            capacities[worker.tablePlace] = capacity;
+        }
     }
 
-    /** The sum of the shares, made anew: without that, roundings add up. */
-    double sum() {
-        total = 0;
-        for (int i = 0; i < all.size(); i++) {
-            total += shares[i];
-        }
-        return total;
+    double capacity(int place) {
+        return capacities[place];
     }
 
-    double total() {
-        return total;
+    /** The sum of all capacities, kept up with each change. */
+    double totalCapacity() {
+        return totalCapacity;
     }
 
-    double cost(W w) {
-        return costs[w.at];
+    /** Makes the sum anew: without that, roundings add up. */
+    void recomputeTotalCapacity() {
+        totalCapacity = 0;
+        for (int place = 0; place < workers.size(); place++) {
+            totalCapacity += capacities[place];
+        }
+    }
+
+    /** The cost last set for a listed worker. */
+    double cost(Worker worker) {
+        return costs[worker.tablePlace];
     }
 
-    void cost(W w, double cost) {
-        costs[w.at] = cost;
+    void setCost(Worker worker, double cost) {
+        costs[worker.tablePlace] = cost;
     }
 
-    /** The first of the least cost, if any costs less than the limit; else null. */
-    W cheapest(double limit) {
-        int best = -1;
-        for (int i = 0; i < all.size(); i++) {
-            best = costs[i] < (best < 0 ? limit : costs[best]) ? i : best;
+    /** The first worker of the least cost, if any costs less than the limit; else null. */
+    Worker cheapest(double limit) {
+        Worker best = null;
+        double bestCost = limit;
+        for (int place = 0; place < workers.size(); place++) {
+            if (costs[place] < bestCost) {
+                best = workers.get(place);
+                bestCost = costs[place];
+            }
         }
-        return best < 0 ? null : all.get(best);
+        return best;
     }
 
-    /** The same among these. */
-    W cheapest(List<W> among, double limit) {
-        W best = null;
-        for (W w : among) {
-            best = cost(w) < (best == null ? limit : cost(best)) ? w : best;
+    /** The same among these workers, all of them listed. */
+    Worker cheapest(List<Worker> among, double limit) {
+        Worker best = null;
+        double bestCost = limit;
+        for (Worker worker : among) {
+            if (cost(worker) < bestCost) {
+                best = worker;
+                bestCost = cost(worker);
+            }
         }
         return best;
     }
