--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -1,16 +1,17 @@
 package maplespread.policy;
 
 /**
- * How far the server list can be relied on, at any time of the process's life. One place holds the state, what
- * moves it, and whether a request may be sent by the list; docs/list-freshness.md weighs the ways. Times are
- * milliseconds on the module's clock.
+ * How far the endpoint list can be relied on, at any time of the process's life. One place holds the state, what moves
+ * it, and whether a request may be sent by the list; docs/list-freshness.md weighs the alternatives. Times are ms on the
+ * host's clock.
  *
- * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it,
- * whether or not it arrived. What has not been confirmed for that long may name servers that have drained or gone.
+ * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it, whether or
+ * not it arrived. What has not been confirmed for that long may name workers that have drained or gone.
  */
 final class EndpointListFreshness {
-    /** Hears of every change of the state. */
+    /** Called at every change of the state. */
     interface Listener {
+        /** The state has changed, so long after the list was last confirmed. */
         void changed(EndpointListState from, EndpointListState to, double ageMs);
     }
 
@@ -20,17 +21,25 @@
     /** The same for what another address of discovery has, from the moment when that address counts. */
     private static final double NOTIFIED_AFTER_MOVE_MS = 4000;
 
-    /** Left of these for an attempt to leave the process, and for words that were late on their way. */
+    /** Left of these for an attempt to leave the process, and for messages that were late on their way. */
     private static final double MARGIN_MS = 500;
 
+    /** After a failed call the list stands this many times as long as the settings let it stand without one. */
+    private static final double FAILED_CALL_FACTOR = 4;
+
     private final Listener listener;
     private boolean agentPushesList;
     private double maxUnconfirmedMs;
     private EndpointListState state = EndpointListState.UNCONFIRMED;
-    private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private double usableUntil = Double.NEGATIVE_INFINITY;
-    private boolean outageLikely; // discovery ended the watch by itself
-    private boolean gapless; // since the last confirmation there was no moment in which a change could be had unheard
+    private double confirmedAtMs = Double.NEGATIVE_INFINITY;
+    private double usableUntilMs = Double.NEGATIVE_INFINITY;
+
+    /** Discovery ended the watch by itself, as it does when it goes down. */
+    private boolean outageLikely;
+
+    /** Since the list was confirmed there was no moment in which a change could be had without its being heard. */
+    private boolean gapless;
+
     private boolean connectionRefusedSeen;
 
     EndpointListFreshness(Listener listener) {
@@ -38,99 +47,102 @@
     }
 
     /**
-     * {@code pushed}: the list comes from an agent beside this process, which has no crowd of callers; {@code
-     * askWithinMs}: for so long without a call the settings let a list stand, four times as long after a failed one.
+     * Puts settings into force.
+     *
+     * @param pushed the list comes from an agent beside this process, which has no crowd of callers
+     * @param maxListAgeMs for so long without a call the settings let a list stand
      */
-    void settings(boolean pushed, double askWithinMs) {
-        this.agentPushesList = pushed;
-        maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, 4 * askWithinMs) - MARGIN_MS;
+    void settings(boolean pushed, double maxListAgeMs) {
+        agentPushesList = pushed;
+        maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, FAILED_CALL_FACTOR * maxListAgeMs) - MARGIN_MS;
     }
 
     /** Discovery has said everything that it has, as of now, and goes on telling. */
-    void confirmed(double now) {
-        confirmedAt = now;
-        usableUntil = Double.POSITIVE_INFINITY;
-        move(EndpointListState.CONFIRMED, now);
+    void confirmed(double nowMs) {
+        confirmedAtMs = nowMs;
+        usableUntilMs = Double.POSITIVE_INFINITY;
+        moveTo(EndpointListState.CONFIRMED, nowMs);
     }
 
     /** The watch says nothing any more, last heard so long ago. */
-    void silent(double now, double heardAgoMs) {
+    void silent(double nowMs, double heardAgoMs) {
         if (state == EndpointListState.CONFIRMED) {
-            doubt(now, now - heardAgoMs, false, false);
+            startRenewing(nowMs, nowMs - heardAgoMs, false, false);
         }
     }
 
     /** Another address of discovery counts from now on; the list is as good as it was, for a shorter time. */
-    void moved(double now) {
-        if (usable(now)) {
-            double until = Math.min(usableUntil, now + NOTIFIED_AFTER_MOVE_MS - MARGIN_MS);
-            doubt(now, state == EndpointListState.CONFIRMED ? now : confirmedAt, false, true);
-            usableUntil = until;
+    void moved(double nowMs) {
+        if (usable(nowMs)) {
+            double untilMs = Math.min(usableUntilMs, nowMs + NOTIFIED_AFTER_MOVE_MS - MARGIN_MS);
+            startRenewing(nowMs, state == EndpointListState.CONFIRMED ? nowMs : confirmedAtMs, false, true);
+            usableUntilMs = untilMs;
         }
     }
 
     /** There is no watch any more, or a call for one has failed, last heard so long ago. */
-    void failed(double now, EndpointWatchFailure loss, double heardAgoMs) {
-        if (state == EndpointListState.CONFIRMED && loss == EndpointWatchFailure.ENDED) {
-            doubt(now, now, true, true); // watches end when discovery goes down, and what came before came whole
+    void failed(double nowMs, EndpointWatchFailure failure, double heardAgoMs) {
+        if (state == EndpointListState.CONFIRMED && failure == EndpointWatchFailure.ENDED) {
+            // Watches end when discovery goes down, and what came before came whole.
+            startRenewing(nowMs, nowMs, true, true);
             return;
         }
-        silent(now, heardAgoMs);
-        if (!usable(now)) {
+        silent(nowMs, heardAgoMs);
+        if (!usable(nowMs)) {
             return; // discovery may have been there meanwhile, with changes that are due by now
         }
-        switch (loss) {
-            case REFUSED -> refused(now);
-            case ENDED, NO_ANSWER -> unanswered(now);
-            case NOT_ASKED -> {} // the fault is this side's, and tells nothing
+        switch (failure) {
+            case REFUSED -> callRefused(nowMs);
+            case ENDED, NO_ANSWER -> callUnanswered(nowMs);
+            case NOT_ASKED -> {} // the fault is this side's, and tells nothing of discovery
         }
     }
 
-    private void doubt(double now, double since, boolean outage, boolean noGap) {
-        confirmedAt = since;
-        usableUntil = since + maxUnconfirmedMs;
+    private void startRenewing(double nowMs, double lastHeardMs, boolean outage, boolean withoutGap) {
+        confirmedAtMs = lastHeardMs;
+        usableUntilMs = lastHeardMs + maxUnconfirmedMs;
         outageLikely = outage;
-        gapless = noGap;
+        gapless = withoutGap;
         connectionRefusedSeen = false;
-        move(EndpointListState.RENEWING, now);
+        moveTo(EndpointListState.RENEWING, nowMs);
     }
 
     /**
      * A crowd before discovery and an outage look alike from here. After a watch that discovery itself has ended it is
      * taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
      */
-    private void unanswered(double now) {
+    private void callUnanswered(double nowMs) {
         if (agentPushesList || outageLikely && !connectionRefusedSeen) {
-            usableUntil = Double.POSITIVE_INFINITY;
-            move(EndpointListState.UNREACHABLE, now);
+            usableUntilMs = Double.POSITIVE_INFINITY;
+            moveTo(EndpointListState.UNREACHABLE, nowMs);
         } else {
             gapless = false;
-            move(EndpointListState.RENEWING, now);
+            moveTo(EndpointListState.RENEWING, nowMs);
         }
     }
 
     /** Nobody is there to know of a change, and nobody was since the list was confirmed. */
-    private void refused(double now) {
+    private void callRefused(double nowMs) {
         if (agentPushesList || gapless) {
             connectionRefusedSeen = true;
-            usableUntil = now + maxUnconfirmedMs;
-            move(EndpointListState.UNREACHABLE, now);
+            usableUntilMs = nowMs + maxUnconfirmedMs;
+            moveTo(EndpointListState.UNREACHABLE, nowMs);
         }
     }
 
     /** Whether a request may be sent by the list. */
-    boolean usable(double now) {
-        if (now >= usableUntil && state != EndpointListState.UNCONFIRMED) {
-            move(EndpointListState.STALE, now);
+    boolean usable(double nowMs) {
+        if (nowMs >= usableUntilMs && state != EndpointListState.UNCONFIRMED) {
+            moveTo(EndpointListState.STALE, nowMs);
         }
-        return now < usableUntil;
+        return nowMs < usableUntilMs;
     }
 
-    private void move(EndpointListState to, double now) {
-        if (to != state) {
-            EndpointListState from = state;
-            state = to;
-            listener.changed(from, to, now - confirmedAt);
+    private void moveTo(EndpointListState next, double nowMs) {
+        if (next != state) {
+            EndpointListState before = state;
+            state = next;
+            listener.changed(before, next, nowMs - confirmedAtMs);
         }
     }
 }
