--- a/src/main/java/maplespread/lab/fleet/VirtualFleet.java
+++ b/src/main/java/maplespread/lab/fleet/VirtualFleet.java
@@ -377,7 +377,8 @@
                             0,
                             null,
                             null,
-                            plan.fair ? shares.weight(now, job.id, tenant, true, plan.dispatchers) : 1));
+                            plan.fair ? shares.weight(now, job.id, tenant, true, plan.dispatchers) : 1,
+                            null));
         }
 
         @Override
--- a/src/main/java/maplespread/policy/AttemptOutcome.java
+++ b/src/main/java/maplespread/policy/AttemptOutcome.java
@@ -1,22 +1,35 @@
 package maplespread.policy;
 
-/**
- * How an attempt or probe ended. FULL, NO_CONNECTION and MOOT prove that it never ran. CUT is a RESET of
- * a connection kept from before, on which the worker had not said anything: it tells nothing of the
- * worker.
- */
+/** How an attempt or a probe ended. */
 public enum AttemptOutcome {
+    /** The worker answered with a result. */
     SERVED,
+
+    /** The worker answered with an error. */
     ERROR,
+
+    /** The worker turned it away, without running it. */
     REJECTED,
+
+    /** No answer came in time. */
     TIMED_OUT,
+
+    /** No connection could be had: it never ran. */
     CONNECT_FAILED,
+
+    /** The connection broke. */
     RESET,
+
+    /** It was called off. */
     CANCELLED,
+
+    /** It was never sent. */
     NEVER_SENT,
+
+    /** An idle connection broke before the worker had said anything on it: this tells nothing of the worker. */
     STALE_CONNECTION_RESET;
 
-    /** Whether this outcome proves that the attempt never ran. */
+    /** Whether this outcome proves that the attempt never ran, so that a repeat is safe for any class. */
     public boolean provesNeverRan() {
         return this == REJECTED || this == CONNECT_FAILED || this == NEVER_SENT;
     }
--- a/src/main/java/maplespread/policy/DeduplicationScope.java
+++ b/src/main/java/maplespread/policy/DeduplicationScope.java
@@ -1,8 +1,13 @@
 package maplespread.policy;
 
-/** Which workers drop a repeat of a keyed request. */
+/** Which workers know of a request with an idempotency key that ran at one of them, and drop its repeat. */
 public enum DeduplicationScope {
+    /** All workers. */
     ALL,
+
+    /** Workers of the same zone. */
     ZONE,
+
+    /** Workers of the same cell. */
     CELL
 }
--- a/src/main/java/maplespread/policy/EndpointListDoubt.java
+++ b/src/main/java/maplespread/policy/EndpointListDoubt.java
@@ -1,10 +1,10 @@
 package maplespread.policy;
 
-/**
- * Why a list that was confirmed is in doubt while no call has failed. SILENT: its watch says nothing any more;
- * MOVED: another address of discovery counts from now on, which has said nothing yet.
- */
+/** Why a confirmed endpoint list is in doubt while no call has failed. */
 public enum EndpointListDoubt {
+    /** Its watch says nothing any more. */
     SILENT,
+
+    /** Another address of discovery counts from now on, which has said nothing yet. */
     MOVED
 }
--- a/src/main/java/maplespread/policy/EndpointListState.java
+++ b/src/main/java/maplespread/policy/EndpointListState.java
@@ -1,14 +1,19 @@
 package maplespread.policy;
 
-/**
- * How far the list can be relied on. UNCONFIRMED: discovery has said nothing since this process started; CONFIRMED:
- * a watch tells all changes; RENEWING: it does not, for a short while; UNREACHABLE: it does not, and there is
- * nobody who could know of one; STALE: changes may have been missed that this node is held to.
- */
+/** How far the endpoint list can be relied on. Log lines and admin answers print the names. */
 public enum EndpointListState {
+    /** Discovery has said nothing since this process started: nothing is sent by the list. */
     UNCONFIRMED,
+
+    /** A watch tells all changes. */
     CONFIRMED,
+
+    /** No watch tells changes, for a short while: the list still counts. */
     RENEWING,
+
+    /** No watch tells changes, and discovery is down, so that there are none to know of: the list still counts. */
     UNREACHABLE,
+
+    /** Changes may have been missed that this dispatcher is held to: nothing is sent by the list. */
     STALE
 }
--- a/src/main/java/maplespread/policy/EndpointWatchFailure.java
+++ b/src/main/java/maplespread/policy/EndpointWatchFailure.java
@@ -1,12 +1,16 @@
 package maplespread.policy;
 
-/**
- * How a watch or a call for one ended. ENDED: by discovery, after it had spoken; REFUSED: nobody listened;
- * NO_ANSWER: no first word came; NOT_ASKED: the call never left this machine.
- */
+/** How a watch of the endpoint list, or a call for one, ended. */
 public enum EndpointWatchFailure {
+    /** Discovery ended it, after it had answered. */
     ENDED,
+
+    /** Nobody listened at its address. */
     REFUSED,
+
+    /** The call was made, and no first line came. */
     NO_ANSWER,
+
+    /** The call never left this machine: it tells nothing of discovery. */
     NOT_ASKED
 }
--- a/src/main/java/maplespread/policy/PlatformRules.java
+++ b/src/main/java/maplespread/policy/PlatformRules.java
@@ -1,6 +1,16 @@
 package maplespread.policy;
 
-/** Figures of the rules: drain grace, list age, and the cold budget. */
+/**
+ * Figures of the platform's rules.
+ *
+ * @param drainGraceMs how long after a drain was notified something new may still reach the worker
+ * @param maxListAgeMs how long the endpoint list stands without a word from discovery
+ * @param slowStartCapacityShare share of its capacity that a worker has when it starts, above 0 and up to 1
+ * @param slowStartMs how long it takes to full capacity
+ * @param overloadFactor a worker in slow start fails when it is sent this multiple of its present capacity
+ * @param overloadWindowMs ... within this time
+ * @param responseSlackMs how much later than its deadline a request may be answered
+ */
 public record PlatformRules(
         double drainGraceMs,
         double maxListAgeMs,
@@ -9,6 +19,11 @@
         double overloadFactor,
         double overloadWindowMs,
         double responseSlackMs) {
+    /**
+     * Checks the figures.
+     *
+     * @throws IllegalArgumentException if one is out of range
+     */
     public PlatformRules {
         Preconditions.require(slowStartCapacityShare > 0 && slowStartCapacityShare <= 1, "coldFrom must lie in 0..1");
         Preconditions.require(
--- a/src/main/java/maplespread/policy/PolicyActions.java
+++ b/src/main/java/maplespread/policy/PolicyActions.java
@@ -1,6 +1,9 @@
 package maplespread.policy;
 
-/** What a node tells its host. None of these calls may call back into the node. */
+/**
+ * What a policy tells its host to do, called while it handles an event. None of these calls may call back into the
+ * policy, nor block.
+ */
 public interface PolicyActions {
     /** Send the request to the worker: its next attempt, counted from 0. */
     void sendAttempt(long id, String worker);
@@ -8,7 +11,7 @@
     /** End the request; the client may safely try again, after {@code pauseMs} if above 0. */
     void reject(long id, double pauseMs, RejectionReason why);
 
-    /** End the request with an error; nothing is promised. */
+    /** End the request with an error: whether it ran is not known. */
     void fail(long id, RejectionReason why);
 
     /** Call off an attempt; it still gets its outcome. */
@@ -17,13 +20,13 @@
     /** Probe a worker. */
     void probe(String worker);
 
-    /** Subscribe to the list. */
+    /** Subscribe to the endpoint list. */
     void watchEndpointList();
 
-    /** Ask for the event {@code timer} after this long. */
+    /** Call {@link PolicyEvents#timerExpired} with this label after this long. */
     void scheduleTimer(double delayMs, long label);
 
-    /** How far the list can be relied on has changed, so long after it was last confirmed. */
+    /** How far the endpoint list can be relied on has changed, so long after it was last confirmed. */
     void listStateChanged(EndpointListState from, EndpointListState to, double ageMs);
 
     /** A line for the operators. */
--- a/src/main/java/maplespread/policy/PolicyEvents.java
+++ b/src/main/java/maplespread/policy/PolicyEvents.java
@@ -2,45 +2,59 @@
 
 import java.util.List;
 
-/** What a host tells a node. Nothing else moves it. */
+/**
+ * What a host tells its policy; nothing else moves it. The host calls from one thread at a time, in order. Times are
+ * microseconds of the host's own clock, which must never run backwards.
+ *
+ * <p>Every method throws {@link IllegalArgumentException} if time runs backwards.
+ */
 public interface PolicyEvents {
     /**
-     * Other settings hold from now on, for requests taken from now on; what was learnt stays. Classes
-     * keep their places: new ones stand behind those there were.
+     * Other settings are in force, for requests accepted from now on; what was learnt stays.
+     *
+     * @throws IllegalArgumentException if a class is missing: classes keep their index, and new ones come behind them
      */
     void settingsChanged(long nowUs, PolicySettings next);
 
-    /** News of the worker list. {@code version} only grows. */
+    /** A message of the endpoint list has come. {@code version} only grows. */
     void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries);
 
     /** Discovery has told all that it has, and a watch goes on telling. */
     void endpointListConfirmed(long nowUs);
 
-    /** The list is in doubt, last heard of so long ago; the host sees to a new watch without a word from here. */
+    /** The list is in doubt, last heard of so long ago. The host subscribes again without being asked. */
     void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs);
 
-    /** A watch or fetch failed, or the watch broke, last heard so long ago. */
+    /** A watch or a call for one failed, or the watch broke, last heard of so long ago. */
     void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs);
 
-    /** A request was taken. Its id must be new. */
+    /**
+     * A request was accepted.
+     *
+     * @throws IllegalArgumentException if its class is unknown
+     * @throws IllegalStateException if its id is in use
+     */
     void requestAccepted(long nowUs, PolicyRequest request);
 
-    /** The attempt has started (share 0) or has done this share of its work. */
+    /** The attempt has started ({@code share} is ignored), or has done this share of its work, 0 to 1. */
     void attemptProgressed(long nowUs, long id, int attempt, String worker, boolean started, double share);
 
-    /** A streamed answer has started. */
+    /** A streamed response has started: the request is not attempted again. */
     void responseStarted(long nowUs, long id, int attempt, String worker);
 
     /**
-     * An attempt is over. {@code ended}: the request has ended, by this or earlier. {@code report} may
-     * be null.
+     * An attempt is over.
+     *
+     * @param lagMs from its sending to its end
+     * @param ended the request has ended, by this attempt or earlier
+     * @param report what the worker told with it; may be null
      */
     void attemptEnded(
             long nowUs,
             long id,
             int attempt,
             String worker,
-            AttemptOutcome verdict,
+            AttemptOutcome outcome,
             double lagMs,
             boolean ended,
             LoadReport report);
@@ -48,9 +62,9 @@
     /** Nobody waits for the request any more. */
     void requestAbandoned(long nowUs, long id);
 
-    /** A timer set with {@link PolicyActions#scheduleTimer} is due. */
+    /** A timer set by {@link PolicyActions#scheduleTimer} is due. */
     void timerExpired(long nowUs, long label);
 
     /** A probe ended. {@code report} may be null. */
-    void probeEnded(long nowUs, String worker, AttemptOutcome verdict, double lagMs, LoadReport report);
+    void probeEnded(long nowUs, String worker, AttemptOutcome outcome, double lagMs, LoadReport report);
 }
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -122,7 +122,7 @@
         c.deadline = now + c.spec.deadlineMs();
         calls.put(id, c);
         node.requestAccepted(
-                us(), new PolicyRequest(id, 0, 0, Math.round(c.deadline * 1000), 100, 1, 0, null, before, 1));
+                us(), new PolicyRequest(id, 0, 0, Math.round(c.deadline * 1000), 100, 1, 0, null, before, 1, null));
         answerProbes();
         return c;
     }
