--- a/src/main/java/maplespread/starvation/CellCode.java
+++ b/src/main/java/maplespread/starvation/CellCode.java
@@ -1,50 +1,68 @@
 package maplespread.starvation;
 
+import java.util.Arrays;
+import java.util.stream.LongStream;
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * What a count in a window is of, in one number: tenant, class, place, band of the job's own work, whether
- * the wait was seen to its end, and the histogram's bin. Sorted numbers lie close to each other, so their
- * differences are short on the wire.
+ * Codes what a count in a window is of as one number: from the highest bits on, tenant, class, place and band of
+ * the request's own work, which together are the cell; then whether the wait is censored, and the histogram's
+ * bin. Sorted codes lie close to each other, so their differences are short on the wire.
  */
 final class CellCode {
-    static final int MAX_TENANTS = 1 << 16, MAX_CLASSES = 1 << 6, MAX_PLACES = 1 << 16;
-    private static final int BIN_BITS = 13, BAND_BITS = 4, PLACE_BITS = 16, CLASS_BITS = 6;
+    static final int MAX_TENANTS = 1 << 16;
+    static final int MAX_CLASSES = 1 << 6;
+    static final int MAX_PLACES = 1 << 16;
+
+    private static final int BIN_BITS = 13;
+    private static final int BAND_BITS = 4;
+    private static final int PLACE_BITS = 16;
+    private static final int CLASS_BITS = 6;
+    private static final int TENANT_BITS = 16;
     private static final int BANDS = 1 << BAND_BITS;
+    private static final int OCTAVES_PER_BAND = 2;
+    private static final double BAND_FACTOR = 4;
+    private static final double LOWEST_BAND_MIDDLE_MS = 2.0;
+    private static final int MAX_WAIT_MS = 3_600_000;
+
     /** No code is above it. */
-    static final long MAX_CODE = (1L << BIN_BITS + 1 + BAND_BITS + PLACE_BITS + CLASS_BITS + 16) - 1;
-    /** Where the bins begin, ms; the last one holds all above an hour. */
+    static final long MAX_CODE = (1L << BIN_BITS + 1 + BAND_BITS + PLACE_BITS + CLASS_BITS + TENANT_BITS) - 1;
+
+    /** Where the bins begin, ms; the last one holds all waits above an hour. */
     static final int[] BIN_LOWER_MS = bins();
 
     private CellCode() {}
 
     private static int[] bins() {
-        IntCountsHistogram shape = new IntCountsHistogram(3_600_000, 1);
-        return java.util.stream.LongStream.iterate(0, v -> v <= 3_600_000, shape::nextNonEquivalentValue)
-                .mapToInt(v -> (int) v)
+        IntCountsHistogram shape = new IntCountsHistogram(MAX_WAIT_MS, 1);
+        return LongStream.iterate(0, lower -> lower <= MAX_WAIT_MS, shape::nextNonEquivalentValue)
+                .mapToInt(lower -> (int) lower)
                 .toArray();
     }
 
-    static int binFor(double ms) {
-        int at = java.util.Arrays.binarySearch(
-                BIN_LOWER_MS, (int) Math.min(BIN_LOWER_MS[BIN_LOWER_MS.length - 1], Math.max(0, ms)));
-        return at >= 0 ? at : -at - 2;
+    /** The bin that a wait falls into. */
+    static int binFor(double waitMs) {
+        int highest = BIN_LOWER_MS[BIN_LOWER_MS.length - 1];
+        int index = Arrays.binarySearch(BIN_LOWER_MS, (int) Math.min(highest, Math.max(0, waitMs)));
+        return index >= 0 ? index : -index - 2;
     }
 
-    /** The cell: all but the bin, and whether it was held. */
-    static long cell(int tenant, int cls, int place, int band) {
-        long who = (long) tenant << CLASS_BITS | cls;
-        return (who << PLACE_BITS | place) << BAND_BITS | band;
+    /** The cell of a tenant's requests of a class, place and band of work. */
+    static long cell(int tenant, int requestClass, int place, int band) {
+        long tenantAndClass = (long) tenant << CLASS_BITS | requestClass;
+        return (tenantAndClass << PLACE_BITS | place) << BAND_BITS | band;
     }
 
-    static long of(long cell, boolean held, int bin) {
-        return (cell << 1 | (held ? 1 : 0)) << BIN_BITS | bin;
+    /** The code of a cell's waits in a bin. */
+    static long of(long cell, boolean censored, int bin) {
+        return (cell << 1 | (censored ? 1 : 0)) << BIN_BITS | bin;
     }
 
     static long cell(long code) {
         return code >>> BIN_BITS + 1;
     }
 
+    /** Whether the waits are only known to be at least so long. */
     static boolean censored(long code) {
         return (code >>> BIN_BITS & 1) == 1;
     }
@@ -69,14 +87,17 @@
         return (int) cell & BANDS - 1;
     }
 
-    /** Jobs of a band have work within a factor of four; 0: nobody said how much. */
+    /** The band of a request's own work: work within a factor of four; 0 where it is not known (NaN). */
     static int bandFor(double workMs) {
-        int octave = 31 - Integer.numberOfLeadingZeros((int) Math.max(1, workMs));
-        return Double.isNaN(workMs) ? 0 : 1 + Math.min(BANDS - 2, octave / 2);
+        if (Double.isNaN(workMs)) {
+            return 0;
+        }
+        int octave = Integer.SIZE - 1 - Integer.numberOfLeadingZeros((int) Math.max(1, workMs));
+        return 1 + Math.min(BANDS - 2, octave / OCTAVES_PER_BAND);
     }
 
-    /** The middle of a band, ms. */
+    /** The middle of a band, ms; 0 where the work is not known. */
     static double bandMiddleMs(int band) {
-        return band == 0 ? 0 : 2.0 * Math.pow(4, band - 1);
+        return band == 0 ? 0 : LOWEST_BAND_MIDDLE_MS * Math.pow(BAND_FACTOR, band - 1);
     }
 }
--- a/src/main/java/maplespread/starvation/FleetWindow.java
+++ b/src/main/java/maplespread/starvation/FleetWindow.java
@@ -7,165 +7,223 @@
 import java.util.TreeMap;
 
 /**
- * The windows of the last while, of one process or of many, added up. A window counts once, however often and
- * in whatever order it comes; one of an earlier run, or from before what is kept, not at all.
+ * The windows of the last while, of one dispatcher or of many, added up. A window counts once, however often
+ * and in whatever order it comes; one of an earlier incarnation, or from before what is kept, not at all. Not
+ * thread-safe.
  */
 public final class FleetWindow {
-    /** What is known of a process. {@code seen}: its newest numbers as bits, the newest lowest. */
+    private static final int MAX_PROCESSES = 4096;
+    /** Entries of all windows together, at 12 bytes each. */
+    private static final int MAX_ENTRIES = 4_000_000;
+
+    private static final int BYTES_PER_ENTRY = 12;
+    private static final int BYTES_PER_HISTOGRAM = 200;
+    private static final int BYTES_PER_PROCESS = 200;
+    private static final int INITIAL_TENANTS = 16;
+    private static final double MS_PER_SECOND = 1000.0;
+    /** Requests that are no overuse, however small the allowance. */
+    private static final double MIN_BURST = 3;
+
+    /** What is known of one process. */
     private static final class Source {
-        long run, newest = -1, seen, heardMs;
-        WaitWindow open; // the window whose open jobs count
+        private static final long NONE = -1;
+
+        long incarnation;
+        long newestSequence = NONE;
+        /** Which of the newest sequence numbers have come, as bits, the newest one lowest. */
+        long receivedBits;
+
+        long heardAtMs;
+        WaitWindow ongoing; // the window whose ongoing requests count; null: none does
+
+        Source(long incarnation) {
+            this.incarnation = incarnation;
+        }
+
+        void restart(long nextIncarnation) {
+            incarnation = nextIncarnation;
+            newestSequence = NONE;
+            receivedBits = 0;
+        }
+
+        /** Whether the window is the newest of the process so far. */
+        boolean isNewest(WaitWindow window) {
+            return newestSequence < 0 || window.sequence() > newestSequence;
+        }
+
+        void recordNewest(WaitWindow window) {
+            long ahead = window.sequence() - newestSequence;
+            receivedBits = newestSequence < 0 || ahead >= Long.SIZE ? 1 : receivedBits << ahead | 1;
+            newestSequence = window.sequence();
+        }
+
+        /** Takes note of an older window; false where it has come before or is too old. */
+        boolean recordOlder(WaitWindow window, long keepMs) {
+            long behind = newestSequence - window.sequence();
+            long maxBehind = Math.min(Long.SIZE, keepMs / Math.max(1, window.lengthMs()));
+            if (behind >= maxBehind || (receivedBits >>> behind & 1) == 1) {
+                return false;
+            }
+            receivedBits |= 1L << behind;
+            return true;
+        }
     }
 
-    private record Kept(long atMs, WaitWindow window) {}
+    private record KeptWindow(long atMs, WaitWindow window) {}
 
-    private static final int MOST_SOURCES = 4096;
-    private static final int MOST_ENTRIES = 4_000_000; // 12 bytes each
     private final long keepMs;
     private final boolean separatesPlaces;
-    private final ArrayDeque<Kept> kept = new ArrayDeque<>();
+    private final ArrayDeque<KeptWindow> kept = new ArrayDeque<>();
     private final Map<String, Source> sources = new TreeMap<>();
-    private final Map<Long, WaitHistogram> cells = new HashMap<>(); // by cell
-    private final Map<Long, WaitHistogram> strata = new HashMap<>(); // all tenants of a class, place and band
-    private final TreeMap<Long, int[]> jobs = new TreeMap<>(); // that ended, by time and tenant
+    private final Map<Long, WaitHistogram> cells = new HashMap<>();
+    private final Map<Long, WaitHistogram> strata = new HashMap<>();
+    /** Requests that ended, by time slot, then by tenant. */
+    private final TreeMap<Long, int[]> requestsBySlot = new TreeMap<>();
+
     private int slotMs = 1;
     private int entries;
-    private long jobsMs; // of all windows, for rates
+    private long windowsMs;
     private long dropped;
 
     /**
-     * {@code keepMs}: so long a window counts; {@code places}: whether places are told apart. One process
-     * among many sees too few jobs in each for that.
+     * {@code keepMs}: for how long a window counts; {@code separatesPlaces}: whether places are told apart. One
+     * dispatcher among many sees too few requests in each for that.
      */
-    public FleetWindow(long keepMs, boolean places) {
+    public FleetWindow(long keepMs, boolean separatesPlaces) {
         this.keepMs = keepMs;
-        this.separatesPlaces = places;
+        this.separatesPlaces = separatesPlaces;
     }
 
-    /** Whether the window counts. */
-    public boolean add(long nowMs, WaitWindow w) {
-        Source s = sources.get(w.process());
-        if (s == null) {
-            if (sources.size() >= MOST_SOURCES) {
-                sources.entrySet().removeIf(e -> nowMs - e.getValue().heardMs >= keepMs);
-            }
-            if (sources.size() >= MOST_SOURCES) {
-                dropped++;
-                return false;
-            }
-            s = new Source();
-            s.run = w.incarnation();
-            sources.put(w.process(), s);
+    // ------------------------------------------------------------ adding and evicting
+
+    /** Adds a window; returns whether it counts. */
+    public boolean add(long nowMs, WaitWindow window) {
+        Source source = sourceOf(nowMs, window);
+        if (source == null) {
+            dropped++;
+            return false;
         }
-        if (w.incarnation() < s.run) {
+        if (window.incarnation() < source.incarnation) {
             return false;
         }
-        if (w.incarnation() > s.run) {
-            s.run = w.incarnation();
-            s.newest = -1;
-            s.seen = 0;
+        if (window.incarnation() > source.incarnation) {
+            source.restart(window.incarnation());
         }
-        long behind = s.newest - w.sequence();
-        if (s.newest >= 0 && behind >= 0) {
-            long most = Math.min(Long.SIZE, keepMs / Math.max(1, w.lengthMs()));
-            if (behind >= most || (s.seen >>> behind & 1) == 1) {
-                return false;
-            }
-            s.seen |= 1L << behind;
-        } else {
-            s.seen = s.newest < 0 || -behind >= Long.SIZE ? 1 : s.seen << -behind | 1;
-            s.newest = w.sequence();
-            open(s, w);
-        }
-        s.heardMs = nowMs;
-        if (entries + w.codes().length > MOST_ENTRIES) {
+        if (source.isNewest(window)) {
+            source.recordNewest(window);
+            replaceOngoing(source, window);
+        } else if (!source.recordOlder(window, keepMs)) {
+            return false;
+        }
+        source.heardAtMs = nowMs;
+        if (entries + window.codes().length > MAX_ENTRIES) {
             dropped++;
             return false;
         }
-        kept.add(new Kept(nowMs, w));
-        ended(w, 1);
-        asked(nowMs, w);
+        kept.add(new KeptWindow(nowMs, window));
+        addEnded(window, 1);
+        countRequests(nowMs, window);
         return true;
     }
 
-    private void open(Source s, WaitWindow w) {
-        if (s.open != null) {
-            sum(s.open.ongoingCodes(), s.open.ongoingCounts(), -1);
+    /** The process of the window; null where there is no room for another one. */
+    private Source sourceOf(long nowMs, WaitWindow window) {
+        Source known = sources.get(window.process());
+        if (known != null) {
+            return known;
+        }
+        if (sources.size() >= MAX_PROCESSES) {
+            sources.values().removeIf(source -> nowMs - source.heardAtMs >= keepMs);
+        }
+        if (sources.size() >= MAX_PROCESSES) {
+            return null;
+        }
+        Source added = new Source(window.incarnation());
+        sources.put(window.process(), added);
+        return added;
+    }
+
+    /** {@code next}: the window whose ongoing requests count from now on; null: none does. */
+    private void replaceOngoing(Source source, WaitWindow next) {
+        if (source.ongoing != null) {
+            addCounts(source.ongoing.ongoingCodes(), source.ongoing.ongoingCounts(), -1);
         }
-        s.open = w;
-        if (w != null) {
-            sum(w.ongoingCodes(), w.ongoingCounts(), 1);
+        source.ongoing = next;
+        if (next != null) {
+            addCounts(next.ongoingCodes(), next.ongoingCounts(), 1);
         }
     }
 
-    private void ended(WaitWindow w, int sign) {
-        entries += sign * w.codes().length;
-        jobsMs += sign * w.lengthMs();
-        sum(w.codes(), w.counts(), sign);
+    /** {@code sign}: 1 adds, -1 takes out. */
+    private void addEnded(WaitWindow window, int sign) {
+        entries += sign * window.codes().length;
+        windowsMs += (long) sign * window.lengthMs();
+        addCounts(window.codes(), window.counts(), sign);
     }
 
-    /** Counts who asked how much when, for what is beyond a share. */
-    private void asked(long nowMs, WaitWindow w) {
-        slotMs = Math.max(1, w.lengthMs());
-        int[] of = jobs.computeIfAbsent(nowMs / slotMs, k -> new int[16]);
-        for (int i = 0; i < w.codes().length; i++) {
-            int t = CellCode.tenant(CellCode.cell(w.codes()[i]));
-            if (t >= of.length) {
-                of = Arrays.copyOf(of, 2 * t);
-                jobs.put(nowMs / slotMs, of);
+    private void countRequests(long nowMs, WaitWindow window) {
+        slotMs = Math.max(1, window.lengthMs());
+        long slot = nowMs / slotMs;
+        int[] byTenant = requestsBySlot.computeIfAbsent(slot, k -> new int[INITIAL_TENANTS]);
+        for (int i = 0; i < window.codes().length; i++) {
+            int tenant = CellCode.tenant(CellCode.cell(window.codes()[i]));
+            if (tenant >= byTenant.length) {
+                byTenant = Arrays.copyOf(byTenant, 2 * tenant);
+                requestsBySlot.put(slot, byTenant);
             }
-            of[t] += w.counts()[i];
+            byTenant[tenant] += window.counts()[i];
         }
     }
 
-    private void sum(long[] codes, int[] counts, int sign) {
+    private void addCounts(long[] codes, int[] counts, int sign) {
         for (int i = 0; i < codes.length; i++) {
             long cell = CellCode.cell(codes[i]);
             if (!separatesPlaces) {
                 cell = CellCode.cell(CellCode.tenant(cell), CellCode.requestClass(cell), 0, CellCode.band(cell));
             }
-            add(cells, cell, codes[i], sign * counts[i]);
-            add(strata, stratum(cell), codes[i], sign * counts[i]);
+            addCount(cells, cell, codes[i], sign * counts[i]);
+            addCount(strata, stratum(cell), codes[i], sign * counts[i]);
         }
     }
 
-    private static void add(Map<Long, WaitHistogram> all, long key, long code, int count) {
-        WaitHistogram s = all.computeIfAbsent(key, k -> new WaitHistogram());
-        s.add(CellCode.censored(code), CellCode.bin(code), count);
-        if (s.total() == 0) {
+    private static void addCount(Map<Long, WaitHistogram> all, long key, long code, int count) {
+        WaitHistogram histogram = all.computeIfAbsent(key, k -> new WaitHistogram());
+        histogram.add(CellCode.censored(code), CellCode.bin(code), count);
+        if (histogram.total() == 0) {
             all.remove(key);
         }
     }
 
-    /** A cell's class, place and band, of whichever tenant. */
+    /** The cell's class, place and band, of all tenants. */
     static long stratum(long cell) {
         return CellCode.cell(0, CellCode.requestClass(cell), CellCode.place(cell), CellCode.band(cell));
     }
 
-    /** Lets go of what is too old. */
+    /** Removes what is older than {@code keepMs}. */
     public void evictExpired(long nowMs) {
         while (!kept.isEmpty() && nowMs - kept.peek().atMs() >= keepMs) {
-            WaitWindow w = kept.remove().window();
-            ended(w, -1);
+            addEnded(kept.remove().window(), -1);
         }
-        jobs.headMap((nowMs - keepMs) / slotMs, true).clear();
-        for (Source s : sources.values()) {
-            if (nowMs - s.heardMs >= keepMs) { // its open jobs are of long ago
-                open(s, null);
+        requestsBySlot.headMap((nowMs - keepMs) / slotMs, true).clear();
+        for (Source source : sources.values()) {
+            if (nowMs - source.heardAtMs >= keepMs) {
+                replaceOngoing(source, null);
             }
         }
     }
 
-    /** How many processes are in it. */
+    // ------------------------------------------------------------ what it holds
+
+    /** How many processes' windows are in it. */
     public int reportingProcesses(long nowMs) {
         return (int) sources.values().stream()
-                .filter(s -> nowMs - s.heardMs < keepMs)
+                .filter(source -> nowMs - source.heardAtMs < keepMs)
                 .count();
     }
 
-    /** How long the view reaches back on the mean of its processes, seconds. */
+    /** How long it reaches back on the mean of so many processes, seconds. */
     double seconds(int processes) {
-        return jobsMs / 1000.0 / Math.max(1, processes);
+        return windowsMs / MS_PER_SECOND / Math.max(1, processes);
     }
 
     /** Windows that had no room here. */
@@ -173,34 +231,36 @@
         return dropped;
     }
 
+    /** By cell (see {@link CellCode#cell(int, int, int, int)}) the waits of its requests. */
     Map<Long, WaitHistogram> cells() {
         return cells;
     }
 
+    /** By {@link #stratum} the waits of all tenants' requests. */
     Map<Long, WaitHistogram> strata() {
         return strata;
     }
 
-    /** The tenant's jobs in it that had ended. */
-    int jobs(int tenant) {
-        return jobs.values().stream()
-                .mapToInt(of -> tenant < of.length ? of[tenant] : 0)
+    /** The tenant's requests in it that had ended. */
+    int requests(int tenant) {
+        return requestsBySlot.values().stream()
+                .mapToInt(byTenant -> tenant < byTenant.length ? byTenant[tenant] : 0)
                 .sum();
     }
 
     /**
-     * The tenant's jobs beyond what is due to it a second, in the stretch up to now in which it asked the
-     * most too much. What comes at once within {@code slackMs} is no excess, nor are a few jobs: jobs are
-     * seen as they end, and those of a deadline may end together.
+     * The tenant's requests beyond what is due to it, {@code duePerS} a second, in the stretch up to now in
+     * which it asked the most too much. What comes at once within {@code slackMs} is no overuse, nor are a few
+     * requests: they are seen as they end, and those of one deadline may end together.
      */
-    double maxOveruse(int tenant, double due, double slackMs) {
+    double maxOveruse(int tenant, double duePerS, double slackMs) {
         double most = 0;
         double asked = 0;
-        double may = Math.max(3, due * slackMs / 1000);
-        for (int[] of : jobs.descendingMap().values()) {
-            asked += tenant < of.length ? of[tenant] : 0;
-            may += due * slotMs / 1000;
-            most = Math.max(most, asked - may);
+        double allowed = Math.max(MIN_BURST, duePerS * slackMs / MS_PER_SECOND);
+        for (int[] byTenant : requestsBySlot.descendingMap().values()) {
+            asked += tenant < byTenant.length ? byTenant[tenant] : 0;
+            allowed += duePerS * slotMs / MS_PER_SECOND;
+            most = Math.max(most, asked - allowed);
         }
         return most;
     }
@@ -211,7 +271,9 @@
 
     /** About how many bytes it holds. */
     public long estimatedBytes() {
-        long samples = cells.size() + strata.size();
-        return entries * 12L + samples * 200 + sources.size() * 200L;
+        long histograms = (long) cells.size() + strata.size();
+        return (long) entries * BYTES_PER_ENTRY
+                + histograms * BYTES_PER_HISTOGRAM
+                + (long) sources.size() * BYTES_PER_PROCESS;
     }
 }
--- a/src/main/java/maplespread/starvation/LogRankComparison.java
+++ b/src/main/java/maplespread/starvation/LogRankComparison.java
@@ -1,47 +1,58 @@
 package maplespread.starvation;
 
+import java.util.Arrays;
 import org.apache.commons.statistics.distribution.GammaDistribution;
 
 /**
- * One group's waits against the others', stratum by stratum, where some waits are only known to be at least
- * so long. Two questions. Can it be chance: the log-rank test, by how many of the group's jobs should have
- * been served by each moment if it waited as all do, and how many were. Does it matter: the difference of
- * the mean waits, cut at the deadline (restricted means of Kaplan and Meier's curves), as a share of it.
+ * Compares one group's waits with the others', stratum by stratum, where some waits are censored: only known to
+ * be at least so long. Whether the difference can be chance is told by the log-rank test: how many of the
+ * group's requests should have been served by each moment if it waited as all do, and how many were. Whether it
+ * matters is told by the difference of the mean waits, cut at the deadline (restricted means of Kaplan and
+ * Meier's curves), as a share of it.
  *
- * <p>The number that should have been served is a sum over the group's own jobs of the risk that all together
- * ran until then, so a comparison costs as much as the group has jobs. The number that was is a count, and
- * its tail is Poisson's, not the normal one: of few jobs the two are orders of magnitude apart just where
- * many comparisons have to be corrected for.
+ * <p>The number that should have been served is a sum over the group's own requests of the hazard that all
+ * together met until then, so a comparison costs as much as the group has requests. The number that was served
+ * is a count with Poisson's tail: of few requests the normal tail is orders of magnitude off just where many
+ * comparisons have to be corrected for.
  */
 public final class LogRankComparison {
-    /** A stratum's waits with what is made once for all groups in it. */
+    /** The waits of all groups in a stratum, with what is computed once for all of them. */
     static final class Stratum {
-        final int total, censored;
-        final double deadlineMs, meanMs; // the deadline; the restricted mean
-        private final double[] hazard = new double[CellCode.BIN_LOWER_MS.length]; // Nelson and Aalen's, by bin's end
-        private final double[] within = new double[CellCode.BIN_LOWER_MS.length]; // for one served in the bin
-
-        Stratum(WaitHistogram all, double tauMs) {
-            this.deadlineMs = tauMs;
+        final int total;
+        final int censored;
+        final double deadlineMs;
+        /** The mean wait, cut at the deadline. */
+        final double meanMs;
+        /** The cumulative hazard (Nelson and Aalen) at the end of each bin. */
+        private final double[] hazard = new double[CellCode.BIN_LOWER_MS.length];
+        /** The same, on the mean for one that is served in the bin. */
+        private final double[] hazardWhenServed = new double[CellCode.BIN_LOWER_MS.length];
+
+        Stratum(WaitHistogram all, double deadlineMs) {
+            this.deadlineMs = deadlineMs;
             total = all.total();
-            censored = all.held();
-            meanMs = mean(all, all.total(), tauMs);
-            double at = total;
+            censored = all.censoredTotal();
+            meanMs = restrictedMeanMs(all, deadlineMs);
+            computeHazard(all);
+        }
+
+        private void computeHazard(WaitHistogram all) {
+            double atRisk = total;
             double sum = 0;
             int bin = 0;
             for (int i = 0; i < all.size(); i++) {
                 for (; bin < all.bin(i); bin++) {
                     hazard[bin] = sum;
                 }
-                if (!all.held(i)) {
-                    double more = 0; // served one after the other, in any order
+                if (!all.censored(i)) {
+                    double increase = 0; // served one after the other, in any order
                     for (int k = 0; k < all.count(i); k++) {
-                        more += 1 / (at - k);
+                        increase += 1 / (atRisk - k);
                     }
-                    within[bin] = sum + 1 - (at - all.count(i)) / all.count(i) * more;
-                    sum += more;
+                    hazardWhenServed[bin] = sum + 1 - (atRisk - all.count(i)) / all.count(i) * increase;
+                    sum += increase;
                 }
-                at -= all.count(i);
+                atRisk -= all.count(i);
             }
             for (; bin < hazard.length; bin++) {
                 hazard[bin] = sum;
@@ -51,25 +62,34 @@
 
     /** What was found, added up over strata. */
     static final class Sum {
-        int total, censored, others, othersCensored;
-        double observed, expected;
-        double ownWaitSum, othersWaitSum, deadlineSum; // each times the jobs
-        private double removalCarry; // jobs not taken out yet, below one
-
-        /** Adds another so many times; below 0: takes it out. */
-        void add(Sum o, int times) {
-            total += times * o.total;
-            censored += times * o.censored;
-            others += times * o.others;
-            othersCensored += times * o.othersCensored;
-            observed += times * o.observed;
-            expected += times * o.expected;
-            ownWaitSum += times * o.ownWaitSum;
-            othersWaitSum += times * o.othersWaitSum;
-            deadlineSum += times * o.deadlineSum;
+        int total;
+        int censored;
+        int others;
+        int othersCensored;
+        double observed;
+        double expected;
+        /** Mean waits and deadlines, each times the requests. */
+        double ownWaitSum;
+
+        double othersWaitSum;
+        double deadlineSum;
+        /** Requests that are still to be left out, below one. */
+        private double removalCarry;
+
+        /** Adds another sum so many times; below 0: takes it out. */
+        void add(Sum other, int times) {
+            total += times * other.total;
+            censored += times * other.censored;
+            others += times * other.others;
+            othersCensored += times * other.othersCensored;
+            observed += times * other.observed;
+            expected += times * other.expected;
+            ownWaitSum += times * other.ownWaitSum;
+            othersWaitSum += times * other.othersWaitSum;
+            deadlineSum += times * other.deadlineSum;
         }
 
-        /** By how much it waits longer, ms; below 0: shorter. */
+        /** By how much the group waits longer, ms; below 0: shorter. */
         double excessWaitMs() {
             return total == 0 ? 0 : (ownWaitSum - othersWaitSum) / total;
         }
@@ -82,87 +102,92 @@
             return total == 0 ? 0 : othersWaitSum / total;
         }
 
-        /** The same as a share of the deadline. */
+        /** By how much the group waits longer, as a share of the deadline. */
         double effect() {
             return deadlineSum == 0 ? 0 : (ownWaitSum - othersWaitSum) / deadlineSum;
         }
 
-        /** In standard deviations; above 0: waits longer. */
+        /** In standard deviations; above 0: the group waits longer. */
         double zScore() {
             return expected <= 0 ? 0 : (expected - observed) / Math.sqrt(expected);
         }
 
-        /** How likely it is by chance to wait so much longer, where all spread wider by a factor. */
-        double pValue(double wider) {
+        /** How likely it is by chance to wait so much longer, where the variance is larger by a factor. */
+        double pValue(double varianceInflation) {
             return expected <= observed
                     ? 1
-                    : GammaDistribution.of(observed / wider + 1, 1).survivalProbability(expected / wider);
+                    : GammaDistribution.of(observed / varianceInflation + 1, 1)
+                            .survivalProbability(expected / varianceInflation);
         }
     }
 
     private LogRankComparison() {}
 
     /**
-     * Adds to the sum what a group's jobs in a stratum tell against the others. {@code kept}: what share of
-     * them counts; the rest, the worst, are taken out as what it asked beyond its share.
+     * Adds a comparison of a group's requests in a stratum with the others'. {@code kept}: what share of the
+     * group's requests counts; the rest, those that waited longest, are left out as beyond its share.
      */
-    static void add(Sum sum, Stratum all, WaitHistogram own, double kept) {
-        int others = all.total - own.total();
+    static void add(Sum sum, Stratum stratum, WaitHistogram own, double kept) {
+        int others = stratum.total - own.total();
         if (others <= 0) {
-            return; // nobody beside it
+            return;
         }
         sum.removalCarry += own.total() * (1 - kept);
-        int out = Math.min(own.total(), (int) sum.removalCarry);
-        sum.removalCarry -= out;
-        int n = own.total() - out;
+        int removed = Math.min(own.total(), (int) sum.removalCarry);
+        sum.removalCarry -= removed;
+        int total = own.total() - removed;
         int[] counts = new int[own.size()];
-        out = worst(own, counts, true, out); // held the longest, then served the latest
-        worst(own, counts, false, out);
-        double beside = (all.total * all.meanMs - own.total() * mean(own, own.total(), all.deadlineMs)) / others;
+        // First those censored the latest, then those served the latest.
+        int stillToRemove = removeLongest(own, counts, true, removed);
+        removeLongest(own, counts, false, stillToRemove);
+        double othersMeanMs =
+                (stratum.total * stratum.meanMs - own.total() * restrictedMeanMs(own, stratum.deadlineMs)) / others;
         for (int i = 0; i < counts.length; i++) {
-            sum.expected += counts[i] * (own.held(i) ? all.hazard : all.within)[own.bin(i)];
-            sum.observed += own.held(i) ? 0 : counts[i];
-            sum.censored += own.held(i) ? counts[i] : 0;
+            double[] hazard = own.censored(i) ? stratum.hazard : stratum.hazardWhenServed;
+            sum.expected += counts[i] * hazard[own.bin(i)];
+            sum.observed += own.censored(i) ? 0 : counts[i];
+            sum.censored += own.censored(i) ? counts[i] : 0;
         }
-        sum.total += n;
+        sum.total += total;
         sum.others += others;
-        sum.othersCensored += all.censored - own.held();
-        sum.ownWaitSum += n == 0 ? 0 : n * mean(own, counts, n, all.deadlineMs);
-        sum.othersWaitSum += n * beside;
-        sum.deadlineSum += n * all.deadlineMs;
+        sum.othersCensored += stratum.censored - own.censoredTotal();
+        sum.ownWaitSum += total == 0 ? 0 : total * restrictedMeanMs(own, counts, total, stratum.deadlineMs);
+        sum.othersWaitSum += total * othersMeanMs;
+        sum.deadlineSum += total * stratum.deadlineMs;
     }
 
-    /** Fills in the counts that stay after so many were taken out from above; how many are still to go. */
-    private static int worst(WaitHistogram own, int[] counts, boolean held, int out) {
+    /** Fills in the counts that are left of one kind; returns how many requests are still to be removed. */
+    private static int removeLongest(WaitHistogram own, int[] counts, boolean censored, int toRemove) {
+        int left = toRemove;
         for (int i = own.size() - 1; i >= 0; i--) {
-            if (own.held(i) == held) {
-                int x = Math.min(out, own.count(i));
-                counts[i] = own.count(i) - x;
-                out -= x;
+            if (own.censored(i) == censored) {
+                int removed = Math.min(left, own.count(i));
+                counts[i] = own.count(i) - removed;
+                left -= removed;
             }
         }
-        return out;
+        return left;
     }
 
-    private static double mean(WaitHistogram s, int n, double tauMs) {
-        int[] counts = new int[s.size()];
-        java.util.Arrays.setAll(counts, s::count);
-        return mean(s, counts, n, tauMs);
+    private static double restrictedMeanMs(WaitHistogram histogram, double deadlineMs) {
+        int[] counts = new int[histogram.size()];
+        Arrays.setAll(counts, histogram::count);
+        return restrictedMeanMs(histogram, counts, histogram.total(), deadlineMs);
     }
 
-    /** The mean wait of these, cut at the deadline; those held wait on as the others do. */
-    static double mean(WaitHistogram s, int[] counts, int n, double tauMs) {
-        double at = n;
-        double alive = 1;
-        double area = 0;
-        double from = 0;
-        for (int i = 0; i < counts.length && at > 0; i++) {
-            double ms = Math.min(CellCode.BIN_LOWER_MS[s.bin(i)], tauMs);
-            area += alive * (ms - from);
-            from = ms;
-            alive *= s.held(i) ? 1 : 1 - counts[i] / at;
-            at -= counts[i];
+    /** The mean wait of so many requests, cut at the deadline; those censored wait on as the others do. */
+    private static double restrictedMeanMs(WaitHistogram histogram, int[] counts, int total, double deadlineMs) {
+        double atRisk = total;
+        double waiting = 1;
+        double areaMs = 0;
+        double fromMs = 0;
+        for (int i = 0; i < counts.length && atRisk > 0; i++) {
+            double untilMs = Math.min(CellCode.BIN_LOWER_MS[histogram.bin(i)], deadlineMs);
+            areaMs += waiting * (untilMs - fromMs);
+            fromMs = untilMs;
+            waiting *= histogram.censored(i) ? 1 : 1 - counts[i] / atRisk;
+            atRisk -= counts[i];
         }
-        return area + alive * (tauMs - from);
+        return areaMs + waiting * (deadlineMs - fromMs);
     }
 }
--- a/src/main/java/maplespread/starvation/PriorityBoost.java
+++ b/src/main/java/maplespread/starvation/PriorityBoost.java
@@ -9,29 +9,30 @@
 import maplespread.starvation.Verdict.Kind;
 
 /**
- * What a starved tenant's jobs count for more, by the verdicts that stand. A round each window. The weight
- * rises a step a round while the tenant is starved; it falls some rounds after it no longer is, a fifth as
- * fast; each time that this was too early, it is held for twice as long.
+ * Decides by how much a starved tenant's requests weigh more, from the verdicts that stand; one round for each
+ * window. A boost rises by a step a round while the tenant is starved. It falls some rounds after the tenant no
+ * longer is, a fifth as fast, and each time that this was too early, it is held for twice as long.
  *
- * <p>Guards against two tenants that chase each other. Who becomes starved while another's relief is up is
- * taken for its victim: it gets none for it, the other's falls a step a round until the victim is well, and
- * never again rises beyond half of what it was when the victim appeared. So a relief that harms others is
- * halved with each victim until it is less than a step, which is none. Is the victim still starved when a
- * whole view has seen no relief, it is so in its own right: the others may rise again as before, and it is
- * relieved as they are. It is nobody's victim from then on, until it was well and not relieved for long.
+ * <p>A tenant that becomes starved while another's boost is up is taken for that boost's victim: it gets no
+ * boost for it, the other's falls a step a round until the victim is well, and never again rises beyond half of
+ * what it was when the victim appeared. A victim that is still starved when a whole view has seen no boost is
+ * starved in its own right: the others may rise again as before, it is boosted as they are, and it is nobody's
+ * victim until it was well and not boosted for long. So two tenants cannot take from each other in turns.
  *
- * <p>Bounded whatever the verdicts are: no weight is below 1 or above {@link Limits#maxWeight}, and all that is
- * above 1 is together at most {@link Limits#maxTotalBoost}.
+ * <p>Whatever the verdicts are, no weight is below 1 or above {@link Limits#maxWeight}, and all boosts together
+ * are at most {@link Limits#maxTotalBoost}. Not thread-safe.
  */
 public final class PriorityBoost {
     /**
-     * {@code most}: a weight; {@code step}: it rises by a round; {@code total}: all weights together above 1;
-     * {@code guarded}: false only to show what tenants do that chase each other.
+     * {@code maxWeight}: of one tenant; {@code step}: by which a weight rises in a round; {@code maxTotalBoost}:
+     * all weights together above 1; {@code chaseGuard}: false only to show what tenants do that take from each
+     * other in turns.
      */
     public record Limits(double maxWeight, double step, double maxTotalBoost, boolean chaseGuard) {}
 
-    /** What has changed: a relief began, was lowered for another tenant's sake, or is over. */
+    /** What has changed. {@code victim}: for whose sake the boost was lowered, or {@link Verdict#ALL}. */
     public record Change(What kind, int tenant, double weight, int victim) {
+        /** How a boost has changed. Log lines show the constants' names. */
         public enum What {
             BEGUN,
             LOWERED,
@@ -39,146 +40,191 @@
         }
     }
 
-    /** A weight above 1. */
+    /** A weight above 1. The member names are those of the admin answer. */
     public record Weight(int tenant, double weight) {}
 
-    private static final int SLOWER = 5;
-    private static final int HOLD = 3; // rounds without a word, then it falls
-    private static final int MOST_HOLD = 600;
-    private static final int GRACE = 2; // rounds in which it cannot have harmed
-    private static final int FORGET = 10; // views without a word: all begins anew
-    private static final double LEAST = 1e-9;
+    /** A boost falls by this part of a step a round. */
+    private static final int FALL_PART = 5;
+
+    /** Rounds without a verdict after which a boost falls. */
+    private static final int MIN_HOLD_ROUNDS = 3;
+
+    private static final int MAX_HOLD_ROUNDS = 600;
+    /** Rounds after its beginning in which a boost cannot have harmed anybody. */
+    private static final int HARMLESS_ROUNDS = 2;
+
+    /** Views without a verdict after which a tenant is forgotten. */
+    private static final int VIEWS_TO_FORGET = 10;
+
+    private static final double EPSILON = 1e-9;
+    private static final int LONG_AGO = Integer.MIN_VALUE / 2;
 
     /** What is remembered of a tenant. Times are rounds. */
     private static final class TenantBoost {
-        double extra, ceiling;
-        int begun, over = Integer.MIN_VALUE / 2; // of the relief; over: or what it was for
-        int since, well; // starved since; not any more for so long
-        int hold = HOLD;
-        boolean starved, own; // own: without any other's relief, too
-        final Map<Integer, Double> blamed = new TreeMap<>(); // whose was halved for it, from what
+        /** Its weight above 1, and the most that it may be. */
+        double extra;
+
+        double ceiling;
+        /** When the boost began, and when it, or what it was for, was over. */
+        int begunAt;
+
+        int endedAt = LONG_AGO;
+        /** Since when the tenant is starved, and for how long it no longer is. */
+        int starvedSince;
+
+        int roundsWell;
+        int holdRounds = MIN_HOLD_ROUNDS;
+        boolean starved;
+        /** Whether it is starved without any other's boost, too. */
+        boolean ownRight;
+        /** Whose ceilings were halved for it, and what they were. */
+        final Map<Integer, Double> loweredCeilings = new TreeMap<>();
     }
 
     private final Limits limits;
-    private final int settle; // until nothing of before is seen any more
-    private final Map<Integer, TenantBoost> wards = new TreeMap<>();
-    private int now;
+    /** Rounds until nothing of before is seen any more. */
+    private final int settleRounds;
 
-    /** {@code windows}: that a view holds. */
+    private final Map<Integer, TenantBoost> boosts = new TreeMap<>();
+    private int round;
+
+    /** {@code windows}: that the detector looks at together. */
     public PriorityBoost(Limits limits, int windows) {
         this.limits = limits;
-        settle = windows + HOLD;
+        settleRounds = windows + MIN_HOLD_ROUNDS;
     }
 
     /**
-     * One round. {@code standing}: all verdicts that stand in one view; {@code known}: enough was heard for
-     * it to be believed; if not, nobody is starved.
+     * One round. {@code standing}: all verdicts that stand in one view; {@code believed}: enough dispatchers
+     * reported; if not, nobody is taken for starved.
      */
-    public List<Change> update(List<Verdict> standing, boolean known) {
-        now++;
+    public List<Change> update(List<Verdict> standing, boolean believed) {
+        round++;
         Set<Integer> starved = new HashSet<>();
         Set<Integer> lowered = new HashSet<>();
-        for (Verdict v : known ? standing : List.<Verdict>of()) {
-            if (v.tenant() != Verdict.ALL && v.kind() != Kind.NOT_KNOWN) {
-                (v.kind() == Kind.STARVED ? starved : lowered).add(v.tenant());
+        for (Verdict verdict : believed ? standing : List.<Verdict>of()) {
+            if (verdict.tenant() != Verdict.ALL && verdict.kind() != Kind.NOT_KNOWN) {
+                (verdict.kind() == Kind.STARVED ? starved : lowered).add(verdict.tenant());
             }
         }
         starved.removeAll(lowered); // its own doing, in part at least
-        starved.forEach(t -> wards.computeIfAbsent(t, k -> new TenantBoost()));
-        wards.forEach((t, w) -> seen(w, starved.contains(t)));
+        starved.forEach(tenant -> boosts.computeIfAbsent(tenant, k -> new TenantBoost()));
+        boosts.forEach((tenant, boost) -> recordStarvation(boost, starved.contains(tenant)));
         List<Change> changes = new ArrayList<>();
-        Set<Integer> waiting = new HashSet<>(); // victims, and whom they wait for
-        if (limits.chaseGuard) {
-            wards.forEach((t, w) -> {
-                if (w.starved && !w.own && victim(t, w, lowered, waiting, changes)) {
-                    waiting.add(t);
-                }
-            });
-        }
-        double sum = wards.values().stream().mapToDouble(w -> w.extra).sum();
-        for (Map.Entry<Integer, TenantBoost> e : wards.entrySet()) {
-            TenantBoost w = e.getValue();
-            double before = w.extra;
-            if (lowered.contains(e.getKey())) {
-                w.extra = Math.max(0, w.extra - limits.step);
-            } else if (w.extra > w.ceiling + LEAST) {
-                w.extra = Math.max(w.ceiling, w.extra - limits.step);
-            } else if (w.starved && !waiting.contains(e.getKey())) {
-                double room = Math.min(w.ceiling - w.extra, limits.maxTotalBoost - sum);
-                w.extra += Math.max(0, Math.min(limits.step, room));
-            } else if (!w.starved && (!known || w.well > w.hold)) {
-                w.extra = Math.max(0, w.extra - limits.step / SLOWER);
-            }
-            w.extra = w.extra < LEAST ? 0 : w.extra;
-            sum += w.extra - before;
-            if (before == 0 && w.extra > 0) {
-                w.begun = now;
-                changes.add(new Change(Change.What.BEGUN, e.getKey(), 1 + w.extra, Verdict.ALL));
-            } else if (before > 0 && w.extra == 0) {
-                w.over = now;
-                changes.add(new Change(Change.What.ENDED, e.getKey(), 1, Verdict.ALL));
-            }
-        }
-        wards.values().removeIf(w -> w.extra == 0 && w.well > FORGET * settle);
+        Set<Integer> waiting = limits.chaseGuard ? lowerForVictims(lowered, changes) : Set.of();
+        adjust(believed, lowered, waiting, changes);
+        boosts.values().removeIf(b -> b.extra == 0 && b.roundsWell > VIEWS_TO_FORGET * settleRounds);
         return changes;
     }
 
-    private void seen(TenantBoost w, boolean starved) {
-        if (starved && !w.starved) {
-            if (w.since == 0) { // new here
-                w.ceiling = limits.maxWeight - 1;
-            } else if (limits.chaseGuard && w.extra > 0 && w.well > w.hold) {
-                w.hold = Math.min(MOST_HOLD, 2 * w.hold); // it fell too early
+    private void recordStarvation(TenantBoost boost, boolean starved) {
+        if (starved && !boost.starved) {
+            if (boost.starvedSince == 0) { // not seen before
+                boost.ceiling = limits.maxWeight - 1;
+            } else if (limits.chaseGuard && boost.extra > 0 && boost.roundsWell > boost.holdRounds) {
+                boost.holdRounds = Math.min(MAX_HOLD_ROUNDS, 2 * boost.holdRounds); // it fell too early
             }
-            w.since = now;
-            w.blamed.clear();
+            boost.starvedSince = round;
+            boost.loweredCeilings.clear();
         }
-        w.starved = starved;
-        w.well = starved ? 0 : w.well + 1;
+        boost.starved = starved;
+        boost.roundsWell = starved ? 0 : boost.roundsWell + 1;
     }
 
-    /** Whether it may be starved by another's relief, which is lowered for it then. */
-    private boolean victim(
-            int tenant, TenantBoost w, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
-        boolean waits = false;
-        for (Map.Entry<Integer, TenantBoost> e : wards.entrySet()) {
-            TenantBoost o = e.getValue();
-            boolean before = e.getKey() != tenant && o.begun > 0 && o.begun + GRACE < w.since;
-            if (before && o.extra > 0) {
-                lowered.add(e.getKey());
-                if (w.blamed.putIfAbsent(e.getKey(), o.ceiling) == null) {
-                    o.ceiling = o.extra / 2 < limits.step ? 0 : o.extra / 2;
-                    changes.add(new Change(Change.What.LOWERED, e.getKey(), 1 + o.extra, tenant));
+    // ------------------------------------------------------------ victims
+
+    /** Lowers the boosts that may starve another tenant; returns the tenants that must not rise meanwhile. */
+    private Set<Integer> lowerForVictims(Set<Integer> lowered, List<Change> changes) {
+        Set<Integer> waiting = new HashSet<>();
+        boosts.forEach((tenant, boost) -> {
+            if (boost.starved && !boost.ownRight && isVictim(tenant, boost, lowered, waiting, changes)) {
+                waiting.add(tenant);
+            }
+        });
+        return waiting;
+    }
+
+    /** Whether the tenant may be starved by another's boost, which is lowered for it then. */
+    private boolean isVictim(
+            int tenant, TenantBoost boost, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
+        boolean victim = false;
+        for (Map.Entry<Integer, TenantBoost> entry : boosts.entrySet()) {
+            int otherTenant = entry.getKey();
+            TenantBoost other = entry.getValue();
+            boolean begunBefore =
+                    otherTenant != tenant && other.begunAt > 0 && other.begunAt + HARMLESS_ROUNDS < boost.starvedSince;
+            if (begunBefore && other.extra > 0) {
+                lowered.add(otherTenant);
+                if (boost.loweredCeilings.putIfAbsent(otherTenant, other.ceiling) == null) {
+                    other.ceiling = other.extra / 2 < limits.step ? 0 : other.extra / 2;
+                    changes.add(new Change(Change.What.LOWERED, otherTenant, 1 + other.extra, tenant));
                 }
-                waits = true;
-            } else if (before && w.blamed.containsKey(e.getKey()) && now - o.over < settle) {
-                waiting.add(e.getKey()); // it must not begin again so soon
-                waits = true;
+                victim = true;
+            } else if (begunBefore
+                    && boost.loweredCeilings.containsKey(otherTenant)
+                    && round - other.endedAt < settleRounds) {
+                waiting.add(otherTenant); // it must not begin again so soon
+                victim = true;
             }
         }
-        if (!waits) { // none is up, and it is starved all the same
-            w.own = true;
-            w.blamed.forEach((t, ceiling) -> {
-                TenantBoost o = wards.get(t);
-                if (o != null) {
-                    o.ceiling = Math.max(o.ceiling, ceiling);
-                }
-            });
+        if (!victim) {
+            acquit(boost);
+        }
+        return victim;
+    }
+
+    /** No other boost is up, and the tenant is starved all the same: the others' ceilings are given back. */
+    private void acquit(TenantBoost boost) {
+        boost.ownRight = true;
+        boost.loweredCeilings.forEach((tenant, ceiling) -> {
+            TenantBoost other = boosts.get(tenant);
+            if (other != null) {
+                other.ceiling = Math.max(other.ceiling, ceiling);
+            }
+        });
+    }
+
+    // ------------------------------------------------------------ weights
+
+    private void adjust(boolean believed, Set<Integer> lowered, Set<Integer> waiting, List<Change> changes) {
+        double sum = boosts.values().stream().mapToDouble(b -> b.extra).sum();
+        for (Map.Entry<Integer, TenantBoost> entry : boosts.entrySet()) {
+            int tenant = entry.getKey();
+            TenantBoost boost = entry.getValue();
+            double before = boost.extra;
+            if (lowered.contains(tenant)) {
+                boost.extra = Math.max(0, boost.extra - limits.step);
+            } else if (boost.extra > boost.ceiling + EPSILON) {
+                boost.extra = Math.max(boost.ceiling, boost.extra - limits.step);
+            } else if (boost.starved && !waiting.contains(tenant)) {
+                double room = Math.min(boost.ceiling - boost.extra, limits.maxTotalBoost - sum);
+                boost.extra += Math.max(0, Math.min(limits.step, room));
+            } else if (!boost.starved && (!believed || boost.roundsWell > boost.holdRounds)) {
+                boost.extra = Math.max(0, boost.extra - limits.step / FALL_PART);
+            }
+            boost.extra = boost.extra < EPSILON ? 0 : boost.extra;
+            sum += boost.extra - before;
+            if (before == 0 && boost.extra > 0) {
+                boost.begunAt = round;
+                changes.add(new Change(Change.What.BEGUN, tenant, 1 + boost.extra, Verdict.ALL));
+            } else if (before > 0 && boost.extra == 0) {
+                boost.endedAt = round;
+                changes.add(new Change(Change.What.ENDED, tenant, 1, Verdict.ALL));
+            }
         }
-        return waits;
     }
 
-    /** What the tenant's jobs count for: from 1 to the most. */
+    /** The weight of the tenant's requests: from 1 to the maximum. */
     public double weight(int tenant) {
-        TenantBoost w = wards.get(tenant);
-        return w == null ? 1 : 1 + w.extra;
+        TenantBoost boost = boosts.get(tenant);
+        return boost == null ? 1 : 1 + boost.extra;
     }
 
     /** All weights above 1. */
     public List<Weight> activeWeights() {
-        return wards.entrySet().stream()
-                .filter(e -> e.getValue().extra > 0)
-                .map(e -> new Weight(e.getKey(), 1 + e.getValue().extra))
+        return boosts.entrySet().stream()
+                .filter(entry -> entry.getValue().extra > 0)
+                .map(entry -> new Weight(entry.getKey(), 1 + entry.getValue().extra))
                 .toList();
     }
 }
--- a/src/main/java/maplespread/starvation/WaitHistogram.java
+++ b/src/main/java/maplespread/starvation/WaitHistogram.java
@@ -3,69 +3,83 @@
 import java.util.Arrays;
 
 /**
- * Waits of some jobs, less their own work: those seen to their end, and those of which is only known that
- * they were at least so long. The bins are HdrHistogram's, the same in every process, so samples add up
- * exactly whatever the order; only bins in use are kept, as most samples are of a few jobs.
+ * Waits of some requests, less their own work: those seen to their end, and censored ones, of which is only
+ * known that they were at least so long. The bins are HdrHistogram's, the same in every process, so histograms
+ * add up exactly whatever the order; only bins in use are kept, as most histograms are of a few requests. Not
+ * thread-safe.
  */
 final class WaitHistogram {
-    private int[] keys = new int[4]; // a bin and whether held, ascending
-    private int[] counts = new int[4];
-    private int size, total, heldN;
+    private static final int INITIAL_SIZE = 4;
 
-    void add(boolean held, int bin, int count) {
-        int key = bin << 1 | (held ? 1 : 0);
-        int at = Arrays.binarySearch(keys, 0, size, key);
-        if (at < 0) {
-            at = -at - 1;
-            if (size == keys.length) {
-                keys = Arrays.copyOf(keys, 2 * size);
-                counts = Arrays.copyOf(counts, 2 * size);
-            }
-            System.arraycopy(keys, at, keys, at + 1, size - at);
-            System.arraycopy(counts, at, counts, at + 1, size - at);
-            keys[at] = key;
-            counts[at] = 0;
-            size++;
+    /** By index a bin, and in the lowest bit whether its waits are censored; ascending. */
+    private int[] keys = new int[INITIAL_SIZE];
+
+    private int[] counts = new int[INITIAL_SIZE];
+    private int size;
+    private int total;
+    private int censoredTotal;
+
+    /** Adds to a bin's count; below 0: takes out. */
+    void add(boolean censored, int bin, int count) {
+        int key = bin << 1 | (censored ? 1 : 0);
+        int index = Arrays.binarySearch(keys, 0, size, key);
+        if (index < 0) {
+            index = -index - 1;
+            insert(index, key);
         }
-        counts[at] += count;
+        counts[index] += count;
         total += count;
-        heldN += held ? count : 0;
-        if (counts[at] == 0) {
+        censoredTotal += censored ? count : 0;
+        if (counts[index] == 0) {
             size--;
-            System.arraycopy(keys, at + 1, keys, at, size - at);
-            System.arraycopy(counts, at + 1, counts, at, size - at);
+            System.arraycopy(keys, index + 1, keys, index, size - index);
+            System.arraycopy(counts, index + 1, counts, index, size - index);
+        }
+    }
+
+    private void insert(int index, int key) {
+        if (size == keys.length) {
+            keys = Arrays.copyOf(keys, 2 * size);
+            counts = Arrays.copyOf(counts, 2 * size);
         }
+        System.arraycopy(keys, index, keys, index + 1, size - index);
+        System.arraycopy(counts, index, counts, index + 1, size - index);
+        keys[index] = key;
+        counts[index] = 0;
+        size++;
     }
 
-    /** Adds another's counts so many times; below 0: takes them out. */
-    void add(WaitHistogram o, int times) {
-        for (int i = 0; i < o.size; i++) {
-            add(o.held(i), o.bin(i), times * o.counts[i]);
+    /** Adds another histogram's counts so many times; below 0: takes them out. */
+    void add(WaitHistogram other, int times) {
+        for (int i = 0; i < other.size; i++) {
+            add(other.censored(i), other.bin(i), times * other.counts[i]);
         }
     }
 
+    /** How many requests it holds. */
     int total() {
         return total;
     }
 
-    int held() {
-        return heldN;
+    /** How many of them are censored. */
+    int censoredTotal() {
+        return censoredTotal;
     }
 
-    /** How many bins are in use; those served stand before those held in the same bin. */
+    /** How many indexes are in use; waits seen to their end stand before censored ones of the same bin. */
     int size() {
         return size;
     }
 
-    int bin(int i) {
-        return keys[i] >> 1;
+    int bin(int index) {
+        return keys[index] >> 1;
     }
 
-    boolean held(int i) {
-        return (keys[i] & 1) == 1;
+    boolean censored(int index) {
+        return (keys[index] & 1) == 1;
     }
 
-    int count(int i) {
-        return counts[i];
+    int count(int index) {
+        return counts[index];
     }
 }
--- a/src/main/java/maplespread/starvation/WaitRecorder.java
+++ b/src/main/java/maplespread/starvation/WaitRecorder.java
@@ -5,18 +5,19 @@
 import java.util.TreeMap;
 
 /**
- * One process's waits, from taken to the last byte sent, by tenant, class, place and band of work, window by
- * window.
+ * Records one process's waits, from accepted to the last byte sent, by tenant, class, place and band of work,
+ * window by window. Not thread-safe.
  *
- * <p>A job that was refused or failed has not been served by its deadline: it waited at least that long, not
- * the two milliseconds until its refusal, or who is always refused at once would look well. A client that
- * left waited at least until then. A job that is still in work has waited at least so long.
+ * <p>A request that was rejected or failed was not served by its deadline, so its wait counts as that long at
+ * least: counted until its rejection, a tenant that is always rejected at once would look well served. A client
+ * that left, and a request that is still ongoing, waited at least until then.
  *
- * <p>Guards against a process that stood still and then takes its own pause for a place that is slow; and
- * against growth: beyond so many cells and open jobs, jobs are counted and no more.
+ * <p>A window that is closed far too late means that this process was paused; its requests are left out, since
+ * they waited for it and not for a place. Beyond a number of cells and ongoing requests, requests are counted
+ * as omitted and no more.
  */
 public final class WaitRecorder {
-    /** How a job ended. */
+    /** How a request was completed. */
     public enum Completion {
         SERVED,
         REJECTED,
@@ -24,104 +25,127 @@
         CLIENT_LEFT
     }
 
-    /** A job that was taken. {@code workMs}: NaN where nobody said. */
-    private record Open(int tenant, int cls, int place, double workMs, long takenMs) {}
+    /** A request that was accepted and is not complete. {@code workMs}: NaN where it is not known. */
+    private record OngoingRequest(int tenant, int requestClass, int place, double workMs, long acceptedAtMs) {
+        long cell(int endedPlace) {
+            return CellCode.cell(tenant, requestClass, endedPlace, CellCode.bandFor(workMs));
+        }
 
-    /** The job ended where it was to be. */
+        /** The bin of the wait less the request's own work. */
+        int bin(double waitMs) {
+            return CellCode.binFor(waitMs - (Double.isNaN(workMs) ? 0 : workMs));
+        }
+    }
+
+    /** Where a request ended: in the place that was named when it was accepted. */
     public static final int SAME_PLACE = -1;
 
-    private static final int MOST_CELLS = 4096;
-    private static final int MOST_OPEN = 8192;
-    private static final long STILL = 3; // windows
+    private static final int MAX_CELLS = 4096;
+    private static final int MAX_ONGOING = 8192;
+
+    /** Windows after which one that is not closed shows that this process was paused. */
+    private static final long PAUSE_WINDOWS = 3;
+
+    private static final long NEVER = Long.MIN_VALUE;
+
     private final String process;
-    private final long run;
+    private final long incarnation;
     private final int lengthMs;
     private final double[] deadlinesMs;
+    private final Map<Long, OngoingRequest> ongoing = new HashMap<>();
     private Map<Long, WaitHistogram> cells = new HashMap<>();
-    private final Map<Long, Open> open = new HashMap<>();
-    private long number;
-    private long closedMs = Long.MIN_VALUE;
-    private int left;
+    private long sequence;
+    private long closedAtMs = NEVER;
+    private int omitted;
 
-    /** {@code deadlinesMs}: by class; {@code lengthMs}: of a window. */
-    public WaitRecorder(String process, long run, int lengthMs, double[] deadlinesMs) {
+    /** {@code lengthMs}: of a window; {@code deadlinesMs}: by class. */
+    public WaitRecorder(String process, long incarnation, int lengthMs, double[] deadlinesMs) {
         this.process = process;
-        this.run = run;
+        this.incarnation = incarnation;
         this.lengthMs = lengthMs;
         this.deadlinesMs = deadlinesMs.clone();
     }
 
-    /** A job was taken; {@code place}: where it would be, as far as is known. */
-    public void requestAccepted(long nowMs, long id, int tenant, int cls, int place, double workMs) {
-        if (open.size() < MOST_OPEN
+    /** A request was accepted; {@code place}: where it would go, as far as is known. */
+    public void requestAccepted(long nowMs, long id, int tenant, int requestClass, int place, double workMs) {
+        if (ongoing.size() < MAX_ONGOING
                 && tenant < CellCode.MAX_TENANTS
-                && cls < CellCode.MAX_CLASSES
+                && requestClass < CellCode.MAX_CLASSES
                 && place < CellCode.MAX_PLACES) {
-            open.put(id, new Open(tenant, cls, place, workMs, nowMs));
+            ongoing.put(id, new OngoingRequest(tenant, requestClass, place, workMs, nowMs));
         }
     }
 
-    /** It ended: its last byte was sent, or nobody waits for it; {@code place}: or WHERE_TAKEN. */
-    public void requestCompleted(long nowMs, long id, int place, Completion end) {
-        Open job = open.remove(id);
-        if (job == null) {
-            left++;
+    /** It is complete: its last byte was sent, or nobody waits for it; {@code place}: or SAME_PLACE. */
+    public void requestCompleted(long nowMs, long id, int place, Completion completion) {
+        OngoingRequest request = ongoing.remove(id);
+        if (request == null) {
+            omitted++;
             return;
         }
-        double waitMs = nowMs - job.takenMs;
-        boolean held = end != Completion.SERVED;
-        if (end == Completion.REJECTED || end == Completion.FAILED) {
-            waitMs = Math.max(waitMs, deadlinesMs[job.cls]);
+        double waitMs = nowMs - request.acceptedAtMs;
+        if (completion == Completion.REJECTED || completion == Completion.FAILED) {
+            waitMs = Math.max(waitMs, deadlinesMs[request.requestClass]);
         }
-        long cell = cell(job, place == SAME_PLACE ? job.place : place);
-        WaitHistogram s = cells.get(cell);
-        if (s == null) {
-            if (cells.size() >= MOST_CELLS) {
-                left++;
+        long cell = request.cell(place == SAME_PLACE ? request.place : place);
+        WaitHistogram histogram = cells.get(cell);
+        if (histogram == null) {
+            if (cells.size() >= MAX_CELLS) {
+                omitted++;
                 return;
             }
-            s = new WaitHistogram();
-            cells.put(cell, s);
+            histogram = new WaitHistogram();
+            cells.put(cell, histogram);
         }
-        s.add(held, bin(job, waitMs), 1);
-    }
-
-    private static long cell(Open job, int place) {
-        return CellCode.cell(job.tenant, job.cls, place, CellCode.bandFor(job.workMs));
+        histogram.add(completion != Completion.SERVED, request.bin(waitMs), 1);
     }
 
-    private static int bin(Open job, double waitMs) {
-        return CellCode.binFor(waitMs - (Double.isNaN(job.workMs) ? 0 : job.workMs));
-    }
-
-    /**
-     * Ends the window and begins the next one. Where that comes far too late, this process stood still, and
-     * its jobs waited for it and for nobody else: what ended, and what is open, counts as left out.
-     */
+    /** Ends the window and begins the next one. */
     public WaitWindow closeWindow(long nowMs) {
-        if (closedMs != Long.MIN_VALUE && nowMs - closedMs > STILL * lengthMs) {
-            cells.values().forEach(s -> left += s.total());
+        if (closedAtMs != NEVER && nowMs - closedAtMs > PAUSE_WINDOWS * lengthMs) {
+            cells.values().forEach(histogram -> omitted += histogram.total());
             cells.clear();
-            open.clear();
+            ongoing.clear();
         }
-        closedMs = nowMs;
+        closedAtMs = nowMs;
+        TreeMap<Long, Integer> ended = endedCounts();
+        TreeMap<Long, Integer> stillOngoing = ongoingCounts(nowMs);
+        WaitWindow window = new WaitWindow(
+                process,
+                incarnation,
+                sequence++,
+                lengthMs,
+                omitted,
+                codes(ended),
+                counts(ended),
+                codes(stillOngoing),
+                counts(stillOngoing));
+        cells = new HashMap<>();
+        omitted = 0;
+        return window;
+    }
+
+    private TreeMap<Long, Integer> endedCounts() {
         TreeMap<Long, Integer> ended = new TreeMap<>();
-        cells.forEach((cell, s) -> {
-            for (int i = 0; i < s.size(); i++) {
-                ended.put(CellCode.of(cell, s.held(i), s.bin(i)), s.count(i));
+        cells.forEach((cell, histogram) -> {
+            for (int i = 0; i < histogram.size(); i++) {
+                ended.put(CellCode.of(cell, histogram.censored(i), histogram.bin(i)), histogram.count(i));
             }
         });
-        TreeMap<Long, Integer> waiting = new TreeMap<>();
-        for (Open job : open.values()) {
-            if (nowMs - job.takenMs > lengthMs) {
-                waiting.merge(CellCode.of(cell(job, job.place), true, bin(job, nowMs - job.takenMs)), 1, Integer::sum);
+        return ended;
+    }
+
+    /** Of the requests that are ongoing for longer than a window. */
+    private TreeMap<Long, Integer> ongoingCounts(long nowMs) {
+        TreeMap<Long, Integer> counts = new TreeMap<>();
+        for (OngoingRequest request : ongoing.values()) {
+            long waitMs = nowMs - request.acceptedAtMs;
+            if (waitMs > lengthMs) {
+                long code = CellCode.of(request.cell(request.place), true, request.bin(waitMs));
+                counts.merge(code, 1, Integer::sum);
             }
         }
-        WaitWindow w = new WaitWindow(
-                process, run, number++, lengthMs, left, codes(ended), counts(ended), codes(waiting), counts(waiting));
-        cells = new HashMap<>();
-        left = 0;
-        return w;
+        return counts;
     }
 
     private static long[] codes(TreeMap<Long, Integer> all) {
--- a/src/main/java/maplespread/starvation/WaitWindow.java
+++ b/src/main/java/maplespread/starvation/WaitWindow.java
@@ -1,10 +1,11 @@
 package maplespread.starvation;
 
 /**
- * What one process saw end in one window, as sparse histograms: {@code codes} ascending, each with its count.
- * {@code run}: grows with each start of the process; {@code number}: of the window within the run. {@code
- * open}: jobs that were in work for longer than a window when this one was closed; they count only until the
- * process's next window. {@code left}: jobs that had no room here, or none on the wire.
+ * The waits that one process saw end in one window, as sparse histograms. {@code incarnation}: grows with each
+ * start of the process; {@code sequence}: of the window within it; {@code omitted}: requests that had no room
+ * here, or none on the wire; {@code codes}: see {@link CellCode}, ascending, each with its count; {@code
+ * ongoingCodes}: of requests that were ongoing for longer than a window when this one was closed; they count only
+ * until the process's next window. The arrays are not copied and must not be changed.
  */
 public record WaitWindow(
         String process,
@@ -16,12 +17,12 @@
         int[] counts,
         long[] ongoingCodes,
         int[] ongoingCounts) {
-    /** How many jobs ended in it, those without room too. */
+    /** How many requests ended in it, the omitted ones too. */
     public int requestCount() {
-        int n = omitted;
-        for (int c : counts) {
-            n += c;
+        int total = omitted;
+        for (int count : counts) {
+            total += count;
         }
-        return n;
+        return total;
     }
 }
--- a/src/main/java/maplespread/starvation/WindowCodec.java
+++ b/src/main/java/maplespread/starvation/WindowCodec.java
@@ -3,176 +3,234 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.SplittableRandom;
 
 /**
- * Windows as bytes, for the transport among instances, within a bound each. A window that is too long for it
- * is thinned: jobs are left out evenly by a hash of what they are and the window's number, and counted as
- * left out, so that the comparison has less to go by and no other picture. HdrHistogram's own form would do,
- * but spends 40 bytes on the head of each of a hundred histograms that hold one job.
+ * Encodes windows for the transport among dispatchers, each within a number of bytes, and decodes them. A window
+ * that is too long is thinned: requests are left out evenly, by a hash of what they are and the window's number,
+ * and counted as omitted, so that a comparison has less to go by and no other picture. Whatever is out of range
+ * or order is no window at all.
  *
- * <p>Guards against bytes that are not a window: whatever is out of range or order is no window at all.
+ * <p>The form: version, the process's name with its length, incarnation, sequence, length in ms, omitted
+ * requests; then the ended and the ongoing requests, each as a number of entries and for each entry the
+ * difference of its code to the one before and its count. Numbers have seven bits a byte, the lowest first.
  */
 public final class WindowCodec {
     private static final int VERSION = 1;
-    private static final int MOST = 1 << 20; // entries, and jobs of one
+    private static final int MAX_ENTRIES = 1 << 20;
+    private static final int MAX_COUNT = 1 << 20;
+    private static final int MAX_VERSION = 127;
+    private static final int MAX_NAME_BYTES = 255;
+    private static final int MAX_LENGTH_MS = 3_600_000;
+    private static final long MAX_SEQUENCE = Long.MAX_VALUE >>> 1;
+
+    private static final int MAX_WINDOW_BYTES = 48 * 1024;
+    private static final int MIN_WINDOW_BYTES = 64;
+    private static final long MS_PER_SECOND = 1000;
+
+    private static final int BITS_PER_BYTE = 7;
+    private static final int LOW_BITS = 0x7f;
+    private static final int MORE_BIT = 0x80;
+    private static final int MAX_NUMBER_BITS = 63;
+
+    /** Share of the permitted bytes that the first thinning aims at, and by which each next one keeps less. */
+    private static final double FIRST_THINNING = 0.9;
+
+    private static final double NEXT_THINNING = 0.8;
+    private static final double MIN_KEPT_SHARE = 1e-3;
+    private static final int CODE_HASH_FACTOR = 31;
+    private static final int REQUEST_HASH_SHIFT = 56;
 
     private WindowCodec() {}
 
-    /** What is sent to each of the others so that all of it stays within so many bytes a second. */
+    /** Bytes for a window to each of the others, so that all of them together stay within {@code bytesPerS}. */
     public static int bytesPerPeer(long bytesPerS, int windowMs, int others) {
-        return (int) Math.min(48 * 1024, Math.max(64, bytesPerS * windowMs / 1000 / Math.max(1, others)));
+        long bytes = bytesPerS * windowMs / MS_PER_SECOND / Math.max(1, others);
+        return (int) Math.min(MAX_WINDOW_BYTES, Math.max(MIN_WINDOW_BYTES, bytes));
     }
 
-    /** The window in at most so many bytes, thinned where needed. */
-    public static byte[] encode(WaitWindow w, int most) {
-        byte[] whole = bytes(w);
-        for (double part = 0.9 * most / whole.length; whole.length > most && part > 1e-3; part *= 0.8) {
-            whole = bytes(thin(w, part));
+    /** The window in at most {@code maxBytes}, thinned where needed. */
+    public static byte[] encode(WaitWindow window, int maxBytes) {
+        byte[] bytes = write(window);
+        double kept = FIRST_THINNING * maxBytes / bytes.length;
+        while (bytes.length > maxBytes && kept > MIN_KEPT_SHARE) {
+            bytes = write(thin(window, kept));
+            kept *= NEXT_THINNING;
         }
-        return whole;
+        return bytes;
     }
 
-    private static WaitWindow thin(WaitWindow w, double part) {
-        int[] counts = w.counts().clone();
-        int left = w.omitted();
+    private static WaitWindow thin(WaitWindow window, double keptShare) {
+        int[] counts = window.counts().clone();
+        int omitted = window.omitted();
         for (int i = 0; i < counts.length; i++) {
             int kept = 0;
-            for (int job = 0; job < counts[i]; job++) {
-                kept += hash(w.codes()[i] * 31 + w.sequence(), job) < part ? 1 : 0;
+            for (int request = 0; request < counts[i]; request++) {
+                long code = window.codes()[i] * CODE_HASH_FACTOR + window.sequence();
+                kept += hash(code, request) < keptShare ? 1 : 0;
             }
-            left += counts[i] - kept;
+            omitted += counts[i] - kept;
             counts[i] = kept;
         }
-        int[] open = w.ongoingCounts().clone();
-        for (int i = 0; i < open.length; i++) {
-            open[i] = hash(w.ongoingCodes()[i], i) < part ? open[i] : 0;
+        int[] ongoing = window.ongoingCounts().clone();
+        for (int i = 0; i < ongoing.length; i++) {
+            ongoing[i] = hash(window.ongoingCodes()[i], i) < keptShare ? ongoing[i] : 0;
         }
         return new WaitWindow(
-                w.process(),
-                w.incarnation(),
-                w.sequence(),
-                w.lengthMs(),
-                left,
-                w.codes(),
+                window.process(),
+                window.incarnation(),
+                window.sequence(),
+                window.lengthMs(),
+                omitted,
+                window.codes(),
                 counts,
-                w.ongoingCodes(),
-                open);
+                window.ongoingCodes(),
+                ongoing);
     }
 
     /** From 0 to 1. */
-    private static double hash(long code, int job) {
-        return new java.util.SplittableRandom(code ^ (long) job << 56).nextDouble();
+    private static double hash(long code, int request) {
+        return new SplittableRandom(code ^ (long) request << REQUEST_HASH_SHIFT).nextDouble();
     }
 
-    private static byte[] bytes(WaitWindow w) {
+    // ------------------------------------------------------------ writing
+
+    private static byte[] write(WaitWindow window) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        put(out, VERSION);
-        byte[] name = w.process().getBytes(StandardCharsets.UTF_8);
-        put(out, name.length);
+        writeNumber(out, VERSION);
+        byte[] name = window.process().getBytes(StandardCharsets.UTF_8);
+        writeNumber(out, name.length);
         out.write(name, 0, name.length);
-        put(out, w.incarnation());
-        put(out, w.sequence());
-        put(out, w.lengthMs());
-        put(out, w.omitted());
-        put(out, w.codes(), w.counts());
-        put(out, w.ongoingCodes(), w.ongoingCounts());
+        writeNumber(out, window.incarnation());
+        writeNumber(out, window.sequence());
+        writeNumber(out, window.lengthMs());
+        writeNumber(out, window.omitted());
+        writeEntries(out, window.codes(), window.counts());
+        writeEntries(out, window.ongoingCodes(), window.ongoingCounts());
         return out.toByteArray();
     }
 
-    private static void put(ByteArrayOutputStream out, long[] codes, int[] counts) {
-        put(out, Arrays.stream(counts).filter(c -> c > 0).count());
+    private static void writeEntries(ByteArrayOutputStream out, long[] codes, int[] counts) {
+        writeNumber(out, Arrays.stream(counts).filter(count -> count > 0).count());
         long before = 0;
         for (int i = 0; i < codes.length; i++) {
             if (counts[i] > 0) {
-                put(out, codes[i] - before);
-                put(out, counts[i]);
+                writeNumber(out, codes[i] - before);
+                writeNumber(out, counts[i]);
                 before = codes[i];
             }
         }
     }
 
-    /** Seven bits a byte, the lowest first. */
-    private static void put(ByteArrayOutputStream out, long v) {
-        for (; (v & ~0x7fL) != 0; v >>>= 7) {
-            out.write((int) (v & 0x7f | 0x80));
+    private static void writeNumber(ByteArrayOutputStream out, long number) {
+        long rest = number;
+        while ((rest & ~LOW_BITS) != 0) {
+            out.write((int) (rest & LOW_BITS | MORE_BIT));
+            rest >>>= BITS_PER_BYTE;
         }
-        out.write((int) v);
+        out.write((int) rest);
     }
 
-    /** What is read so far. */
-    private static final class In {
-        final byte[] bytes;
-        int at;
+    // ------------------------------------------------------------ reading
+
+    /** Reads a window's bytes from the beginning. */
+    private static final class Reader {
+        private final byte[] bytes;
+        private int position;
 
-        In(byte[] bytes) {
+        Reader(byte[] bytes) {
             this.bytes = bytes;
         }
 
-        long next(long most) throws MalformedWindowException {
-            long v = 0;
-            for (int shift = 0; shift < 63; shift += 7) {
-                if (at >= bytes.length) {
+        int remaining() {
+            return bytes.length - position;
+        }
+
+        long number(long max) throws MalformedWindowException {
+            long number = 0;
+            for (int shift = 0; shift < MAX_NUMBER_BITS; shift += BITS_PER_BYTE) {
+                if (position >= bytes.length) {
                     throw new MalformedWindowException("cut off");
                 }
-                byte b = bytes[at++];
-                v |= (long) (b & 0x7f) << shift;
-                if (b >= 0) {
-                    if (v < 0 || v > most) {
+                byte next = bytes[position++];
+                number |= (long) (next & LOW_BITS) << shift;
+                if (next >= 0) {
+                    if (number < 0 || number > max) {
                         break;
                     }
-                    return v;
+                    return number;
                 }
             }
             throw new MalformedWindowException("out of range");
         }
 
-        int small(int most) throws MalformedWindowException {
-            return (int) next(most);
+        int smallNumber(int max) throws MalformedWindowException {
+            return (int) number(max);
+        }
+
+        String text(int length) throws MalformedWindowException {
+            if (position + length > bytes.length) {
+                throw new MalformedWindowException("cut off");
+            }
+            String text = new String(bytes, position, length, StandardCharsets.UTF_8);
+            position += length;
+            return text;
         }
     }
 
+    /** Codes in ascending order, each with its count. */
+    private static final class Entries {
+        final long[] codes;
+        final int[] counts;
+
+        Entries(int size) {
+            codes = new long[size];
+            counts = new int[size];
+        }
+    }
+
+    /** Reads a window; {@link MalformedWindowException} where the bytes are none of this version. */
     public static WaitWindow decode(byte[] bytes) throws MalformedWindowException {
-        In in = new In(bytes);
-        if (in.small(127) != VERSION) {
+        Reader reader = new Reader(bytes);
+        if (reader.smallNumber(MAX_VERSION) != VERSION) {
             throw new MalformedWindowException("of another version");
         }
-        int length = in.small(255);
-        if (in.at + length > bytes.length) {
-            throw new MalformedWindowException("cut off");
-        }
-        String process = new String(bytes, in.at, length, StandardCharsets.UTF_8);
-        in.at += length;
-        long run = in.next(Long.MAX_VALUE);
-        long number = in.next(Long.MAX_VALUE >>> 1);
-        int lengthMs = in.small(3_600_000);
-        int left = in.small(Integer.MAX_VALUE);
-        long[][] ended = entries(in);
-        long[][] open = entries(in);
-        if (in.at != bytes.length) {
+        String process = reader.text(reader.smallNumber(MAX_NAME_BYTES));
+        long incarnation = reader.number(Long.MAX_VALUE);
+        long sequence = reader.number(MAX_SEQUENCE);
+        int lengthMs = reader.smallNumber(MAX_LENGTH_MS);
+        int omitted = reader.smallNumber(Integer.MAX_VALUE);
+        Entries ended = readEntries(reader);
+        Entries ongoing = readEntries(reader);
+        if (reader.remaining() > 0) {
             throw new MalformedWindowException("goes on beyond its end");
         }
-        return new WaitWindow(process, run, number, lengthMs, left, ended[0], ints(ended[1]), open[0], ints(open[1]));
+        return new WaitWindow(
+                process,
+                incarnation,
+                sequence,
+                lengthMs,
+                omitted,
+                ended.codes,
+                ended.counts,
+                ongoing.codes,
+                ongoing.counts);
     }
 
-    private static long[][] entries(In in) throws MalformedWindowException {
-        int n = in.small(Math.min(MOST, (in.bytes.length - in.at) / 2));
-        long[] codes = new long[n];
-        long[] counts = new long[n];
+    private static Entries readEntries(Reader reader) throws MalformedWindowException {
+        // An entry has two bytes at least: more of them than that cannot follow.
+        Entries entries = new Entries(reader.smallNumber(Math.min(MAX_ENTRIES, reader.remaining() / 2)));
         long before = 0;
-        for (int i = 0; i < n; i++) {
-            codes[i] = before + in.next(CellCode.MAX_CODE);
-            if (codes[i] > CellCode.MAX_CODE
-                    || i > 0 && codes[i] == before
-                    || CellCode.bin(codes[i]) >= CellCode.BIN_LOWER_MS.length) {
+        for (int i = 0; i < entries.codes.length; i++) {
+            long code = before + reader.number(CellCode.MAX_CODE);
+            boolean ascending = i == 0 || code != before;
+            if (code > CellCode.MAX_CODE || !ascending || CellCode.bin(code) >= CellCode.BIN_LOWER_MS.length) {
                 throw new MalformedWindowException("out of range or order");
             }
-            counts[i] = in.next(MOST);
-            before = codes[i];
+            entries.codes[i] = code;
+            entries.counts[i] = reader.smallNumber(MAX_COUNT);
+            before = code;
         }
-        return new long[][] {codes, counts};
-    }
-
-    private static int[] ints(long[] all) {
-        return Arrays.stream(all).mapToInt(v -> (int) v).toArray();
+        return entries;
     }
 }
--- a/src/main/java/maplespread/starvation/client/StarvationMonitor.java
+++ b/src/main/java/maplespread/starvation/client/StarvationMonitor.java
@@ -1,12 +1,14 @@
 package maplespread.starvation.client;
 
+import com.google.gson.annotations.SerializedName;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import java.util.function.IntFunction;
 import maplespread.config.Config;
 import maplespread.config.StarvationSettings;
 import maplespread.facade.Endpoint;
@@ -28,157 +30,185 @@
 import maplespread.starvation.WindowCodec;
 
 /**
- * This process's waits, the others' windows where they come, and what is told of both. Legs report under one
- * lock that is held for a map's entry; judging is done on the caller of {@link #evaluate} outside of it.
+ * Records this process's waits, takes the other dispatchers' windows where they come, and has both judged once a
+ * window. Requests are reported on their own threads under this object's lock, which is held for a map's entry;
+ * judging is done on the caller of {@link #evaluate}, outside of it.
  *
- * <p>A job's place is the zone and kind of the worker that was tried last; of a job that no worker was tried
+ * <p>A request's place is the zone and kind of the worker that was tried last; of one that no worker was tried
  * for, this dispatcher's zone and its class's kind.
  */
 public final class StarvationMonitor implements RequestListener {
-    private static final int MOST_WAITING = 4096; // windows of others that wait for a round
-    private static final int MOST_TOLD = 100; // verdicts a round
-    private static final int FEW_PLACES = 8; // so many, one dispatcher tells apart
+    /** Windows of other dispatchers that wait for the next round. */
+    private static final int MAX_PENDING_WINDOWS = 4096;
 
-    /** One that tells nothing of the others where this one has all there is. */
-    private record Scope(String name, FleetWindow view, StarvationDetector judge) {}
+    private static final int MAX_LOGGED_VERDICTS_PER_ROUND = 100;
 
-    private final StarvationSettings set;
-    private final String name;
-    private final ArrayDeque<WaitWindow> windowReceived = new ArrayDeque<>();
-    private Config configure;
-    private WaitRecorder waits;
-    private FleetLayout site;
-    private List<Scope> scopes; // the fleet, then this dispatcher
-    private final boolean talks;
-    private final Consumer<double[]> weights;
-    private PriorityBoost relief; // null: nobody is relieved
-    private long run, jobs;
-    private volatile Map<String, Integer> places = Map.of(); // by worker
-    private volatile Report report = new Report(List.of(), List.of());
+    /** So many places are told apart by a dispatcher that judges itself. */
+    private static final int MAX_PLACES_SINGLE_DISPATCHER = 8;
+
+    /** Returned for a request that is not recorded. */
+    private static final long NOT_RECORDED = -1;
 
-    /** A verdict and whose view it is from. */
+    private static final String FLEET = "fleet";
+    private static final String DISPATCHER = "dispatcher";
+
+    /** What is judged, and by whom: the whole fleet, or this dispatcher alone. */
+    private record Scope(String name, FleetWindow window, StarvationDetector detector) {}
+
+    /** A verdict, and of which scope it is. The member names are those of the admin answer. */
     public record ScopedVerdict(String scope, Verdict verdict) {}
 
-    /** All that stands: verdicts, and what the jobs of tenants that are relieved count for. */
-    public record Report(List<ScopedVerdict> verdicts, List<PriorityBoost.Weight> relief) {}
+    /** All that stands: verdicts, and weights above 1. The admin answer has the serialized names. */
+    public record Report(
+            List<ScopedVerdict> verdicts,
+            @SerializedName("relief") List<PriorityBoost.Weight> weights) {}
+
+    private final StarvationSettings settings;
+    private final String name;
+    private final boolean exchangesWindows;
+    private final Consumer<double[]> weights;
+    private final ArrayDeque<WaitWindow> pendingWindows = new ArrayDeque<>(); // its own lock
+    private Config config;
+    private WaitRecorder recorder;
+    private FleetLayout layout;
+    private List<Scope> scopes; // the fleet where it is judged, then this dispatcher
+    private PriorityBoost boost; // null: no tenant is boosted
+    private long incarnation;
+    private long requests;
+    private volatile Map<String, Integer> placeByWorker = Map.of();
+    private volatile Report report = new Report(List.of(), List.of());
 
     /**
-     * {@code talks}: other dispatchers' windows are to come; {@code weights}: hears what a tenant's requests
-     * count for, whenever that changes.
+     * {@code exchangesWindows}: other dispatchers' windows are to come; {@code weights}: called on the thread of
+     * {@link #evaluate} with the weight of each tenant's requests.
      */
     public StarvationMonitor(
-            StarvationSettings set, Config config, boolean talks, long run, Consumer<double[]> weights) {
-        this.set = set;
-        this.talks = talks;
+            StarvationSettings settings,
+            Config config,
+            boolean exchangesWindows,
+            long incarnation,
+            Consumer<double[]> weights) {
+        this.settings = settings;
+        this.exchangesWindows = exchangesWindows;
         this.weights = weights;
-        this.run = run;
+        this.incarnation = incarnation;
         name = config.name();
         configure(config);
     }
 
-    /** Other classes, tenants or dispatchers: begins anew, as a later run. */
+    /** Takes up a configuration; other classes, tenants or dispatchers begin anew, as a later incarnation. */
     public synchronized void configure(Config next) {
-        PolicySettings s = next.settings();
-        if (configure != null
-                && next.names().equals(configure.names())
-                && s.classes().equals(configure.settings().classes())
-                && s.tenants().equals(configure.settings().tenants())
-                && s.dispatcherCount() == configure.settings().dispatcherCount()) {
+        if (config != null && judgesAlike(config, next)) {
             return;
         }
-        FleetLayout then = site(next);
-        configure = next;
-        site = then;
-        run++;
-        waits = new WaitRecorder(name, run, set.windowMs(), then.deadlinesMs());
-        long keep = (long) set.windowMs() * set.windows();
-        boolean one = then.processes() == 1;
-        StarvationDetector fleet = talks && !one ? new StarvationDetector(then, set.matters()) : null;
-        int all = Math.max(1, next.names().zones().size()) * then.kinds();
-        if (set.relief() != null) {
-            relief = new PriorityBoost(set.relief(), set.windows());
+        layout = layoutOf(next);
+        config = next;
+        incarnation++;
+        recorder = new WaitRecorder(name, incarnation, settings.windowMs(), layout.deadlinesMs());
+        if (settings.relief() != null) {
+            boost = new PriorityBoost(settings.relief(), settings.windows());
             weights.accept(new double[0]);
         }
-        scopes = new ArrayList<>();
-        if (fleet != null) {
-            scopes.add(new Scope("fleet", new FleetWindow(keep, true), fleet));
+        scopes = scopes(next);
+    }
+
+    private static boolean judgesAlike(Config config, Config next) {
+        PolicySettings now = config.settings();
+        PolicySettings then = next.settings();
+        return next.names().equals(config.names())
+                && then.classes().equals(now.classes())
+                && then.tenants().equals(now.tenants())
+                && then.dispatcherCount() == now.dispatcherCount();
+    }
+
+    private List<Scope> scopes(Config next) {
+        long keepMs = (long) settings.windowMs() * settings.windows();
+        boolean onlyDispatcher = layout.processes() == 1;
+        List<Scope> all = new ArrayList<>();
+        StarvationDetector fleet = null;
+        if (exchangesWindows && !onlyDispatcher) {
+            fleet = new StarvationDetector(layout, settings.matters());
+            all.add(new Scope(FLEET, new FleetWindow(keepMs, true), fleet));
         }
-        scopes.add(new Scope(
-                one ? "fleet" : "dispatcher",
-                new FleetWindow(keep, one || all <= FEW_PLACES),
-                StarvationDetector.singleDispatcher(then, set.matters(), fleet)));
+        int places = Math.max(1, next.names().zones().size()) * layout.kinds();
+        boolean separatePlaces = onlyDispatcher || places <= MAX_PLACES_SINGLE_DISPATCHER;
+        all.add(new Scope(
+                onlyDispatcher ? FLEET : DISPATCHER,
+                new FleetWindow(keepMs, separatePlaces),
+                StarvationDetector.singleDispatcher(layout, settings.matters(), fleet)));
+        return all;
     }
 
-    private static FleetLayout site(Config c) {
-        PolicySettings s = c.settings();
+    private static FleetLayout layoutOf(Config config) {
+        PolicySettings settings = config.settings();
         return new FleetLayout(
-                s.classes().stream().mapToDouble(RequestClass::deadlineMs).toArray(),
-                s.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray(),
-                s.dispatcherCount(),
-                Math.max(1, c.names().kinds().size()));
+                settings.classes().stream()
+                        .mapToDouble(RequestClass::deadlineMs)
+                        .toArray(),
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).toArray(),
+                settings.dispatcherCount(),
+                Math.max(1, config.names().kinds().size()));
     }
 
-    private static long now() {
-        return System.nanoTime() / 1_000_000;
+    private static long nowMs() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** What is known of the workers: where they stand. */
-    public void endpointsChanged(EndpointUpdate news) {
-        Map<String, Integer> next = news.kind() == EndpointUpdate.Kind.DELTA ? new HashMap<>(places) : new HashMap<>();
-        for (Endpoint r : news.endpoints()) {
-            if (r.state() == Endpoint.State.DELETED) {
-                next.remove(r.worker());
+    /** Takes note of where the workers stand. */
+    public void endpointsChanged(EndpointUpdate update) {
+        Map<String, Integer> next =
+                update.kind() == EndpointUpdate.Kind.DELTA ? new HashMap<>(placeByWorker) : new HashMap<>();
+        for (Endpoint endpoint : update.endpoints()) {
+            if (endpoint.state() == Endpoint.State.DELETED) {
+                next.remove(endpoint.worker());
             } else {
-                next.put(r.worker(), place(r.zone(), r.kind()));
+                next.put(endpoint.worker(), place(endpoint.zone(), endpoint.kind()));
             }
         }
-        places = next;
+        placeByWorker = next;
     }
 
     private synchronized int place(int zone, int kind) {
-        return Math.max(0, zone) * site.kinds() + Math.min(site.kinds() - 1, Math.max(0, kind));
+        return Math.max(0, zone) * layout.kinds() + Math.min(layout.kinds() - 1, Math.max(0, kind));
     }
 
-    // ------------------------------------------------------------ from the legs
+    // ------------------------------------------------------------ requests, on their threads
 
     @Override
-    public synchronized long requestAccepted(InFlightRequest t) {
-        if (t.requestClass() >= site.deadlinesMs().length) {
-            return -1; // of a class that was added this moment
+    public synchronized long requestAccepted(InFlightRequest request) {
+        int requestClass = request.requestClass();
+        if (requestClass >= layout.deadlinesMs().length) {
+            return NOT_RECORDED; // of a class that was added this moment
         }
-        int kind = configure.settings().classes().get(t.requestClass()).requiredWorkerKind();
-        waits.requestAccepted(
-                now(),
-                ++jobs,
-                t.tenant(),
-                t.requestClass(),
-                place(configure.settings().zone(), kind),
-                t.workMs());
-        return jobs;
+        int kind = config.settings().classes().get(requestClass).requiredWorkerKind();
+        int place = place(config.settings().zone(), kind);
+        requests++;
+        recorder.requestAccepted(nowMs(), requests, request.tenant(), requestClass, place, request.workMs());
+        return requests;
     }
 
     @Override
-    public synchronized void requestCompleted(long job, Result how, String worker) {
-        WaitRecorder.Completion end =
-                switch (how) {
+    public synchronized void requestCompleted(long id, Result result, String worker) {
+        WaitRecorder.Completion completion =
+                switch (result) {
                     case SERVED -> WaitRecorder.Completion.SERVED;
                     case REJECTED -> WaitRecorder.Completion.REJECTED;
                     case FAILED -> WaitRecorder.Completion.FAILED;
                     case CLIENT_LEFT -> WaitRecorder.Completion.CLIENT_LEFT;
                 };
-        Integer at = worker == null ? null : places.get(worker);
-        waits.requestCompleted(now(), job, at == null ? WaitRecorder.SAME_PLACE : at, end);
+        Integer place = worker == null ? null : placeByWorker.get(worker);
+        recorder.requestCompleted(nowMs(), id, place == null ? WaitRecorder.SAME_PLACE : place, completion);
     }
 
     // ------------------------------------------------------------ rounds
 
-    /** What came of another one's waits, {@code from} a member of the group. */
+    /** Takes another dispatcher's window; {@code from}: its name in the group. Any thread. */
     public void windowReceived(String from, byte[] bytes) {
         try {
-            WaitWindow w = WindowCodec.decode(bytes);
-            synchronized (windowReceived) {
-                if (w.process().equals(from) && windowReceived.size() < MOST_WAITING) {
-                    windowReceived.add(w);
+            WaitWindow window = WindowCodec.decode(bytes);
+            synchronized (pendingWindows) {
+                if (window.process().equals(from) && pendingWindows.size() < MAX_PENDING_WINDOWS) {
+                    pendingWindows.add(window);
                 }
             }
         } catch (MalformedWindowException e) {
@@ -186,127 +216,73 @@
         }
     }
 
-    /** Ends a window, has the others told, and judges; {@code others}: how many there are to be told. */
+    /** What one round goes by, read under the lock. */
+    private record Round(
+            long nowMs,
+            WaitWindow ownWindow,
+            List<Scope> scopes,
+            FleetLayout layout,
+            PriorityBoost boost,
+            SiteNames names) {}
+
+    private synchronized Round beginRound(long nowMs) {
+        return new Round(nowMs, recorder.closeWindow(nowMs), scopes, layout, boost, SiteNames.of(config.names()));
+    }
+
+    /**
+     * Ends a window, sends it to the other dispatchers, and judges. {@code others}: how many there are; {@code
+     * send}: sends the bytes to each of them.
+     */
     public void evaluate(int others, Consumer<byte[]> send) {
-        long now = now();
-        WaitWindow own;
-        List<Scope> scopes;
-        IntFunction<String> tenants, classes, zones, kinds;
-        FleetLayout site;
-        PriorityBoost relief;
-        synchronized (this) {
-            relief = this.relief;
-            own = waits.closeWindow(now);
-            scopes = this.scopes;
-            site = this.site;
-            tenants = named(configure.names().tenants());
-            classes = named(configure.names().classes());
-            zones = named(configure.names().zones());
-            kinds = named(configure.names().kinds());
-        }
+        Round round = beginRound(nowMs());
         if (others > 0) {
-            send.accept(WindowCodec.encode(own, WindowCodec.bytesPerPeer(set.bytesPerS(), set.windowMs(), others)));
+            int maxBytes = WindowCodec.bytesPerPeer(settings.bytesPerS(), settings.windowMs(), others);
+            send.accept(WindowCodec.encode(round.ownWindow, maxBytes));
+        }
+        List<WaitWindow> allWindows = new ArrayList<>(List.of(round.ownWindow));
+        synchronized (pendingWindows) {
+            allWindows.addAll(pendingWindows);
+            pendingWindows.clear();
         }
-        List<WaitWindow> all = new ArrayList<>(List.of(own));
-        synchronized (windowReceived) {
-            all.addAll(windowReceived);
-            windowReceived.clear();
+        List<ScopedVerdict> verdicts = judge(round, allWindows);
+        if (round.boost != null) {
+            updateBoost(round);
         }
-        List<ScopedVerdict> stand = new ArrayList<>();
-        int told = 0;
-        for (Scope scope : scopes) {
-            scope.view.evictExpired(now);
-            boolean alone = scope == scopes.get(scopes.size() - 1);
-            all.stream().filter(w -> !alone || w == own).forEach(w -> scope.view.add(now, w));
-            for (Verdict v : scope.judge.evaluate(now, scope.view)) {
-                if (set.log() && told++ < MOST_TOLD) {
-                    log(scope.name, v, site, now, tenants, classes, zones, kinds);
+        report = new Report(List.copyOf(verdicts), round.boost == null ? List.of() : round.boost.activeWeights());
+    }
+
+    private List<ScopedVerdict> judge(Round round, List<WaitWindow> allWindows) {
+        List<ScopedVerdict> verdicts = new ArrayList<>();
+        int changes = 0;
+        for (int i = 0; i < round.scopes.size(); i++) {
+            Scope scope = round.scopes.get(i);
+            boolean thisDispatcher = i == round.scopes.size() - 1;
+            scope.window.evictExpired(round.nowMs);
+            List<WaitWindow> windows = thisDispatcher ? List.of(round.ownWindow) : allWindows;
+            windows.forEach(window -> scope.window.add(round.nowMs, window));
+            for (Verdict change : scope.detector.evaluate(round.nowMs, scope.window)) {
+                if (settings.log() && changes++ < MAX_LOGGED_VERDICTS_PER_ROUND) {
+                    VerdictLog.write(scope.name, change, round.layout, round.nowMs, round.names);
                 }
             }
-            scope.judge.activeVerdicts().forEach(v -> stand.add(new ScopedVerdict(scope.name, v)));
-        }
-        if (relief != null) {
-            relieve(relief, scopes.get(0), site.allowancesPerS().length, tenants);
+            scope.detector.activeVerdicts().forEach(v -> verdicts.add(new ScopedVerdict(scope.name, v)));
         }
-        report = new Report(List.copyOf(stand), relief == null ? List.of() : relief.activeWeights());
+        return verdicts;
     }
 
-    /** By the fleet's view, or by this dispatcher's where it is alone: all others see the same. */
-    private void relieve(PriorityBoost relief, Scope scope, int count, IntFunction<String> tenants) {
-        List<PriorityBoost.Change> changes = relief.update(scope.judge.activeVerdicts(), scope.judge.enoughReported());
-        for (PriorityBoost.Change c : changes) {
-            Event.write(
-                    c.kind() != PriorityBoost.Change.What.ENDED,
-                    "starvation.relief",
-                    "relief",
-                    c.kind().name().toLowerCase(java.util.Locale.ROOT),
-                    "tenant",
-                    tenants.apply(c.tenant()),
-                    "weight",
-                    Math.round(c.weight() * 100) / 100.0,
-                    "for",
-                    c.victim() == Verdict.ALL ? null : tenants.apply(c.victim()));
-        }
-        double[] all = new double[count];
-        java.util.Arrays.setAll(all, relief::weight);
+    /** By the fleet's verdicts, or by this dispatcher's where it is alone: all others see the same. */
+    private void updateBoost(Round round) {
+        StarvationDetector detector = round.scopes.get(0).detector;
+        round.boost
+                .update(detector.activeVerdicts(), detector.enoughReported())
+                .forEach(change -> VerdictLog.write(change, round.names));
+        double[] all = new double[round.layout.allowancesPerS().length];
+        Arrays.setAll(all, round.boost::weight);
         weights.accept(all);
     }
 
-    /** All that stands. */
+    /** All that stands since the last round. */
     public Report report() {
         return report;
     }
-
-    private static IntFunction<String> named(List<String> names) {
-        return i -> i == Verdict.ALL ? "all" : i < names.size() ? names.get(i) : Integer.toString(i);
-    }
-
-    private static void log(
-            String scope,
-            Verdict v,
-            FleetLayout site,
-            long now,
-            IntFunction<String> tenants,
-            IntFunction<String> classes,
-            IntFunction<String> zones,
-            IntFunction<String> kinds) {
-        Verdict.Statistics f = v.figures();
-        Event.write(
-                v.kind() != Verdict.Kind.FINE,
-                "starvation.verdict",
-                "verdict",
-                v.kind().name().toLowerCase(java.util.Locale.ROOT),
-                "tenant",
-                tenants.apply(v.tenant()),
-                "class",
-                classes.apply(v.cls()),
-                "place",
-                site.describe(v.place(), zones, kinds),
-                "scope",
-                scope,
-                "for_ms",
-                now - v.sinceMs(),
-                "jobs",
-                f.jobs(),
-                "held",
-                f.held(),
-                "own_ms",
-                Math.round(f.ownMs()),
-                "others_ms",
-                Math.round(f.othersMs()),
-                "elsewhere_ms",
-                Double.isNaN(f.elsewhereMs()) ? null : Math.round(f.elsewhereMs()),
-                "of_deadline",
-                Math.round(f.effect() * 100) / 100.0,
-                "beyond_share",
-                Math.round(f.excess() * 100) / 100.0,
-                "heard",
-                v.heard(),
-                "of",
-                v.processes(),
-                "partial",
-                v.partial(),
-                "do",
-                v.kind().remedy());
-    }
 }
--- a/src/main/java/maplespread/starvation/package-info.java
+++ b/src/main/java/maplespread/starvation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Which tenant is starved, where and why, told by comparing waits. Owns the waits of one process in windows,
- * their form on the wire, the merged view, the comparison and the verdicts. Pure: no sockets, clock, threads
- * or randomness; time is passed in. Calls no other package of the program; of libraries HdrHistogram and
- * commons-statistics.
+ * Tells which tenant is starved, where and why, by comparing waits, and by how much its requests weigh more. Owns
+ * the waits of one process in windows, their form on the wire, the fleet's merged window, the comparison, the
+ * verdicts and the boosts. Does no input or output and has no clock, threads or randomness: times are passed in,
+ * and the caller guards each object. May import {@code maplespread.errors}, Gson's annotations, HdrHistogram and
+ * commons-statistics, and no other package of the program.
  */
 package maplespread.starvation;
--- a/src/test/java/maplespread/starvation/StarvationGoldenTest.java
+++ b/src/test/java/maplespread/starvation/StarvationGoldenTest.java
@@ -132,10 +132,19 @@
     // ------------------------------------------------------------ verdicts and weights
 
     private void verdict(String what, Verdict v) {
-        Verdict.Statistics f = v.figures();
-        line(what, v.kind(), v.tenant(), v.cls(), v.place(), v.sinceMs(), v.heard(), v.processes(), v.partial());
-        line(f.jobs(), f.held(), f.others(), f.othersHeld(), f.ownMs(), f.othersMs(), f.moreMs());
-        line(f.effect(), f.elsewhereMs(), f.chance(), f.excess());
+        Verdict.Statistics f = v.statistics();
+        line(
+                what,
+                v.kind(),
+                v.tenant(),
+                v.requestClass(),
+                v.place(),
+                v.sinceMs(),
+                v.reportingProcesses(),
+                v.processes(),
+                v.partial());
+        line(f.requests(), f.censored(), f.others(), f.othersCensored(), f.ownMs(), f.othersMs(), f.excessWaitMs());
+        line(f.effect(), f.elsewhereMs(), f.pValue(), f.overuse());
     }
 
     /** One dispatcher's second: fair but for what begins in its turn at 8, 16, 24 and 32 s. */
@@ -219,7 +228,7 @@
     }
 
     private static int order(Verdict v) {
-        return (v.tenant() * 100 + v.cls()) * 1000 + v.place();
+        return (v.tenant() * 100 + v.requestClass()) * 1000 + v.place();
     }
 
     @Test
--- a/src/test/java/maplespread/starvation/WaitRecorderTest.java
+++ b/src/test/java/maplespread/starvation/WaitRecorderTest.java
@@ -61,8 +61,8 @@
         view.add(5000, waits.closeWindow(5000));
         WaitHistogram s = view.cells().values().iterator().next();
         assertEquals(1, s.total());
-        assertEquals(0, s.held());
-        assertEquals(0, view.strata().values().iterator().next().held());
+        assertEquals(0, s.censoredTotal());
+        assertEquals(0, view.strata().values().iterator().next().censoredTotal());
         view.evictExpired(30_000);
         assertTrue(view.cells().isEmpty() && view.strata().isEmpty(), "all of it goes");
     }
@@ -116,7 +116,7 @@
 
     private static Map<Long, String> sums(FleetWindow view) {
         Map<Long, String> all = new HashMap<>();
-        view.cells().forEach((cell, s) -> all.put(cell, s.total() + "/" + s.held()));
+        view.cells().forEach((cell, s) -> all.put(cell, s.total() + "/" + s.censoredTotal()));
         return all;
     }
 
