--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -20,7 +20,7 @@
 import maplespread.http.RateLimitedLogger;
 import maplespread.log.Event;
 import maplespread.policy.RejectionReason;
-import maplespread.worker.AttemptRunner;
+import maplespread.worker.AttemptResult;
 import org.tinylog.Logger;
 
 /**
@@ -533,7 +533,7 @@
 
     /** Runs a branch; whether it served the transaction. */
     private boolean branch(ClientRequest job, Attempt branch, ClientResponse answer, RequestSequencer.Permit go) {
-        AttemptRunner.AttemptResult end = null;
+        AttemptResult end = null;
         Outcome outcome = Outcome.RESET; // should the run itself fail
         answer.tried(branch.worker());
         try {
@@ -542,7 +542,7 @@
             go.attemptCompleted(outcome);
             if (outcome == Outcome.SERVED) {
                 go.release(true); // the next one need not wait for this client
-                answer.served(end.result);
+                answer.served(end.body);
             }
         } finally {
             dispatcher.reportAttemptEnded(branch, outcome, end == null ? null : end.load);
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -10,8 +10,6 @@
 import maplespread.facade.DecisionService;
 import maplespread.facade.Outcome;
 import maplespread.facade.SendCheck;
-import maplespread.facade.WorkerLoad;
-import maplespread.http.HttpConnection;
 import maplespread.http.HttpException;
 import maplespread.http.HttpHead;
 import maplespread.http.HttpParser;
@@ -22,267 +20,248 @@
 import maplespread.metrics.Metrics;
 import maplespread.policy.EndpointListState;
 
-/** Runs branches: one request to one worker each, sent once and never again by itself. */
+/**
+ * Runs attempts: one request to one worker each, sent once and never again by itself. An attempt runs on its caller's
+ * thread; any thread may cancel it.
+ */
 public final class AttemptRunner {
-    private static final int LONGEST_LINE = 256 * 1024; // a result of 64 KiB, escaped
-    private static final long MOST_BYTES = 1 << 20;
-    private static final long TAIL_MS = 50; // for the final chunk after the final line
+    /** Bytes of a line: a result of 64 KiB, escaped. */
+    private static final int MAX_LINE_BYTES = 256 * 1024;
 
-    /** A branch that is out: where it can be cut off. */
-    private static final class Running {
-        HttpConnection connection;
-        boolean cancelled;
-
-        synchronized void over(HttpConnection c) {
-            connection = c;
-            if (cancelled) {
-                c.close();
-            }
-        }
-
-        synchronized void cancel() {
-            cancelled = true;
-            if (connection != null) {
-                connection.close();
-            }
-        }
-
-        synchronized void cutIfStuck() {
-            if (connection != null) {
-                connection.cutIfStuck(0);
-            }
-        }
-
-        synchronized boolean cancelled() {
-            return cancelled;
-        }
-    }
-
-    /** How a branch ended; {@link #finish} is to be called once its outcome has been passed on. */
-    public final class AttemptResult {
-        public final Outcome outcome;
-        public final byte[] result;
-        public final WorkerLoad load;
-        private final ConnectionPool.PooledConnection link; // null where it cannot carry another request
-        private final HttpParser parser;
-
-        private AttemptResult(
-                Outcome outcome,
-                byte[] result,
-                WorkerLoad load,
-                ConnectionPool.PooledConnection link,
-                HttpParser parser) {
-            this.outcome = outcome;
-            this.result = result;
-            this.load = load;
-            this.link = link;
-            this.parser = parser;
-        }
-
-        /** Keeps the connection where the answer ends with its whole final chunk in time, else closes it. */
-        public void finish() {
-            if (link == null) {
-                return;
-            }
-            try {
-                link.connection.receive(parser, TAIL_MS);
-                if (parser.done()
-                        && parser.head().keepsAlive()
-                        && !link.connection.buffer().hasRemaining()) {
-                    links.release(link);
-                    return;
-                }
-            } catch (IOException e) {
-                // not whole: closed below
-            }
-            links.close(link);
-        }
-    }
+    private static final long MAX_RESPONSE_BYTES = 1 << 20;
 
     private final Supplier<Config> config;
-    private final ConnectionPool links;
-    private final DecisionService dispatcher;
-    private final Metrics figures;
-    private final RateLimitedLogger seldom = new RateLimitedLogger();
-    private final RateLimitedLogger notSent = new RateLimitedLogger();
-    private final RateLimitedLogger unconfirmed = new RateLimitedLogger();
-    private final Map<Attempt, Running> running = new ConcurrentHashMap<>();
+    private final ConnectionPool pool;
+    private final DecisionService decisions;
+    private final Metrics metrics;
+    private final RateLimitedLogger malformedLog = new RateLimitedLogger();
+    private final RateLimitedLogger notSentLog = new RateLimitedLogger();
+    private final RateLimitedLogger unconfirmedLog = new RateLimitedLogger();
+    private final Map<Attempt, RunningAttempt> running = new ConcurrentHashMap<>();
 
-    public AttemptRunner(Supplier<Config> config, ConnectionPool links, DecisionService dispatcher, Metrics figures) {
+    /** Runs attempts over the pool's connections and reports their progress to the decisions. */
+    public AttemptRunner(Supplier<Config> config, ConnectionPool pool, DecisionService decisions, Metrics metrics) {
         this.config = config;
-        this.links = links;
-        this.dispatcher = dispatcher;
-        this.figures = figures;
+        this.pool = pool;
+        this.decisions = decisions;
+        this.metrics = metrics;
     }
 
-    /** Gives a branch up by closing its connection. */
-    public void cancel(Attempt branch) {
-        Running r = running.get(branch);
-        if (r != null) {
-            r.cancel();
+    /** Gives an attempt up by closing its connection; it still returns a result. */
+    public void cancel(Attempt attempt) {
+        RunningAttempt found = running.get(attempt);
+        if (found != null) {
+            found.cancel();
         }
     }
 
-    /** Cuts off branches whose workers do not take the request in: no read limit ends a write. */
+    /** Cuts off attempts past their deadlines whose workers do not take the request in: no read limit ends a write. */
     public void sweep() {
-        running.forEach((branch, r) -> {
-            if (leftMs(branch) < 0) {
-                r.cutIfStuck();
+        running.forEach((attempt, state) -> {
+            if (remainingMs(attempt) < 0) {
+                state.cutIfStuck();
             }
         });
     }
 
-    /** Sends the message and waits for the branch's end, at most until its transaction's deadline. */
-    public AttemptResult run(Attempt branch, WorkerRequest message) {
-        Running me = new Running();
-        running.put(branch, me);
+    /** Sends the request and blocks until the attempt's end, at most until the request's deadline. */
+    public AttemptResult run(Attempt attempt, WorkerRequest request) {
+        RunningAttempt state = new RunningAttempt();
+        running.put(attempt, state);
         try {
-            return run(branch, message, me);
+            return run(attempt, request, state);
         } finally {
-            running.remove(branch);
+            running.remove(attempt);
         }
     }
 
-    private AttemptResult run(Attempt branch, WorkerRequest message, Running me) {
-        ConnectionPool.PooledConnection link;
+    private AttemptResult run(Attempt attempt, WorkerRequest request, RunningAttempt state) {
+        ConnectionPool.PooledConnection connection;
         try {
-            link = links.acquire(branch.address(), Math.max(1, leftMs(branch)), !dispatcher.isIdempotent(branch));
+            boolean atMostOnce = !decisions.isIdempotent(attempt);
+            connection = pool.acquire(attempt.address(), Math.max(1, remainingMs(attempt)), atMostOnce);
         } catch (IOException | IllegalArgumentException e) {
-            return ended(me.cancelled() ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
+            return AttemptResult.of(state.cancelled() ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
-        me.over(link.connection);
-        // A drain may have been told while the connection came up: nothing new goes there after that.
-        long left = leftMs(branch);
-        SendCheck check = dispatcher.checkSend(branch);
-        if (check != SendCheck.ALLOWED || me.cancelled() || left <= 0) {
-            links.release(link);
-            notSent.info(() -> Event.of(
-                    "attempt.not_sent",
-                    "transaction",
-                    message.id(),
-                    "worker",
-                    branch.worker(),
-                    "why",
-                    check != SendCheck.ALLOWED ? check : me.cancelled() ? "CANCELLED" : "OUT_OF_TIME"));
-            return ended(Outcome.NEVER_SENT);
+        state.use(connection.connection);
+        // Asked again: a drain that was notified while the connection came up allows nothing new to that worker.
+        long remainingMs = remainingMs(attempt);
+        SendCheck check = decisions.checkSend(attempt);
+        if (check != SendCheck.ALLOWED || state.cancelled() || remainingMs <= 0) {
+            pool.release(connection);
+            logNotSent(attempt, request, check, state.cancelled());
+            return AttemptResult.of(Outcome.NEVER_SENT);
         }
-        HttpWriter request = HttpWriter.request(message.method(), message.target(), branch.address())
-                .field("X-Txn", message.id())
-                .field("X-Remaining-Ms", Long.toString(left));
-        message.fields().forEach(f -> request.field(f[0], f[1]));
-        try {
-            link.connection.send(request.body(message.body()));
-            figures.attempt();
-            EndpointListState list = dispatcher.listState();
-            if (list != EndpointListState.CONFIRMED) {
-                unconfirmed.info(() -> Event.of(
-                        "attempt.sent_by_unconfirmed_list",
-                        "transaction",
-                        message.id(),
-                        "worker",
-                        branch.worker(),
-                        "list",
-                        list));
-            }
-        } catch (IOException e) { // its last byte was never written
-            links.close(link);
-            if (me.cancelled()) { // cut off here: no word against the worker
-                return ended(Outcome.NEVER_SENT);
-            }
-            links.recordUse(link, true);
-            return ended(link.reused ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
+        Outcome failure = send(attempt, request, state, connection, remainingMs);
+        if (failure != null) {
+            return AttemptResult.of(failure);
         }
         try {
-            return answer(branch, message, me, link);
+            return receive(attempt, request, state, connection);
         } catch (RuntimeException | Error e) {
-            links.close(link);
+            pool.close(connection);
             throw e;
         }
     }
 
-    private AttemptResult answer(
-            Attempt branch, WorkerRequest message, Running me, ConnectionPool.PooledConnection link) {
+    private void logNotSent(Attempt attempt, WorkerRequest request, SendCheck check, boolean cancelled) {
+        Object why = check;
+        if (check == SendCheck.ALLOWED) {
+            why = cancelled ? "CANCELLED" : "OUT_OF_TIME";
+        }
+        Object reason = why;
+        notSentLog.info(
+                () -> Event.of("attempt.not_sent", "request", request.id(), "worker", attempt.worker(), "why", reason));
+    }
+
+    /** Writes the request once; returns how the attempt ended where its last byte was never written, else null. */
+    private Outcome send(
+            Attempt attempt,
+            WorkerRequest request,
+            RunningAttempt state,
+            ConnectionPool.PooledConnection connection,
+            long remainingMs) {
+        HttpWriter head = HttpWriter.request(request.method(), request.target(), attempt.address())
+                .field("X-Txn", request.id())
+                .field("X-Remaining-Ms", Long.toString(remainingMs));
+        request.fields().forEach(field -> head.field(field[0], field[1]));
+        try {
+            connection.connection.send(head.body(request.body()));
+        } catch (IOException e) {
+            pool.close(connection);
+            if (state.cancelled()) { // cut off here: it tells nothing of the worker
+                return Outcome.NEVER_SENT;
+            }
+            pool.recordUse(connection, true);
+            return connection.reused ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED;
+        }
+        metrics.attempt();
+        EndpointListState list = decisions.listState();
+        if (list != EndpointListState.CONFIRMED) {
+            unconfirmedLog.info(() -> Event.of(
+                    "attempt.sent_by_unconfirmed_list",
+                    "request",
+                    request.id(),
+                    "worker",
+                    attempt.worker(),
+                    "list",
+                    list));
+        }
+        return null;
+    }
+
+    private AttemptResult receive(
+            Attempt attempt, WorkerRequest request, RunningAttempt state, ConnectionPool.PooledConnection connection) {
         WorkerStreamReader lines = new WorkerStreamReader(
-                message.id(), (started, share) -> dispatcher.reportProgress(branch, started, share));
-        HttpParser parser = HttpParser.response(MOST_BYTES, new LineSplitter(LONGEST_LINE, lines::line));
-        // A worker's head comes when it has taken the job, long before the job's end: without it, the
-        // connection or the worker is silent. Only what may be repeated can be given up for that.
-        long firstByteBy =
-                dispatcher.isIdempotent(branch) ? now() + config.get().times().firstByteMs() : Long.MAX_VALUE;
-        boolean heard = false;
+                request.id(), (started, share) -> decisions.reportProgress(attempt, started, share));
+        HttpParser parser = HttpParser.response(MAX_RESPONSE_BYTES, new LineSplitter(MAX_LINE_BYTES, lines::line));
+        ResponseWait wait = new ResponseWait(attempt);
         try {
             while (lines.outcome == null) {
-                boolean whole = parser.feed(link.connection.buffer());
+                boolean whole = parser.feed(connection.connection.buffer());
                 if (parser.headDone() && parser.head().status() != 200) {
-                    return new AttemptResult(
-                            refused(parser.head()),
-                            null,
-                            WorkerStreamReader.load(parser.head().get("X-Pressure")),
-                            link,
-                            parser);
+                    return rejection(connection, parser);
                 }
                 if (lines.outcome != null) {
                     break;
                 }
-                if (whole) { // ended before the last line
-                    links.close(link);
-                    return ended(Outcome.RESET);
-                }
-                long left = heard ? leftMs(branch) : Math.min(leftMs(branch), firstByteBy - now());
-                if (left <= 0) {
-                    throw new SocketTimeoutException();
+                if (whole) { // the response ended before its final line
+                    pool.close(connection);
+                    return AttemptResult.of(Outcome.RESET);
                 }
-                if (!link.connection.fill(left)) {
-                    return broke(link, heard);
+                if (!connection.connection.fill(wait.remainingMs())) {
+                    return broken(connection, wait.heard);
                 }
-                if (!heard) {
-                    heard = true;
-                    links.recordUse(link, false);
+                if (!wait.heard) {
+                    wait.heard = true;
+                    pool.recordUse(connection, false);
                 }
             }
-            return new AttemptResult(lines.outcome, lines.result, lines.load, link, parser);
+            return AttemptResult.of(lines.outcome, lines.result, lines.load, pool, connection, parser);
         } catch (SocketTimeoutException e) {
-            links.close(link);
-            return ended(Outcome.TIMED_OUT);
+            pool.close(connection);
+            return AttemptResult.of(Outcome.TIMED_OUT);
+        } catch (HttpException e) {
+            return malformed(attempt, state, connection, e);
         } catch (IOException e) {
-            links.close(link);
-            if (me.cancelled()) {
-                return ended(Outcome.CANCELLED);
+            if (state.cancelled()) {
+                pool.close(connection);
+                return AttemptResult.of(Outcome.CANCELLED);
             }
-            if (e instanceof HttpException) {
-                if (link.reused) {
-                    links.recordUnexpectedBytes(); // it may belong to an answer before it
-                }
-                seldom.warn("malformed answer of worker " + branch.worker() + ": " + e.getMessage());
-                return ended(Outcome.RESET);
-            }
-            return broke(link, heard);
+            return broken(connection, wait.heard);
         }
     }
 
-    private AttemptResult broke(ConnectionPool.PooledConnection link, boolean heard) {
-        links.close(link);
-        if (!heard) {
-            links.recordUse(link, true);
+    /** How long the next bytes of a response may take. */
+    private final class ResponseWait {
+        private final Attempt attempt;
+        private final long firstByteByMs;
+        /** Whether any byte has come. */
+        private boolean heard;
+
+        /**
+         * A worker's head comes when it has taken the request, long before the end: without it the connection or the
+         * worker is silent. Only what may be repeated can be given up for that.
+         */
+        ResponseWait(Attempt attempt) {
+            this.attempt = attempt;
+            firstByteByMs = decisions.isIdempotent(attempt)
+                    ? nowMs() + config.get().times().firstByteMs()
+                    : Long.MAX_VALUE;
+        }
+
+        long remainingMs() throws SocketTimeoutException {
+            long remainingMs = AttemptRunner.this.remainingMs(attempt);
+            if (!heard) {
+                remainingMs = Math.min(remainingMs, firstByteByMs - nowMs());
+            }
+            if (remainingMs <= 0) {
+                throw new SocketTimeoutException();
+            }
+            return remainingMs;
         }
-        return ended(link.reused && !heard ? Outcome.STALE_CONNECTION_RESET : Outcome.RESET);
     }
 
-    /** Only a marked 503 or 504 proves that the job never ran. */
-    private static Outcome refused(HttpHead head) {
-        boolean away = "1".equals(head.get("X-Turned-Away"));
-        return away && (head.status() == 503 || head.status() == 504) ? Outcome.REJECTED : Outcome.ERROR;
+    /** Only a marked 503 or 504 proves that the request never ran. */
+    private AttemptResult rejection(ConnectionPool.PooledConnection connection, HttpParser parser) {
+        HttpHead head = parser.head();
+        boolean marked = "1".equals(head.get("X-Turned-Away"));
+        boolean neverRan = marked && (head.status() == 503 || head.status() == 504);
+        return AttemptResult.of(
+                neverRan ? Outcome.REJECTED : Outcome.ERROR,
+                null,
+                WorkerStreamReader.load(head.get("X-Pressure")),
+                pool,
+                connection,
+                parser);
     }
 
-    private static long now() {
-        return System.nanoTime() / 1_000_000;
+    private AttemptResult malformed(
+            Attempt attempt, RunningAttempt state, ConnectionPool.PooledConnection connection, HttpException error) {
+        pool.close(connection);
+        if (state.cancelled()) {
+            return AttemptResult.of(Outcome.CANCELLED);
+        }
+        if (connection.reused) {
+            pool.recordUnexpectedBytes(); // they may belong to the response before
+        }
+        malformedLog.warn("malformed answer of worker " + attempt.worker() + ": " + error.getMessage());
+        return AttemptResult.of(Outcome.RESET);
+    }
+
+    private AttemptResult broken(ConnectionPool.PooledConnection connection, boolean heard) {
+        pool.close(connection);
+        if (!heard) {
+            pool.recordUse(connection, true);
+        }
+        return AttemptResult.of(connection.reused && !heard ? Outcome.STALE_CONNECTION_RESET : Outcome.RESET);
     }
 
-    private long leftMs(Attempt branch) {
-        return (branch.request().deadlineUs() - dispatcher.nowUs()) / 1000;
+    private static long nowMs() {
+        return System.nanoTime() / 1_000_000;
     }
 
-    private AttemptResult ended(Outcome outcome) {
-        return new AttemptResult(outcome, null, null, null, null);
+    private long remainingMs(Attempt attempt) {
+        return (attempt.request().deadlineUs() - decisions.nowUs()) / 1000;
     }
 }
--- a/src/main/java/maplespread/worker/ConnectionPool.java
+++ b/src/main/java/maplespread/worker/ConnectionPool.java
@@ -13,20 +13,23 @@
 import maplespread.http.HttpConnection;
 
 /**
- * The connections to workers: each carries one request at a time; idle ones wait here for the next. Idle
- * ones have what branches leave of the descriptors that are for both: with more workers than a fixed pool
- * would hold, nearly each job would pay a handshake, at the worker too. A new connection beyond that ends the
- * longest idle.
+ * The connections to workers: each carries one request at a time; idle ones wait here for the next. Idle ones may use what
+ * those in use leave of the descriptors that are for both, as a new connection costs a handshake, at the worker too; a new
+ * one beyond that closes the one that has idled longest. Thread-safe; connects and closes outside its monitor.
  */
 public final class ConnectionPool {
-    /** One connection, and whether it has carried a request before. */
+    /** A connection, and what the pool knows of it. */
     static final class PooledConnection {
         final HttpConnection connection;
         final String address;
-        boolean reused; // it has carried a request before
-        boolean inUse = true; // counted in out
-        long idleSince;
-        long idled; // for how long, before this use
+        /** It has carried a request before. */
+        boolean reused;
+        /** It counts among those in use. */
+        boolean inUse = true;
+
+        long idleSinceNanos;
+        /** How long it had idled before its present use. */
+        long idledNanos;
 
         PooledConnection(HttpConnection connection, String address) {
             this.connection = connection;
@@ -34,187 +37,234 @@
         }
     }
 
-    /** Makes a connection within the limit, in milliseconds: the system, or a story that has it come late. */
+    /** Makes connections: the system's way, or a test's that has them come late. */
     public interface Dialer {
+        /** Connects within {@code limitMs} milliseconds. */
         HttpConnection dial(InetSocketAddress to, long limitMs) throws IOException;
     }
 
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final long MIN_TRUSTED_IDLE_NANOS = 100_000_000L;
+    /** Share by which one use moves the estimate of how many reused connections break: about thirty uses count. */
+    private static final double BREAK_ESTIMATE_STEP = 0.03;
+    /** Share of broken reused connections from which on they are not used for what must not run twice. */
+    private static final double MAX_TRUSTED_BREAK_SHARE = 0.01;
+    /** The trusted idle time grows by one part in this many with each use that did not break. */
+    private static final int TRUST_GROWTH_DIVISOR = 50;
+
     private final Supplier<Config> config;
-    private final Supplier<Config.Limits> sizes;
+    private final Supplier<Config.Limits> limits;
     private final Dialer dialer;
     private final Map<String, ArrayDeque<PooledConnection>> idle = new HashMap<>();
     private int idleCount;
-    private int out; // in use, or being connected
-    private long idleNanos; // how long an idle one is trusted
-    private double broken; // share of kept ones that broke, of late
+    /** Those in use, or being connected. */
+    private int inUseCount;
+    /** How long an idle connection is trusted not to have been closed by the other side. */
+    private long trustedIdleNanos;
+
+    private double breakShare;
 
-    /** {@code sizes}: how much may be held at present. */
-    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> sizes) {
-        this(config, sizes, HttpConnection::dial);
+    /** {@code limits}: how much may be held at present. */
+    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> limits) {
+        this(config, limits, HttpConnection::dial);
     }
 
     /** With another way to make connections. */
-    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> sizes, Dialer dialer) {
+    public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> limits, Dialer dialer) {
         this.config = config;
-        this.sizes = sizes;
+        this.limits = limits;
         this.dialer = dialer;
-        idleNanos = config.get().times().workerIdleMs() * 1_000_000;
+        trustedIdleNanos = maxIdleNanos();
+    }
+
+    private long maxIdleNanos() {
+        return config.get().times().workerIdleMs() * NANOS_PER_MS;
     }
 
     /**
-     * An idle connection to the address, the one used last, or a new one; connects within the limit. {@code
-     * once}: what it is for must not run twice, so a kept one will not do while such break under requests.
+     * An idle connection to the address, the one used last, or a new one; connects within {@code limitMs}. {@code
+     * atMostOnce}: what it is for must not run twice, so a reused one will not do while such break under requests.
      */
-    PooledConnection acquire(String address, long limitMs, boolean once) throws IOException {
-        PooledConnection link;
-        while (!(once && distrusted()) && (link = takeIdle(address)) != null) {
-            link.idled = System.nanoTime() - link.idleSince;
-            if (link.idled < trustedNanos() && !link.connection.stale()) {
-                return link;
+    PooledConnection acquire(String address, long limitMs, boolean atMostOnce) throws IOException {
+        PooledConnection reusable = takeUsable(address, atMostOnce);
+        return reusable != null ? reusable : connect(address, limitMs);
+    }
+
+    private PooledConnection takeUsable(String address, boolean atMostOnce) {
+        while (!(atMostOnce && reusedOnesBreak())) {
+            PooledConnection found = takeIdle(address);
+            if (found == null) {
+                return null;
             }
-            if (link.connection.buffer().hasRemaining()) {
+            found.idledNanos = System.nanoTime() - found.idleSinceNanos;
+            if (found.idledNanos < trustedIdleNanos() && !found.connection.stale()) {
+                return found;
+            }
+            if (found.connection.buffer().hasRemaining()) {
                 recordUnexpectedBytes();
             }
-            close(link);
+            close(found);
         }
+        return null;
+    }
+
+    private PooledConnection connect(String address, long limitMs) throws IOException {
         InetSocketAddress to = EndpointParser.parseAddress(address);
-        PooledConnection oldest = begin();
-        if (oldest != null) {
-            oldest.connection.close();
+        PooledConnection evicted = beginConnecting();
+        if (evicted != null) {
+            evicted.connection.close();
         }
         try {
             long dialMs = Math.min(limitMs, config.get().times().dialMs());
             return new PooledConnection(dialer.dial(to, dialMs), address);
         } catch (IOException | RuntimeException | Error e) {
-            notMade();
+            connectingFailed();
             throw e;
         }
     }
 
     private synchronized PooledConnection takeIdle(String address) {
-        PooledConnection link = poll(address, false);
-        if (link != null) {
-            link.inUse = true;
-            out++;
+        PooledConnection newest = removeIdle(address, false);
+        if (newest != null) {
+            newest.inUse = true;
+            inUseCount++;
         }
-        return link;
+        return newest;
     }
 
-    private PooledConnection poll(String address, boolean oldest) {
-        ArrayDeque<PooledConnection> links = idle.get(address);
-        PooledConnection link = links == null ? null : oldest ? links.pollFirst() : links.pollLast();
-        idleCount -= link == null ? 0 : 1;
-        if (link != null && links.isEmpty()) {
+    private PooledConnection removeIdle(String address, boolean oldest) {
+        ArrayDeque<PooledConnection> connections = idle.get(address);
+        if (connections == null) {
+            return null;
+        }
+        PooledConnection removed = oldest ? connections.pollFirst() : connections.pollLast();
+        if (removed == null) {
+            return null;
+        }
+        idleCount--;
+        if (connections.isEmpty()) {
             idle.remove(address);
         }
-        return link;
-    }
-
-    /** Counts a new connection; the longest idle one where there would be too many, to be closed for it. */
-    private synchronized PooledConnection begin() {
-        out++;
-        String longest = null;
-        for (Map.Entry<String, ArrayDeque<PooledConnection>> e : idle.entrySet()) {
-            if (idleCount > idleCapacity()
-                    && (longest == null
-                            || e.getValue().peekFirst().idleSince
-                                    < idle.get(longest).peekFirst().idleSince)) {
-                longest = e.getKey();
+        return removed;
+    }
+
+    /** Counts a new connection; returns the longest idle one where there would be too many, to be closed for it. */
+    private synchronized PooledConnection beginConnecting() {
+        inUseCount++;
+        if (idleCount <= idleCapacity()) {
+            return null;
+        }
+        String address = null;
+        long sinceNanos = 0;
+        for (Map.Entry<String, ArrayDeque<PooledConnection>> entry : idle.entrySet()) {
+            long oldestNanos = entry.getValue().peekFirst().idleSinceNanos;
+            if (address == null || oldestNanos < sinceNanos) {
+                address = entry.getKey();
+                sinceNanos = oldestNanos;
             }
         }
-        return longest == null ? null : poll(longest, true);
+        return address == null ? null : removeIdle(address, true);
     }
 
     /** How many may be idle beside those in use. */
     private int idleCapacity() {
-        Config.Limits now = sizes.get();
-        return Math.max(now.idleWorkerConnections(), now.workerConnections() - out);
+        Config.Limits present = limits.get();
+        return Math.max(present.idleWorkerConnections(), present.workerConnections() - inUseCount);
     }
 
-    private synchronized void notMade() {
-        out--;
+    private synchronized void connectingFailed() {
+        inUseCount--;
     }
 
     /** Closes a connection that {@link #acquire} gave and that carries no more; again, it does nothing. */
-    void close(PooledConnection link) {
-        link.connection.close();
+    void close(PooledConnection connection) {
+        connection.connection.close();
         synchronized (this) {
-            out -= link.inUse ? 1 : 0;
-            link.inUse = false;
+            noLongerInUse(connection);
         }
     }
 
-    private synchronized boolean distrusted() {
-        return broken > 0.01;
+    private void noLongerInUse(PooledConnection connection) {
+        inUseCount -= connection.inUse ? 1 : 0;
+        connection.inUse = false;
+    }
+
+    private synchronized boolean reusedOnesBreak() {
+        return breakShare > MAX_TRUSTED_BREAK_SHARE;
     }
 
-    private synchronized long trustedNanos() {
-        return idleNanos;
+    private synchronized long trustedIdleNanos() {
+        return trustedIdleNanos;
     }
 
     /**
-     * Learns from a request on a kept connection: whether it broke before a byte came back. Guards against
-     * peers, and machines between, that drop idle connections sooner than the settings say, without
-     * a word: such a request may have run. About thirty uses count; the trusted idle time grows back slowly.
+     * Learns from a request on a reused connection whether it broke before a byte came back. Workers, and machines
+     * between, may close idle connections sooner than the settings say; such a request may have run. The trusted idle
+     * time halves at a break and grows back slowly.
      */
-    synchronized void recordUse(PooledConnection link, boolean broke) {
-        if (link.reused) {
-            broken = 0.97 * broken + (broke ? 0.03 : 0);
-            idleNanos = broke
-                    ? Math.max(MIN_TRUSTED_IDLE_NANOS, Math.min(idleNanos, link.idled / 2))
-                    : Math.min(config.get().times().workerIdleMs() * 1_000_000, idleNanos + idleNanos / 50);
+    synchronized void recordUse(PooledConnection connection, boolean broke) {
+        if (!connection.reused) {
+            return;
+        }
+        breakShare = (1 - BREAK_ESTIMATE_STEP) * breakShare + (broke ? BREAK_ESTIMATE_STEP : 0);
+        if (broke) {
+            long halved = Math.min(trustedIdleNanos, connection.idledNanos / 2);
+            trustedIdleNanos = Math.max(MIN_TRUSTED_IDLE_NANOS, halved);
+        } else {
+            long grown = trustedIdleNanos + trustedIdleNanos / TRUST_GROWTH_DIVISOR;
+            trustedIdleNanos = Math.min(maxIdleNanos(), grown);
         }
     }
 
     /**
-     * Bytes came on a kept connection that nobody had asked for. A refusal names no job: one that follows
-     * another answer, and comes a moment later, would prove of the next job that it never ran. So what must
-     * not run twice gets new connections for a while, as where kept ones break.
+     * Bytes came on a reused connection that nobody had asked for. A rejection names no request: one that follows
+     * another response, and comes a moment later, would prove of the next request that it never ran. So what must not
+     * run twice gets new connections for a while, as where reused ones break.
      */
     synchronized void recordUnexpectedBytes() {
-        broken = 0.97 * broken + 0.03;
+        breakShare = (1 - BREAK_ESTIMATE_STEP) * breakShare + BREAK_ESTIMATE_STEP;
     }
 
-    /** Takes a connection back after a whole answer. */
-    void release(PooledConnection link) {
+    /** Takes a connection back after a whole response. */
+    void release(PooledConnection connection) {
         synchronized (this) {
-            out -= link.inUse ? 1 : 0;
-            link.inUse = false;
+            noLongerInUse(connection);
             if (idleCount < idleCapacity()) {
-                link.idleSince = System.nanoTime();
-                link.reused = true;
-                idle.computeIfAbsent(link.address, a -> new ArrayDeque<>()).addLast(link);
+                connection.idleSinceNanos = System.nanoTime();
+                connection.reused = true;
+                idle.computeIfAbsent(connection.address, address -> new ArrayDeque<>())
+                        .addLast(connection);
                 idleCount++;
                 return;
             }
         }
-        link.connection.close();
+        connection.connection.close();
     }
 
     /**
-     * Closes what has idled for two thirds of the time after which a worker's machine closes it (a request
-     * written after that ends as a reset that may have run), and what leads to a worker no longer listed.
+     * Closes what has idled for two thirds of the time after which a worker's machine closes it (a request written after
+     * that ends as a reset that may have run), and what leads to a worker no longer listed.
      */
-    public void closeExpired(Collection<String> listed) {
-        ArrayDeque<PooledConnection> old = new ArrayDeque<>();
-        long limit = config.get().times().workerIdleMs() * 1_000_000;
+    public void closeExpired(Collection<String> listedAddresses) {
+        ArrayDeque<PooledConnection> expired = new ArrayDeque<>();
+        long maxIdleNanos = maxIdleNanos();
         synchronized (this) {
-            for (Iterator<Map.Entry<String, ArrayDeque<PooledConnection>>> i =
+            for (Iterator<Map.Entry<String, ArrayDeque<PooledConnection>>> entries =
                             idle.entrySet().iterator();
-                    i.hasNext(); ) {
-                Map.Entry<String, ArrayDeque<PooledConnection>> e = i.next();
-                boolean gone = !listed.contains(e.getKey());
-                ArrayDeque<PooledConnection> links = e.getValue();
-                while (!links.isEmpty() && (gone || System.nanoTime() - links.peekFirst().idleSince > limit)) {
-                    old.add(links.removeFirst());
+                    entries.hasNext(); ) {
+                Map.Entry<String, ArrayDeque<PooledConnection>> entry = entries.next();
+                boolean unlisted = !listedAddresses.contains(entry.getKey());
+                ArrayDeque<PooledConnection> connections = entry.getValue();
+                while (!connections.isEmpty()
+                        && (unlisted || System.nanoTime() - connections.peekFirst().idleSinceNanos > maxIdleNanos)) {
+                    expired.add(connections.removeFirst());
                     idleCount--;
                 }
-                if (links.isEmpty()) {
-                    i.remove();
+                if (connections.isEmpty()) {
+                    entries.remove();
                 }
             }
         }
-        old.forEach(l -> l.connection.close());
+        expired.forEach(connection -> connection.connection.close());
     }
 }
--- a/src/main/java/maplespread/worker/PeerForwarder.java
+++ b/src/main/java/maplespread/worker/PeerForwarder.java
@@ -8,76 +8,85 @@
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 
-/** Takes a request to another dispatcher as a client would: sent once, and never again by itself. */
+/**
+ * Forwards a request to another dispatcher as a client would: sent once, and never again by itself. Blocks its caller's
+ * thread; any thread may cancel.
+ */
 public final class PeerForwarder {
     private static final long MAX_RESPONSE_BYTES = 1 << 20;
+    private static final long NANOS_PER_MS = 1_000_000;
 
-    /** NOT_SENT: no whole request has reached it, so it cannot have run; LOST: it may have run. */
+    /** How forwarding ended. */
     public enum Status {
+        /** The peer answered. */
         ANSWERED,
+        /** No whole request has reached the peer: it never ran, a retry is safe. */
         NOT_SENT,
+        /** It may have run. */
         LOST
     }
 
-    /** What came of it; the answer's parts only where it was answered. */
-    public record Result(Status status, int httpStatus, List<String[]> fields, byte[] body) {}
+    /** What came of it; the parts of a response only where the peer answered. */
+    public record Result(Status status, int httpStatus, List<String[]> fields, byte[] body) {
+        private static Result unanswered(Status status) {
+            return new Result(status, 0, List.of(), new byte[0]);
+        }
+    }
 
-    private final ConnectionPool links;
+    private final ConnectionPool pool;
     private final Map<Object, ConnectionPool.PooledConnection> running = new ConcurrentHashMap<>();
 
-    public PeerForwarder(ConnectionPool links) {
-        this.links = links;
+    /** Forwards over the pool's connections. */
+    public PeerForwarder(ConnectionPool pool) {
+        this.pool = pool;
     }
 
-    /** Nobody waits for the answer any more: the other one sees its client leave. */
-    public void cancel(Object job) {
-        ConnectionPool.PooledConnection link = running.get(job);
-        if (link != null) {
-            link.connection.close();
+    /** Ends a forwarding whose client has left: the peer sees its client leave. */
+    public void cancel(Object handle) {
+        ConnectionPool.PooledConnection connection = running.get(handle);
+        if (connection != null) {
+            connection.connection.close();
         }
     }
 
-    /** Blocks for so long at most; {@code job}: by which it can be cancelled. */
-    public Result run(Object job, String address, HttpWriter request, byte[] body, long limitMs) {
-        long end = System.nanoTime() + limitMs * 1_000_000;
-        ConnectionPool.PooledConnection link;
+    /** Blocks for {@code limitMs} milliseconds at most; {@code handle}: by which {@link #cancel} finds it. */
+    public Result run(Object handle, String address, HttpWriter request, byte[] body, long limitMs) {
+        long endNanos = System.nanoTime() + limitMs * NANOS_PER_MS;
+        ConnectionPool.PooledConnection connection;
         try {
-            link = links.acquire(address, Math.max(1, limitMs), true);
+            connection = pool.acquire(address, Math.max(1, limitMs), true);
         } catch (IOException | IllegalArgumentException e) {
-            return ended(Status.NOT_SENT);
+            return Result.unanswered(Status.NOT_SENT);
         }
-        running.put(job, link);
-        boolean whole = false;
+        running.put(handle, connection);
+        boolean reusable = false;
         try {
             try {
-                link.connection.send(request.body(body));
+                connection.connection.send(request.body(body));
             } catch (IOException e) { // its last byte was never written
-                links.recordUse(link, true);
-                return ended(Status.NOT_SENT);
+                pool.recordUse(connection, true);
+                return Result.unanswered(Status.NOT_SENT);
             }
-            ByteArrayOutputStream said = new ByteArrayOutputStream();
-            HttpParser parser = HttpParser.responseOrError(MAX_RESPONSE_BYTES, said::write);
+            ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
+            HttpParser parser = HttpParser.responseOrError(MAX_RESPONSE_BYTES, responseBody::write);
             try {
-                link.connection.receiveBy(parser, end, false);
+                connection.connection.receiveBy(parser, endNanos, false);
             } catch (IOException e) {
-                links.recordUse(link, !parser.headDone());
-                return ended(Status.LOST);
+                pool.recordUse(connection, !parser.headDone());
+                return Result.unanswered(Status.LOST);
             }
-            links.recordUse(link, false);
-            whole = parser.head().keepsAlive() && !link.connection.buffer().hasRemaining();
+            pool.recordUse(connection, false);
+            reusable = parser.head().keepsAlive()
+                    && !connection.connection.buffer().hasRemaining();
             return new Result(
-                    Status.ANSWERED, parser.head().status(), parser.head().fields(), said.toByteArray());
+                    Status.ANSWERED, parser.head().status(), parser.head().fields(), responseBody.toByteArray());
         } finally {
-            running.remove(job);
-            if (whole) {
-                links.release(link);
+            running.remove(handle);
+            if (reusable) {
+                pool.release(connection);
             } else {
-                links.close(link);
+                pool.close(connection);
             }
         }
     }
-
-    private static Result ended(Status how) {
-        return new Result(how, 0, List.of(), new byte[0]);
-    }
 }
--- a/src/main/java/maplespread/worker/Prober.java
+++ b/src/main/java/maplespread/worker/Prober.java
@@ -13,47 +13,51 @@
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 
-/** Asks a worker for its load and reports what came of it. */
+/** Probes a worker for its load report and hands on what came of it. Blocks its caller's thread. */
 public final class Prober {
+    /** Bytes of a response. */
     private static final int MAX_RESPONSE_BYTES = 16 * 1024;
+
     private final Supplier<Config> config;
-    private final ConnectionPool links;
-    private final DecisionService dispatcher;
+    private final ConnectionPool pool;
+    private final DecisionService decisions;
 
-    public Prober(Supplier<Config> config, ConnectionPool links, DecisionService dispatcher) {
+    /** Probes over the pool's connections. */
+    public Prober(Supplier<Config> config, ConnectionPool pool, DecisionService decisions) {
         this.config = config;
-        this.links = links;
-        this.dispatcher = dispatcher;
+        this.pool = pool;
+        this.decisions = decisions;
     }
 
+    /** Probes once; every probe ends in one report to the decisions. */
     public void probe(Action.Probe probe) {
         long start = System.nanoTime();
         WorkerLoad load = null;
         Outcome outcome;
-        ConnectionPool.PooledConnection link = null;
+        ConnectionPool.PooledConnection connection = null;
         try {
-            link = links.acquire(probe.address(), config.get().times().dialMs(), true);
+            connection = pool.acquire(probe.address(), config.get().times().dialMs(), true);
             outcome = Outcome.RESET;
-            link.connection.send(
+            connection.connection.send(
                     HttpWriter.request("GET", "/status/load", probe.address()).bytes());
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             HttpParser parser = HttpParser.response(MAX_RESPONSE_BYTES, body::write);
-            link.connection.receive(parser, config.get().times().probeMs());
+            connection.connection.receive(parser, config.get().times().probeMs());
             outcome = parser.head().status() == 200 ? Outcome.SERVED : Outcome.ERROR;
             load = WorkerStreamReader.load(body.toString(StandardCharsets.UTF_8));
             load = load == null ? WorkerStreamReader.load(parser.head().get("X-Pressure")) : load;
             if (parser.done() && parser.head().keepsAlive()) {
-                links.release(link);
-                link = null;
+                pool.release(connection);
+                connection = null;
             }
         } catch (SocketTimeoutException e) {
-            outcome = link == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
-        } catch (IOException | RuntimeException | Error e) { // unreported, the module would wait for ever
-            outcome = link == null ? Outcome.CONNECT_FAILED : Outcome.RESET;
+            outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
+        } catch (IOException | RuntimeException | Error e) { // unreported, the policy would wait for ever
+            outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.RESET;
         }
-        if (link != null) {
-            links.close(link);
+        if (connection != null) {
+            pool.close(connection);
         }
-        dispatcher.reportProbeEnded(probe, outcome, (System.nanoTime() - start) / 1e6, load);
+        decisions.reportProbeEnded(probe, outcome, (System.nanoTime() - start) / 1e6, load);
     }
 }
