--- a/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -19,198 +19,228 @@
 import maplespread.consensus.Mutation;
 import maplespread.consensus.VersionedValue;
 import maplespread.log.Event;
+import maplespread.membership.MemberUpdate;
 import maplespread.membership.client.ClusterTransport;
 
 /**
- * The value that the fleet agrees on, for callers that wait. The group's receiving thread and one that ticks
- * enter the core under one lock; a third tells listeners.
+ * The value that the fleet agrees on, for callers that may block. The group's receiving thread and one that ticks enter
+ * the {@link ConsensusNode} under one lock, this object's; a third thread notifies listeners.
  */
 public final class ReplicatedRegister implements Closeable {
-    /** Of the group's channels. */
+    /** The group's channel that carries the messages. */
     public static final int CHANNEL = 1;
 
-    private static final long STACK = 144 * 1024;
-    private static final long LATE_MS = 1000; // by which a result may come after its time
+    private static final long THREAD_STACK_BYTES = 144 * 1024;
 
-    /** One call into the core, with the time. */
-    private interface Call {
-        void on(long now, Consumer<ChangeResult> done);
+    /** How much later than its time a result may come before the caller is told that there is none. */
+    private static final long RESULT_GRACE_MS = 1000;
+
+    private static final long MAX_TICK_INTERVAL_MS = 1000;
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    /** One call of the node at the present time. */
+    private interface NodeCall {
+        void run(long now, Consumer<ChangeResult> callback);
     }
 
-    private final ConsensusSettings set;
-    private final ClusterTransport group;
-    private final ConsensusNode core;
-    private final MessageCodec codec = new MessageCodec(); // under the lock, as the core
+    private final ConsensusSettings settings;
+    private final ClusterTransport cluster;
+    private final ConsensusNode node;
+    private final MessageCodec codec = new MessageCodec();
     private final List<Consumer<VersionedValue>> listeners = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<VersionedValue> news = new LinkedBlockingQueue<>();
-    private final Thread ticks, tells;
-    private boolean over;
-
-    /** Takes the group's channel 1. */
-    public ReplicatedRegister(ConsensusSettings set, ClusterTransport group, long seed) {
-        this.set = set;
-        this.group = group;
-        core = new ConsensusNode(set, group.incarnation(), seed, now(), new ConsensusTransport() {
-            @Override
-            public void send(String to, ConsensusMessage word) {
-                group.send(CHANNEL, to, codec.encode(to, word)); // unsent is as good as lost
-            }
+    private final BlockingQueue<VersionedValue> learnedValues = new LinkedBlockingQueue<>();
+    private final Thread tickThread;
+    private final Thread listenerThread;
+    private boolean closed;
+
+    /** Takes the group's channel {@link #CHANNEL}; {@code seed}: of the random source that spreads retries. */
+    public ReplicatedRegister(ConsensusSettings settings, ClusterTransport cluster, long seed) {
+        this.settings = settings;
+        this.cluster = cluster;
+        node = new ConsensusNode(settings, cluster.incarnation(), seed, now(), new NodeTransport());
+        cluster.registerChannel(CHANNEL, this::receive);
+        tickThread = startDaemon("agreement", this::tick);
+        listenerThread = startDaemon("agreement news", this::notifyListeners);
+    }
+
+    /** Sends the node's messages to the group. Called under the lock. */
+    private final class NodeTransport implements ConsensusTransport {
+        @Override
+        public void send(String receiver, ConsensusMessage message) {
+            cluster.send(CHANNEL, receiver, codec.encode(receiver, message)); // what is not sent counts as lost
+        }
 
-            @Override
-            public void learned(VersionedValue value) {
-                news.add(value);
-            }
+        @Override
+        public void learned(VersionedValue value) {
+            learnedValues.add(value);
+        }
 
-            @Override
-            public void event(boolean warning, String name, Object... pairs) {
-                Event.write(warning, name, pairs);
-            }
-        });
-        group.registerChannel(CHANNEL, this::heard);
-        ticks = daemon("agreement", this::tick);
-        tells = daemon("agreement news", this::tell);
+        @Override
+        public void event(boolean warning, String name, Object... pairs) {
+            Event.write(warning, name, pairs);
+        }
     }
 
     private static long now() {
-        return System.nanoTime() / 1_000_000;
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
-    private static Thread daemon(String name, Runnable work) {
-        Thread t = new Thread(null, work, name, STACK);
-        t.setDaemon(true);
-        t.start();
-        return t;
+    private static Thread startDaemon(String name, Runnable work) {
+        Thread thread = new Thread(null, work, name, THREAD_STACK_BYTES);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    private void heard(String from, byte[] payload) {
+    // ------------------------------------------------------------ threads
+
+    /** On the group's receiving thread. */
+    private void receive(String sender, byte[] payload) {
         byte[] reply;
         synchronized (this) {
-            MessageCodec.Received received = codec.decode(from, payload);
-            ConsensusMessage word = received.message();
+            MessageCodec.Received received = codec.decode(sender, payload);
+            ConsensusMessage message = received.message();
             reply = received.reply();
-            if (!received.readable() || word != null && !word.sender().equals(from)) {
-                Event.of("agreement.not_a_word", "member", from, "bytes", payload.length)
+            boolean forged = message != null && !message.sender().equals(sender);
+            if (!received.readable() || forged) {
+                Event.of("agreement.not_a_word", "member", sender, "bytes", payload.length)
                         .warn();
                 return;
             }
-            if (word != null && !over) {
-                core.received(now(), word);
+            if (message != null && !closed) {
+                node.received(now(), message);
                 notifyAll();
             }
         }
         if (reply != null) {
-            group.send(CHANNEL, from, reply);
+            cluster.send(CHANNEL, sender, reply);
         }
     }
 
     private synchronized void tick() {
-        while (!over) {
+        while (!closed) {
             try {
-                core.members(group.members().stream()
-                        .filter(m -> !m.departed())
-                        .map(m -> m.name())
+                node.members(cluster.members().stream()
+                        .filter(member -> !member.departed())
+                        .map(MemberUpdate::name)
                         .toList());
-                long at = core.tick(now());
-                wait(Math.max(1, Math.min(1000, at - now())));
+                long nextTickAt = node.tick(now());
+                wait(Math.max(1, Math.min(MAX_TICK_INTERVAL_MS, nextTickAt - now())));
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException e) { // no one word may end the thread
+            } catch (RuntimeException e) { // one bad message must not end the thread
                 Event.of("agreement.fault", "why", e).error();
             }
         }
     }
 
-    private void tell() {
+    private void notifyListeners() {
         while (true) {
             try {
-                VersionedValue v = news.take();
-                listeners.forEach(l -> l.accept(v));
+                VersionedValue value = learnedValues.take();
+                listeners.forEach(listener -> listener.accept(value));
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException e) {
+            } catch (RuntimeException e) { // one failing listener must not end the thread
                 Event.of("agreement.fault", "why", e).error();
             }
         }
     }
 
-    private ChangeResult call(long waitMs, Call call) {
+    // ------------------------------------------------------------ calls
+
+    private ChangeResult call(long waitMs, NodeCall call) {
         CompletableFuture<ChangeResult> result = new CompletableFuture<>();
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 throw new IllegalStateException("the register is closed");
             }
-            call.on(now(), result::complete);
+            call.run(now(), result::complete);
             notifyAll();
         }
         try {
-            return result.get(waitMs + LATE_MS, TimeUnit.MILLISECONDS);
+            return result.get(waitMs + RESULT_GRACE_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new ChangeResult(ChangeResult.Outcome.NO_MAJORITY, decidedValue(), e);
-        } catch (ExecutionException | TimeoutException e) { // closed meanwhile, or stood still
-            return new ChangeResult(ChangeResult.Outcome.NO_MAJORITY, decidedValue(), e);
+            return noMajority(e);
+        } catch (ExecutionException | TimeoutException e) { // closed meanwhile, or paused
+            return noMajority(e);
         }
     }
 
-    /** Blocks until it is decided or refused, or the time is over. The change runs under the lock. */
-    public ChangeResult change(Mutation c, long waitMs) {
-        return call(waitMs, (now, done) -> core.change(now, c, now + waitMs, done));
+    private ChangeResult noMajority(Exception error) {
+        return new ChangeResult(ChangeResult.Outcome.NO_MAJORITY, decidedValue(), error);
     }
 
-    /** Moves to these electors, one at a time; blocks as a change does. */
+    /**
+     * Blocks until a change is decided or rejected, or the time is over. The mutation runs under the lock: it must not
+     * block.
+     *
+     * @param waitMs the time in milliseconds
+     * @throws IllegalStateException if the register is closed
+     */
+    public ChangeResult change(Mutation mutation, long waitMs) {
+        return call(waitMs, (now, callback) -> node.change(now, mutation, now + waitMs, callback));
+    }
+
+    /** Moves to these electors, one at a time; blocks and throws as {@link #change} does. */
     public ChangeResult electors(List<String> next, long waitMs) {
-        return call(waitMs, (now, done) -> core.electors(now, next, now + waitMs, done));
+        return call(waitMs, (now, callback) -> node.electors(now, next, now + waitMs, callback));
     }
 
     /** An operator's call after a majority has restarted at once; see {@link ConsensusNode#bootstrap}. */
     public ChangeResult bootstrap(List<String> electors, long waitMs) {
         return call(
-                waitMs, (now, done) -> core.bootstrap(now, System.currentTimeMillis(), electors, now + waitMs, done));
+                waitMs,
+                (now, callback) -> node.bootstrap(now, System.currentTimeMillis(), electors, now + waitMs, callback));
     }
 
-    /** With the electors in force as far as is known, else those of the settings. */
+    /** Bootstraps with the electors in force as far as they are known, else with those of the settings. */
     public ChangeResult bootstrap(long waitMs) {
-        VersionedValue v = decidedValue();
-        return bootstrap(v == null ? set.electors() : v.electors(), waitMs);
+        VersionedValue known = decidedValue();
+        return bootstrap(known == null ? settings.electors() : known.electors(), waitMs);
     }
 
-    /** The last decided value that this instance has heard of; null: none yet. */
+    // ------------------------------------------------------------ state
+
+    /** The last decided value that this instance has learned; null: none yet. */
     public synchronized VersionedValue decidedValue() {
-        return core.decidedValue();
+        return node.decidedValue();
     }
 
-    /** Whether this run has not yet read what a majority knows. */
+    /** Whether this process has not yet read what a majority knows, and does not vote. */
     public synchronized boolean recovering() {
-        return core.recovering();
+        return node.recovering();
     }
 
-    /** How values went to other members so far. */
+    /** How values were sent to other members so far. */
     public synchronized MessageCodec.Counts valuesSent() {
         return codec.counts();
     }
 
     /** See {@link ConsensusNode#acceptedValue}. */
     public synchronized VersionedValue acceptedValue() {
-        return core.acceptedValue();
+        return node.acceptedValue();
     }
 
-    /** The electors as this member knows them; two lists while a change of them is under way. */
+    /** The electors as this member knows them; two lists while they change. */
     public synchronized List<List<String>> electors() {
-        return core.electors();
+        return node.electors();
     }
 
-    /** Hears of each value learned, in order, on a thread for that alone. */
+    /** Notified of each value learned, in order, on a thread that does nothing else. */
     public void addListener(Consumer<VersionedValue> listener) {
         listeners.add(listener);
     }
 
+    /** Ends the threads; calls that wait end with {@link ChangeResult.Outcome#NO_MAJORITY}. */
     @Override
     public void close() {
         synchronized (this) {
-            over = true;
+            closed = true;
             notifyAll();
         }
-        ticks.interrupt();
-        tells.interrupt();
+        tickThread.interrupt();
+        listenerThread.interrupt();
     }
 }
