--- a/src/main/java/maplespread/consensus/MessageFormat.java
+++ b/src/main/java/maplespread/consensus/MessageFormat.java
@@ -104,13 +104,13 @@
     /** The message in these bytes; empty where they are none. */
     static Optional<ParsedMessage> decode(byte[] bytes) {
         try {
-            FieldReader in = new FieldReader(bytes);
-            if (in.getByte() != VERSION) {
+            FieldReader reader = new FieldReader(bytes);
+            if (reader.getByte() != VERSION) {
                 return Optional.empty();
             }
-            ParsedMessage parsed = read(in);
+            ParsedMessage parsed = read(reader);
             boolean stateTwice = parsed.reference() != null && parsed.message().accepted() != null;
-            return in.hasRemaining() || stateTwice ? Optional.empty() : Optional.of(parsed);
+            return reader.hasRemaining() || stateTwice ? Optional.empty() : Optional.of(parsed);
         } catch (RuntimeException e) { // the bytes end too early, or name no kind
             return Optional.empty();
         }
--- /dev/null
+++ b/src/main/java/maplespread/consensus/OrphanedChangeFinisher.java
@@ -0,0 +1,53 @@
+package maplespread.consensus;
+
+import java.util.SplittableRandom;
+import maplespread.consensus.RegisterState.AcceptedState;
+
+/**
+ * Finds that this elector has accepted a state which is not known to be decided for a while: its proposer may have
+ * died. A read by this member then finishes it.
+ */
+final class OrphanedChangeFinisher {
+    /** How long the read may take, in retry intervals. */
+    private static final int READ_INTERVALS = 4;
+
+    private static final long NEVER = Long.MAX_VALUE;
+
+    private final NodeState state;
+    private final Proposer proposer;
+    private final SplittableRandom random;
+    private long undecidedSince = NEVER;
+
+    OrphanedChangeFinisher(NodeState state, Proposer proposer, SplittableRandom random) {
+        this.state = state;
+        this.proposer = proposer;
+        this.random = random;
+    }
+
+    /** Submits the read where it is time to. */
+    void tick(long now) {
+        long intervalMs = state.settings().maxRetryMs();
+        if (!isUndecided() || !proposer.isIdle()) {
+            undecidedSince = NEVER;
+        } else if (undecidedSince == NEVER) {
+            undecidedSince = now + random.nextLong(intervalMs); // not all electors at once
+        } else if (now > undecidedSince + intervalMs) {
+            undecidedSince = NEVER;
+            long giveUpAt = now + READ_INTERVALS * intervalMs;
+            proposer.submit(PendingChange.ofValue(Mutation.READ, proposer.nextNumber(), giveUpAt, result -> {}));
+        }
+    }
+
+    private boolean isUndecided() {
+        AcceptedState accepted = state.accepted();
+        if (state.recovering() || accepted == null) {
+            return false;
+        }
+        if (!ElectorLists.names(accepted.state().electorLists()).contains(state.self())) {
+            return false;
+        }
+        return state.decided() == null
+                || !state.decided().state().equals(accepted.state())
+                || !accepted.state().previousElectors().isEmpty();
+    }
+}
--- a/src/main/java/maplespread/lab/agreement/ExhaustiveInterleavings.java
+++ b/src/main/java/maplespread/lab/agreement/ExhaustiveInterleavings.java
@@ -5,7 +5,9 @@
 import java.lang.reflect.Modifier;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashSet;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -228,7 +230,7 @@
     private ConsensusNode copy(ConsensusNode core) {
         try {
             ConsensusNode to = start("a", 1, 0);
-            fill(core, to);
+            fill(core, to, Collections.newSetFromMap(new IdentityHashMap<>()));
             sent.clear();
             return to;
         } catch (ReflectiveOperationException e) {
@@ -236,9 +238,19 @@
         }
     }
 
-    private void fill(Object from, Object to) throws ReflectiveOperationException {
+    /** Parts that a new node has already are filled in place, as others refer to them. */
+    private void fill(Object from, Object to, Set<Object> filled) throws ReflectiveOperationException {
+        if (!filled.add(from)) {
+            return;
+        }
         for (Field f : fields.computeIfAbsent(from.getClass(), ExhaustiveInterleavings::fields)) {
-            f.set(to, copied(f.get(from)));
+            Object value = f.get(from);
+            Object there = f.get(to);
+            if (isPart(value) && there != null) {
+                fill(value, there, filled);
+            } else {
+                f.set(to, copied(value, filled));
+            }
         }
     }
 
@@ -253,8 +265,20 @@
         return all;
     }
 
-    /** Of what a core keeps only collections, and its own jobs and tries, ever change. */
-    private Object copied(Object o) throws ReflectiveOperationException {
+    /** Whether this is an object of the core that may change: records, lambdas and what is passed in do not. */
+    private static boolean isPart(Object o) {
+        if (o == null) {
+            return false;
+        }
+        Class<?> type = o.getClass();
+        return type.getPackage().equals(ConsensusNode.class.getPackage())
+                && !type.isRecord()
+                && !type.isEnum()
+                && !type.isHidden();
+    }
+
+    /** Of what a core keeps only collections, and its own parts, ever change. */
+    private Object copied(Object o, Set<Object> filled) throws ReflectiveOperationException {
         if (o instanceof TreeMap<?, ?> m) {
             return new TreeMap<>(m);
         } else if (o instanceof TreeSet<?> s) {
@@ -264,12 +288,10 @@
         } else if (o instanceof ArrayDeque<?> q) {
             ArrayDeque<Object> to = new ArrayDeque<>();
             for (Object each : q) {
-                to.add(copied(each));
+                to.add(copied(each, filled));
             }
             return to;
-        } else if (o == null
-                || o.getClass().getEnclosingClass() != ConsensusNode.class
-                || o.getClass().isSynthetic()) {
+        } else if (!isPart(o)) {
             return o;
         }
         Constructor<?> c = o.getClass().getDeclaredConstructors()[0];
@@ -280,7 +302,7 @@
             none[i] = type == long.class ? 0L : type == boolean.class ? false : null;
         }
         Object to = c.newInstance(none);
-        fill(o, to);
+        fill(o, to, filled);
         return to;
     }
 
