--- a/src/main/java/maplespread/membership/GossipQueue.java
+++ b/src/main/java/maplespread/membership/GossipQueue.java
@@ -6,59 +6,73 @@
 import java.util.List;
 import java.util.Map;
 
-/** News that rides on other messages: the least told first, each as often as the group's size asks for. */
+/**
+ * Updates that are sent along with other messages: those sent least often first, each as often as the size of the group
+ * asks for.
+ */
 final class GossipQueue {
-    private static final int UPDATE_BYTES = 40; // beside the names and addresses
+    /** Bytes of an update beside its texts, rounded up. */
+    private static final int UPDATE_BYTES = 40;
 
-    private static final class News {
-        final MemberUpdate update;
-        final long order;
-        int told;
+    /** Rounded up: names and addresses are nearly always ASCII. */
+    private static final int BYTES_PER_CHAR = 2;
 
-        News(MemberUpdate update, long order) {
+    private static final class QueuedUpdate {
+        private final MemberUpdate update;
+        private final long order;
+        private int transmissions;
+
+        QueuedUpdate(MemberUpdate update, long order) {
             this.update = update;
             this.order = order;
         }
     }
 
-    private final Map<String, News> byName = new HashMap<>();
-    private long order;
+    private static final Comparator<QueuedUpdate> LEAST_SENT_THEN_NEWEST = Comparator.comparingInt(
+                    (QueuedUpdate queued) -> queued.transmissions)
+            .thenComparing(queued -> -queued.order);
+
+    private final Map<String, QueuedUpdate> byName = new HashMap<>();
+    private long lastOrder;
 
-    /** Newer news of a member takes the place of older. */
+    /** Queues an update in place of an earlier one of the same member. */
     void add(MemberUpdate update) {
-        byName.put(update.name(), new News(update, ++order));
+        byName.put(update.name(), new QueuedUpdate(update, ++lastOrder));
     }
 
-    static int bytes(MemberUpdate u) {
-        return UPDATE_BYTES
-                + 2
-                        * (u.name().length()
-                                + u.address().length()
-                                + u.suspectedBy().length());
+    /** About how many bytes an update takes in a packet. */
+    static int bytes(MemberUpdate update) {
+        int chars = update.name().length()
+                + update.address().length()
+                + update.suspectedBy().length();
+        return UPDATE_BYTES + BYTES_PER_CHAR * chars;
     }
 
     /**
-     * What fits into so many bytes, counted as told, after what goes in any case: the sender itself, and
-     * what is thought of the one it is sent to (Lifeguard's buddy system: the sooner that knows it is
-     * suspected, the sooner it can refute it).
+     * The updates for one message, which count as sent.
+     *
+     * @param first sent in any case, and not counted
+     * @param maxBytes of all updates together
+     * @param maxTransmissions after which an update is dropped from the queue
      */
-    List<MemberUpdate> take(List<MemberUpdate> first, int bytes, int most) {
+    List<MemberUpdate> take(List<MemberUpdate> first, int maxBytes, int maxTransmissions) {
         List<MemberUpdate> taken = new ArrayList<>(first);
-        int left = bytes - first.stream().mapToInt(GossipQueue::bytes).sum();
-        List<News> all = new ArrayList<>(byName.values());
-        all.sort(Comparator.comparingInt((News n) -> n.told).thenComparing(n -> -n.order));
-        for (News n : all) {
-            if (first.contains(n.update)) {
+        int left = maxBytes - first.stream().mapToInt(GossipQueue::bytes).sum();
+        List<QueuedUpdate> sorted = new ArrayList<>(byName.values());
+        sorted.sort(LEAST_SENT_THEN_NEWEST);
+        for (QueuedUpdate queued : sorted) {
+            if (first.contains(queued.update)) {
                 continue;
             }
-            int size = bytes(n.update);
+            int size = bytes(queued.update);
             if (size > left) {
                 break;
             }
             left -= size;
-            taken.add(n.update);
-            if (++n.told >= most) {
-                byName.remove(n.update.name());
+            taken.add(queued.update);
+            queued.transmissions++;
+            if (queued.transmissions >= maxTransmissions) {
+                byName.remove(queued.update.name());
             }
         }
         return taken;
--- a/src/main/java/maplespread/membership/MemberUpdate.java
+++ b/src/main/java/maplespread/membership/MemberUpdate.java
@@ -1,39 +1,53 @@
 package maplespread.membership;
 
 /**
- * One member's state as somebody tells it. {@code boot}: when that run of it began, in Unix milliseconds,
- * which tells two runs of one name apart; {@code incarnation}: raised by the member itself alone; {@code
- * by}: who suspects it.
+ * One member's state as some member reports it.
+ *
+ * @param name the member's name
+ * @param address where it receives packets, as host:port
+ * @param state what is reported of it
+ * @param processIncarnation Unix milliseconds at which its process began; tells two processes of one name apart
+ * @param incarnation SWIM's number, which only the member itself raises, to refute a suspicion
+ * @param suspectedBy the name of the member that suspects it or declared it dead; else empty
  */
 public record MemberUpdate(
         String name, String address, State state, long processIncarnation, long incarnation, String suspectedBy) {
-    /** SUSPECT: it has not answered, and may yet refute that. LEFT: it has said so itself. */
+    /**
+     * The states of a member; a later one overrides an earlier one of the same incarnation. Packets carry their order
+     * numbers, and admin answers print their names.
+     */
     public enum State {
+        /** It answers. */
         ALIVE,
+        /** It has not answered, and may yet refute the suspicion. */
         SUSPECT,
+        /** It has not refuted the suspicion in time. */
         DEAD,
+        /** It has left, as it said itself. */
         LEFT
     }
 
+    /** Whether the member is dead or has left. */
     public boolean departed() {
         return state == State.DEAD || state == State.LEFT;
     }
 
-    MemberUpdate withState(State next, String suspecter) {
-        return new MemberUpdate(name, address, next, processIncarnation, incarnation, suspecter);
+    /** The same member in another state. */
+    MemberUpdate withState(State next, String reporter) {
+        return new MemberUpdate(name, address, next, processIncarnation, incarnation, reporter);
     }
 
-    /** Whether this is news to one who holds the other: SWIM's order of precedence. */
-    boolean overrides(MemberUpdate held) {
-        if (processIncarnation != held.processIncarnation) {
-            return processIncarnation > held.processIncarnation;
+    /** Whether this takes the place of what is known of the same member: SWIM's order of precedence. */
+    boolean overrides(MemberUpdate known) {
+        if (processIncarnation != known.processIncarnation) {
+            return processIncarnation > known.processIncarnation;
         }
-        if (held.state == State.LEFT) {
-            return false; // that run of it never comes back
+        if (known.state == State.LEFT) {
+            return false; // that process never comes back
         }
-        if (incarnation != held.incarnation) {
-            return incarnation > held.incarnation;
+        if (incarnation != known.incarnation) {
+            return incarnation > known.incarnation;
         }
-        return state.ordinal() > held.state.ordinal();
+        return state.ordinal() > known.state.ordinal();
     }
 }
--- a/src/main/java/maplespread/membership/PacketAuthenticator.java
+++ b/src/main/java/maplespread/membership/PacketAuthenticator.java
@@ -1,247 +1,197 @@
 package maplespread.membership;
 
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
 import java.security.MessageDigest;
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import maplespread.membership.MemberUpdate.State;
-import maplespread.membership.SwimMessage.Kind;
 
 /**
- * Messages as bytes, sealed by HMAC-SHA-256 (RFC 2104). A packet names its form's version, its key, its
- * sender's run and a number that only grows, and when it was sent; what is not of a known key, is no longer
- * fresh, or has come before is refused. Whatever is malformed is counted and dropped: reading never fails
- * in another way.
+ * Packets between members, authenticated by HMAC-SHA-256 (RFC 2104). A packet names its version, its key, its sender's
+ * incarnation, a number that only grows, and the time at which it was sent. A packet of no known key, or one that is too
+ * old or was received before, is dropped and counted; whatever the bytes, reading them throws nothing.
+ *
+ * <p>Not safe for use by several threads at once.
  */
 public final class PacketAuthenticator {
-    /** Why packets were dropped. */
+    /** Why a packet was dropped. An admin answer prints these names. */
     public enum DropReason {
+        /** Shorter than the shortest packet. */
         SHORT,
+        /** Of another version. */
         VERSION,
+        /** Authenticated by a key that is not known here. */
         KEY,
+        /** Forged or damaged. */
         SEAL,
+        /** Sent too long ago, or by a clock that differs too much. */
         STALE,
+        /** Received before, or of an ended incarnation. */
         REPLAY,
+        /** Authentic, but not of a known form. */
         FORM
     }
 
-    /** What a packet holds: the membership's message on channel 0, else a channel's payload. */
+    /**
+     * What an authentic packet contains.
+     *
+     * @param sender the name of the member that sent it
+     * @param address that member's address
+     * @param channel {@link #MEMBERSHIP_CHANNEL}, or that of another part
+     * @param message on the membership's channel; else null
+     * @param payload on other channels; else null
+     */
     public record OpenedPacket(String sender, String address, int channel, SwimMessage message, byte[] payload) {}
 
-    private static final byte VERSION = 2;
-    private static final int MAC = 32, HEAD = 1 + 4 + 8 + 8 + 8;
-    private static final int WINDOW = 64; // packets that may come out of order
-    private static final int MOST_SENDERS = 4096;
+    /** The channel of the membership's own messages. */
+    public static final int MEMBERSHIP_CHANNEL = 0;
 
-    private static final class Seen {
-        final long boot;
-        long newest;
-        long bits; // of the WINDOW up to the newest
-
-        Seen(long boot) {
-            this.boot = boot;
-        }
-    }
-
-    private final String name, address;
-    private final long boot, freshMs;
-    private final Map<Integer, Mac> setKeys = new TreeMap<>();
-    private int sealing;
-    private long count;
+    private static final String ALGORITHM = "HmacSHA256";
+    private static final byte VERSION = 2;
+    private static final int MAC_BYTES = 32;
+    private static final int HEADER_BYTES = 1 + Integer.BYTES + 3 * Long.BYTES;
+
+    private final String name;
+    private final String address;
+    private final long incarnation;
+    private final long maxAgeMs;
+    private final Map<Integer, Mac> keys = new TreeMap<>();
     private final Map<DropReason, Long> dropped = new HashMap<>();
-    private final Map<String, Seen> seen = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Seen> eldest) {
-            return size() > MOST_SENDERS; // only holders of a key can make one
-        }
-    };
+    private final ReplayWindow received = new ReplayWindow();
+    private int sendingKeyId;
+    private long sentPackets;
 
-    /** {@code freshMs}: by how much clocks may differ, with the way's delay. */
-    public PacketAuthenticator(String name, String address, long boot, long freshMs) {
+    /**
+     * Without keys: {@link #setKeys} must follow.
+     *
+     * @param name of this member
+     * @param address of this member, as others are told it
+     * @param incarnation Unix milliseconds of this process' start
+     * @param maxAgeMs by how much the time in a packet may differ from this member's: clocks and delay together
+     */
+    public PacketAuthenticator(String name, String address, long incarnation, long maxAgeMs) {
         this.name = name;
         this.address = address;
-        this.boot = boot;
-        this.freshMs = freshMs;
+        this.incarnation = incarnation;
+        this.maxAgeMs = maxAgeMs;
     }
 
     /**
-     * The keys that are good from now on, by id; the first seals. To change keys without a gap: add the new
-     * one everywhere, then put it first everywhere, then take the old one away.
+     * The keys that are good from now on, by id; the first one authenticates what is sent. To change keys without a gap:
+     * add the new one on all members, then put it first on all, then remove the old one.
+     *
+     * @throws IllegalArgumentException if there is no key, or one cannot be used
      */
     public void setKeys(LinkedHashMap<Integer, byte[]> next) {
         if (next.isEmpty()) {
             throw new IllegalArgumentException("at least one key is needed");
         }
-        setKeys.clear();
-        next.forEach((id, secret) -> {
-            try {
-                Mac mac = Mac.getInstance("HmacSHA256");
-                mac.init(new SecretKeySpec(secret, "HmacSHA256"));
-                setKeys.put(id, mac);
-            } catch (GeneralSecurityException e) {
-                throw new IllegalArgumentException("key " + id + " cannot be used: " + e.getMessage());
-            }
-        });
-        sealing = next.keySet().iterator().next();
+        keys.clear();
+        next.forEach((id, secret) -> keys.put(id, mac(id, secret)));
+        sendingKeyId = next.keySet().iterator().next();
     }
 
-    /** How many packets were dropped for what. */
+    private static Mac mac(int id, byte[] secret) {
+        try {
+            Mac mac = Mac.getInstance(ALGORITHM);
+            mac.init(new SecretKeySpec(secret, ALGORITHM));
+            return mac;
+        } catch (GeneralSecurityException e) {
+            throw new IllegalArgumentException("key " + id + " cannot be used: " + e.getMessage());
+        }
+    }
+
+    /** How many packets were dropped, by reason. */
     public Map<DropReason, Long> dropped() {
         return Map.copyOf(dropped);
     }
 
-    /** A message of the membership, on channel 0; {@code wallMs}: Unix time. */
-    public byte[] seal(SwimMessage m, long wallMs) {
-        ByteBuffer out = ByteBuffer.allocate(size(m));
-        out.put((byte) m.kind().ordinal()).putLong(m.sequence());
-        text(out, m.target());
-        text(out, m.targetAddress());
-        out.putShort((short) m.updates().size());
-        for (MemberUpdate u : m.updates()) {
-            text(out, u.name());
-            text(out, u.address());
-            out.put((byte) u.state().ordinal()).putLong(u.processIncarnation()).putLong(u.incarnation());
-            text(out, u.suspectedBy());
-        }
-        return seal(0, java.util.Arrays.copyOf(out.array(), out.position()), wallMs);
+    /** A packet with a message of the membership; {@code wallMs}: Unix milliseconds. */
+    public byte[] seal(SwimMessage message, long wallMs) {
+        return seal(MEMBERSHIP_CHANNEL, SwimMessageCodec.encode(message), wallMs);
     }
 
-    /** What another part sends, on its channel. */
+    /** A packet with what another part sends on its channel; {@code wallMs}: Unix milliseconds. */
     public byte[] seal(int channel, byte[] payload, long wallMs) {
-        ByteBuffer out = ByteBuffer.allocate(HEAD + 2 * (2 + 1024) + 1 + payload.length + MAC);
-        out.put(VERSION).putInt(sealing).putLong(boot).putLong(++count).putLong(wallMs);
-        text(out, name);
-        text(out, address);
+        int maxNamesBytes = 2 * SwimMessageCodec.MAX_TEXT_FIELD_BYTES;
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + maxNamesBytes + 1 + payload.length + MAC_BYTES);
+        out.put(VERSION)
+                .putInt(sendingKeyId)
+                .putLong(incarnation)
+                .putLong(++sentPackets)
+                .putLong(wallMs);
+        SwimMessageCodec.putText(out, name);
+        SwimMessageCodec.putText(out, address);
         out.put((byte) channel).put(payload);
-        byte[] mac = mac(setKeys.get(sealing), out.array(), out.position());
-        return java.util.Arrays.copyOf(out.put(mac).array(), out.position());
+        out.put(authenticate(keys.get(sendingKeyId), out.array(), out.position()));
+        return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static int size(SwimMessage m) {
-        int size = 1 + 8 + 2 + 4 * (2 + 1024);
-        for (MemberUpdate u : m.updates()) {
-            size += 3 * 2
-                    + 17
-                    + 4
-                            * (u.name().length()
-                                    + u.address().length()
-                                    + u.suspectedBy().length());
-        }
-        return size;
-    }
-
-    private static byte[] mac(Mac mac, byte[] of, int length) {
-        mac.update(of, 0, length);
+    private static byte[] authenticate(Mac mac, byte[] bytes, int length) {
+        mac.update(bytes, 0, length);
         return mac.doFinal();
     }
 
-    /** What the packet says; null where it is dropped. */
+    /** What the first {@code length} bytes contain; null where the packet is dropped. {@code wallMs}: Unix milliseconds. */
     public OpenedPacket open(byte[] packet, int length, long wallMs) {
-        if (length < HEAD + MAC) {
+        if (length < HEADER_BYTES + MAC_BYTES) {
             return drop(DropReason.SHORT);
         }
-        ByteBuffer in = ByteBuffer.wrap(packet, 0, length - MAC);
-        if (in.get() != VERSION) {
+        ByteBuffer input = ByteBuffer.wrap(packet, 0, length - MAC_BYTES);
+        if (input.get() != VERSION) {
             return drop(DropReason.VERSION);
         }
-        Mac key = setKeys.get(in.getInt());
+        Mac key = keys.get(input.getInt());
         if (key == null) {
             return drop(DropReason.KEY);
         }
-        byte[] should = mac(key, packet, length - MAC);
-        if (!MessageDigest.isEqual(should, java.util.Arrays.copyOfRange(packet, length - MAC, length))) {
+        byte[] expected = authenticate(key, packet, length - MAC_BYTES);
+        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(packet, length - MAC_BYTES, length))) {
             return drop(DropReason.SEAL);
         }
-        long run = in.getLong();
+        return openAuthentic(input, wallMs);
+    }
+
+    private OpenedPacket openAuthentic(ByteBuffer in, long wallMs) {
+        long senderIncarnation = in.getLong();
         long number = in.getLong();
-        if (Math.abs(in.getLong() - wallMs) > freshMs) {
+        if (Math.abs(in.getLong() - wallMs) > maxAgeMs) {
             return drop(DropReason.STALE);
         }
         try {
-            String from = text(in);
-            String fromAddress = text(in);
-            if (!fresh(from + '\0' + fromAddress, run, number)) {
+            String sender = SwimMessageCodec.getText(in);
+            String senderAddress = SwimMessageCodec.getText(in);
+            if (!received.add(sender + '\0' + senderAddress, senderIncarnation, number)) {
                 return drop(DropReason.REPLAY);
             }
-            int channel = in.get();
-            if (channel != 0) {
-                byte[] payload = new byte[in.remaining()];
-                in.get(payload);
-                return new OpenedPacket(from, fromAddress, channel, null, payload);
-            }
-            Kind kind = Kind.values()[in.get()];
-            long seq = in.getLong();
-            String target = text(in);
-            String targetAddress = text(in);
-            int count = in.getShort();
-            List<MemberUpdate> updates = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                String of = text(in);
-                String at = text(in);
-                State state = State.values()[in.get()];
-                updates.add(new MemberUpdate(of, at, state, in.getLong(), in.getLong(), text(in)));
-            }
-            if (in.hasRemaining() || count < 0) {
-                return drop(DropReason.FORM);
-            }
-            return new OpenedPacket(
-                    from, fromAddress, 0, new SwimMessage(kind, seq, target, targetAddress, updates), null);
-        } catch (RuntimeException e) { // ends inside a member, or names none
+            return openContent(in, sender, senderAddress);
+        } catch (RuntimeException e) { // the bytes end too early, or name no kind or state
             return drop(DropReason.FORM);
         }
     }
 
-    private OpenedPacket drop(DropReason why) {
-        dropped.merge(why, 1L, Long::sum);
-        return null;
-    }
-
-    /** Each number of a run once, and none of a run before the one known. */
-    private boolean fresh(String sender, long run, long number) {
-        Seen s = seen.get(sender);
-        if (s == null || run > s.boot) {
-            s = new Seen(run);
-            seen.put(sender, s);
-        }
-        if (run < s.boot || number <= s.newest - WINDOW || number <= 0) {
-            return false;
+    private OpenedPacket openContent(ByteBuffer in, String sender, String senderAddress) {
+        int channel = in.get();
+        if (channel != MEMBERSHIP_CHANNEL) {
+            byte[] payload = new byte[in.remaining()];
+            in.get(payload);
+            return new OpenedPacket(sender, senderAddress, channel, null, payload);
         }
-        if (number > s.newest) {
-            long by = number - s.newest;
-            s.bits = by >= WINDOW ? 0 : s.bits << by;
-            s.newest = number;
-        }
-        long bit = 1L << (s.newest - number);
-        boolean before = (s.bits & bit) != 0;
-        s.bits |= bit;
-        return !before;
-    }
-
-    private static void text(ByteBuffer out, String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > 1024) {
-            throw new IllegalArgumentException("longer than 1024 bytes: " + text.substring(0, 40));
+        Optional<SwimMessage> message = SwimMessageCodec.decode(in);
+        if (message.isEmpty()) {
+            return drop(DropReason.FORM);
         }
-        out.putShort((short) bytes.length).put(bytes);
+        return new OpenedPacket(sender, senderAddress, channel, message.get(), null);
     }
 
-    private static String text(ByteBuffer in) {
-        int length = in.getShort();
-        if (length < 0 || length > 1024) {
-            throw new IllegalArgumentException("a text of " + length);
-        }
-        byte[] bytes = new byte[length];
-        in.get(bytes);
-        return new String(bytes, StandardCharsets.UTF_8);
+    private OpenedPacket drop(DropReason reason) {
+        dropped.merge(reason, 1L, Long::sum);
+        return null;
     }
 }
--- a/src/main/java/maplespread/membership/SwimMembership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -2,447 +2,421 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Collections;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import maplespread.membership.MemberUpdate.State;
 import maplespread.membership.SwimMessage.Kind;
 
 /**
- * One member's part in the group. Probes one other each period, in an order that is drawn anew each round;
- * asks helpers where that one does not answer; suspects it, which it may refute; and takes it for dead when
- * nobody has heard better for long enough. A member that may itself be slow, or has stood still, judges
- * others more slowly.
+ * One member's part in the failure detection of the group: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
+ * Phillips, Currey 2017). Probes one other member each period, asks helpers where that one does not answer, suspects it,
+ * which it may refute, and declares it dead when nobody has refuted that for long enough. A member that may itself be
+ * slow, or was paused, judges others more slowly.
+ *
+ * <p>Its owner passes the time in, in milliseconds of a clock that never goes back, and calls it from one thread at a
+ * time.
  */
 public final class SwimMembership {
-    private static final int CONFIRMATIONS = 3; // that shorten a suspicion to its least
-    private static final double STANDSTILL_PERIODS = 4;
-
-    /** A probe that is out. */
-    private static final class Probe {
-        final String target;
-        final long seq, helpAt, endAt;
-        boolean helped, acked;
-        int asked, nacks;
-
-        Probe(String target, long seq, long helpAt, long endAt) {
-            this.target = target;
-            this.seq = seq;
-            this.helpAt = helpAt;
-            this.endAt = endAt;
-        }
-    }
+    /** A tick that comes later than this many probe periods after it was due means that the process was paused. */
+    private static final double PAUSE_PERIODS = 4;
 
-    /** A suspicion that runs. */
-    private static final class Suspicion {
-        final Set<String> by = new HashSet<>();
-        long since;
-    }
+    /** Part of the acknowledgement timeout after which a helper reports that it has no answer. */
+    private static final long NACK_NUMERATOR = 4;
+
+    private static final long NACK_DENOMINATOR = 5;
+
+    /** One of this many rejoin rounds compares the whole group with another member. */
+    private static final int ROUNDS_PER_SYNC = 8;
 
-    /** A probe made for another. */
-    private record Errand(String askerAddress, long askerSeq, long nackAt) {}
+    /** A probe made on behalf of another member. */
+    private record IndirectProbe(String requesterAddress, long requesterSequence, long nackAt) {}
 
-    private final MembershipSettings set;
-    private final MembershipTransport sink;
+    private final MembershipSettings settings;
+    private final MembershipTransport transport;
     private final SplittableRandom random;
-    private final Map<String, MemberUpdate> members = new TreeMap<>(); // all but this one, the dead too
+    private final GroupView group;
+    private final GossipSender gossip;
     private final Map<String, Suspicion> suspicions = new HashMap<>();
-    private final Map<String, Long> goneAt = new HashMap<>();
-    private final Map<Long, Errand> errands = new TreeMap<>();
-    private final GossipQueue gossip = new GossipQueue();
-    private final List<String> round = new ArrayList<>();
-    private MemberUpdate self;
+    private final Map<Long, IndirectProbe> indirectProbes = new TreeMap<>();
+    private final ProbeOrder probeOrder;
+    private final LocalHealth localHealth;
     private Probe probe;
-    private long seq;
-    private long nextProbeAt, nextRejoinAt, dueAt;
-    private int localHealth; // Lifeguard's local health, 0: sound
+    private long lastSequence;
+    private long nextProbeAt;
+    private long nextRejoinAt;
+    private long nextTickAt;
     private boolean left;
 
-    /** {@code boot}: Unix milliseconds, above that of every earlier run under this name. */
-    public SwimMembership(MembershipSettings set, long boot, long seed, long now, MembershipTransport sink) {
-        this.set = set;
-        this.sink = sink;
+    /**
+     * A member that knows nobody yet but the seeds.
+     *
+     * @param processIncarnation Unix milliseconds of this process' start, above that of every earlier one under this name
+     * @param seed of the random source that orders probes and picks receivers
+     * @param now the time in milliseconds
+     * @param transport takes what the member sends and reports, during calls of it
+     */
+    public SwimMembership(
+            MembershipSettings settings, long processIncarnation, long seed, long now, MembershipTransport transport) {
+        this.settings = settings;
+        this.transport = transport;
         random = new SplittableRandom(seed);
-        self = new MemberUpdate(set.name(), set.address(), State.ALIVE, boot, 0, "");
-        dueAt = now;
-        nextProbeAt = now + random.nextLong(set.probePeriodMs()) + 1; // members must not probe in step
+        probeOrder = new ProbeOrder(random);
+        localHealth = new LocalHealth(settings.maxLocalHealth());
+        group = new GroupView(
+                new MemberUpdate(settings.name(), settings.address(), State.ALIVE, processIncarnation, 0, ""));
+        gossip = new GossipSender(settings, transport, group);
+        nextTickAt = now;
+        nextProbeAt = now + random.nextLong(settings.probePeriodMs()) + 1; // so that members do not probe in step
         nextRejoinAt = now;
-        gossip.add(self);
+        gossip.add(group.self());
     }
 
+    /** This member as it describes itself. */
     public MemberUpdate self() {
-        return self;
+        return group.self();
     }
 
-    /** All others that are known, the dead too, by name. */
+    /** All other members that are known, those that have departed included, by name. */
     public Collection<MemberUpdate> members() {
-        return Collections.unmodifiableCollection(members.values());
+        return group.others();
     }
 
-    /** The one of this name, the dead too; null: not known, or this one. */
+    /** The other member of this name, departed or not; null: none is known. */
     public MemberUpdate member(String name) {
-        return members.get(name);
+        return group.find(name);
     }
 
-    /** Members that are not gone, this one among them. */
+    /** The number of members that have not departed, this one included. */
     public int size() {
-        return 1 + (int) members.values().stream().filter(m -> !m.departed()).count();
+        return group.size();
     }
 
-    /** How much this member doubts itself; 0: not at all. */
+    /** How much this member doubts its own timeliness; 0: not at all. */
     public int localHealth() {
-        return localHealth;
+        return localHealth.score();
     }
 
     // ------------------------------------------------------------ time
 
-    /** Does what is due; returns when to be called again at the latest. */
+    /** Does what is due; returns when to be called again at the latest, in milliseconds. */
     public long tick(long now) {
         if (left) {
             return Long.MAX_VALUE;
         }
-        if (now - dueAt > STANDSTILL_PERIODS * set.probePeriodMs()) {
-            stoodStill(now, now - dueAt);
+        if (now - nextTickAt > PAUSE_PERIODS * settings.probePeriodMs()) {
+            resumeAfterPause(now, now - nextTickAt);
         }
         if (probe != null) {
-            run(now);
+            advanceProbe(now);
         }
         if (probe == null && now >= nextProbeAt) {
-            nextProbeAt = now + scaled(set.probePeriodMs());
-            begin(now);
+            nextProbeAt = now + localHealth.scaled(settings.probePeriodMs());
+            startProbe(now);
+        }
+        reportUnansweredIndirectProbes(now);
+        declareDead(now);
+        if (now >= nextRejoinAt) {
+            rejoin(now);
         }
-        errands.entrySet().removeIf(e -> {
-            if (e.getValue().nackAt() > now) {
+        group.forgetDeparted(now, settings.departedRetentionMs());
+        nextTickAt = nextDueAt();
+        return nextTickAt;
+    }
+
+    private void reportUnansweredIndirectProbes(long now) {
+        indirectProbes.values().removeIf(pending -> {
+            if (pending.nackAt() > now) {
                 return false;
             }
-            send(e.getValue().askerAddress(), Kind.NACK, e.getValue().askerSeq(), "", "", "");
+            gossip.send(pending.requesterAddress(), Kind.NACK, pending.requesterSequence());
             return true;
         });
+    }
+
+    private void declareDead(long now) {
         for (String name : List.copyOf(suspicions.keySet())) {
             if (now >= endsAt(suspicions.get(name))) {
-                MemberUpdate m = members.get(name);
-                take(now, m.withState(State.DEAD, set.name()));
+                apply(now, group.find(name).withState(State.DEAD, settings.name()));
             }
         }
-        if (now >= nextRejoinAt) {
-            rejoin(now);
-        }
-        goneAt.entrySet().removeIf(e -> {
-            boolean forgotten = now - e.getValue() > set.departedRetentionMs();
-            if (forgotten) {
-                members.remove(e.getKey());
-            }
-            return forgotten;
-        });
-        dueAt = nextAt();
-        return dueAt;
     }
 
-    private long nextAt() {
-        long at = Math.min(nextRejoinAt, probe == null ? nextProbeAt : probe.helped ? probe.endAt : probe.helpAt);
-        for (Errand e : errands.values()) {
-            at = Math.min(at, e.nackAt());
+    private long nextDueAt() {
+        long next = Math.min(nextRejoinAt, probe == null ? nextProbeAt : probe.nextStepAt());
+        for (IndirectProbe pending : indirectProbes.values()) {
+            next = Math.min(next, pending.nackAt());
         }
-        for (Suspicion s : suspicions.values()) {
-            at = Math.min(at, endsAt(s));
+        for (Suspicion suspicion : suspicions.values()) {
+            next = Math.min(next, endsAt(suspicion));
         }
-        return at;
+        return next;
     }
 
     /**
-     * This process did not run for a while: answers that came meanwhile lie unread, so what it was waiting
-     * for proves nothing of the others. It begins its waits anew and doubts itself.
+     * This process did not run for a while. Answers that came meanwhile lie unread, so what it was waiting for proves
+     * nothing about the others: it begins its waits anew and doubts itself.
      */
-    private void stoodStill(long now, long ms) {
-        sink.event(true, "membership.stood_still", "ms", ms);
+    private void resumeAfterPause(long now, long pauseMs) {
+        transport.event(true, "membership.stood_still", "ms", pauseMs);
         probe = null;
-        errands.clear();
-        localHealth = set.maxLocalHealth();
-        suspicions.values().forEach(s -> s.since = now);
-        nextProbeAt = now + scaled(set.probePeriodMs());
+        indirectProbes.clear();
+        localHealth.worsenToMax();
+        suspicions.values().forEach(suspicion -> suspicion.restart(now));
+        nextProbeAt = now + localHealth.scaled(settings.probePeriodMs());
     }
 
-    private long scaled(long ms) {
-        return ms * (1 + localHealth);
-    }
-
-    private double log() {
-        return Math.max(1, Math.log10(size()));
-    }
-
-    /** Shorter with each member that suspects the same on its own: LHA-Suspicion. */
-    private long endsAt(Suspicion s) {
-        double least = set.suspicionMultiplier() * log() * set.probePeriodMs();
-        double most = least * set.maxSuspicionStretch();
-        double share = Math.log(s.by.size()) / Math.log(CONFIRMATIONS + 1);
-        return s.since + (long) Math.max(least, most - (most - least) * share);
+    private long endsAt(Suspicion suspicion) {
+        double groupFactor = Math.max(1, Math.log10(group.size()));
+        double shortestMs = settings.suspicionMultiplier() * groupFactor * settings.probePeriodMs();
+        return suspicion.endsAt(shortestMs, shortestMs * settings.maxSuspicionStretch());
     }
 
     // ------------------------------------------------------------ probes
 
-    private void begin(long now) {
-        String target = next();
-        if (target == null) {
+    private void startProbe(long now) {
+        Optional<String> next = probeOrder.next(group);
+        if (next.isEmpty()) {
             return;
         }
-        probe = new Probe(target, ++seq, now + scaled(set.ackTimeoutMs()), now + scaled(set.probePeriodMs()));
-        ping(target, probe.seq);
+        String target = next.get();
+        long indirectAt = now + localHealth.scaled(settings.ackTimeoutMs());
+        long endsAt = now + localHealth.scaled(settings.probePeriodMs());
+        probe = new Probe(target, ++lastSequence, indirectAt, endsAt);
+        ping(target, group.find(target).address(), probe.sequence());
     }
 
-    /** Each member once a round, in an order drawn anew: a failure is found within two rounds at worst. */
-    private String next() {
-        while (true) {
-            if (round.isEmpty()) {
-                members.values().stream().filter(m -> !m.departed()).forEach(m -> round.add(m.name()));
-                if (round.isEmpty()) {
-                    return null;
-                }
-                shuffle(round);
-            }
-            String name = round.remove(round.size() - 1);
-            MemberUpdate m = members.get(name);
-            if (m != null && !m.departed()) {
-                return name;
-            }
-        }
+    private void ping(String target, String address, long sequence) {
+        gossip.send(address, new SwimMessage(Kind.PING, sequence, target, "", List.of()), target);
     }
 
-    private void shuffle(List<String> names) {
-        for (int i = names.size() - 1; i > 0; i--) {
-            Collections.swap(names, i, random.nextInt(i + 1));
+    private void advanceProbe(long now) {
+        if (probe.acknowledged()) {
+            localHealth.improve();
+            probe = null;
+        } else if (probe.needsHelpers(now)) {
+            askHelpers();
+        } else if (probe.hasFailed(now)) {
+            localHealth.worsen(probe.doubtAfterFailure());
+            String target = probe.target();
+            probe = null;
+            if (group.isPresent(target)) {
+                apply(now, group.find(target).withState(State.SUSPECT, settings.name()));
+            }
         }
     }
 
-    private void ping(String name, long number) {
-        MemberUpdate m = members.get(name);
-        send(m.address(), Kind.PING, number, name, "", name);
+    private void askHelpers() {
+        probe.startIndirect();
+        String target = probe.target();
+        SwimMessage request = new SwimMessage(
+                Kind.PING_REQ, probe.sequence(), target, group.find(target).address(), List.of());
+        List<String> helpers = namesOf(group.select(
+                member -> member.state() == State.ALIVE && !member.name().equals(target)));
+        probeOrder.shuffle(helpers);
+        for (String helper : helpers.subList(0, Math.min(settings.indirectProbes(), helpers.size()))) {
+            probe.addHelper();
+            gossip.send(group.find(helper).address(), request, target);
+        }
     }
 
-    private void run(long now) {
-        if (probe.acked) {
-            localHealth = Math.max(0, localHealth - 1);
-            probe = null;
-        } else if (!probe.helped && now >= probe.helpAt) {
-            probe.helped = true;
-            MemberUpdate target = members.get(probe.target);
-            List<String> helpers = new ArrayList<>();
-            members.values().stream()
-                    .filter(m -> m.state() == State.ALIVE && !m.name().equals(probe.target))
-                    .forEach(m -> helpers.add(m.name()));
-            shuffle(helpers);
-            for (String helper : helpers.subList(0, Math.min(set.indirectProbes(), helpers.size()))) {
-                probe.asked++;
-                send(
-                        members.get(helper).address(),
-                        Kind.PING_REQ,
-                        probe.seq,
-                        probe.target,
-                        target.address(),
-                        probe.target);
-            }
-        } else if (probe.helped && now >= probe.endAt) {
-            // Helpers that say nothing at all are a sign that this member is the one that is cut off or slow.
-            int silent = probe.asked - probe.nacks;
-            localHealth = Math.min(set.maxLocalHealth(), localHealth + (probe.asked > 0 ? silent : 1));
-            MemberUpdate m = members.get(probe.target);
-            probe = null;
-            if (m != null && !m.departed()) {
-                take(now, m.withState(State.SUSPECT, set.name()));
-            }
-        }
+    /** A list that may be modified. */
+    private static List<String> namesOf(List<MemberUpdate> members) {
+        return new ArrayList<>(members.stream().map(MemberUpdate::name).toList());
     }
 
-    // ------------------------------------------------------------ what came
+    // ------------------------------------------------------------ messages
 
-    /** A message of {@code from}, which is known to have sent it. */
-    public void received(long now, String from, String fromAddress, SwimMessage message) {
-        if (left || from.equals(set.name()) && fromAddress.equals(set.address())) {
+    /** Takes a message of {@code sender}, which is known to have sent it. */
+    public void received(long now, String sender, String senderAddress, SwimMessage message) {
+        boolean own = sender.equals(settings.name()) && senderAddress.equals(settings.address());
+        if (left || own) {
             return;
         }
-        message.updates().forEach(u -> take(now, u));
+        message.updates().forEach(update -> apply(now, update));
         switch (message.kind()) {
-            case PING -> {
-                if (message.target().equals(set.name())) { // else it is for another
-                    send(fromAddress, Kind.ACK, message.sequence(), "", "", from);
-                }
-            }
-            case PING_REQ -> {
-                long number = ++seq;
-                errands.put(number, new Errand(fromAddress, message.sequence(), now + set.ackTimeoutMs() * 4 / 5));
-                send(message.targetAddress(), Kind.PING, number, message.target(), "", message.target());
-            }
-            case ACK -> {
-                Errand errand = errands.remove(message.sequence());
-                if (errand != null) {
-                    send(errand.askerAddress(), Kind.ACK, errand.askerSeq(), "", "", "");
-                } else if (probe != null && probe.seq == message.sequence()) {
-                    probe.acked = true;
-                }
-            }
+            case PING -> answerPing(sender, senderAddress, message);
+            case PING_REQ -> probeForAnother(now, senderAddress, message);
+            case ACK -> acknowledged(message.sequence());
             case NACK -> {
-                if (probe != null && probe.seq == message.sequence()) {
-                    probe.nacks++;
+                if (isOfProbe(message.sequence())) {
+                    probe.answerNegatively();
                 }
             }
-            case JOIN -> sync(fromAddress);
+            case JOIN -> gossip.sendGroup(senderAddress);
             case SYNC -> {} // its updates are all it brings
         }
     }
 
-    /** Takes one member's state in, if it is news; passes it on. */
-    private void take(long now, MemberUpdate u) {
-        if (u.name().equals(set.name())) {
-            aboutSelf(u);
-            return;
+    private void answerPing(String sender, String senderAddress, SwimMessage ping) {
+        if (ping.target().equals(settings.name())) { // else it is meant for another member
+            gossip.send(senderAddress, new SwimMessage(Kind.ACK, ping.sequence(), "", "", List.of()), sender);
         }
-        MemberUpdate held = members.get(u.name());
-        if (u.state() == State.SUSPECT
-                && suspicions.containsKey(u.name())
-                && held.processIncarnation() == u.processIncarnation()
-                && held.incarnation() == u.incarnation()
-                && suspicions.get(u.name()).by.size() <= CONFIRMATIONS
-                && suspicions.get(u.name()).by.add(u.suspectedBy())) {
-            gossip.add(u); // an independent confirmation is news, too
-            return;
+    }
+
+    private void probeForAnother(long now, String requesterAddress, SwimMessage request) {
+        long sequence = ++lastSequence;
+        long nackAt = now + settings.ackTimeoutMs() * NACK_NUMERATOR / NACK_DENOMINATOR;
+        indirectProbes.put(sequence, new IndirectProbe(requesterAddress, request.sequence(), nackAt));
+        ping(request.target(), request.targetAddress(), sequence);
+    }
+
+    private void acknowledged(long sequence) {
+        IndirectProbe pending = indirectProbes.remove(sequence);
+        if (pending != null) {
+            gossip.send(pending.requesterAddress(), Kind.ACK, pending.requesterSequence());
+        } else if (isOfProbe(sequence)) {
+            probe.acknowledge();
         }
-        if (held != null && !u.overrides(held)) {
-            if (u.state() != State.ALIVE && held.overrides(u) && held.state() == State.ALIVE) {
-                gossip.add(held); // a refutation that somebody has not heard
-            }
+    }
+
+    private boolean isOfProbe(long sequence) {
+        return probe != null && probe.sequence() == sequence;
+    }
+
+    // ------------------------------------------------------------ updates
+
+    /** Takes one member's state in, if it is new here, and passes it on. */
+    private void apply(long now, MemberUpdate update) {
+        if (update.name().equals(settings.name())) {
+            applyToSelf(update);
             return;
         }
-        if (held == null && u.departed()) {
-            return;
+        MemberUpdate known = group.find(update.name());
+        if (confirmsSuspicion(update, known)) {
+            gossip.add(update);
+        } else if (known != null && !update.overrides(known)) {
+            passOnRefutation(update, known);
+        } else if (known != null || !update.departed()) {
+            warnIfNameTakenTwice(update, known);
+            replace(now, update, known);
         }
-        if (held != null
-                && held.processIncarnation() != u.processIncarnation()
-                && !held.departed()
-                && !held.address().equals(u.address())) {
-            sink.event(
-                    true,
-                    "membership.name_taken_twice",
-                    "member",
-                    u.name(),
-                    "address",
-                    held.address(),
-                    "other",
-                    u.address());
+    }
+
+    private boolean confirmsSuspicion(MemberUpdate update, MemberUpdate known) {
+        return update.state() == State.SUSPECT
+                && suspicions.containsKey(update.name())
+                && known.processIncarnation() == update.processIncarnation()
+                && known.incarnation() == update.incarnation()
+                && suspicions.get(update.name()).confirm(update.suspectedBy());
+    }
+
+    /** The sender of an outdated suspicion has not received the refutation. */
+    private void passOnRefutation(MemberUpdate outdated, MemberUpdate known) {
+        if (outdated.state() != State.ALIVE && known.overrides(outdated) && known.state() == State.ALIVE) {
+            gossip.add(known);
         }
-        members.put(u.name(), u);
-        suspicions.remove(u.name());
-        goneAt.remove(u.name());
-        if (u.state() == State.SUSPECT) {
-            Suspicion s = new Suspicion();
-            s.since = now;
-            s.by.add(u.suspectedBy());
-            suspicions.put(u.name(), s);
-        } else if (u.departed()) {
-            goneAt.put(u.name(), now);
+    }
+
+    private void warnIfNameTakenTwice(MemberUpdate update, MemberUpdate known) {
+        if (known != null
+                && known.processIncarnation() != update.processIncarnation()
+                && !known.departed()
+                && !known.address().equals(update.address())) {
+            warnNameTakenTwice(update, known.address());
+        }
+    }
+
+    private void warnNameTakenTwice(MemberUpdate update, String knownAddress) {
+        transport.event(
+                true,
+                "membership.name_taken_twice",
+                "member",
+                update.name(),
+                "address",
+                knownAddress,
+                "other",
+                update.address());
+    }
+
+    private void replace(long now, MemberUpdate update, MemberUpdate known) {
+        group.put(update, now);
+        suspicions.remove(update.name());
+        if (update.state() == State.SUSPECT) {
+            suspicions.put(update.name(), new Suspicion(update.suspectedBy(), now));
         }
-        gossip.add(u);
-        if (held == null) {
-            round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), u.name());
+        gossip.add(update);
+        if (known == null) {
+            probeOrder.add(update.name());
         }
-        sink.changed(held, u);
-    }
-
-    /** Others say that this member is suspect or dead, or that another run of it is there. */
-    private void aboutSelf(MemberUpdate u) {
-        if (u.processIncarnation() > self.processIncarnation()) {
-            sink.event(
-                    true,
-                    "membership.name_taken_twice",
-                    "member",
-                    u.name(),
-                    "address",
-                    self.address(),
-                    "other",
-                    u.address());
+        transport.changed(known, update);
+    }
+
+    /** Others report that this member is suspect or dead, or that another process has its name. */
+    private void applyToSelf(MemberUpdate update) {
+        MemberUpdate self = group.self();
+        if (update.processIncarnation() > self.processIncarnation()) {
+            warnNameTakenTwice(update, self.address());
             return;
         }
-        if (u.processIncarnation() == self.processIncarnation()
-                && u.state() != State.ALIVE
-                && u.incarnation() >= self.incarnation()) {
-            self = new MemberUpdate(
-                    self.name(), self.address(), State.ALIVE, self.processIncarnation(), u.incarnation() + 1, "");
-            localHealth = Math.min(set.maxLocalHealth(), localHealth + 1);
-            gossip.add(self);
-            sink.event(false, "membership.refuted", "incarnation", self.incarnation(), "by", u.suspectedBy());
+        boolean aboutThisProcess = update.processIncarnation() == self.processIncarnation();
+        if (aboutThisProcess && update.state() != State.ALIVE && update.incarnation() >= self.incarnation()) {
+            refute(update);
         }
     }
 
+    private void refute(MemberUpdate suspicion) {
+        MemberUpdate self = group.self();
+        long incarnation = suspicion.incarnation() + 1;
+        MemberUpdate refutation =
+                new MemberUpdate(self.name(), self.address(), State.ALIVE, self.processIncarnation(), incarnation, "");
+        group.setSelf(refutation);
+        localHealth.worsen(1);
+        gossip.add(refutation);
+        transport.event(false, "membership.refuted", "incarnation", incarnation, "by", suspicion.suspectedBy());
+    }
+
     // ------------------------------------------------------------ joining and leaving
 
-    /** Asks seeds, and one of the dead: groups that were split find each other again. */
+    /** Asks a seed, and one of the dead: so that groups which were split join again. */
     private void rejoin(long now) {
-        nextRejoinAt = now + set.rejoinIntervalMs() + random.nextLong(Math.max(1, set.rejoinIntervalMs() / 2));
-        List<String> dead = new ArrayList<>();
-        members.values().stream().filter(m -> m.state() == State.DEAD).forEach(m -> dead.add(m.address()));
-        if (!dead.isEmpty()) {
-            send(dead.get(random.nextInt(dead.size())), Kind.JOIN, ++seq, "", "", "");
+        nextRejoinAt =
+                now + settings.rejoinIntervalMs() + random.nextLong(Math.max(1, settings.rejoinIntervalMs() / 2));
+        joinOneOf(addressesOf(group.select(member -> member.state() == State.DEAD)));
+        List<String> unknownSeeds = new ArrayList<>(settings.seeds());
+        unknownSeeds.remove(settings.address());
+        addressesOf(group.present()).forEach(unknownSeeds::remove);
+        if (!unknownSeeds.isEmpty()) {
+            joinOneOf(unknownSeeds);
+        } else if (group.size() > 1) {
+            syncNowAndThen();
         }
-        List<String> unknown = new ArrayList<>(set.seeds());
-        unknown.remove(set.address());
-        members.values().stream().filter(m -> !m.departed()).forEach(m -> unknown.remove(m.address()));
-        if (!unknown.isEmpty()) {
-            send(unknown.get(random.nextInt(unknown.size())), Kind.JOIN, ++seq, "", "", "");
-        } else if (size() > 1) {
-            // Now and then the whole is compared with one other: news that every copy of was lost.
-            String name = next();
-            if (name != null && random.nextInt(8) == 0) {
-                sync(members.get(name).address());
-            }
+    }
+
+    private static List<String> addressesOf(List<MemberUpdate> members) {
+        return members.stream().map(MemberUpdate::address).toList();
+    }
+
+    private void joinOneOf(List<String> addresses) {
+        if (!addresses.isEmpty()) {
+            String address = addresses.get(random.nextInt(addresses.size()));
+            gossip.send(address, Kind.JOIN, ++lastSequence);
         }
     }
 
-    /** The whole group, in as many messages as it takes. */
-    private void sync(String address) {
-        List<MemberUpdate> part = new ArrayList<>();
-        int bytes = 0;
-        List<MemberUpdate> all = new ArrayList<>(members.values());
-        all.add(self);
-        for (MemberUpdate u : all) {
-            if (bytes + GossipQueue.bytes(u) > set.maxPacketBytes() && !part.isEmpty()) {
-                sink.send(address, new SwimMessage(Kind.SYNC, 0, "", "", part));
-                part.clear();
-                bytes = 0;
-            }
-            part.add(u);
-            bytes += GossipQueue.bytes(u);
+    /** Repairs updates of which every copy was lost. */
+    private void syncNowAndThen() {
+        Optional<String> receiver = probeOrder.next(group);
+        if (receiver.isPresent() && random.nextInt(ROUNDS_PER_SYNC) == 0) {
+            gossip.sendGroup(group.find(receiver.get()).address());
         }
-        sink.send(address, new SwimMessage(Kind.SYNC, 0, "", "", part));
     }
 
-    /** Says good-bye to a few, who pass it on; nothing is done after it. */
+    /** Tells a few members that this one leaves, who pass it on; nothing is done after it. */
     public void leave(long now) {
         if (left) {
             return;
         }
-        self = self.withState(State.LEFT, set.name());
-        List<String> names = new ArrayList<>();
-        members.values().stream().filter(m -> !m.departed()).forEach(m -> names.add(m.name()));
-        shuffle(names);
-        for (String name : names.subList(0, Math.min(set.indirectProbes() + 1, names.size()))) {
-            sink.send(members.get(name).address(), new SwimMessage(Kind.SYNC, 0, "", "", List.of(self)));
+        group.setSelf(group.self().withState(State.LEFT, settings.name()));
+        List<String> receivers = namesOf(group.present());
+        probeOrder.shuffle(receivers);
+        int count = Math.min(settings.indirectProbes() + 1, receivers.size());
+        for (String receiver : receivers.subList(0, count)) {
+            gossip.sendUpdates(group.find(receiver).address(), List.of(group.self()));
         }
         left = true;
     }
-
-    private void send(String address, Kind kind, long number, String target, String targetAddress, String to) {
-        MemberUpdate m = members.get(to);
-        List<MemberUpdate> first = new ArrayList<>(List.of(self)); // so that whoever hears of it knows it
-        if (m != null && m.state() != State.ALIVE) {
-            first.add(m); // who is thought ill of hears of it first
-        }
-        int most = (int) Math.ceil(set.retransmitMultiplier() * Math.max(1, Math.log10(size() + 1.0)));
-        sink.send(
-                address,
-                new SwimMessage(
-                        kind, number, target, targetAddress, gossip.take(first, set.maxPacketBytes() - 200, most)));
-    }
 }
