--- a/src/main/java/maplespread/cluster/MemberStatus.java
+++ b/src/main/java/maplespread/cluster/MemberStatus.java
@@ -2,12 +2,21 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.Optional;
 
 /**
- * What one dispatcher says of itself. {@code run}: its process, by when it began in Unix milliseconds; {@code
- * number}: grows with each word of a run; {@code zone}: its own, by name; shares and the mean time from taken
- * to answered of the last seconds, with the count of answers that they stand on.
+ * What one dispatcher reports of itself. Shares and the mean latency are of the last seconds.
+ *
+ * @param incarnation Unix milliseconds at which its process began
+ * @param sequence grows with each status of an incarnation
+ * @param version of its program
+ * @param zone the name of its zone
+ * @param phase whether it serves
+ * @param rejectedShare of all requests, 0 to 1
+ * @param errorShare of all requests, 0 to 1
+ * @param meanLatencyMs from a request's acceptance to its answer, in milliseconds
+ * @param samples the number of requests that these figures rest on
  */
 public record MemberStatus(
         long incarnation,
@@ -19,22 +28,29 @@
         double errorShare,
         double meanLatencyMs,
         long samples) {
-    /** DRAINING: clients are sent away, by call or since it ends. */
+    /** Whether a dispatcher serves. Packets carry their order numbers, and admin answers print their names. */
     public enum Phase {
+        /** It does not serve yet. */
         STARTING,
+        /** It serves. */
         SERVING,
+        /** Its clients are sent away, by call or since it ends. */
         DRAINING
     }
 
-    private static final byte FORM = 1;
-    private static final int MOST_TEXT = 64;
+    private static final byte VERSION = 1;
 
-    /** At most 200 bytes: longer names are cut. */
+    /** Most bytes of a text, as UTF-8; longer ones are cut. */
+    private static final int MAX_TEXT_BYTES = 64;
+
+    private static final int FIXED_BYTES = 1 + 2 * Long.BYTES + 1 + 3 * Double.BYTES + Long.BYTES + 2;
+
+    /** This status in bytes, at most 200: longer texts are cut. */
     public byte[] encode() {
-        byte[] v = text(version);
-        byte[] z = text(zone);
-        return ByteBuffer.allocate(1 + 2 * 8 + 1 + 4 * 8 + 2 + v.length + z.length)
-                .put(FORM)
+        byte[] versionBytes = cutText(version);
+        byte[] zoneBytes = cutText(zone);
+        return ByteBuffer.allocate(FIXED_BYTES + versionBytes.length + zoneBytes.length)
+                .put(VERSION)
                 .putLong(incarnation)
                 .putLong(sequence)
                 .put((byte) phase.ordinal())
@@ -42,60 +58,69 @@
                 .putDouble(errorShare)
                 .putDouble(meanLatencyMs)
                 .putLong(samples)
-                .put((byte) v.length)
-                .put(v)
-                .put((byte) z.length)
-                .put(z)
+                .put((byte) versionBytes.length)
+                .put(versionBytes)
+                .put((byte) zoneBytes.length)
+                .put(zoneBytes)
                 .array();
     }
 
-    private static byte[] text(String text) {
-        byte[] all = text.getBytes(StandardCharsets.UTF_8);
-        return all.length <= MOST_TEXT ? all : java.util.Arrays.copyOf(all, MOST_TEXT);
+    private static byte[] cutText(String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        return bytes.length <= MAX_TEXT_BYTES ? bytes : Arrays.copyOf(bytes, MAX_TEXT_BYTES);
     }
 
-    /** Empty for what is no status: a member of another version may say more, or less. */
+    /** The status in these bytes; empty where they are none, or one of another version's form. */
     public static Optional<MemberStatus> decode(byte[] bytes) {
         try {
-            ByteBuffer in = ByteBuffer.wrap(bytes);
-            if (in.get() != FORM) {
+            ByteBuffer input = ByteBuffer.wrap(bytes);
+            if (input.get() != VERSION) {
                 return Optional.empty();
             }
-            long run = in.getLong();
-            long number = in.getLong();
-            Phase phase = Phase.values()[in.get()];
-            double refused = in.getDouble();
-            double errors = in.getDouble();
-            double wait = in.getDouble();
-            long samples = in.getLong();
-            String version = text(in);
-            String zone = text(in);
-            boolean sound = refused >= 0
-                    && refused <= 1
-                    && errors >= 0
-                    && errors <= 1
-                    && wait >= 0
-                    && wait < Double.POSITIVE_INFINITY
-                    && samples >= 0
-                    && !in.hasRemaining();
-            return sound
-                    ? Optional.of(new MemberStatus(run, number, version, zone, phase, refused, errors, wait, samples))
-                    : Optional.empty();
-        } catch (RuntimeException e) { // cut short, or no such phase
+            MemberStatus status = read(input);
+            return status.isPlausible() && !input.hasRemaining() ? Optional.of(status) : Optional.empty();
+        } catch (RuntimeException e) { // the bytes end too early, or name no phase
             return Optional.empty();
         }
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] text = new byte[in.get()];
-        in.get(text);
-        return new String(text, StandardCharsets.UTF_8);
+    private static MemberStatus read(ByteBuffer in) {
+        long incarnation = in.getLong();
+        long sequence = in.getLong();
+        Phase phase = Phase.values()[in.get()];
+        double rejectedShare = in.getDouble();
+        double errorShare = in.getDouble();
+        double meanLatencyMs = in.getDouble();
+        long samples = in.getLong();
+        String version = readText(in);
+        String zone = readText(in);
+        return new MemberStatus(
+                incarnation, sequence, version, zone, phase, rejectedShare, errorShare, meanLatencyMs, samples);
     }
 
-    /** Whether this is later than another one of the same name, which may be null. */
+    private static String readText(ByteBuffer in) {
+        byte[] bytes = new byte[in.get()];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.UTF_8);
+    }
+
+    private boolean isPlausible() {
+        return isShare(rejectedShare)
+                && isShare(errorShare)
+                && meanLatencyMs >= 0
+                && meanLatencyMs < Double.POSITIVE_INFINITY
+                && samples >= 0;
+    }
+
+    private static boolean isShare(double value) {
+        return value >= 0 && value <= 1;
+    }
+
+    /** Whether this was sent after the other status of the same member; null: there is no other. */
     boolean isNewerThan(MemberStatus other) {
-        return other == null
-                || incarnation > other.incarnation
-                || incarnation == other.incarnation && sequence > other.sequence;
+        if (other == null) {
+            return true;
+        }
+        return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
     }
 }
--- a/src/main/java/maplespread/cluster/MemberStatusTable.java
+++ b/src/main/java/maplespread/cluster/MemberStatusTable.java
@@ -10,83 +10,113 @@
 import java.util.function.BiConsumer;
 import maplespread.metrics.Metrics.Totals;
 
-/** The newest status of each member, and this one's own, which is told about twice a second. */
+/**
+ * The newest status of each member, and this member's own, which is sent to the others about twice a second. One thread
+ * broadcasts; any thread may receive and look up.
+ */
 public final class MemberStatusTable {
-    private static final int MOST_A_ROUND = 64; // are told at once; then the next ones
-    private static final int WINDOW = 20; // rounds that a status looks back on
-    private static final int MOST_HELD = 4096;
+    /** Most members that one broadcast reaches; the next one goes on from there. */
+    private static final int MAX_RECEIVERS = 64;
 
-    /** As it was heard, at a time of this process's own clock. */
+    /** Broadcasts that a status looks back on. */
+    private static final int WINDOW_BROADCASTS = 20;
+
+    private static final int MAX_MEMBERS = 4096;
+    private static final double NANOS_PER_MS = 1e6;
+
+    /**
+     * A status as it was received.
+     *
+     * @param status what the member reports
+     * @param receivedAtMs when it came, in milliseconds of this process' own clock
+     */
     public record ReceivedStatus(MemberStatus status, long receivedAtMs) {}
 
-    private final long run;
+    private final long incarnation;
     private final String version;
     private final String zone;
-    private final BiConsumer<String, byte[]> send;
+    private final BiConsumer<String, byte[]> sender;
     private final Map<String, ReceivedStatus> newest = new ConcurrentHashMap<>();
     private final Deque<Totals> window = new ArrayDeque<>();
-    private long number;
-    private int next; // of the others, whose turn it is
+    private long sequence;
+    private int nextReceiver;
 
-    /** {@code send}: to a member by name. */
-    public MemberStatusTable(long run, String version, String zone, BiConsumer<String, byte[]> send) {
-        this.run = run;
+    /**
+     * An empty table.
+     *
+     * @param incarnation Unix milliseconds at which this process began
+     * @param version of this program
+     * @param zone the name of this member's zone
+     * @param sender sends bytes to a member by name
+     */
+    public MemberStatusTable(long incarnation, String version, String zone, BiConsumer<String, byte[]> sender) {
+        this.incarnation = incarnation;
         this.version = version;
         this.zone = zone;
-        this.send = send;
+        this.sender = sender;
     }
 
-    /** Of these seconds: the totals now against those of the first look in the window. */
-    private MemberStatus own(MemberStatus.Phase phase, Totals now) {
+    /** This member's status: the totals now against those at the first broadcast in the window. */
+    private MemberStatus ownStatus(MemberStatus.Phase phase, Totals now) {
         window.addLast(now);
-        if (window.size() > WINDOW) {
+        if (window.size() > WINDOW_BROADCASTS) {
             window.removeFirst();
         }
         Totals then = window.getFirst();
         long served = now.served() - then.served();
-        long busy = now.busy() - then.busy();
+        long rejected = now.busy() - then.busy();
         long failed = now.failed() - then.failed();
-        long all = served + busy + failed;
+        long all = served + rejected + failed;
+        double servedMs = Math.max(0, now.servedNanos() - then.servedNanos()) / NANOS_PER_MS;
         return new MemberStatus(
-                run,
-                ++number,
+                incarnation,
+                ++sequence,
                 version,
                 zone,
                 phase,
-                all == 0 ? 0 : (double) busy / all,
+                all == 0 ? 0 : (double) rejected / all,
                 all == 0 ? 0 : (double) failed / all,
-                served == 0 ? 0 : Math.max(0, now.servedNanos() - then.servedNanos()) / 1e6 / served,
+                served == 0 ? 0 : servedMs / served,
                 all);
     }
 
-    /** Tells the others; from one thread. {@code name}: this one's, under which its own word is kept too. */
-    public void broadcast(String name, MemberStatus.Phase phase, Totals now, List<String> others, long atMs) {
-        MemberStatus mine = own(phase, now);
-        newest.put(name, new ReceivedStatus(mine, atMs));
-        byte[] bytes = mine.encode();
-        for (int i = 0; i < Math.min(MOST_A_ROUND, others.size()); i++) {
-            send.accept(others.get(next++ % others.size()), bytes);
+    /**
+     * Sends this member's status to the others. Called from one thread.
+     *
+     * @param self this member's name, under which its own status is kept, too
+     * @param now the totals of all requests so far
+     * @param others the names of all other members
+     * @param nowMs milliseconds of this process' own clock
+     */
+    public void broadcast(String self, MemberStatus.Phase phase, Totals now, List<String> others, long nowMs) {
+        MemberStatus status = ownStatus(phase, now);
+        newest.put(self, new ReceivedStatus(status, nowMs));
+        byte[] bytes = status.encode();
+        for (int i = 0; i < Math.min(MAX_RECEIVERS, others.size()); i++) {
+            sender.accept(others.get(nextReceiver++ % others.size()), bytes);
         }
-        next %= Math.max(1, others.size());
+        nextReceiver %= Math.max(1, others.size());
     }
 
-    /** Takes another's word; one that is older than what is known, or unreadable, is passed over. */
-    public void receive(String from, byte[] payload, long atMs) {
-        MemberStatus status = MemberStatus.decode(payload).orElse(null);
-        if (status == null || newest.size() >= MOST_HELD && !newest.containsKey(from)) {
+    /** Takes the status of another member, unless it is unreadable or older than the one that is known. */
+    public void receive(String member, byte[] bytes, long nowMs) {
+        Optional<MemberStatus> status = MemberStatus.decode(bytes);
+        boolean full = newest.size() >= MAX_MEMBERS && !newest.containsKey(member);
+        if (status.isEmpty() || full) {
             return;
         }
         newest.merge(
-                from,
-                new ReceivedStatus(status, atMs),
-                (was, now) -> now.status().isNewerThan(was.status()) ? now : was);
+                member,
+                new ReceivedStatus(status.get(), nowMs),
+                (known, received) -> received.status().isNewerThan(known.status()) ? received : known);
     }
 
+    /** The newest status of a member; empty where none was received. */
     public Optional<ReceivedStatus> find(String member) {
         return Optional.ofNullable(newest.get(member));
     }
 
-    /** Forgets all but these. */
+    /** Forgets all members but these. */
     public void retainMembers(Collection<String> members) {
         newest.keySet().retainAll(members);
     }
--- a/src/main/java/maplespread/cluster/SectionTooLargeException.java
+++ b/src/main/java/maplespread/cluster/SectionTooLargeException.java
@@ -2,14 +2,14 @@
 
 import maplespread.errors.FleetException;
 
-/** A part's section of the agreed value does not fit into its room. */
+/** A part's section of the shared value would be larger than its limit. */
 public final class SectionTooLargeException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    SectionTooLargeException(String part, int bytes, int most) {
+    SectionTooLargeException(String section, int bytes, int maxBytes) {
         super(
-                "the section " + part + " would have " + bytes + " bytes, of " + most + " at most",
+                "the section " + section + " would have " + bytes + " bytes, of " + maxBytes + " at most",
                 "the section stays as it was; all other parts, and what makes this one smaller",
-                "end or remove what " + part + " no longer needs");
+                "end or remove what " + section + " no longer needs");
     }
 }
--- a/src/main/java/maplespread/cluster/SharedState.java
+++ b/src/main/java/maplespread/cluster/SharedState.java
@@ -7,39 +7,48 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The one value that the fleet agrees on is a JSON object with a text for each part that uses it. Each has a
- * room of its own, so that one part which grows takes nothing from the others.
+ * The text of the one value that the fleet agrees on: a JSON object with a string for each part that uses it, its
+ * section. Each section has a limit of its own, so that one which grows takes nothing from the others.
  */
 public final class SharedState {
-    /** Bytes of the release's section, as it stands in the value, and of the other one: of 48 KB. */
-    public static final int MAX_RELEASE_SECTION_BYTES = 32 * 1024, MAX_SECTION_BYTES = 15 * 1024;
+    /** Most bytes of the release's section. */
+    public static final int MAX_RELEASE_SECTION_BYTES = 32 * 1024;
+
+    /** Most bytes of any other section. */
+    public static final int MAX_SECTION_BYTES = 15 * 1024;
+
+    private static final String RELEASE = "release";
 
     private SharedState() {}
 
-    /** What a part's section may take in the value, quotes and escapes counted. */
-    public static int maxBytes(String part) {
-        return part.equals("release") ? MAX_RELEASE_SECTION_BYTES : MAX_SECTION_BYTES;
+    /** Most bytes of a section as it stands in the value: UTF-8, with its quotes and escapes. */
+    public static int maxBytes(String section) {
+        return section.equals(RELEASE) ? MAX_RELEASE_SECTION_BYTES : MAX_SECTION_BYTES;
     }
 
-    /** A part's own text; empty where it has none. */
-    public static String read(String value, String part) {
-        JsonElement section = object(value).get(part);
-        return section == null ? "" : section.getAsString();
+    /** The text of a section; empty where it has none. */
+    public static String read(String value, String section) {
+        JsonElement found = parse(value).get(section);
+        return found == null ? "" : found.getAsString();
     }
 
-    /** The value with a part's text in place of what it had; whoever calls has read the value just now. */
-    public static String write(String value, String part, String text) throws SectionTooLargeException {
-        JsonElement section = new JsonPrimitive(text);
-        int bytes = section.toString().getBytes(StandardCharsets.UTF_8).length;
-        if (bytes > maxBytes(part)) {
-            throw new SectionTooLargeException(part, bytes, maxBytes(part));
+    /**
+     * The value with another text in one section.
+     *
+     * @throws SectionTooLargeException if the section would be larger than {@link #maxBytes}
+     */
+    public static String write(String value, String section, String text) throws SectionTooLargeException {
+        JsonElement next = new JsonPrimitive(text);
+        int bytes = next.toString().getBytes(StandardCharsets.UTF_8).length;
+        if (bytes > maxBytes(section)) {
+            throw new SectionTooLargeException(section, bytes, maxBytes(section));
         }
-        JsonObject all = object(value);
-        all.add(part, section);
+        JsonObject all = parse(value);
+        all.add(section, next);
         return all.toString();
     }
 
-    private static JsonObject object(String value) {
+    private static JsonObject parse(String value) {
         return value.isEmpty()
                 ? new JsonObject()
                 : JsonParser.parseString(value).getAsJsonObject();
