--- a/src/main/java/maplespread/address/ClaimClient.java
+++ b/src/main/java/maplespread/address/ClaimClient.java
@@ -7,9 +7,8 @@
 import maplespread.address.ClaimMessage.Kind;
 
 /**
- * A claimant's orders: before the first byte of one goes to a worker, a majority of the electors holds its
- * id for this run of this instance. A gate before a branch; where the branch goes is the module's word, as
- * always.
+ * A claimant's orders: before the first byte of one is sent to a worker, a majority of the electors holds its id for this
+ * incarnation of this instance. It decides whether an order may be sent, not where to.
  */
 public final class ClaimClient {
     /** What is known of an id. */
@@ -17,7 +16,11 @@
         /** It is this instance's to send, once, at once. */
         record Granted() implements Verdict {}
 
-        /** It ran before; this came of it. */
+        /**
+         * It ran before.
+         *
+         * @param outcome what came of it
+         */
         record Known(String outcome) implements Verdict {}
 
         /** Another claim of it is held and may have run: it must not run again. */
@@ -27,128 +30,140 @@
         record Unavailable() implements Verdict {}
     }
 
-    /** Where words and verdicts go. */
+    /** Takes messages and verdicts. */
     public interface Transport {
-        void send(String to, ClaimMessage word);
+        /** Sends a message to an elector; it may be lost, delayed, repeated or overtaken. */
+        void send(String receiver, ClaimMessage message);
 
+        /** A claim has ended with this verdict. */
         void decided(String id, Verdict verdict);
     }
 
-    private static final class Open {
-        final long attempt, endsAt;
-        final Set<String> yes = new HashSet<>();
-        final Set<String> heard = new HashSet<>();
-        boolean held;
+    /** A claim that waits for a majority. */
+    private static final class OpenClaim {
+        private final long attempt;
+        private final long endsAt;
+        private final Set<String> grants = new HashSet<>();
+        private final Set<String> answered = new HashSet<>();
+        private boolean heldByAnother;
 
-        Open(long attempt, long endsAt) {
+        OpenClaim(long attempt, long endsAt) {
             this.attempt = attempt;
             this.endsAt = endsAt;
         }
+
+        Verdict verdictWithoutMajority() {
+            return heldByAnother ? new Verdict.InDoubt() : new Verdict.Unavailable();
+        }
     }
 
-    private final ClaimSettings set;
-    private final long boot;
-    private final Transport sink;
-    private final Map<String, Open> open = new HashMap<>();
-    private final Map<String, Long> granted = new HashMap<>(); // until their outcome: the attempt
+    private final ClaimSettings settings;
+    private final long incarnation;
+    private final Transport transport;
+    private final Map<String, OpenClaim> open = new HashMap<>();
+    private final Map<String, Long> grantedAttempts = new HashMap<>();
     private long attempts;
 
-    /** {@code boot}: tells this run from others of its name. */
-    public ClaimClient(ClaimSettings set, long boot, Transport sink) {
-        this.set = set;
-        this.boot = boot;
-        this.sink = sink;
+    /** {@code incarnation}: tells this process from others of its name. */
+    public ClaimClient(ClaimSettings settings, long incarnation, Transport transport) {
+        this.settings = settings;
+        this.incarnation = incarnation;
+        this.transport = transport;
     }
 
-    /** Asks the electors for the id, under the lease's term. An id that is in work here is in doubt. */
+    /** Asks the electors for the id, under the term of a lease. An id that is in work here is in doubt. */
     public void claim(long now, String id, long term) {
-        if (open.containsKey(id) || granted.containsKey(id)) {
-            sink.decided(id, new Verdict.InDoubt());
+        if (open.containsKey(id) || grantedAttempts.containsKey(id)) {
+            transport.decided(id, new Verdict.InDoubt());
             return;
         }
-        Open o = new Open(++attempts, now + set.claimTimeoutMs());
-        open.put(id, o);
-        for (String elector : set.electors()) {
-            if (open.get(id) == o) { // an answer may come within the call
-                sink.send(elector, word(Kind.CLAIM, id, o.attempt, term, null));
+        OpenClaim claim = new OpenClaim(++attempts, now + settings.claimTimeoutMs());
+        open.put(id, claim);
+        for (String elector : settings.electors()) {
+            if (open.get(id) == claim) { // an answer may come within the call
+                transport.send(elector, message(Kind.CLAIM, id, claim.attempt, term, null));
             }
         }
     }
 
-    private ClaimMessage word(Kind kind, String id, long attempt, long term, String outcome) {
-        return ClaimMessage.of(kind, set.name(), boot, id, attempt, term, outcome);
+    private ClaimMessage message(Kind kind, String id, long attempt, long term, String outcome) {
+        return ClaimMessage.of(kind, settings.name(), incarnation, id, attempt, term, outcome);
     }
 
     /**
-     * What an elector says. A vote that is read after the claim's time counts for nothing, even if it came
-     * before: electors that have restarted rely on that time.
+     * Takes an elector's answer. A grant that is read after the claim's time counts for nothing, even if it came before:
+     * electors that have restarted rely on that time.
      */
-    public void received(long now, ClaimMessage w) {
+    public void received(long now, ClaimMessage answer) {
         tick(now);
-        Open o = open.get(w.id());
-        if (o == null
-                || o.attempt != w.attempt()
-                || w.term() != boot
-                || !set.electors().contains(w.sender())) {
+        OpenClaim claim = open.get(answer.id());
+        if (claim == null || !isAnswerTo(claim, answer)) {
             return;
         }
-        o.heard.add(w.sender());
-        switch (w.kind()) {
-            case GRANTED -> {
-                o.yes.add(w.sender());
-                if (o.yes.size() >= set.majority()) {
-                    open.remove(w.id());
-                    granted.put(w.id(), o.attempt);
-                    sink.decided(w.id(), new Verdict.Granted());
-                }
+        claim.answered.add(answer.sender());
+        if (answer.kind() == Kind.GRANTED) {
+            granted(claim, answer);
+        } else if (answer.kind() == Kind.HELD) {
+            claim.heldByAnother = true;
+            if (answer.outcome() != null) {
+                end(answer.id(), claim, new Verdict.Known(answer.outcome()));
             }
-            case HELD -> {
-                o.held = true;
-                if (w.outcome() != null) {
-                    end(w.id(), o, new Verdict.Known(w.outcome()));
-                }
-            }
-            default -> {}
         }
-        // One that holds another's claim may be overruled by a majority that does not: all are awaited.
-        if (open.get(w.id()) == o && o.heard.size() == set.electors().size()) {
-            end(w.id(), o, o.held ? new Verdict.InDoubt() : new Verdict.Unavailable());
+        // An elector that holds another's claim may be overruled by a majority that does not: all are awaited.
+        boolean allAnswered = claim.answered.size() == settings.electors().size();
+        if (open.get(answer.id()) == claim && allAnswered) {
+            end(answer.id(), claim, claim.verdictWithoutMajority());
+        }
+    }
+
+    private boolean isAnswerTo(OpenClaim claim, ClaimMessage answer) {
+        return claim.attempt == answer.attempt()
+                && answer.term() == incarnation
+                && settings.electors().contains(answer.sender());
+    }
+
+    private void granted(OpenClaim claim, ClaimMessage answer) {
+        claim.grants.add(answer.sender());
+        if (claim.grants.size() >= settings.majority()) {
+            open.remove(answer.id());
+            grantedAttempts.put(answer.id(), claim.attempt);
+            transport.decided(answer.id(), new Verdict.Granted());
         }
     }
 
-    /** Ends what has waited too long. */
+    /** Ends the claims that have waited too long. */
     public void tick(long now) {
-        for (String id : Set.copyOf(open.keySet())) {
-            Open o = open.get(id);
-            if (o != null && now >= o.endsAt) {
-                end(id, o, o.held ? new Verdict.InDoubt() : new Verdict.Unavailable());
+        for (String orderId : Set.copyOf(open.keySet())) {
+            OpenClaim claim = open.get(orderId);
+            if (claim != null && now >= claim.endsAt) {
+                end(orderId, claim, claim.verdictWithoutMajority());
             }
         }
     }
 
-    private void end(String id, Open o, Verdict verdict) {
+    private void end(String id, OpenClaim claim, Verdict verdict) {
         open.remove(id);
-        tell(word(Kind.ABANDON, id, o.attempt, 0, null)); // its votes would hold it for nothing
-        sink.decided(id, verdict);
+        sendToElectors(message(Kind.ABANDON, id, claim.attempt, 0, null)); // its grants would hold the id for nothing
+        transport.decided(id, verdict);
     }
 
-    /** What came of an order that was granted: to be told before its client is answered. */
+    /** Records what came of an order that was granted: to be called before its client is answered. */
     public void record(String id, String outcome) {
-        Long attempt = granted.remove(id);
+        Long attempt = grantedAttempts.remove(id);
         if (attempt != null) {
-            tell(word(Kind.RECORD, id, attempt, 0, outcome));
+            sendToElectors(message(Kind.RECORD, id, attempt, 0, outcome));
         }
     }
 
-    /** An order that was granted and then not sent, as the module refused it: the id is free again. */
+    /** Gives an id back that was granted and whose order was not sent after all. */
     public void abandon(String id) {
-        Long attempt = granted.remove(id);
+        Long attempt = grantedAttempts.remove(id);
         if (attempt != null) {
-            tell(word(Kind.ABANDON, id, attempt, 0, null));
+            sendToElectors(message(Kind.ABANDON, id, attempt, 0, null));
         }
     }
 
-    private void tell(ClaimMessage w) {
-        set.electors().forEach(elector -> sink.send(elector, w));
+    private void sendToElectors(ClaimMessage message) {
+        settings.electors().forEach(elector -> transport.send(elector, message));
     }
 }
--- a/src/main/java/maplespread/address/ClaimMessage.java
+++ b/src/main/java/maplespread/address/ClaimMessage.java
@@ -3,11 +3,18 @@
 import java.util.List;
 
 /**
- * What claimants and electors say of order ids. {@code from} and {@code boot}: one run of one instance;
- * {@code attempt}: of the claimant, counted in its run; {@code term}: CLAIM: of the lease it acts under,
- * answers: the boot they are for; {@code outcome}: RECORD and HELD: what came of it, null where that is not
- * known; {@code entries}: SYNC: claims held. In a SYNC the id is the part's number and the term how many
- * parts there are.
+ * What claimants and electors send each other about order ids.
+ *
+ * @param kind what it asks or answers
+ * @param sender the name of the instance that sends it
+ * @param incarnation of the sender
+ * @param id the order id; in a sync response: the number of the part, from 0
+ * @param attempt of the claimant, counted by its incarnation; in a sync response: the number of the response
+ * @param term in a claim: of the lease that it is made under; in an answer: the incarnation that it is for; in a sync
+ *     response: how many parts there are
+ * @param outcome what came of the order, in a record or where a claim is held; null: it is not known
+ * @param entries in a sync response: claims that the sender holds
+ * @param last whether this is the last part of a sync response
  */
 public record ClaimMessage(
         Kind kind,
@@ -19,22 +26,41 @@
         String outcome,
         List<Entry> entries,
         boolean last) {
-    /** YES: the claim is held here; HELD: another's is; BLIND: this elector does not know yet. */
+    /** The kinds of messages. */
     public enum Kind {
+        /** A claimant asks for an id. */
         CLAIM,
+        /** The elector holds the id for this claim. */
         GRANTED,
+        /** The elector holds the id for another claim. */
         HELD,
+        /** The elector does not know yet who holds the id, or may not hold it for this claim. */
         RECOVERING,
+        /** A claimant reports what came of its order. */
         RECORD,
+        /** A claimant gives an id back that it did not use. */
         ABANDON,
+        /** An elector that recovers asks another for its claims. */
         SYNC_REQUEST,
+        /** Some of the claims that an elector holds. */
         SYNC_RESPONSE
     }
 
-    /** A claim as an elector holds it; {@code ageMs} since it was made or its outcome recorded. */
+    /**
+     * A claim as an elector holds it.
+     *
+     * @param id the order id
+     * @param claimant the name of the instance that claims it
+     * @param incarnation of the claimant
+     * @param attempt of the claimant
+     * @param outcome what came of the order; null: it is not known
+     * @param ageMs since the claim was made or its outcome recorded, in milliseconds
+     */
     public record Entry(String id, String claimant, long incarnation, long attempt, String outcome, long ageMs) {}
 
-    static ClaimMessage of(Kind kind, String from, long boot, String id, long attempt, long term, String outcome) {
-        return new ClaimMessage(kind, from, boot, id, attempt, term, outcome, List.of(), true);
+    /** A message that is no sync response. */
+    static ClaimMessage of(
+            Kind kind, String sender, long incarnation, String id, long attempt, long term, String outcome) {
+        return new ClaimMessage(kind, sender, incarnation, id, attempt, term, outcome, List.of(), true);
     }
 }
--- a/src/main/java/maplespread/address/ElectionSettings.java
+++ b/src/main/java/maplespread/address/ElectionSettings.java
@@ -3,12 +3,18 @@
 import java.util.List;
 
 /**
- * {@code electors}: whose majority decides, the same list at all; {@code candidates}: who may own the
- * address, in the order of preference. Times are milliseconds: {@code leaseMs}, counted by each elector
- * from its grant; {@code drift}: by what share a clock may run fast or slow at most; {@code renewMs}
- * between renewals; {@code staggerMs}: what a less preferred candidate waits longer; {@code stableMs}: how
- * long a preferred one has been up before it asks for the address; {@code restMs}: what one that has lost
- * it waits, doubled each time up to {@code mostRestMs}.
+ * The settings of an election.
+ *
+ * @param name this instance's name
+ * @param electors whose majority decides; the same list at all instances
+ * @param candidates who may own the address, the most preferred first; the same list at all instances
+ * @param leaseMs of a vote, counted by each elector from its grant, in milliseconds
+ * @param drift by what share a clock may run fast or slow at most
+ * @param renewMs between renewals, in milliseconds
+ * @param staggerMs what each less preferred candidate waits longer, in milliseconds
+ * @param stableMs how long a preferred candidate has been up before it asks for the address, in milliseconds
+ * @param backoffMs what an owner that has lost the address waits, doubled each time, in milliseconds
+ * @param maxBackoffMs the longest such wait, in milliseconds
  */
 public record ElectionSettings(
         String name,
@@ -21,20 +27,45 @@
         long stableMs,
         long backoffMs,
         long maxBackoffMs) {
+    private static final double DRIFT_LIMIT = 0.5;
+    private static final long LOCAL_LEASE_MS = 400;
+    private static final double LOCAL_DRIFT = 0.01;
+    private static final long LOCAL_RENEW_MS = 100;
+    private static final long LOCAL_STAGGER_MS = 30;
+    private static final long LOCAL_STABLE_MS = 5000;
+    private static final long LOCAL_BACKOFF_MS = 200;
+    private static final long LOCAL_MAX_BACKOFF_MS = 10_000;
+
+    /**
+     * Checks and copies.
+     *
+     * @throws IllegalArgumentException if nobody votes or may own the address, or the times contradict each other
+     */
     public ElectionSettings {
         electors = List.copyOf(electors);
         candidates = List.copyOf(candidates);
         if (electors.isEmpty() || candidates.isEmpty()) {
             throw new IllegalArgumentException("an elector and a candidate are needed");
         }
-        if (!(drift >= 0 && drift < 0.5) || leaseMs <= 0 || renewMs <= 0 || renewMs >= leaseMs) {
+        boolean driftValid = drift >= 0 && drift < DRIFT_LIMIT;
+        if (!driftValid || leaseMs <= 0 || renewMs <= 0 || renewMs >= leaseMs) {
             throw new IllegalArgumentException("drift must lie in 0..0.5, renewMs between 0 and leaseMs");
         }
     }
 
-    /** With a lease of 400 ms, renewed each 100. */
+    /** Settings for a local network: a lease of 400 ms, renewed each 100. */
     public static ElectionSettings of(String name, List<String> electors, List<String> candidates) {
-        return new ElectionSettings(name, electors, candidates, 400, 0.01, 100, 30, 5000, 200, 10_000);
+        return new ElectionSettings(
+                name,
+                electors,
+                candidates,
+                LOCAL_LEASE_MS,
+                LOCAL_DRIFT,
+                LOCAL_RENEW_MS,
+                LOCAL_STAGGER_MS,
+                LOCAL_STABLE_MS,
+                LOCAL_BACKOFF_MS,
+                LOCAL_MAX_BACKOFF_MS);
     }
 
     int majority() {
@@ -42,8 +73,8 @@
     }
 
     /**
-     * How long an owner may count on a grant from its request on: with this clock slow and the elector's
-     * fast by the drift, it still ends first.
+     * How long an owner may count on a grant from its request on: with this clock slow and the elector's fast by the
+     * drift, it still ends first.
      */
     long ownLeaseMs() {
         return (long) Math.floor(leaseMs * (1 - drift) / (1 + drift));
--- a/src/main/java/maplespread/address/ElectionTransport.java
+++ b/src/main/java/maplespread/address/ElectionTransport.java
@@ -1,14 +1,16 @@
 package maplespread.address;
 
-/** Where an election's words go; must not call back into it. */
+/** Takes what an election sends and reports. Called during calls of the election; must not call it back. */
 public interface ElectionTransport {
-    void send(String to, ElectionMessage ballot);
+    /** Sends a message to another instance; it may be lost, delayed, repeated or overtaken. */
+    void send(String receiver, ElectionMessage message);
 
     /** This instance owns the address from now on, under this term, while {@link LeaderElection#mayAct} holds. */
     void acquired(long term);
 
-    /** It does not any more. {@code successor}: who was asked to follow; empty where nobody was. */
+    /** This instance owns the address no longer; {@code successor}: who was asked to follow, or empty. */
     void lost(long term, String successor);
 
+    /** Something for the log: its name, then names and values in turn. */
     void event(boolean warning, String name, Object... pairs);
 }
--- a/src/main/java/maplespread/address/LeaderElection.java
+++ b/src/main/java/maplespread/address/LeaderElection.java
@@ -8,66 +8,81 @@
 import maplespread.address.ElectionMessage.Kind;
 
 /**
- * One instance's part in who owns the address: elector, candidate or both.
+ * One instance's part in who owns the address, as elector, candidate or both: a lease by majority, in the manner of
+ * PaxosLease (Trencseni, Gazso, Reinhardt 2012) with terms as in Raft.
  *
- * <p>An elector gives its vote to one run of one candidate at a time, for a lease by its own clock. A
- * candidate owns the address while a majority has voted for it, and counts the lease from the moment at
- * which it asked, cut by the drift of both clocks: it has ended here before any of the votes has. So two
- * never own it at once, whatever the network does; message delays are not bounded, clocks need only run at
- * nearly the same rate.
+ * <p>An elector gives its vote to one incarnation of one candidate at a time, for a lease by its own clock. A candidate
+ * owns the address while a majority has voted for it, and counts the lease from the moment at which it asked, shortened
+ * by the drift of both clocks: it has ended here before any of the votes has. So two never own the address at once,
+ * whatever the network does; message delays are not bounded, clocks need only run at nearly the same rate.
  *
- * <p>Nothing is stored. An elector that begins knows neither its votes nor the terms: it is silent for longer
- * than any lease. Terms begin at Unix time, so that they grow over restarts of all.
+ * <p>Nothing is stored. An elector that starts knows neither its votes nor the terms, so it is silent for longer than any
+ * lease. Terms begin at Unix time, so that they grow over restarts of all.
+ *
+ * <p>Its owner passes the time in, in milliseconds of a clock that never goes back, and calls it from one thread at a
+ * time.
  */
 public final class LeaderElection {
-    /** ELECTED counts while {@link #mayAct} says so. */
+    /** What this instance does as a candidate. */
     public enum Role {
+        /** Another instance owns the address, or nobody. */
         FOLLOWER,
+        /** It has asked for votes. */
         CANDIDATE,
+        /** It owns the address, while {@link #mayAct} says so. */
         LEADER,
+        /** It has lost the address and waits before it asks again. */
         BACKOFF
     }
 
-    private final ElectionSettings set;
-    private final ElectionTransport sink;
+    private static final int NO_CANDIDATE = -1;
+    private static final String RELEASED = "given up";
+    private static final String EXPIRED = "the lease has run out";
+
+    private final ElectionSettings settings;
+    private final ElectionTransport transport;
     private final SplittableRandom random;
     private final boolean elector;
-    private final int rank; // -1: no candidate
-    private final long boot;
+    private final int rank;
+    private final long incarnation;
     private final long startedAt;
-
-    // as an elector
-    private String votedFor = "";
-    private long votedBoot, votedTerm, votedUntil;
-    private String reservedFor = "";
-    private long reservedUntil;
-    private long highest; // term ever heard of
-
-    // as a candidate
+    private final ElectorVote vote = new ElectorVote();
+    private final Set<String> grants = new HashSet<>();
+    private final Set<String> refusals = new HashSet<>();
+    private long highestTerm;
     private Role role = Role.FOLLOWER;
-    private long term, seq, askedAt, leaseUntil;
-    private long nextAt;
-    private long rest;
+    private long term;
+    private long sequence;
+    private long requestedAt;
+    private long leaseUntil;
+    private long nextTickAt;
+    private long backoffMs;
     private long stableSince;
-    private long ownedSince;
+    private long acquiredAt;
     private String knownOwner = "";
     private long ownerSeenAt;
-    private final Set<String> granted = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
-    private boolean over;
-
-    /** {@code boot} tells runs of one name apart; {@code now}: of a monotonic clock. */
-    public LeaderElection(ElectionSettings set, long boot, long seed, long now, ElectionTransport sink) {
-        this.set = set;
-        this.sink = sink;
-        this.boot = boot;
+    private boolean ended;
+
+    /**
+     * An instance that knows neither votes nor terms.
+     *
+     * @param incarnation Unix milliseconds of this process' start; tells processes of one name apart
+     * @param seed of the random source that spreads requests
+     * @param now milliseconds of a monotonic clock
+     * @param transport takes what the instance sends and reports, during calls of it
+     */
+    public LeaderElection(
+            ElectionSettings settings, long incarnation, long seed, long now, ElectionTransport transport) {
+        this.settings = settings;
+        this.transport = transport;
+        this.incarnation = incarnation;
         random = new SplittableRandom(seed);
-        elector = set.electors().contains(set.name());
-        rank = set.candidates().indexOf(set.name());
+        elector = settings.electors().contains(settings.name());
+        rank = settings.candidates().indexOf(settings.name());
         startedAt = now;
         stableSince = now;
         ownerSeenAt = now;
-        nextAt = now + delay(0);
+        nextTickAt = now + delayMs(0);
     }
 
     /** The term of the lease held, or of the last one. */
@@ -75,18 +90,19 @@
         return term;
     }
 
+    /** What this instance does as a candidate. */
     public Role role() {
         return role;
     }
 
-    /** Who was last heard to own the address; empty: nobody. */
+    /** Who was last known to own the address; empty: nobody. */
     public String knownOwner() {
         return knownOwner;
     }
 
     /**
-     * The fence: whether this instance owns the address at this very moment. To be asked at each use with the
-     * clock as it is then; guards against one that stood still beyond its lease and has not noticed.
+     * The fence: whether this instance owns the address at this moment. To be asked at each use with the time as it is
+     * then; guards against a process that was paused beyond its lease and has not noticed.
      */
     public boolean mayAct(long now) {
         return role == Role.LEADER && now < leaseUntil;
@@ -94,251 +110,270 @@
 
     // ------------------------------------------------------------ time
 
-    /** Does what is due; {@code wallMs}: Unix time, for terms only. Returns when to be called again. */
+    /**
+     * Does what is due; returns when to be called again at the latest.
+     *
+     * @param now milliseconds of the monotonic clock
+     * @param wallMs Unix milliseconds, for terms only
+     */
     public long tick(long now, long wallMs) {
-        if (over) {
+        if (ended) {
             return Long.MAX_VALUE;
         }
         if (role == Role.LEADER && now >= leaseUntil) {
-            lose(now, "the lease has run out", "");
+            lose(now, EXPIRED, "");
         }
-        if (now >= nextAt && rank >= 0) {
-            switch (role) {
-                case LEADER -> ask(now, false);
-                case BACKOFF -> {
-                    role = Role.FOLLOWER;
-                    nextAt = now + delay(0);
-                }
-                case CANDIDATE -> retreat(now); // no majority in time
-                case FOLLOWER -> follow(now, wallMs);
+        if (now >= nextTickAt && isCandidate()) {
+            advance(now, wallMs);
+        }
+        if (role == Role.LEADER) {
+            return Math.min(nextTickAt, leaseUntil);
+        }
+        return isCandidate() ? nextTickAt : Long.MAX_VALUE;
+    }
+
+    private boolean isCandidate() {
+        return rank != NO_CANDIDATE;
+    }
+
+    private void advance(long now, long wallMs) {
+        switch (role) {
+            case LEADER -> requestVotes(now, settings.renewMs());
+            case BACKOFF -> {
+                role = Role.FOLLOWER;
+                nextTickAt = now + delayMs(0);
             }
+            case CANDIDATE -> retreat(now); // no majority in time
+            case FOLLOWER -> follow(now, wallMs);
         }
-        return role == Role.LEADER ? Math.min(nextAt, leaseUntil) : rank < 0 ? Long.MAX_VALUE : nextAt;
     }
 
     private void follow(long now, long wallMs) {
-        boolean known = !knownOwner.isEmpty() && now - ownerSeenAt < set.leaseMs();
-        if (!known) {
-            term = Math.max(highest + 1, wallMs);
+        boolean ownerAlive = !knownOwner.isEmpty() && now - ownerSeenAt < settings.leaseMs();
+        if (!ownerAlive) {
+            term = Math.max(highestTerm + 1, wallMs);
             role = Role.CANDIDATE;
-            ask(now, true);
+            requestVotes(now, settings.leaseMs() / 2);
             return;
         }
-        int better = set.candidates().indexOf(knownOwner);
-        if (better > rank && now - stableSince >= set.stableMs()) {
-            sink.send(knownOwner, new ElectionMessage(Kind.HANDOVER_REQUEST, set.name(), boot, highest, 0, "", 0));
+        boolean preferred = settings.candidates().indexOf(knownOwner) > rank;
+        if (preferred && now - stableSince >= settings.stableMs()) {
+            transport.send(
+                    knownOwner,
+                    new ElectionMessage(Kind.HANDOVER_REQUEST, settings.name(), incarnation, highestTerm, 0, "", 0));
         }
-        // Looked at again when the owner's last word is a lease old, the preferred ones first.
-        nextAt = Math.max(now + 1, ownerSeenAt + set.leaseMs()) + delay(0);
-        if (better > rank) {
-            nextAt = Math.min(nextAt, now + set.renewMs());
+        // Next when the owner's last message is a lease old, the preferred ones first.
+        nextTickAt = Math.max(now + 1, ownerSeenAt + settings.leaseMs()) + delayMs(0);
+        if (preferred) {
+            nextTickAt = Math.min(nextTickAt, now + settings.renewMs());
         }
     }
 
-    private long delay(long base) {
-        return base + Math.max(0, rank) * set.staggerMs() + random.nextLong(Math.max(1, set.staggerMs()));
+    /** Longer for less preferred candidates, and random, so that they do not ask at once. */
+    private long delayMs(long baseMs) {
+        return baseMs + Math.max(0, rank) * settings.staggerMs() + random.nextLong(Math.max(1, settings.staggerMs()));
     }
 
-    private void ask(long now, boolean first) {
-        seq++;
-        askedAt = now;
-        granted.clear();
-        refused.clear();
-        nextAt = now + (first ? set.leaseMs() / 2 : set.renewMs());
-        ElectionMessage b = new ElectionMessage(Kind.REQUEST, set.name(), boot, term, seq, "", 0);
-        for (String to : set.electors()) {
-            if (to.equals(set.name())) {
-                vote(now, b);
+    private void requestVotes(long now, long nextTickInMs) {
+        sequence++;
+        requestedAt = now;
+        grants.clear();
+        refusals.clear();
+        nextTickAt = now + nextTickInMs;
+        ElectionMessage request =
+                new ElectionMessage(Kind.REQUEST, settings.name(), incarnation, term, sequence, "", 0);
+        for (String receiver : settings.electors()) {
+            if (receiver.equals(settings.name())) {
+                vote(now, request);
             } else {
-                sink.send(to, b);
+                transport.send(receiver, request);
             }
         }
     }
 
-    // ------------------------------------------------------------ what came
+    // ------------------------------------------------------------ messages
 
-    /** A ballot, known to be of the instance that it names. */
-    public void received(long now, ElectionMessage b) {
-        if (over) {
+    /** Takes a message of another instance, which is known to have sent it. */
+    public void received(long now, ElectionMessage message) {
+        if (ended) {
             return;
         }
-        switch (b.kind()) {
+        switch (message.kind()) {
             case REQUEST -> {
                 if (elector) {
-                    vote(now, b);
-                }
-            }
-            case GRANT -> granted(now, b);
-            case REFUSE -> refused(now, b);
-            case RELEASE -> givenUp(now, b);
-            case HANDOVER_REQUEST -> {
-                int asks = set.candidates().indexOf(b.sender());
-                if (mayAct(now) && asks >= 0 && asks < rank && now - ownedSince >= set.stableMs()) {
-                    stepDown(now, b.sender());
+                    vote(now, message);
                 }
             }
+            case GRANT -> granted(now, message);
+            case REFUSE -> refused(now, message);
+            case RELEASE -> released(now, message);
+            case HANDOVER_REQUEST -> handoverRequested(now, message);
         }
     }
 
-    private void heard(long now, String holder, long ofTerm) {
-        highest = Math.max(highest, ofTerm);
-        if (!holder.equals(set.name()) && ofTerm >= highest) {
-            knownOwner = holder;
-            ownerSeenAt = now;
+    private void handoverRequested(long now, ElectionMessage request) {
+        int candidateRank = settings.candidates().indexOf(request.sender());
+        boolean preferred = candidateRank >= 0 && candidateRank < rank;
+        if (mayAct(now) && preferred && now - acquiredAt >= settings.stableMs()) {
+            stepDown(now, request.sender());
         }
     }
 
-    private void vote(long now, ElectionMessage b) {
-        boolean same = votedFor.equals(b.sender()) && votedBoot == b.incarnation() && votedTerm == b.term();
-        boolean free = now >= votedUntil && (now >= reservedUntil || reservedFor.equals(b.sender()));
-        // One that has just begun may have voted before, and does not know for whom.
-        boolean blind = now - startedAt < set.quarantineMs();
-        if (!blind
-                && b.term() >= highest
-                && (same && now < votedUntil || free && b.term() > votedTerm)
-                && set.candidates().contains(b.sender())) {
-            votedFor = b.sender();
-            votedBoot = b.incarnation();
-            votedTerm = b.term();
-            votedUntil = now + set.leaseMs();
-            highest = b.term();
-            reservedUntil = now;
-            heard(now, b.sender(), b.term());
-            answer(now, b, new ElectionMessage(Kind.GRANT, set.name(), boot, b.term(), b.sequence(), "", 0));
+    private void vote(long now, ElectionMessage request) {
+        // An elector that has just started may have voted before, and does not know for whom.
+        boolean inQuarantine = now - startedAt < settings.quarantineMs();
+        if (!inQuarantine
+                && request.term() >= highestTerm
+                && vote.isAvailableTo(request, now)
+                && settings.candidates().contains(request.sender())) {
+            vote.give(request, now, settings.leaseMs());
+            highestTerm = request.term();
+            observeOwner(now, request.sender());
+            answer(now, request, reply(Kind.GRANT, request, request.term(), "", 0));
         } else {
-            highest = Math.max(highest, b.term());
-            answer(
-                    now,
-                    b,
-                    new ElectionMessage(
-                            Kind.REFUSE,
-                            set.name(),
-                            boot,
-                            highest,
-                            b.sequence(),
-                            now < votedUntil ? votedFor : "",
-                            Math.max(0, votedUntil - now)));
+            highestTerm = Math.max(highestTerm, request.term());
+            answer(now, request, reply(Kind.REFUSE, request, highestTerm, vote.holder(now), vote.remainingMs(now)));
         }
     }
 
-    private void answer(long now, ElectionMessage asked, ElectionMessage answer) {
-        if (!asked.sender().equals(set.name())) {
-            sink.send(asked.sender(), answer);
+    private ElectionMessage reply(Kind kind, ElectionMessage request, long ofTerm, String holder, long remainingMs) {
+        return new ElectionMessage(kind, settings.name(), incarnation, ofTerm, request.sequence(), holder, remainingMs);
+    }
+
+    private void observeOwner(long now, String owner) {
+        if (!owner.equals(settings.name())) {
+            knownOwner = owner;
+            ownerSeenAt = now;
+        }
+    }
+
+    private void answer(long now, ElectionMessage request, ElectionMessage answer) {
+        if (!request.sender().equals(settings.name())) {
+            transport.send(request.sender(), answer);
         } else if (answer.kind() == Kind.GRANT) {
             granted(now, answer);
         }
     }
 
-    private void granted(long now, ElectionMessage b) {
-        boolean mine = (role == Role.CANDIDATE || role == Role.LEADER) && b.sequence() == seq && b.term() == term;
-        if (!mine
-                || !set.electors().contains(b.sender())
-                || !granted.add(b.sender())
-                || granted.size() < set.majority()) {
+    private void granted(long now, ElectionMessage grant) {
+        boolean asking = role == Role.CANDIDATE || role == Role.LEADER;
+        boolean ofRequest = grant.sequence() == sequence && grant.term() == term;
+        if (!asking || !ofRequest || !settings.electors().contains(grant.sender())) {
+            return;
+        }
+        if (!grants.add(grant.sender()) || grants.size() < settings.majority()) {
             return;
         }
-        long until = askedAt + set.ownLeaseMs();
+        long until = requestedAt + settings.ownLeaseMs();
         if (now >= until) {
             return; // the votes came too late to be of use
         }
         leaseUntil = until;
         if (role == Role.CANDIDATE) {
-            role = Role.LEADER;
-            ownedSince = now;
-            knownOwner = set.name();
-            nextAt = askedAt + set.renewMs();
-            sink.event(false, "address.owned", "term", term);
-            sink.acquired(term);
+            acquire(now);
         }
     }
 
-    private void refused(long now, ElectionMessage b) {
-        highest = Math.max(highest, b.term());
-        if (b.sequence() != seq || role != Role.CANDIDATE) {
+    private void acquire(long now) {
+        role = Role.LEADER;
+        acquiredAt = now;
+        knownOwner = settings.name();
+        nextTickAt = requestedAt + settings.renewMs();
+        transport.event(false, "address.owned", "term", term);
+        transport.acquired(term);
+    }
+
+    private void refused(long now, ElectionMessage refusal) {
+        highestTerm = Math.max(highestTerm, refusal.term());
+        if (refusal.sequence() != sequence || role != Role.CANDIDATE) {
             return;
         }
-        refused.add(b.sender());
-        if (!b.holder().isEmpty() && !b.holder().equals(set.name())) {
-            knownOwner = b.holder();
-            ownerSeenAt = now;
+        refusals.add(refusal.sender());
+        if (!refusal.holder().isEmpty()) {
+            observeOwner(now, refusal.holder());
         }
-        if (refused.size() > set.electors().size() - set.majority()) {
+        if (refusals.size() > settings.electors().size() - settings.majority()) {
             retreat(now);
         }
     }
 
     /**
-     * No majority is to be had: the votes that were given are given back, or they would stand in
-     * everybody's way for a lease. Grants that are still on their way count for nothing from here on.
+     * No majority can be had: the votes that were given are given back, or they would stand in everybody's way for a
+     * lease. Grants that are still on their way count for nothing from here on.
      */
     private void retreat(long now) {
         role = Role.FOLLOWER;
-        nextAt = now + delay(set.renewMs() / 2);
-        giveUp(now, "");
+        nextTickAt = now + delayMs(settings.renewMs() / 2);
+        releaseVotes(now, "");
     }
 
-    /** The owner has given its lease up: its vote here is free, for the successor first. */
-    private void givenUp(long now, ElectionMessage b) {
-        highest = Math.max(highest, b.term());
-        if (votedFor.equals(b.sender()) && votedBoot == b.incarnation() && votedTerm == b.term()) {
-            votedUntil = Math.min(votedUntil, now);
-            reservedFor = b.holder();
-            reservedUntil = b.holder().isEmpty() ? now : now + set.leaseMs() / 2;
-        }
-        if (knownOwner.equals(b.sender())) {
+    /** A candidate or owner has released its votes: the one given here is free, for the successor first. */
+    private void released(long now, ElectionMessage release) {
+        highestTerm = Math.max(highestTerm, release.term());
+        vote.release(release, now, settings.leaseMs() / 2);
+        if (knownOwner.equals(release.sender())) {
             knownOwner = "";
-            if (role == Role.FOLLOWER && rank >= 0) {
-                nextAt = b.holder().equals(set.name())
-                        ? now
-                        : now + delay(b.holder().isEmpty() ? 0 : set.leaseMs() / 2);
+            if (role == Role.FOLLOWER && isCandidate()) {
+                nextTickAt = firstRequestAfter(release, now);
             }
         }
     }
 
+    private long firstRequestAfter(ElectionMessage release, long now) {
+        if (release.holder().equals(settings.name())) {
+            return now;
+        }
+        return now + delayMs(release.holder().isEmpty() ? 0 : settings.leaseMs() / 2);
+    }
+
+    // ------------------------------------------------------------ giving up
+
     /**
-     * Gives the lease up, for a successor where one is named. From here on this instance does not act; only
-     * then do the electors hear of it.
+     * Gives the lease up, for a successor where one is named. From here on this instance does not act; only then are the
+     * electors told.
      */
     public void stepDown(long now, String successor) {
         if (role != Role.LEADER) {
             return;
         }
-        lose(now, "given up", successor);
-        giveUp(now, successor);
+        lose(now, RELEASED, successor);
+        releaseVotes(now, successor);
     }
 
-    private void giveUp(long now, String successor) {
-        ElectionMessage b = new ElectionMessage(Kind.RELEASE, set.name(), boot, term, seq, successor, 0);
-        Set<String> all = new HashSet<>(set.electors());
-        all.addAll(set.candidates());
-        List<String> others = new ArrayList<>(all);
-        others.sort(null);
-        for (String to : others) {
-            if (!to.equals(set.name())) {
-                sink.send(to, b);
+    private void releaseVotes(long now, String successor) {
+        ElectionMessage release =
+                new ElectionMessage(Kind.RELEASE, settings.name(), incarnation, term, sequence, successor, 0);
+        Set<String> all = new HashSet<>(settings.electors());
+        all.addAll(settings.candidates());
+        List<String> receivers = new ArrayList<>(all);
+        receivers.sort(null);
+        for (String receiver : receivers) {
+            if (!receiver.equals(settings.name())) {
+                transport.send(receiver, release);
             } else if (elector) {
-                givenUp(now, b);
+                released(now, release);
             }
         }
     }
 
-    /** Ends this run: gives up what it owns, and neither asks nor votes any more. */
+    /** Gives up what this instance owns, and neither asks nor votes any more. */
     public void end(long now, String successor) {
         stepDown(now, successor);
-        over = true;
+        ended = true;
     }
 
-    private void lose(long now, String why, String successor) {
-        // One that loses it soon after it had it is not stable, and waits longer each time.
-        boolean soon = now - ownedSince < set.stableMs();
-        rest = successor.isEmpty() && soon
-                ? Math.min(set.maxBackoffMs(), Math.max(set.backoffMs(), rest * 2))
-                : set.backoffMs();
-        sink.event(!why.equals("given up"), "address.lost", "term", term, "why", why, "rests_ms", rest);
+    /** An owner that loses the address soon after it had it is not stable, and backs off longer each time. */
+    private void lose(long now, String reason, String successor) {
+        boolean soon = now - acquiredAt < settings.stableMs();
+        boolean unstable = successor.isEmpty() && soon;
+        long doubledMs = Math.max(settings.backoffMs(), backoffMs * 2);
+        backoffMs = unstable ? Math.min(settings.maxBackoffMs(), doubledMs) : settings.backoffMs();
+        boolean warning = !reason.equals(RELEASED);
+        transport.event(warning, "address.lost", "term", term, "why", reason, "rests_ms", backoffMs);
         role = Role.BACKOFF;
         knownOwner = "";
         stableSince = now;
-        nextAt = now + rest;
-        sink.lost(term, successor);
+        nextTickAt = now + backoffMs;
+        transport.lost(term, successor);
     }
 }
