--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -1,10 +1,6 @@
 package maplespread.policy;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Optional;
 
 /**
  * All decisions of one dispatcher: which worker gets a request, whether an attempt is repeated, what is rejected. This
@@ -20,11 +16,16 @@
 
     private final PolicyContext context;
     private final EndpointListFreshness freshness;
-    private final WorkerTable<Worker> workers = new WorkerTable<>();
+    private final DiscoveryPollSchedule polls;
+    private final ProcessPauseDetector pauses;
+    private final PendingRequests requests = new PendingRequests();
+    private final WorkerTable workers = new WorkerTable();
     private final WorkerDirectory directory;
-    private final FailureStatistics failures;
     private final FleetLoadEstimate fleetLoad;
     private final ArrivalStatistics arrivals;
+    private final CandidateCosts costs;
+    private final ProbeScheduler probes;
+    private final WorkerSelector selector;
 
     /**
      * A policy that knows no worker yet.
@@ -36,12 +37,22 @@
         Preconditions.require(settings != null && actions != null, "settings and actions are needed");
         context = new PolicyContext(seed, actions);
         freshness = new EndpointListFreshness(actions::listStateChanged);
+        polls = new DiscoveryPollSchedule(context);
+        pauses = new ProcessPauseDetector(context);
         HintCalibration hints = new HintCalibration(context);
-        failures = new FailureStatistics(context);
+        FailureStatistics failures = new FailureStatistics(context);
         fleetLoad = new FleetLoadEstimate(context, workers);
         arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
         fleetLoad.use(arrivals);
         directory = new WorkerDirectory(workers, context, arrivals, hints, failures);
+        RetryPolicy retries = new RetryPolicy(context);
+        EligibilityFilter eligibility = new EligibilityFilter(context, freshness, retries);
+        KeyAffinity affinity = new KeyAffinity(workers, arrivals, fleetLoad);
+        CostModel costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
+        costs = new CandidateCosts(workers, costModel, affinity);
+        probes = new ProbeScheduler(context, requests, workers, fleetLoad, costs, pauses);
+        AdmissionControl admission = new AdmissionControl(context, requests, retries, freshness, fleetLoad);
+        selector = new WorkerSelector(context, directory, requests, costs, costModel, affinity, probes, admission);
         apply(settings);
     }
 
@@ -70,20 +81,20 @@
         fleetLoad.invalidate();
         entries.forEach(directory::update);
         directory.forgetUnlisted();
-        invalidate();
-        probing().forEach(request -> request.probed.clear());
+        costs.invalidate();
+        requests.probing().forEach(request -> request.probed.clear());
         if (kind == EndpointListKind.CACHED_SNAPSHOT) {
-            cachedSnapshotReceived(entries.size());
+            polls.cachedSnapshotReceived(entries.size());
             startTicking();
         } else {
-            listReceived();
+            polls.listReceived();
         }
     }
 
     /** Dispatchers that start together must not tick in step. */
     private void startTicking() {
         double firstMs = context.tickPeriodMs * (0.5 + context.random.nextDouble() / 2);
-        expectTick(firstMs);
+        pauses.expectTick(firstMs);
         context.actions.scheduleTimer(firstMs, TimerLabel.TICK);
     }
 
@@ -111,7 +122,7 @@
     public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
         advanceTo(nowUs);
         freshness.failed(context.nowMs, loss, heardAgoMs);
-        watchFailed(workers.size());
+        polls.watchFailed(workers.size());
     }
 
     /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
@@ -127,14 +138,14 @@
         int classIndex = accepted.classIndex();
         Preconditions.require(
                 classIndex >= 0 && classIndex < context.settings.classes().size(), "no such class: " + classIndex);
-        requireUnknown(accepted.id());
+        requests.requireUnknown(accepted.id());
         PendingRequest request = new PendingRequest(accepted, context);
-        addRequest(request);
+        requests.add(request);
         fleetLoad.refresh();
         arrivals.requestOffered(request);
-        place(request);
+        selector.place(request);
         if (request.probeRounds == 0) {
-            probeStalest();
+            probes.probeStalest();
         }
     }
 
@@ -156,7 +167,7 @@
 
     private InFlightAttempt signOfLife(long nowUs, long id, int number) {
         advanceTo(nowUs);
-        InFlightAttempt attempt = findAttempt(id, number);
+        InFlightAttempt attempt = requests.findAttempt(id, number);
         if (attempt != null) {
             attempt.worker.outliers.aliveSeen();
         }
@@ -178,7 +189,7 @@
         if (reporter != null) {
             reporter.reportReceived(report);
         }
-        InFlightAttempt attempt = findAttempt(id, number);
+        InFlightAttempt attempt = requests.findAttempt(id, number);
         if (attempt == null) {
             return;
         }
@@ -186,28 +197,28 @@
         attempt.worker.attemptEnded(attempt, outcome, lagMs);
         directory.attemptEnded(attempt.worker);
         if (requestEnded) {
-            endRequest(request);
+            requests.end(request);
         } else if (!request.ended && !request.responseStarted && request.attemptsInFlight == 0) {
             fleetLoad.refresh();
-            place(request); // another attempt, or the end
+            selector.place(request); // another attempt, or the end
         }
-        forgetIfOver(request);
+        requests.forgetIfOver(request);
     }
 
     @Override
     public void requestAbandoned(long nowUs, long id) {
         advanceTo(nowUs);
-        PendingRequest request = findRequest(id);
+        PendingRequest request = requests.find(id);
         if (request != null) {
-            endRequest(request);
+            requests.end(request);
         }
     }
 
     private void placeParked() {
-        if (hasParked()) {
-            List<PendingRequest> parked = takeParked();
+        if (requests.hasParked()) {
+            List<PendingRequest> parked = requests.takeParked();
             fleetLoad.refresh();
-            parked.forEach(this::place);
+            parked.forEach(selector::place);
         }
     }
 
@@ -221,16 +232,16 @@
             return;
         }
         worker.probeEnded(outcome, lagMs, report);
-        for (PendingRequest request : List.copyOf(probing())) {
-            if (isCompletedBy(worker, request)) {
+        for (PendingRequest request : List.copyOf(requests.probing())) {
+            if (probes.isCompletedBy(worker, request)) {
                 endProbeRound(request);
             }
         }
     }
 
     private void endProbeRound(PendingRequest request) {
-        if (endRound(request)) {
-            place(request);
+        if (probes.endRound(request)) {
+            selector.place(request);
         }
     }
 
@@ -241,7 +252,7 @@
             tick();
             return;
         }
-        PendingRequest request = findRequest(TimerLabel.requestIdOf(label));
+        PendingRequest request = requests.find(TimerLabel.requestIdOf(label));
         if (request != null) {
             endProbeRound(request);
         }
@@ -249,12 +260,12 @@
 
     private void tick() {
         freshness.usable(context.nowMs); // its change of state is told in time
-        pollIfDue();
+        polls.pollIfDue();
         for (Worker worker : directory.busy()) {
-            worker.outliers.countOverdue(pauseEndedMs());
+            worker.outliers.countOverdue(pauses.pauseEndedMs());
         }
         placeParked();
-        expectTick(context.tickPeriodMs);
+        pauses.expectTick(context.tickPeriodMs);
         context.actions.scheduleTimer(context.tickPeriodMs, TimerLabel.TICK);
     }
 
@@ -262,7 +273,7 @@
         double nowMs = nowUs / MICROS_PER_MS;
         Preconditions.require(nowMs >= context.nowMs, "time ran backwards");
         context.nowMs = nowMs;
-        eventReceived();
+        pauses.eventReceived();
     }
 
     /** How many listed workers get no new requests at present: draining, ejected or backing off. */
@@ -275,699 +286,4 @@
         }
         return avoided;
     }
-
-    // ------------------------------------------------------------ selection
-
-    /** Below this lateness a probed worker with a free slot is certain enough. */
-    private static final double MAX_CERTAIN_LATENESS = 0.5;
-
-    /** Sends, parks or ends the request, or has workers probed for it first. */
-    private void place(PendingRequest request) {
-        if (!areOf(request)) {
-            priceAll(request, false);
-        }
-        Worker cheapest = cheapest();
-        Worker probed = cheapestProbed(request);
-        if (cheapest != null && !isCertain(request, probed) && startRound(request, cheapest)) {
-            return;
-        }
-        if (!anyEligible()) {
-            priceAll(request, true);
-            cheapest = cheapest();
-        }
-        invalidate();
-        request.probed.clear();
-        if (cheapest != null) {
-            send(request, probed == null ? cheapest : probed);
-        } else {
-            parkOrEnd(request);
-        }
-    }
-
-    /** Whether a worker that was probed for the request serves it in time without a wait. */
-    private boolean isCertain(PendingRequest request, Worker probed) {
-        return probed != null
-                && probed.backlog.hasFreeSlot(request)
-                && lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
-    }
-
-    private void parkOrEnd(PendingRequest request) {
-        Optional<RejectionReason> reason = rejectionReason(request, anyEligible());
-        if (reason.isPresent()) {
-            end(request, reason.get());
-        } else {
-            park(request);
-        }
-    }
-
-    private void send(PendingRequest request, Worker worker) {
-        attemptSent();
-        double fetchMs = fetchCostMs(request, worker);
-        InFlightAttempt attempt = new InFlightAttempt(request, worker, context.nowMs, fetchMs);
-        directory.attemptStarting(worker);
-        request.attempts.add(attempt);
-        request.attemptsInFlight++;
-        worker.attemptSent(attempt);
-        context.actions.sendAttempt(request.id(), worker.id);
-    }
-
-    // ------------------------------------------------------------ admission
-
-    /**
-     * Why no attempt is made for a request for which no worker was chosen; empty: it may wait for one.
-     *
-     * @param anyEligible some worker may take it, at a cost above that of a rejection
-     */
-    private Optional<RejectionReason> rejectionReason(PendingRequest request, boolean anyEligible) {
-        if (anyEligible) {
-            return Optional.of(RejectionReason.OVERLOADED);
-        }
-        if (request.attempts.size() >= request.maxAttempts) {
-            return Optional.of(RejectionReason.ATTEMPTS_USED);
-        }
-        boolean mayHaveRun = !mayReject(request);
-        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT && mayHaveRun) {
-            return Optional.of(RejectionReason.MAY_HAVE_RUN);
-        }
-        // The next tick may come two periods from now, and is the last that may still answer in time.
-        boolean timeLeft = context.nowMs < request.deadlineMs - 2 * context.tickPeriodMs;
-        boolean withinObjective = context.nowMs - request.acceptedAtMs < request.requestClass.latencyObjectiveMs();
-        if (timeLeft && withinObjective) {
-            return Optional.empty();
-        }
-        if (!timeLeft) {
-            return Optional.of(RejectionReason.OUT_OF_TIME);
-        }
-        return Optional.of(
-                freshness.usable(context.nowMs) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED);
-    }
-
-    /** Ends the request: rejected where the client may safely try again, else failed. */
-    private void end(PendingRequest request, RejectionReason reason) {
-        if (mayReject(request) && context.nowMs < request.deadlineMs) {
-            context.actions.reject(request.id(), retryAfterMs(), reason);
-        } else {
-            context.actions.fail(request.id(), reason);
-        }
-        endRequest(request);
-    }
-
-    /** The pause advised to the client: the shortest wait in the fleet, at least half the objective. */
-    private double retryAfterMs() {
-        double waitMs = Math.max(fleetLoad.shortestWaitMs(), context.objectiveMs / 2);
-        return Math.min(waitMs, context.permissions.maxRetryAfterMs());
-    }
-
-    // ------------------------------------------------------------ probes
-
-    private static final int PROBES_A_ROUND = 3;
-    private static final int MAX_ROUNDS = 2;
-
-    /** From this load of all dispatchers over this one's, own sends tell too little. */
-    private static final double MIN_LOAD_MULTIPLIER = 8;
-
-    /** A report is fresh, and an answer in time, for this much of the objective. */
-    private static final double FRESH_OBJECTIVES = 1.0 / 8;
-
-    /** Probes the worker whose last report is the oldest, if that is older than an objective. */
-    private void probeStalest() {
-        if (!context.permissions.probing() || context.settings.dispatcherCount() <= 1) {
-            return;
-        }
-        Worker stalest = null;
-        for (Worker worker : workers.all()) {
-            if (!worker.outliers.isEjected()
-                    && context.nowMs - worker.reportedAtMs > context.objectiveMs
-                    && (stalest == null || worker.reportedAtMs < stalest.reportedAtMs)) {
-                stalest = worker;
-            }
-        }
-        if (stalest != null) {
-            stalest.probe();
-        }
-    }
-
-    /** Starts a round for a request whose cheapest worker is given; false: none is needed or allowed. */
-    private boolean startRound(PendingRequest request, Worker cheapest) {
-        double freshMs = context.objectiveMs * FRESH_OBJECTIVES;
-        if (!context.permissions.probing()
-                || fleetLoad.loadMultiplier() < MIN_LOAD_MULTIPLIER
-                || context.nowMs - cheapest.reportedAtMs < freshMs
-                || request.probeRounds >= MAX_ROUNDS) {
-            return false;
-        }
-        request.probeRounds++;
-        Worker next = cheapest;
-        for (int i = 0; i < PROBES_A_ROUND && next != null; i++) {
-            if (context.nowMs - next.reportedAtMs >= freshMs) {
-                next.probe();
-                request.probed.add(next);
-                request.awaitingReply.add(next);
-            }
-            exclude(next); // until it has answered
-            next = cheapest();
-        }
-        startProbing(request);
-        context.actions.scheduleTimer(freshMs, TimerLabel.probeRoundOf(request.id()));
-        return true;
-    }
-
-    /** A worker has answered a probe, or failed to; returns whether that was the last answer the request waited for. */
-    private boolean isCompletedBy(Worker worker, PendingRequest request) {
-        return request.awaitingReply.remove(worker) && request.awaitingReply.isEmpty();
-    }
-
-    /**
-     * A request's round ends, with all answers or at its timer; returns whether the request is to be placed now.
-     *
-     * <p>If this process stood still meanwhile, the answers may stand behind the timer: the round goes on for a moment.
-     */
-    private boolean endRound(PendingRequest request) {
-        boolean answersMissing = !request.awaitingReply.isEmpty();
-        if (answersMissing && pauseEndedMs() > request.acceptedAtMs) {
-            forgetPause();
-            context.actions.scheduleTimer(context.settings.tickMs(), TimerLabel.probeRoundOf(request.id()));
-            return false;
-        }
-        if (!stopProbing(request)) {
-            return false;
-        }
-        for (Worker silent : request.awaitingReply) {
-            silent.outliers.backOff();
-        }
-        request.awaitingReply.clear();
-        if (areOf(request)) {
-            repriceProbed(request);
-        }
-        return true;
-    }
-
-    // ------------------------------------------------------------ costs of one request
-
-    private PendingRequest priced;
-    private boolean anyEligible;
-
-    /** Whether the costs are those of this request. */
-    private boolean areOf(PendingRequest request) {
-        return priced == request;
-    }
-
-    /** Whether any worker may take the request, at whatever cost. */
-    private boolean anyEligible() {
-        return anyEligible;
-    }
-
-    /** Prices the request at all workers; {@code anyState}: also those ejected or backing off. */
-    private void priceAll(PendingRequest request, boolean anyState) {
-        priced = request;
-        anyEligible = false;
-        rankByKey(request);
-        for (Worker worker : workers.all()) {
-            double cost = cost(request, worker, anyState);
-            workers.cost(worker, cost);
-            anyEligible |= cost < INELIGIBLE;
-        }
-    }
-
-    /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
-    private void repriceProbed(PendingRequest request) {
-        for (Worker worker : request.probed) {
-            workers.cost(worker, cost(request, worker, false));
-        }
-        priced = cheapest() == null ? null : request;
-    }
-
-    /** The costs hold no longer. */
-    private void invalidate() {
-        priced = null;
-    }
-
-    /** Leaves a worker out until it is priced again. */
-    private void exclude(Worker worker) {
-        workers.cost(worker, DEARER_THAN_REJECTION);
-    }
-
-    /** The first worker of the least cost below a rejection's; null: there is none. */
-    private Worker cheapest() {
-        return workers.cheapest(DEARER_THAN_REJECTION);
-    }
-
-    /** The same among the workers probed for the request. */
-    private Worker cheapestProbed(PendingRequest request) {
-        return workers.cheapest(request.probed, DEARER_THAN_REJECTION);
-    }
-
-    // ------------------------------------------------------------ costs
-
-    /** The worker may not take the request at all. */
-    private static final double INELIGIBLE = Double.POSITIVE_INFINITY;
-
-    /** The worker may take the request, but a rejection costs less. */
-    private static final double DEARER_THAN_REJECTION = Double.MAX_VALUE;
-
-    private static final double REJECTION_COST = 1;
-
-    /** The lateness rises about the objective, not in a step, as hints are rough: by its run time over this. */
-    private static final double LATENESS_SLOPE = 2;
-
-    private double lastSentMs = Double.NEGATIVE_INFINITY;
-
-    /** An attempt was sent: see {@link #mayTryAnyway}. */
-    private void attemptSent() {
-        lastSentMs = context.nowMs;
-    }
-
-    /**
-     * The cost of a request at a worker.
-     *
-     * @param anyState also where the worker is ejected or backs off, for a request for which no ready worker is left
-     * @return {@link #INELIGIBLE}, {@link #DEARER_THAN_REJECTION} or the cost
-     */
-    private double cost(PendingRequest request, Worker worker, boolean anyState) {
-        if (!anyState && !worker.outliers.isReady() || checkEligibility(request, worker) != Eligibility.ELIGIBLE) {
-            return INELIGIBLE;
-        }
-        double waitMs = worker.backlog.waitMs();
-        double late = lateness(request, worker, expectedWaitMs(request, worker));
-        // A response past the objective but before the deadline keeps a share of its weight.
-        double endMs = context.nowMs + waitMs + request.workMs / worker.speedEstimator.speed();
-        late *= endMs < request.deadlineMs ? 1 - request.requestClass.lateWeightShare() : 1;
-        // The increase counts mean requests; it is set against rejecting this one, at one.
-        double waitObjectiveMs = arrivals.waitObjectiveMs(request);
-        double reservedMs = (request.workMs + fetchCostMs(request, worker) * worker.speedEstimator.speed())
-                * request.slots
-                / worker.capacity;
-        double cost = late + valueIncrease(worker, waitMs, reservedMs, waitObjectiveMs) / request.weight;
-        return cost < REJECTION_COST || mayTryAnyway()
-                ? cost + preference(request, worker, waitObjectiveMs) + worker.outliers.failureRate(request.classIndex)
-                : DEARER_THAN_REJECTION;
-    }
-
-    /**
-     * How late a request would be at a worker, 0 to 1: its own hinted run against its own objective.
-     *
-     * @param waitMs what it would wait in the queue
-     */
-    private double lateness(PendingRequest request, Worker worker, double waitMs) {
-        RequestClass requestClass = request.requestClass;
-        double objectiveMs = requestClass.latencyObjectiveMs() + requestClass.stretchFactor() * request.workMs;
-        double leftMs =
-                Math.min(objectiveMs - (context.nowMs - request.acceptedAtMs), request.deadlineMs - context.nowMs);
-        double takesMs = waitMs + request.workMs / worker.speedEstimator.speed() + fetchCostMs(request, worker);
-        return PolicyMath.clamp(0.5 + LATENESS_SLOPE * (takesMs - leftMs) / takesMs, 0, 1);
-    }
-
-    /** A request starts at once only where a slot is free and its memory has room too, by own sends and reports. */
-    private double expectedWaitMs(PendingRequest request, Worker worker) {
-        if (!worker.backlog.hasMemoryFor(request)) {
-            return Math.max(worker.backlog.waitMs(), arrivals.meanWorkMs() / worker.capacity);
-        }
-        return worker.backlog.hasFreeSlot(request) ? 0 : worker.backlog.waitMs();
-    }
-
-    /** Who sends nothing learns nothing, and would reject all for ever: after half the memory it tries the cheapest. */
-    private boolean mayTryAnyway() {
-        return context.nowMs - lastSentMs > context.memoryMs / 2;
-    }
-
-    /** What chooses among workers and rejects nothing: another zone, and the time that a new connection may lose. */
-    private double preference(PendingRequest request, Worker worker, double waitObjectiveMs) {
-        double cost = worker.zone == context.settings.zone() ? 0 : context.settings.crossZoneCost() / request.weight;
-        boolean connectsSafely = !failures.slowConnectsSeen() || worker.connections.hasIdle();
-        return cost
-                + (connectsSafely
-                        ? 0
-                        : failures.slowConnectShare() * context.permissions.connectTimeoutMs() / waitObjectiveMs);
-    }
-
-    /** By how much work of this length raises the value of a worker's backlog, in mean requests. */
-    private double valueIncrease(Worker worker, double waitMs, double reservedMs, double waitObjectiveMs) {
-        double ratePerMs = Math.max(arrivals.ratePerMs(), 1 / context.memoryMs);
-        double arrivalRate =
-                ratePerMs * fleetLoad.loadMultiplier() * worker.capacity / Math.max(workers.total(), worker.capacity);
-        double costRate = worker.shadowQueue.lossRate(arrivalRate, arrivals.lostShare());
-        double serviceMs = arrivals.meanWorkMs() / worker.capacity;
-        return ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs + reservedMs)
-                - ValueFunction.value(arrivalRate, costRate, serviceMs, waitObjectiveMs, waitMs);
-    }
-
-    // ------------------------------------------------------------ eligibility
-
-    /** Whether the request may be sent to the worker now, or the first condition that fails. */
-    private Eligibility checkEligibility(PendingRequest request, Worker worker) {
-        if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
-            return Eligibility.WORKER_NOT_ACTIVE;
-        }
-        if (!freshness.usable(context.nowMs)) {
-            return Eligibility.LIST_NOT_CONFIRMED;
-        }
-        int requiredKind = request.requestClass.requiredWorkerKind();
-        if (requiredKind >= 0 && requiredKind != worker.kindNumber) {
-            return Eligibility.WRONG_WORKER_KIND;
-        }
-        if (Math.max(request.slots, request.memoryUnits) > Math.max(1, worker.slotEstimator.slots())) {
-            return Eligibility.REQUEST_TOO_LARGE;
-        }
-        if (!request.accepted.mayGoTo(worker.id)) {
-            return Eligibility.NOT_AMONG_ALLOWED_WORKERS;
-        }
-        Eligibility retry = checkRetry(request, worker);
-        if (retry != Eligibility.ELIGIBLE) {
-            return retry;
-        }
-        if (!worker.slowStart.allows(request.workMs)) {
-            return Eligibility.SLOW_START_BUDGET_USED;
-        }
-        return Eligibility.ELIGIBLE;
-    }
-
-    // ------------------------------------------------------------ retries
-
-    /** Whether the request may be sent to the worker, as far as it and its earlier attempts go. */
-    private Eligibility checkRetry(PendingRequest request, Worker worker) {
-        if (request.ended || request.responseStarted) {
-            return Eligibility.REQUEST_ENDED;
-        }
-        if (context.nowMs >= request.deadlineMs) {
-            return Eligibility.DEADLINE_PASSED;
-        }
-        if (request.attemptsInFlight > 0) {
-            return Eligibility.ATTEMPT_IN_FLIGHT;
-        }
-        if (request.attempts.size() >= request.maxAttempts) {
-            return Eligibility.ATTEMPTS_USED;
-        }
-        RequestClass requestClass = request.requestClass;
-        for (InFlightAttempt earlier : request.attempts) {
-            if (earlier.neverRan) {
-                continue;
-            }
-            if (!requestClass.mayRepeatAfter(context.nowMs - earlier.sentAtMs)) {
-                return Eligibility.MAY_HAVE_RUN;
-            }
-            if (!dropsRepeatOf(earlier, worker, requestClass)) {
-                return Eligibility.OUTSIDE_DEDUPLICATION_SCOPE;
-            }
-        }
-        return Eligibility.ELIGIBLE;
-    }
-
-    /** Whether a rejection is safe: the client may then send the request again, to any dispatcher and worker. */
-    private boolean mayReject(PendingRequest request) {
-        RequestClass requestClass = request.requestClass;
-        if (requestClass.idempotency() == Idempotency.READ_LIKE) {
-            return true;
-        }
-        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && requestClass.deduplicationScope() == DeduplicationScope.ALL) {
-            return true;
-        }
-        for (InFlightAttempt attempt : request.attempts) {
-            if (!attempt.neverRan) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** Whether the worker drops a repeat of the earlier attempt, or running twice does no harm. */
-    private static boolean dropsRepeatOf(InFlightAttempt earlier, Worker worker, RequestClass requestClass) {
-        if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
-            return true;
-        }
-        return switch (requestClass.deduplicationScope()) {
-            case ALL -> true;
-            case ZONE -> earlier.worker.zone == worker.zone;
-            case CELL -> earlier.worker.cell == worker.cell;
-        };
-    }
-
-    // ------------------------------------------------------------ affinity of keys
-
-    /**
-     * A miss is priced as this many mean requests. The wait for the fetch is under one, but it also takes of the shared
-     * store's capacity and drives out a set that others will miss.
-     */
-    private static final double MISS_COST_REQUESTS = 3;
-
-    /** Added where workers queue: no slot is free then, and those held by a fetch are missed. */
-    private static final double QUEUEING_MISS_COST_REQUESTS = 3;
-
-    /** How likely a miss is at the key's primary worker. */
-    private static final double PRIMARY_MISS = 0.1;
-
-    /** How likely a miss is where this dispatcher sent the key lately. */
-    private static final double RECENT_MISS = 0.2;
-
-    /** How likely a miss is at the key's secondary worker. */
-    private static final double SECONDARY_MISS = 0.5;
-
-    /** Finds the primary and the secondary worker of a request's key among the active workers that it may go to. */
-    private void rankByKey(PendingRequest request) {
-        request.primary = null;
-        request.secondary = null;
-        if (request.keyHash == 0) {
-            return;
-        }
-        long primaryRank = 0;
-        long secondaryRank = 0;
-        for (Worker worker : workers.all()) {
-            if (worker.lifecycle != EndpointLifecycle.ACTIVE
-                    || worker.outliers.isEjected()
-                    || !request.accepted.mayGoTo(worker.id)) {
-                continue;
-            }
-            long rank = rendezvousRank(request.keyHash, worker);
-            if (request.primary == null || rank > primaryRank) {
-                request.secondary = request.primary;
-                secondaryRank = primaryRank;
-                request.primary = worker;
-                primaryRank = rank;
-            } else if (request.secondary == null || rank > secondaryRank) {
-                request.secondary = worker;
-                secondaryRank = rank;
-            }
-        }
-    }
-
-    /** The price, as time in ms, of the data set that a request may have to wait for at the worker. */
-    private double fetchCostMs(PendingRequest request, Worker worker) {
-        if (request.keyHash == 0) {
-            return 0;
-        }
-        double queueing = PolicyMath.clamp(fleetLoad.queueingFactor() - 1, 0, 1);
-        double missCost = MISS_COST_REQUESTS + QUEUEING_MISS_COST_REQUESTS * queueing;
-        return missCost * missProbability(request, worker) * arrivals.meanWorkMs();
-    }
-
-    private static double missProbability(PendingRequest request, Worker worker) {
-        if (worker == request.primary) {
-            return PRIMARY_MISS;
-        }
-        if (worker.cachedKeys.contains(request.keyHash)) {
-            return RECENT_MISS;
-        }
-        return worker == request.secondary ? SECONDARY_MISS : 1;
-    }
-
-    /** 63 bits, never negative. */
-    private static long rendezvousRank(long keyHash, Worker worker) {
-        return StableHash.mix(keyHash ^ worker.idHash) >>> 1;
-    }
-
-    // ------------------------------------------------------------ pending requests
-
-    private final Map<Long, PendingRequest> byId = new HashMap<>();
-    private final List<PendingRequest> parked = new ArrayList<>();
-    private final List<PendingRequest> probing = new ArrayList<>();
-
-    /** The request with this id; null: it is unknown, or forgotten. */
-    private PendingRequest findRequest(long id) {
-        return byId.get(id);
-    }
-
-    /** The attempt with this number of this request while it is in flight, else null. */
-    private InFlightAttempt findAttempt(long id, int number) {
-        PendingRequest request = byId.get(id);
-        return request == null ? null : request.inFlight(number);
-    }
-
-    /**
-     * To be asked before a request is added.
-     *
-     * @throws IllegalStateException if the id is in use
-     */
-    private void requireUnknown(long id) {
-        if (byId.containsKey(id)) {
-            throw new IllegalStateException("request " + id + " was taken before");
-        }
-    }
-
-    private void addRequest(PendingRequest request) {
-        byId.put(request.id(), request);
-    }
-
-    /** It waits for a worker that may take it. */
-    private void park(PendingRequest request) {
-        parked.add(request);
-    }
-
-    /** Takes out all parked requests, in the order in which they were parked. */
-    private List<PendingRequest> takeParked() {
-        List<PendingRequest> all = List.copyOf(parked);
-        parked.clear();
-        return all;
-    }
-
-    private boolean hasParked() {
-        return !parked.isEmpty();
-    }
-
-    /** It waits for the answers of a probe round. */
-    private void startProbing(PendingRequest request) {
-        probing.add(request);
-    }
-
-    /** Its probe round is over; returns false if it was in none. */
-    private boolean stopProbing(PendingRequest request) {
-        return probing.remove(request);
-    }
-
-    /** Those that wait for answers to probes. */
-    private List<PendingRequest> probing() {
-        return probing;
-    }
-
-    /** The request has ended: nothing more is done for it. */
-    private void endRequest(PendingRequest request) {
-        request.ended = true;
-        parked.remove(request);
-        probing.remove(request);
-        forgetIfOver(request);
-    }
-
-    /** Forgets the request if it has ended and none of its attempts is in flight. */
-    private void forgetIfOver(PendingRequest request) {
-        if (request.ended && request.attemptsInFlight == 0) {
-            byId.remove(request.id());
-        }
-    }
-
-    // ------------------------------------------------------------ process pauses
-
-    private double tickExpectedMs = Double.POSITIVE_INFINITY;
-    private double pauseEndedMs = Double.NEGATIVE_INFINITY;
-
-    /** To be called at the start of each event. */
-    private void eventReceived() {
-        if (context.nowMs - tickExpectedMs > context.tickPeriodMs) {
-            tickExpectedMs = context.nowMs;
-            pauseEndedMs = context.nowMs;
-        }
-    }
-
-    /** The next tick is due so long from now. */
-    private void expectTick(double delayMs) {
-        tickExpectedMs = context.nowMs + delayMs;
-    }
-
-    /** When the last pause ended; negative infinity while none was seen. */
-    private double pauseEndedMs() {
-        return pauseEndedMs;
-    }
-
-    /** The last pause has been allowed for. */
-    private void forgetPause() {
-        pauseEndedMs = Double.NEGATIVE_INFINITY;
-    }
-
-    // ------------------------------------------------------------ discovery polls
-
-    /** A change counts as notified this long after discovery had it, delivered or not. */
-    private static final double CHANGE_NOTIFIED_MS = EndpointListFreshness.NOTIFIED_WITHIN_MS;
-
-    /** The round in which each dispatcher of a large fleet has its turn: below the time in which changes must come. */
-    private static final double FLEET_ROUND_MS = 5500;
-
-    /** What discovery takes for one line of a full snapshot, with a margin. */
-    private static final double LINE_COST_MS = 0.7;
-
-    /** The first calls of a fleet are spread over at most this long. */
-    private static final double MAX_FIRST_SPREAD_MS = CHANGE_NOTIFIED_MS * 2 / 3;
-
-    /** Taken off the first spread, as a call is due at the tick after its time. */
-    private static final double FIRST_SPREAD_MARGIN_MS = CHANGE_NOTIFIED_MS / 30;
-
-    /** Longest backoff after a failed call, before the jitter. */
-    private static final double MAX_BACKOFF_MS = CHANGE_NOTIFIED_MS / 5;
-
-    /** A call that waited in vain counts with at most this in the backoff. */
-    private static final double MAX_COUNTED_WAIT_MS = CHANGE_NOTIFIED_MS / 3;
-
-    /** A fleet is large when all its full snapshots together take discovery longer than this. */
-    private static final double LARGE_FLEET_MS = CHANGE_NOTIFIED_MS / 2;
-
-    /** A call that took longer than this has waited in vain; a shorter one was refused. */
-    private static final double WAITED_IN_VAIN_MS = CHANGE_NOTIFIED_MS / 6;
-
-    private static final int MAX_BACKOFF_DOUBLINGS = 6;
-
-    /** No call is due: a list came, or none was ever lost. Any real time lies below. */
-    private static final double NEVER = Double.POSITIVE_INFINITY;
-
-    private double pollAtMs = NEVER;
-    private double polledAtMs;
-    private int failedCalls;
-
-    /** This dispatcher has started from a cached list: its first call has a place by its index. */
-    private void cachedSnapshotReceived(int endpoints) {
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        double spreadMs = Math.min(MAX_FIRST_SPREAD_MS, fleetMs) - FIRST_SPREAD_MARGIN_MS;
-        pollAtMs = context.nowMs + ownShareOf(Math.max(0, spreadMs));
-    }
-
-    /** Discovery has answered: no call is due until the watch fails. */
-    private void listReceived() {
-        pollAtMs = NEVER;
-        failedCalls = 0;
-    }
-
-    /** A call failed or the watch broke: schedules the next call, jittered, later with each failure in a row. */
-    private void watchFailed(int endpoints) {
-        double maxBackoffMs = Math.min(context.rules.maxListAgeMs() / 4, MAX_BACKOFF_MS);
-        double callTookMs = pollAtMs < NEVER ? context.nowMs - polledAtMs : 0;
-        int doublings = Math.min(++failedCalls, MAX_BACKOFF_DOUBLINGS);
-        double backoffMs = Math.min(maxBackoffMs, context.memoryMs / 20 * (1L << doublings));
-        // At least as long as this call waited, since discovery works on for calls that have given up.
-        double atLeastMs = Math.min(callTookMs, MAX_COUNTED_WAIT_MS);
-        double jitter = 0.4 + 0.8 * context.random.nextDouble();
-        pollAtMs = context.nowMs + Math.max(backoffMs, atLeastMs) * jitter;
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        if (fleetMs > LARGE_FLEET_MS) {
-            double nextTickMs = context.nowMs + context.tickPeriodMs;
-            pollAtMs = callTookMs > WAITED_IN_VAIN_MS
-                    ? nextTurnAfter(nextTickMs, Math.min(FLEET_ROUND_MS, fleetMs))
-                    : nextTickMs + ownShareOf(LARGE_FLEET_MS);
-        }
-    }
-
-    /** Subscribes if a call is due; without an answer by half the list's greatest age it is due again. */
-    private void pollIfDue() {
-        if (context.nowMs >= pollAtMs && context.settings.pollsDiscovery()) {
-            context.actions.watchEndpointList();
-            polledAtMs = context.nowMs;
-            pollAtMs = context.nowMs + context.rules.maxListAgeMs() / 2;
-        }
-    }
-
-    /** This dispatcher's next turn in the fleet's round of calls, by the clock that all machines read. */
-    private double nextTurnAfter(double fromMs, double roundMs) {
-        return fromMs + Math.floorMod(Math.round(ownShareOf(roundMs) - fromMs), Math.round(roundMs));
-    }
-
-    /** This dispatcher's place, by its index, in a time that all share. */
-    private double ownShareOf(double sharedMs) {
-        int dispatchers = context.settings.dispatcherCount();
-        return sharedMs * (context.settings.dispatcherIndex() % dispatchers) / dispatchers;
-    }
 }
