--- a/src/test/java/maplespread/announce/BgpGoldenTest.java
+++ b/src/test/java/maplespread/announce/BgpGoldenTest.java
@@ -33,7 +33,7 @@
     @Test
     void messagesKeepTheirBytes() throws IOException {
         List<String> lines = new ArrayList<>();
-        MESSAGES.forEach(message -> lines.add(HexFormat.of().formatHex(BgpCodec.bytes(message))));
+        MESSAGES.forEach(message -> lines.add(HexFormat.of().formatHex(BgpEncoder.encode(message))));
         GoldenFile.check("announce/messages.txt", lines);
     }
 
@@ -42,7 +42,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         Transcript transcript = new Transcript();
         BgpSpeaker speaker =
-                new BgpSpeaker(AS, "10.0.0.4", "10.0.0.4", "192.0.2.10/32", 9, seed, new BgpSpeaker.Sink() {
+                new BgpSpeaker(AS, "10.0.0.4", "10.0.0.4", "192.0.2.10/32", 9, seed, new BgpSpeaker.Transport() {
                     @Override
                     public void connect() {
                         transcript.add("connect");
@@ -66,7 +66,7 @@
         long now = 1;
         for (int step = 0; step < STEPS; step++) {
             now += random.nextLong(random.nextInt(10) == 0 ? 4_000 : 300);
-            transcript.add("tick", speaker.tick(now), speaker.state(), speaker.told());
+            transcript.add("tick", speaker.tick(now), speaker.state(), speaker.announced());
             switch (random.nextInt(10)) {
                 case 0, 1, 2 -> {
                     speaker.connected(now);
@@ -82,7 +82,7 @@
                     }
                 }
                 case 7 -> {
-                    byte[] bytes = BgpCodec.bytes(MESSAGES.get(random.nextInt(MESSAGES.size())));
+                    byte[] bytes = BgpEncoder.encode(MESSAGES.get(random.nextInt(MESSAGES.size())));
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                     speaker.received(now, bytes, bytes.length);
                 }
@@ -95,7 +95,7 @@
     }
 
     private static void receive(BgpSpeaker speaker, long now, BgpMessage message) {
-        byte[] bytes = BgpCodec.bytes(message);
+        byte[] bytes = BgpEncoder.encode(message);
         speaker.received(now, bytes, bytes.length);
     }
 
--- a/src/test/java/maplespread/announce/BgpTest.java
+++ b/src/test/java/maplespread/announce/BgpTest.java
@@ -21,14 +21,14 @@
     private static final long TERM = 1_764_600_000_000L;
     private final List<BgpMessage> sent = new ArrayList<>();
     private final List<String> calls = new ArrayList<>();
-    private BgpCodec router = new BgpCodec();
+    private BgpDecoder router = new BgpDecoder();
     private long now = 1;
     private final BgpSpeaker speaker =
-            new BgpSpeaker(4_200_000_001L, "10.0.0.4", "10.0.0.4", "192.0.2.10/32", 9, 1, new BgpSpeaker.Sink() {
+            new BgpSpeaker(4_200_000_001L, "10.0.0.4", "10.0.0.4", "192.0.2.10/32", 9, 1, new BgpSpeaker.Transport() {
                 @Override
                 public void connect() {
                     calls.add("connect");
-                    router = new BgpCodec();
+                    router = new BgpDecoder();
                 }
 
                 @Override
@@ -51,7 +51,7 @@
 
     private void hear(BgpMessage... messages) {
         for (BgpMessage m : messages) {
-            byte[] bytes = BgpCodec.bytes(m);
+            byte[] bytes = BgpEncoder.encode(m);
             for (byte b : bytes) { // a byte at a time is as good as all at once
                 speaker.received(now, new byte[] {b}, 1);
             }
@@ -72,12 +72,12 @@
         Update first = (Update) sent.get(sent.size() - 1);
         assertEquals(List.of(Prefix.of("192.0.2.10/32")), first.announced());
         assertEquals(Prefix.address("10.0.0.4"), first.nextHop());
-        assertEquals(BgpSpeaker.preference(TERM), first.localPref());
+        assertEquals(BgpSpeaker.preference(TERM), first.localPreference());
         speaker.closed(now);
-        assertFalse(speaker.told());
+        assertFalse(speaker.announced());
         now += 10_000;
         up();
-        assertTrue(speaker.told());
+        assertTrue(speaker.announced());
         speaker.withdraw(now);
         assertEquals(new Update(List.of(Prefix.of("192.0.2.10")), List.of(), 0, 100), sent.get(sent.size() - 1));
         speaker.shutDown(now);
@@ -143,9 +143,9 @@
     void noBytesMakeReadingFail() throws Exception {
         Random random = new Random(2);
         byte[][] good = {
-            BgpCodec.bytes(new Open(1, 9, 5)),
-            BgpCodec.bytes(new Update(List.of(new Prefix(9, 9)), List.of(Prefix.of("10.0.0.0/8")), 5, 6)),
-            BgpCodec.bytes(new Notification(1, 2))
+            BgpEncoder.encode(new Open(1, 9, 5)),
+            BgpEncoder.encode(new Update(List.of(new Prefix(9, 9)), List.of(Prefix.of("10.0.0.0/8")), 5, 6)),
+            BgpEncoder.encode(new Notification(1, 2))
         };
         int errors = 0;
         for (int i = 0; i < 300_000; i++) {
@@ -154,12 +154,12 @@
                 int at = (random.nextInt(4) == 0 ? 0 : 16) + random.nextInt(bytes.length - 16);
                 bytes[at] = (byte) random.nextInt();
             }
-            BgpCodec codec = new BgpCodec();
+            BgpDecoder codec = new BgpDecoder();
             try {
                 codec.feed(bytes, bytes.length);
                 codec.feed(bytes, bytes.length);
             } catch (BgpException e) {
-                assertTrue(e.code >= 1 && e.code <= 3, e.getMessage());
+                assertTrue(e.code() >= 1 && e.code() <= 3, e.getMessage());
                 errors++;
             }
         }
