--- a/src/main/java/maplespread/feature/ReleaseFeature.java
+++ b/src/main/java/maplespread/feature/ReleaseFeature.java
@@ -92,7 +92,7 @@
             Logger.warn("operator: release is taken out only by a restart");
         } else if (!next.release().equals(limits)) {
             limits = next.release();
-            releases.limits(limits);
+            releases.updateLimits(limits);
         }
     }
 
--- a/src/main/java/maplespread/release/client/CallRejectedException.java
+++ b/src/main/java/maplespread/release/client/CallRejectedException.java
@@ -2,7 +2,7 @@
 
 import maplespread.errors.FleetException;
 
-/** A call of an operator's that could not be put to the fleet. Nothing was changed by it. */
+/** An operator's call that could not be put to the fleet. Nothing was changed by it. */
 public final class CallRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
@@ -18,9 +18,9 @@
         /** The call lacks what it is about. */
         BAD_CALL(400, "everything; nothing was asked of the fleet", "add to the call what is named");
 
-        final int status;
-        final String works;
-        final String remedy;
+        private final int status;
+        private final String works;
+        private final String remedy;
 
         Reason(int status, String works, String remedy) {
             this.status = status;
@@ -29,10 +29,15 @@
         }
     }
 
-    final int status;
+    private final Reason reason;
 
-    CallRejectedException(Reason reason, String wrong) {
-        super(wrong, reason.works, reason.remedy);
-        status = reason.status;
+    CallRejectedException(Reason reason, String problem) {
+        super(problem, reason.works, reason.remedy);
+        this.reason = reason;
+    }
+
+    /** The HTTP status of the answer to the call. */
+    int status() {
+        return reason.status;
     }
 }
--- a/src/main/java/maplespread/release/client/FleetObserver.java
+++ b/src/main/java/maplespread/release/client/FleetObserver.java
@@ -17,93 +17,118 @@
 import maplespread.release.FleetView;
 import maplespread.release.FleetView.Member;
 import maplespread.release.FleetView.Role;
+import maplespread.release.FleetView.ServiceLevel;
 
 /**
- * What this instance sees: the dispatchers by the membership and by what they say of themselves, the workers
- * by the whole route set, a subset or not.
+ * What this instance sees of the fleet: the dispatchers by the membership and by what each reports of itself, the
+ * workers by the whole endpoint list, before a subset is cut out of it. Passes that list on. Thread-safe.
  */
 public final class FleetObserver implements EndpointListener {
-    private static final long FRESH_MS = 3_000; // a word older than this says nothing
+    /** A status that was received longer ago tells nothing. */
+    private static final long STATUS_VALID_MS = 3_000;
+
     private final EndpointListener next;
     private final Map<String, Endpoint> workers = new HashMap<>();
 
+    /** {@code next}: gets all that this one gets. */
     public FleetObserver(EndpointListener next) {
         this.next = next;
     }
 
     @Override
-    public void endpointsChanged(EndpointUpdate news) {
+    public void endpointsChanged(EndpointUpdate update) {
         synchronized (workers) {
-            if (news.kind() != EndpointUpdate.Kind.DELTA) {
+            if (update.kind() != EndpointUpdate.Kind.DELTA) {
                 workers.clear();
             }
-            for (Endpoint r : news.endpoints()) {
-                if (r.state() == Endpoint.State.DELETED) {
-                    workers.remove(r.worker());
+            for (Endpoint endpoint : update.endpoints()) {
+                if (endpoint.state() == Endpoint.State.DELETED) {
+                    workers.remove(endpoint.worker());
                 } else {
-                    workers.put(r.worker(), r);
+                    workers.put(endpoint.worker(), endpoint);
                 }
             }
         }
-        next.endpointsChanged(news);
+        next.endpointsChanged(update);
     }
 
     @Override
-    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-        next.watchLost(loss, heardAgoMs);
+    public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+        next.watchLost(failure, heardAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-        next.listUnconfirmed(why, heardAgoMs);
+    public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
+        next.listUnconfirmed(doubt, heardAgoMs);
     }
 
-    /** {@code nowMs}: of the clock that statuses were heard by; {@code wallMs}: Unix time. */
+    /**
+     * The fleet as it is seen now, without electors.
+     *
+     * @param nowMs of the clock by which statuses were received
+     * @param wallMs Unix time
+     */
     public FleetView observe(
             List<MemberUpdate> members, MemberStatusTable statuses, Config config, long nowMs, long wallMs) {
-        List<Member> all = new ArrayList<>();
+        List<Member> seen = new ArrayList<>();
+        List<MemberStatus> current = new ArrayList<>();
+        for (MemberUpdate member : members) {
+            Optional<MemberStatus> status = currentStatus(member, statuses, nowMs);
+            status.ifPresent(current::add);
+            seen.add(dispatcher(member, status));
+        }
+        synchronized (workers) {
+            workers.values().forEach(endpoint -> seen.add(worker(endpoint, config, wallMs)));
+        }
+        return new FleetView(seen, serviceLevel(current));
+    }
+
+    /** What the member's present process has reported of itself, while that is recent. */
+    private static Optional<MemberStatus> currentStatus(MemberUpdate member, MemberStatusTable statuses, long nowMs) {
+        return statuses.find(member.name())
+                .filter(received -> nowMs - received.receivedAtMs() <= STATUS_VALID_MS)
+                .map(MemberStatusTable.ReceivedStatus::status)
+                .filter(status -> status.incarnation() == member.processIncarnation());
+    }
+
+    /** The mean over all dispatchers, each weighted by its answers. */
+    private static ServiceLevel serviceLevel(List<MemberStatus> statuses) {
         double refused = 0;
         double errors = 0;
-        double waits = 0;
+        double waitMs = 0;
         long samples = 0;
-        for (MemberUpdate u : members) {
-            Optional<MemberStatus> said = statuses.find(u.name())
-                    .filter(h -> nowMs - h.receivedAtMs() <= FRESH_MS)
-                    .map(MemberStatusTable.ReceivedStatus::status)
-                    .filter(s -> s.incarnation() == u.processIncarnation());
-            all.add(new Member(
-                    u.name(),
-                    u.address(),
-                    Role.DISPATCHER,
-                    said.map(MemberStatus::zone).orElse(""),
-                    "",
-                    "",
-                    u.processIncarnation(),
-                    said.map(MemberStatus::version).orElse(""),
-                    status(u, said),
-                    0,
-                    true));
-            if (said.isPresent()) {
-                MemberStatus s = said.get();
-                refused += s.rejectedShare() * s.samples();
-                errors += s.errorShare() * s.samples();
-                waits += s.meanLatencyMs() * s.samples();
-                samples += s.samples();
-            }
-        }
-        synchronized (workers) {
-            workers.values().forEach(r -> all.add(worker(r, config, wallMs)));
+        for (MemberStatus status : statuses) {
+            refused += status.rejectedShare() * status.samples();
+            errors += status.errorShare() * status.samples();
+            waitMs += status.meanLatencyMs() * status.samples();
+            samples += status.samples();
         }
-        double n = Math.max(1, samples);
-        return new FleetView(all, new FleetView.ServiceLevel(refused / n, errors / n, waits / n, samples));
+        double divisor = Math.max(1, samples);
+        return new ServiceLevel(refused / divisor, errors / divisor, waitMs / divisor, samples);
+    }
+
+    private static Member dispatcher(MemberUpdate member, Optional<MemberStatus> status) {
+        return new Member(
+                member.name(),
+                member.address(),
+                Role.DISPATCHER,
+                status.map(MemberStatus::zone).orElse(""),
+                "",
+                "",
+                member.processIncarnation(),
+                status.map(MemberStatus::version).orElse(""),
+                memberStatus(member, status),
+                0,
+                true);
     }
 
-    /** What it says of itself counts before what others think of it. */
-    private static FleetView.Status status(MemberUpdate u, Optional<MemberStatus> said) {
-        if (u.state() == MemberUpdate.State.LEFT || u.state() == MemberUpdate.State.DEAD) {
+    /** What a member reports of itself counts before what others think of it, unless it has left or is dead. */
+    private static FleetView.Status memberStatus(MemberUpdate member, Optional<MemberStatus> status) {
+        if (member.state() == MemberUpdate.State.LEFT || member.state() == MemberUpdate.State.DEAD) {
             return FleetView.Status.DOWN;
         }
-        return said.map(s -> switch (s.phase()) {
+        return status.map(MemberStatus::phase)
+                .map(phase -> switch (phase) {
                     case STARTING -> FleetView.Status.DOWN;
                     case SERVING -> FleetView.Status.SERVING;
                     case DRAINING -> FleetView.Status.DRAINING;
@@ -111,28 +136,29 @@
                 .orElse(FleetView.Status.UNKNOWN);
     }
 
-    private static Member worker(Endpoint r, Config config, long wallMs) {
+    private static Member worker(Endpoint endpoint, Config config, long wallMs) {
         var rules = config.settings().rules();
-        double age = r.startedAtMs() <= 0 ? Double.MAX_VALUE : Math.max(0, wallMs - r.startedAtMs());
-        boolean warm = age >= rules.slowStartMs();
-        double warmth = warm
-                ? 1
-                : rules.slowStartCapacityShare() + (1 - rules.slowStartCapacityShare()) * age / rules.slowStartMs();
+        double ageMs = endpoint.startedAtMs() <= 0 ? Double.MAX_VALUE : Math.max(0, wallMs - endpoint.startedAtMs());
+        boolean warm = ageMs >= rules.slowStartMs();
+        double coldShare = rules.slowStartCapacityShare();
+        double capacityShare = warm ? 1 : coldShare + (1 - coldShare) * ageMs / rules.slowStartMs();
+        boolean serving = endpoint.state() == Endpoint.State.SERVING;
         return new Member(
-                r.worker(),
-                r.address(),
+                endpoint.worker(),
+                endpoint.address(),
                 Role.WORKER,
-                name(config.names().zones(), r.zone()),
-                name(config.names().kinds(), r.kind()),
-                Integer.toString(r.cell()),
-                Math.max(1, (long) r.startedAtMs()),
+                nameAt(config.names().zones(), endpoint.zone()),
+                nameAt(config.names().kinds(), endpoint.kind()),
+                Integer.toString(endpoint.cell()),
+                Math.max(1, (long) endpoint.startedAtMs()),
                 "",
-                r.state() == Endpoint.State.SERVING ? FleetView.Status.SERVING : FleetView.Status.DRAINING,
-                r.weight() * warmth,
+                serving ? FleetView.Status.SERVING : FleetView.Status.DRAINING,
+                endpoint.weight() * capacityShare,
                 warm);
     }
 
-    private static String name(List<String> names, int place) {
-        return place < 0 ? "" : names.get(place);
+    /** Empty for a negative index: the endpoint tells none. */
+    private static String nameAt(List<String> names, int index) {
+        return index < 0 ? "" : names.get(index);
     }
 }
--- /dev/null
+++ b/src/main/java/maplespread/release/client/MonotonicClock.java
@@ -0,0 +1,13 @@
+package maplespread.release.client;
+
+/** The clock of everything here that measures a duration. */
+final class MonotonicClock {
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    private MonotonicClock() {}
+
+    /** Milliseconds since an arbitrary moment; never goes back. */
+    static long nowMs() {
+        return System.nanoTime() / NANOS_PER_MS;
+    }
+}
--- a/src/main/java/maplespread/release/client/WorkerDrainer.java
+++ b/src/main/java/maplespread/release/client/WorkerDrainer.java
@@ -14,83 +14,99 @@
 import maplespread.release.RolloutAction;
 
 /**
- * Workers are drained, and taken back, at the registry that the routes come from, where it holds keys that
- * can be changed. One order after the other, on a thread of its own: a slow registry must not hold up the
- * release.
+ * Drains workers, and has them serve again, at the registry that the endpoints come from, where it has keys that can be
+ * changed. One action after the other, on a daemon thread of its own: a slow registry must not hold up the release.
  */
 public final class WorkerDrainer implements Closeable {
-    private static final long STACK = 144 * 1024;
-    private static final int WAITING = 64;
-    private static final long AGAIN_MS = 2_000;
-    private final RegistrySettings registry; // null: by an operator's hand
-    private final Map<String, Long> triedAt = new HashMap<>(); // the driver's thread alone
-    private final ThreadPoolExecutor work;
+    private static final long THREAD_STACK_BYTES = 144 * 1024;
+    private static final long THREAD_KEEP_ALIVE_S = 10;
+    private static final int MAX_QUEUED_ACTIONS = 64;
+    /** The controller repeats its actions more often than a registry is to be asked. */
+    private static final long RETRY_INTERVAL_MS = 2_000;
+
+    /** Null: there is no registry that can be asked, and an operator has to act. */
+    private final RegistrySettings registry;
+    /** By action and outage. For the thread that calls {@link #drain} and {@link #cancelDrain} alone. */
+    private final Map<String, Long> attemptedAtMs = new HashMap<>();
+
+    private final ThreadPoolExecutor executor;
 
     /** {@code registry}: null where there is none. */
     public WorkerDrainer(RegistrySettings registry) {
-        boolean keys = registry != null && registry.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH;
-        this.registry = keys ? registry : null;
-        work = new ThreadPoolExecutor(0, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(WAITING), task -> {
-            Thread t = new Thread(null, task, "release workers", STACK);
-            t.setDaemon(true);
-            return t;
-        });
+        boolean hasKeys = registry != null && registry.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH;
+        this.registry = hasKeys ? registry : null;
+        executor = new ThreadPoolExecutor(
+                0,
+                1,
+                THREAD_KEEP_ALIVE_S,
+                TimeUnit.SECONDS,
+                new ArrayBlockingQueue<>(MAX_QUEUED_ACTIONS),
+                WorkerDrainer::daemon);
+    }
+
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(null, task, "release workers", THREAD_STACK_BYTES);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    boolean byRegistry() {
+    /** Whether workers are drained at a registry; else an operator has to act. */
+    boolean usesRegistry() {
         return registry != null;
     }
 
-    /** {@code stands}: asked just before. */
-    void drain(RolloutAction order, BooleanSupplier stands) {
-        once("drain ", order, admin -> {
-            if (stands.getAsBoolean() && admin.drain(order.member(), order.incarnation(), order.outageNumber())) {
-                Event.of("release.worker_drained", "worker", order.member(), "leave", order.outageNumber())
+    /** {@code permitted}: asked just before the drain, on this drainer's thread. */
+    void drain(RolloutAction action, BooleanSupplier permitted) {
+        submit("drain ", action, admin -> {
+            if (permitted.getAsBoolean() && admin.drain(action.member(), action.incarnation(), action.outageNumber())) {
+                Event.of("release.worker_drained", "worker", action.member(), "leave", action.outageNumber())
                         .info();
             }
         });
     }
 
-    /** {@code sure}: told when no later drain by this leave can be made. */
-    void recall(RolloutAction order, Runnable sure) {
-        once("recall ", order, admin -> {
-            if (admin.cancelDrain(order.member(), order.incarnation(), order.outageNumber())) {
-                Event.of("release.worker_taken_back", "worker", order.member(), "leave", order.outageNumber())
+    /** {@code cancelled}: run once no later drain by this outage can be carried out, on this drainer's thread. */
+    void cancelDrain(RolloutAction action, Runnable cancelled) {
+        submit("recall ", action, admin -> {
+            if (admin.cancelDrain(action.member(), action.incarnation(), action.outageNumber())) {
+                Event.of("release.worker_taken_back", "worker", action.member(), "leave", action.outageNumber())
                         .info();
-                sure.run();
+                cancelled.run();
             }
         });
     }
 
-    private interface Task {
+    private interface RegistryTask {
         void run(RegistryAdmin admin) throws RegistryAdmin.RegistryAdminException;
     }
 
-    /** Orders come again and again; each is tried every other second. */
-    private void once(String what, RolloutAction order, Task task) {
-        long now = System.nanoTime() / 1_000_000;
-        triedAt.values().removeIf(at -> now - at > AGAIN_MS);
-        if (triedAt.putIfAbsent(what + order.outageNumber(), now) != null) {
+    private void submit(String kind, RolloutAction action, RegistryTask task) {
+        long nowMs = MonotonicClock.nowMs();
+        attemptedAtMs.values().removeIf(atMs -> nowMs - atMs > RETRY_INTERVAL_MS);
+        if (attemptedAtMs.putIfAbsent(kind + action.outageNumber(), nowMs) != null) {
             return;
         }
         try {
-            work.execute(() -> {
-                try (RegistryAdmin admin = new RegistryAdmin(registry)) {
-                    task.run(admin);
-                } catch (RegistryAdmin.RegistryAdminException e) {
-                    Event.of("release.worker_not_done", "worker", order.member(), "why", e.getMessage())
-                            .warn();
-                } catch (RuntimeException e) {
-                    Event.of("release.fault", "why", e).error();
-                }
-            });
-        } catch (RejectedExecutionException full) {
-            // it comes again
+            executor.execute(() -> run(action, task));
+        } catch (RejectedExecutionException e) {
+            // The queue is full: the controller repeats the action.
+        }
+    }
+
+    private void run(RolloutAction action, RegistryTask task) {
+        try (RegistryAdmin admin = new RegistryAdmin(registry)) {
+            task.run(admin);
+        } catch (RegistryAdmin.RegistryAdminException e) {
+            Event.of("release.worker_not_done", "worker", action.member(), "why", e.getMessage())
+                    .warn();
+        } catch (RuntimeException e) {
+            Event.of("release.fault", "why", e).error();
         }
     }
 
+    /** Ends the thread; actions that wait are dropped. */
     @Override
     public void close() {
-        work.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/maplespread/release/client/RolloutServiceGoldenTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceGoldenTest.java
@@ -132,7 +132,7 @@
         }
         call(releases, "POST /admin/release", "", "{}");
         call(releases, "POST /admin/release", "", PLAN);
-        releases.limits(Limits.DEFAULT); // is proposed by the thread, which is not started here
+        releases.updateLimits(Limits.DEFAULT); // is proposed by the thread, which is not started here
         String bounded = PLAN.replace("]}", "],\"limits\":{\"dispatchers_out\":1}}");
         call(releases, "POST /admin/release", "by=me", bounded);
         call(releases, "POST /admin/release", "by=me", PLAN);
@@ -156,7 +156,10 @@
         StringBuilder all = new StringBuilder();
         for (CallRejectedException.Reason reason : CallRejectedException.Reason.values()) {
             CallRejectedException refused = new CallRejectedException(reason, "wrong");
-            all.append(refused.status).append(' ').append(refused.getMessage()).append('\n');
+            all.append(refused.status())
+                    .append(' ')
+                    .append(refused.getMessage())
+                    .append('\n');
         }
         assertEquals("""
                 503 wrong; still works: service, and what is agreed at other instances; to do: call another instance; \
