--- a/src/main/java/maplespread/upgrade/InstanceLock.java
+++ b/src/main/java/maplespread/upgrade/InstanceLock.java
@@ -10,144 +10,163 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
+import java.util.EnumSet;
 import java.util.Optional;
+import java.util.Set;
 import maplespread.http.RateLimitedLogger;
 import org.tinylog.Logger;
 
 /**
- * This process among those of one dispatcher: a note in a directory that they share, and a lock beside it
- * that is held for as long as the process lives. The kernel lets go of a dead process's lock, so what it left
- * behind is told from a live one for sure; a process number would come again.
+ * This process among those of one dispatcher: a record in a directory that they share, and a lock beside it that is held
+ * for as long as the process lives. The kernel releases a dead process's lock, so that the files of a dead process are
+ * told from those of a live one with certainty; a process number would be used again. Thread-safe but for {@link
+ * #close}, which comes last.
  */
 public final class InstanceLock implements Closeable {
-    private static final String PREFIX = "maplespread-";
-    private static final String LOCK = ".lock";
-    private static final String NOTE = ".note";
-    private final Path dir;
-    private final String me;
-    private final String listen;
-    private final FileChannel channel;
-    private final RateLimitedLogger seldom = new RateLimitedLogger();
-
-    private InstanceLock(Path dir, String me, String listen, FileChannel channel) {
-        this.dir = dir;
-        this.me = me;
-        this.listen = listen;
-        this.channel = channel;
+    private static final String FILE_PREFIX = "maplespread-";
+    private static final String LOCK_SUFFIX = ".lock";
+    private static final String RECORD_SUFFIX = ".note";
+    /** A lock file before it is locked. */
+    private static final String NEW_LOCK_SUFFIX = ".begin";
+    /** A record before it is whole. */
+    private static final String NEW_RECORD_SUFFIX = ".next";
+
+    private final Path directory;
+    private final String self;
+    private final String listenAddress;
+    private final FileChannel lock;
+    private final RateLimitedLogger rateLimitedLogger = new RateLimitedLogger();
+
+    private InstanceLock(Path directory, String self, String listenAddress, FileChannel lock) {
+        this.directory = directory;
+        this.self = self;
+        this.listenAddress = listenAddress;
+        this.lock = lock;
     }
 
     /**
-     * Makes this process known as starting. Empty where the directory will not do: then it is taken to be
-     * alone.
+     * Makes this process known as starting. Empty, and logged, where the directory cannot be used: then the process
+     * takes itself to be alone.
      */
-    public static Optional<InstanceLock> acquire(Path dir, String listen) {
+    public static Optional<InstanceLock> acquire(Path directory, String listenAddress) {
         FileChannel channel = null;
         try {
-            String me = PREFIX + ProcessHandle.current().pid() + '-' + Long.toHexString(System.nanoTime());
-            Path begin = dir.resolve(me + ".begin");
-            channel = FileChannel.open(begin, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+            String self = FILE_PREFIX + ProcessHandle.current().pid() + '-' + Long.toHexString(System.nanoTime());
+            Path unlocked = directory.resolve(self + NEW_LOCK_SUFFIX);
+            channel = FileChannel.open(unlocked, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
             if (channel.tryLock() == null) {
                 throw new IOException("its own lock is held");
             }
-            // Locked before it has its name: else another could take it for a dead one's and clear it away.
-            Files.move(begin, dir.resolve(me + LOCK), StandardCopyOption.ATOMIC_MOVE);
-            InstanceLock presence = new InstanceLock(dir, me, listen, channel);
-            presence.write(InstanceRecord.Phase.STARTING);
-            return Optional.of(presence);
+            // Locked before it has its name: else another process could take it for a dead one's and delete it.
+            Files.move(unlocked, directory.resolve(self + LOCK_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
+            InstanceLock instanceLock = new InstanceLock(directory, self, listenAddress, channel);
+            instanceLock.write(InstanceRecord.Phase.STARTING);
+            return Optional.of(instanceLock);
         } catch (IOException | RuntimeException e) {
             Logger.warn("no word with other processes of this dispatcher: {}", e.toString());
-            quietly(channel);
+            closeQuietly(channel);
             return Optional.empty();
         }
     }
 
-    /** Tells the others; a note that cannot be written is logged, and the one before it stands. */
-    public void publish(InstanceRecord.Phase state) {
+    /** Tells the others; a record that cannot be written is logged, and the one before it stands. */
+    public void publish(InstanceRecord.Phase phase) {
         try {
-            write(state);
+            write(phase);
         } catch (IOException e) {
             Logger.warn("the note to other processes cannot be written: {}", e.toString());
         }
     }
 
-    private void write(InstanceRecord.Phase state) throws IOException {
-        Path next = dir.resolve(me + ".next");
-        Files.writeString(next, new InstanceRecord(listen, state).encode());
-        Files.move(next, dir.resolve(me + NOTE), StandardCopyOption.ATOMIC_MOVE);
+    private void write(InstanceRecord.Phase phase) throws IOException {
+        Path next = directory.resolve(self + NEW_RECORD_SUFFIX);
+        Files.writeString(next, new InstanceRecord(listenAddress, phase).encode());
+        Files.move(next, recordFile(self), StandardCopyOption.ATOMIC_MOVE);
+    }
+
+    private Path recordFile(String process) {
+        return directory.resolve(process + RECORD_SUFFIX);
+    }
+
+    private Path lockFile(String process) {
+        return directory.resolve(process + LOCK_SUFFIX);
     }
 
     /** Whether any other process of this dispatcher lives. */
     public boolean hasPeer() {
-        return any(null);
+        return hasPeerIn(EnumSet.allOf(InstanceRecord.Phase.class));
     }
 
-    /** Whether another one lives and takes clients. */
+    /** Whether another process of this dispatcher lives and takes clients. */
     public boolean hasServingPeer() {
-        return any(InstanceRecord.Phase.SERVING);
+        return hasPeerIn(EnumSet.of(InstanceRecord.Phase.SERVING));
     }
 
-    private boolean any(InstanceRecord.Phase wanted) {
+    /** Looks at all processes, also after one was found, so that the files of dead ones are deleted. */
+    private boolean hasPeerIn(Set<InstanceRecord.Phase> phases) {
         boolean found = false;
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(dir, PREFIX + '*' + LOCK)) {
-            for (Path lock : all) {
-                String name = lock.getFileName().toString();
-                String who = name.substring(0, name.length() - LOCK.length());
-                found |= !who.equals(me) && is(who, wanted);
+        try (DirectoryStream<Path> locks = Files.newDirectoryStream(directory, FILE_PREFIX + '*' + LOCK_SUFFIX)) {
+            for (Path lockFile : locks) {
+                String fileName = lockFile.getFileName().toString();
+                String process = fileName.substring(0, fileName.length() - LOCK_SUFFIX.length());
+                if (!process.equals(self)) {
+                    found |= isPeerIn(process, phases);
+                }
             }
         } catch (IOException | RuntimeException e) {
-            seldom.warn("other processes cannot be looked for: " + e);
+            rateLimitedLogger.warn("other processes cannot be looked for: " + e);
         }
         return found;
     }
 
-    private boolean is(String who, InstanceRecord.Phase wanted) throws IOException {
-        Path lock = dir.resolve(who + LOCK);
-        Path note = dir.resolve(who + NOTE);
-        if (!held(lock)) { // of a process that has ended: cleared away
-            Files.deleteIfExists(note);
-            Files.deleteIfExists(lock);
+    private boolean isPeerIn(String process, Set<InstanceRecord.Phase> phases) throws IOException {
+        Path recordFile = recordFile(process);
+        if (!isHeld(lockFile(process))) { // the process has ended
+            Files.deleteIfExists(recordFile);
+            Files.deleteIfExists(lockFile(process));
             return false;
         }
-        if (!Files.exists(note)) {
-            return false; // it has only just begun, or is ending
+        if (!Files.exists(recordFile)) { // it has only just started, or is ending
+            return false;
         }
-        Optional<InstanceRecord> says = InstanceRecord.parse(Files.readString(note));
-        if (says.isEmpty()) {
-            seldom.warn(note.getFileName() + " is no note of this version: passed over");
+        Optional<InstanceRecord> instanceRecord = InstanceRecord.parse(Files.readString(recordFile));
+        if (instanceRecord.isEmpty()) {
+            rateLimitedLogger.warn(recordFile.getFileName() + " is no note of this version: passed over");
         }
-        return says.isPresent()
-                && says.get().listenAddress().equals(listen)
-                && (wanted == null || says.get().phase() == wanted);
+        return instanceRecord
+                .filter(peer -> peer.listenAddress().equals(listenAddress))
+                .filter(peer -> phases.contains(peer.phase()))
+                .isPresent();
     }
 
-    private static boolean held(Path lock) throws IOException {
-        try (FileChannel other = FileChannel.open(lock, StandardOpenOption.WRITE)) {
-            FileLock got = other.tryLock();
-            return got == null;
-        } catch (OverlappingFileLockException mine) { // another one in this very process
+    private static boolean isHeld(Path lockFile) throws IOException {
+        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.WRITE)) {
+            FileLock acquired = channel.tryLock();
+            return acquired == null;
+        } catch (OverlappingFileLockException e) { // held by another instance in this very process
             return true;
         }
     }
 
-    /** Ends this process's presence; its files go. */
+    /** Ends this process's presence; its files are deleted. */
     @Override
     public void close() {
         try {
-            Files.deleteIfExists(dir.resolve(me + NOTE));
-            Files.deleteIfExists(dir.resolve(me + LOCK));
+            Files.deleteIfExists(recordFile(self));
+            Files.deleteIfExists(lockFile(self));
         } catch (IOException e) {
             Logger.warn("the note to other processes stays behind: {}", e.toString());
         }
-        quietly(channel);
+        closeQuietly(lock);
     }
 
-    private static void quietly(FileChannel channel) {
+    private static void closeQuietly(FileChannel channel) {
         try {
             if (channel != null) {
                 channel.close();
             }
         } catch (IOException e) {
-            // its lock goes with the process
+            // The lock is released with the process.
         }
     }
 }
--- a/src/main/java/maplespread/upgrade/package-info.java
+++ b/src/main/java/maplespread/upgrade/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Two processes of one dispatcher, while one replaces the other. {@code Note} is what a process says of
- * itself, as text; {@code Presence} keeps the files. Knows nothing of clients, workers or decisions; used by
- * the server.
+ * Two processes of one dispatcher, while one replaces the other. {@code InstanceRecord} is what a process tells the
+ * others, as text; {@code InstanceLock} owns the files. No threads of its own. Knows nothing of clients, workers or
+ * decisions; may import {@code http}'s rate-limited logger alone. Used by {@code feature}.
  */
 package maplespread.upgrade;
