--- a/src/main/java/maplespread/feature/EndpointSources.java
+++ b/src/main/java/maplespread/feature/EndpointSources.java
@@ -7,25 +7,25 @@
 import maplespread.registry.RegistrySettings;
 import maplespread.registry.client.RegistryEndpointSource;
 
-/** Where the workers are learned from. */
+/** Chooses where workers' endpoints are learned from. */
 public final class EndpointSources {
     private EndpointSources() {}
 
-    /** {@code registry}: null where discovery has the word. */
+    /** The source that the files name; {@code registry}: null for the discovery service of the configuration. */
     public static EndpointSourceSwitch.Factory create(Config config, RegistrySettings registry) {
-        EndpointParser reader =
+        EndpointParser parser =
                 new EndpointParser(config.names().zones(), config.names().kinds());
         if (registry == null) {
-            return sink -> new DiscoveryClient(
+            return listener -> new DiscoveryClient(
                     config.discovery(),
-                    reader,
+                    parser,
                     config.cachedEndpoints().version(),
                     config.times().watchTimeouts(),
                     !config.settings().pollsDiscovery(),
                     config.seed(),
-                    sink);
+                    listener);
         }
-        return sink ->
-                new RegistryEndpointSource(registry, reader, config.settings().dispatcherCount(), config.seed(), sink);
+        return listener -> new RegistryEndpointSource(
+                registry, parser, config.settings().dispatcherCount(), config.seed(), listener);
     }
 }
--- a/src/main/java/maplespread/feature/Feature.java
+++ b/src/main/java/maplespread/feature/Feature.java
@@ -5,6 +5,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import maplespread.admin.AdminRoutes;
 import maplespread.caller.RequestSequencer;
 import maplespread.config.Config;
@@ -14,40 +15,43 @@
 import maplespread.metrics.Metrics;
 import maplespread.policy.PolicySettings;
 
-/** One optional part of a dispatcher. Each of its words is asked in the order in which the parts stand. */
-public interface Feature extends Closeable {
-    /** Begins, before anything is listened on; must not wait. */
+/**
+ * One optional feature of a dispatcher. {@link Features} calls each method on all features that are on, in their order;
+ * {@link #wrapListener} comes first of all, and {@link #close} in reverse order, last of all.
+ */
+interface Feature extends Closeable {
+    /** Starts before the dispatcher listens for clients. Must not wait. */
     default void start() throws IOException {}
 
-    /** The dispatcher serves from now on. */
+    /** The dispatcher serves clients from now on. */
     default void onServing() {}
 
-    /** Takes up a file that has been read and checked whole: nothing may fail here. */
-    default void reload(Config config, OperatorConfig next) {}
+    /** Takes up files that have been read and checked as a whole: nothing may fail here. */
+    default void reload(Config config, OperatorConfig operator) {}
 
-    /** What stands before the dispatcher on the route set's way. */
+    /** The listener that gets endpoints in place of {@code next}, and passes on what is to reach the dispatcher. */
     default EndpointListener wrapListener(EndpointListener next) {
         return next;
     }
 
-    /** The settings as the module is to have them. */
-    default PolicySettings adjustSettings(PolicySettings told) {
-        return told;
+    /** The settings as the policy is to have them. */
+    default PolicySettings adjustSettings(PolicySettings settings) {
+        return settings;
     }
 
-    /** The workers as the figures show them. */
-    default Metrics.HostCounts adjustHostCounts(Metrics.HostCounts told) {
-        return told;
+    /** The workers as the metrics show them. */
+    default Metrics.HostCounts adjustHostCounts(Metrics.HostCounts counts) {
+        return counts;
     }
 
-    /** Who hears of each job; null: this part does not. */
-    default RequestListener requestListener() {
-        return null;
+    /** Notified of each request; empty: this feature needs none. */
+    default Optional<RequestListener> requestListener() {
+        return Optional.empty();
     }
 
-    /** What stands between a job and the module; null: this part does not. */
-    default RequestSequencer requestSequencer() {
-        return null;
+    /** Decides when a request may be sent, before the policy does; empty: this feature needs none. */
+    default Optional<RequestSequencer> requestSequencer() {
+        return Optional.empty();
     }
 
     /** Addresses of other dispatchers to which connections are kept. */
@@ -55,18 +59,18 @@
         return List.of();
     }
 
-    /** Its calls on the console by method and path; one of a name that is there takes that one's place. */
+    /** Its admin calls by method and path; a call of the dispatcher under the same name is replaced. */
     default Map<String, AdminRoutes.Call> adminRoutes() {
         return Map.of();
     }
 
-    /** About every second; must be quick. */
+    /** Called about once a second. Must not block. */
     default void maintain() {}
 
     /** The dispatcher has been told to end, and goes on serving for a while. */
     default void beginShutdown() {}
 
-    /** The dispatcher has answered all that it took. */
+    /** The dispatcher has answered all that it accepted. */
     @Override
     default void close() {}
 }
--- a/src/main/java/maplespread/feature/FeatureContext.java
+++ b/src/main/java/maplespread/feature/FeatureContext.java
@@ -5,19 +5,21 @@
 import maplespread.metrics.Metrics;
 import maplespread.worker.PeerForwarder;
 
-/** What a part may ask of the dispatcher that it belongs to. */
+/** What a feature may ask of the dispatcher that it belongs to. Every method may be called by any thread. */
 public interface FeatureContext {
+    /** The configuration as it was read last. */
     Config config();
 
+    /** The dispatcher's metrics. */
     Metrics metrics();
 
-    /** Workers on the list, and those that get nothing new. */
+    /** How many workers are listed, and how many of them get nothing new. */
     Metrics.HostCounts hostCounts();
 
-    /** What a part says of the settings has changed: the module is given them anew. */
+    /** What a feature says of the settings has changed: the policy is given them anew. */
     void reapplySettings();
 
-    /** What requests count for more, by tenant, from 1 up; tenants beyond its end: as they are. */
+    /** Weights that a tenant's requests count with, by the tenant's index, from 1 up; tenants beyond its end: 1. */
     void setPriorityBoosts(double[] weights);
 
     /** Sends clients away; false outside of service. */
@@ -29,12 +31,12 @@
     /** Whether clients are to be sent here. */
     boolean isServing();
 
-    /** Whether clients that come are taken. */
+    /** Whether clients that come are accepted. */
     boolean isAccepting();
 
-    /** Where clients are listened to; null: not yet. */
+    /** Where clients connect; null before the listener is bound. */
     InetSocketAddress listenAddress();
 
-    /** What takes requests to other dispatchers, on the connections that are for workers too. */
+    /** Forwards requests to other dispatchers, on connections of the same pool as those to workers. */
     PeerForwarder peerForwarder();
 }
--- a/src/main/java/maplespread/feature/Features.java
+++ b/src/main/java/maplespread/feature/Features.java
@@ -5,6 +5,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -18,108 +19,119 @@
 import maplespread.policy.PolicySettings;
 import org.tinylog.Logger;
 
-/** The parts that are on, in order; a new part is named here and nowhere else. */
+/**
+ * The optional features that are on, in order. A new feature is named here and nowhere else, so that the classes of one
+ * that is off are not loaded. Each method asks the features in turn, on the caller's thread.
+ */
 public final class Features {
-    private final List<Feature> all = new ArrayList<>();
-    private final OperatorConfig begun;
-    private UpgradeFeature upgrade; // null: no other process is looked for
-
-    public Features(Config config, OperatorConfig operator, FeatureContext host) {
-        begun = operator;
+    private final List<Feature> features = new ArrayList<>();
+    private final OperatorConfig atStart;
+    /** Null: no other process of this dispatcher is looked for. */
+    private UpgradeFeature upgrade;
+
+    /** Creates what the operators' file turns on; nothing is started. */
+    public Features(Config config, OperatorConfig operator, FeatureContext context) {
+        atStart = operator;
         if (operator.subset() != null) {
-            all.add(new SubsetFeature(config.settings(), operator.subset(), host));
+            features.add(new SubsetFeature(config.settings(), operator.subset(), context));
         }
         GroupFeature group = null;
         if (operator.group() != null) {
-            group = new GroupFeature(operator.group(), config, host);
-            all.add(group);
+            group = new GroupFeature(operator.group(), config, context);
+            features.add(group);
             if (operator.partition() != null) {
-                all.add(new PartitionFeature(
-                        operator.partition(), config, operator.group().address(), host, group));
+                features.add(new PartitionFeature(
+                        operator.partition(), config, operator.group().address(), context, group));
             }
             if (operator.release() != null) {
-                all.add(new ReleaseFeature(operator.release(), operator.registry(), config, host, group));
+                features.add(new ReleaseFeature(operator.release(), operator.registry(), config, context, group));
             }
         }
         if (operator.starvation() != null) {
-            all.add(new StarvationFeature(operator.starvation(), config, group, host));
+            features.add(new StarvationFeature(operator.starvation(), config, group, context));
         }
         if (config.console() != null && config.tmp() != null) {
-            upgrade = new UpgradeFeature(config, host);
-            all.add(upgrade); // shares what the others leave
+            upgrade = new UpgradeFeature(config, context);
+            features.add(upgrade); // the last: it shares what the others leave of the settings
         }
     }
 
-    /** Switching a part on is a restart's matter; so is most of what it holds open. */
-    private static void later(String part, Object begun, Object next) {
-        if (begun == null && next != null) {
-            Logger.warn("operator: {} is taken up only by a restart", part);
+    /** Starts all, before the dispatcher listens for clients. */
+    public void start() throws IOException {
+        for (Feature feature : features) {
+            feature.start();
         }
     }
 
-    public void start() throws IOException {
-        for (Feature part : all) {
-            part.start();
+    /** The dispatcher serves clients from now on. */
+    public void onServing() {
+        for (Feature feature : features) {
+            feature.onServing();
         }
     }
 
-    public void onServing() {
-        for (Feature part : all) {
-            part.onServing();
+    /** Takes up files that have been read and checked as a whole. */
+    public void reload(Config config, OperatorConfig operator) {
+        warnIfTurnedOn("subset", atStart.subset(), operator.subset());
+        warnIfTurnedOn("group", atStart.group(), operator.group());
+        warnIfTurnedOn("release", atStart.release(), operator.release());
+        warnIfTurnedOn("starvation", atStart.starvation(), operator.starvation());
+        warnIfTurnedOn("partition", atStart.partition(), operator.partition());
+        for (Feature feature : features) {
+            feature.reload(config, operator);
         }
     }
 
-    public void reload(Config config, OperatorConfig next) {
-        later("subset", begun.subset(), next.subset());
-        later("group", begun.group(), next.group());
-        later("release", begun.release(), next.release());
-        later("starvation", begun.starvation(), next.starvation());
-        later("partition", begun.partition(), next.partition());
-        for (Feature part : all) {
-            part.reload(config, next);
+    private static void warnIfTurnedOn(String feature, Object atStart, Object now) {
+        if (atStart == null && now != null) {
+            Logger.warn("operator: {} is taken up only by a restart", feature);
         }
     }
 
-    /** What the source of routes is to report to, so that {@code last} hears what the parts leave of it. */
+    /** The listener for the source of endpoints, so that {@code last} gets what the features leave. */
     public EndpointListener wrapListener(EndpointListener last) {
-        EndpointListener sink = last;
-        for (Feature part : all) {
-            sink = part.wrapListener(sink);
+        EndpointListener wrapped = last;
+        for (Feature feature : features) {
+            wrapped = feature.wrapListener(wrapped);
         }
-        return sink;
+        return wrapped;
     }
 
-    public PolicySettings adjustSettings(PolicySettings told) {
-        PolicySettings settings = told;
-        for (Feature part : all) {
-            settings = part.adjustSettings(settings);
+    /** The settings as the policy is to have them. */
+    public PolicySettings adjustSettings(PolicySettings settings) {
+        PolicySettings adjusted = settings;
+        for (Feature feature : features) {
+            adjusted = feature.adjustSettings(adjusted);
         }
-        return settings;
+        return adjusted;
     }
 
-    public Metrics.HostCounts adjustHostCounts(Metrics.HostCounts told) {
-        Metrics.HostCounts hosts = told;
-        for (Feature part : all) {
-            hosts = part.adjustHostCounts(hosts);
+    /** The workers as the metrics show them. */
+    public Metrics.HostCounts adjustHostCounts(Metrics.HostCounts counts) {
+        Metrics.HostCounts adjusted = counts;
+        for (Feature feature : features) {
+            adjusted = feature.adjustHostCounts(adjusted);
         }
-        return hosts;
+        return adjusted;
     }
 
-    /** Who hears of each job; null: nobody. */
+    /** The first feature's that has one, or null: nobody is notified of requests. */
     public RequestListener requestListener() {
-        for (Feature part : all) {
-            if (part.requestListener() != null) {
-                return part.requestListener();
+        for (Feature feature : features) {
+            Optional<RequestListener> found = feature.requestListener();
+            if (found.isPresent()) {
+                return found.get();
             }
         }
         return null;
     }
 
-    /** What stands between a job and the module; null: nothing. */
+    /** The first feature's that has one, or null: requests are not ordered. */
     public RequestSequencer requestSequencer() {
-        for (Feature part : all) {
-            if (part.requestSequencer() != null) {
-                return part.requestSequencer();
+        for (Feature feature : features) {
+            Optional<RequestSequencer> found = feature.requestSequencer();
+            if (found.isPresent()) {
+                return found.get();
             }
         }
         return null;
@@ -127,48 +139,50 @@
 
     /** Addresses of other dispatchers to which connections are kept. */
     public Collection<String> peerAddresses() {
-        Set<String> peers = new TreeSet<>();
-        for (Feature part : all) {
-            peers.addAll(part.peerAddresses());
+        Set<String> addresses = new TreeSet<>();
+        for (Feature feature : features) {
+            addresses.addAll(feature.peerAddresses());
         }
-        return peers;
+        return addresses;
     }
 
-    /** The console's calls: these, and those of the parts. */
-    public AdminRoutes adminRoutes(Map<String, AdminRoutes.Call> own) {
-        Map<String, AdminRoutes.Call> table = new TreeMap<>(own);
-        for (Feature part : all) {
-            table.putAll(part.adminRoutes());
+    /** All admin calls: the dispatcher's, and those of the features, which go before them. */
+    public AdminRoutes adminRoutes(Map<String, AdminRoutes.Call> ofDispatcher) {
+        Map<String, AdminRoutes.Call> calls = new TreeMap<>(ofDispatcher);
+        for (Feature feature : features) {
+            calls.putAll(feature.adminRoutes());
         }
-        return new AdminRoutes(table);
+        return new AdminRoutes(calls);
     }
 
+    /** To be called about once a second. */
     public void maintain() {
-        for (Feature part : all) {
-            part.maintain();
+        for (Feature feature : features) {
+            feature.maintain();
         }
     }
 
     /** Whether another process of this dispatcher lives. */
     public boolean hasPeerProcess() {
-        return upgrade != null && upgrade.shared();
+        return upgrade != null && upgrade.hasPeerProcess();
     }
 
-    /** Whether another process of this dispatcher takes its clients. */
+    /** Whether another process of this dispatcher accepts its clients. */
     public boolean hasServingPeerProcess() {
-        return upgrade != null && upgrade.relieved();
+        return upgrade != null && upgrade.hasServingPeerProcess();
     }
 
+    /** The dispatcher has been told to end, and goes on serving for a while. */
     public void beginShutdown() {
-        for (Feature part : all) {
-            part.beginShutdown();
+        for (Feature feature : features) {
+            feature.beginShutdown();
         }
     }
 
-    /** The last ones first: they stand on those before them. */
+    /** Ends all, the last one first: features depend on those before them. */
     public void close() {
-        for (int i = all.size() - 1; i >= 0; i--) {
-            all.get(i).close();
+        for (int i = features.size() - 1; i >= 0; i--) {
+            features.get(i).close();
         }
     }
 }
--- a/src/main/java/maplespread/feature/GroupFeature.java
+++ b/src/main/java/maplespread/feature/GroupFeature.java
@@ -1,14 +1,8 @@
 package maplespread.feature;
 
-import com.google.gson.Gson;
-import com.google.gson.GsonBuilder;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import maplespread.admin.AdminRoutes.AdminRequest;
-import maplespread.admin.AdminRoutes.AdminResponse;
 import maplespread.admin.AdminRoutes.Call;
 import maplespread.cluster.MemberStatus;
 import maplespread.cluster.MemberStatusTable;
@@ -17,7 +11,6 @@
 import maplespread.config.OperatorConfig;
 import maplespread.consensus.ChangeResult;
 import maplespread.consensus.ConsensusSettings;
-import maplespread.consensus.VersionedValue;
 import maplespread.consensus.client.ReplicatedRegister;
 import maplespread.log.Event;
 import maplespread.membership.MemberUpdate;
@@ -26,55 +19,64 @@
 import org.tinylog.Logger;
 
 /**
- * The other dispatchers: who is there, what each says of itself, and the value that all agree on. A
- * dispatcher serves whether it gets into the group or not: where its address is taken, by the process that it
- * relieves say, it tries again.
+ * The other dispatchers: who is there, what each reports of itself, and the value that all agree on. A dispatcher
+ * serves whether it gets into the group or not: where its address is in use, by the process that it replaces for
+ * example, it tries again. One daemon thread joins and broadcasts this instance's status.
  */
 final class GroupFeature implements Feature {
-    private static final int STATUSES = 2; // the channel; the register has the first
+    /** The group's channel for statuses; the register has the first. */
+    private static final int STATUS_CHANNEL = 2;
+    /** Between two broadcasts of the status, and between two attempts to join. */
     private static final long ROUND_MS = 500;
-    private static final long CALL_MS = 1_900;
-    private static final long STACK = 144 * 1024;
-    private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
+    /** One attempt to change the electors. */
+    private static final long ELECTORS_TIMEOUT_MS = 1_900;
 
-    /** What there is once this one is in the group. */
-    record JoinedGroup(ClusterTransport group, ReplicatedRegister register, MemberStatusTable statuses) {}
+    private static final long THREAD_STACK_BYTES = 144 * 1024;
+    private static final long NANOS_PER_MS = 1_000_000;
 
     private final String name;
     private final String zone;
     private final long seed;
-    private final FeatureContext host;
-    private final GroupSettings begun;
+    private final FeatureContext context;
+    private final GroupSettings atStart;
+    private final GroupAdminApi adminApi;
     private final Thread thread;
-    private volatile GroupSettings now; // as the file has it
-    private volatile JoinedGroup joined; // null: not yet
-    private boolean served; // once: then it drains, and starts no more
-    private volatile boolean over;
-    private String why = ""; // it is not, as was logged last
-
-    GroupFeature(GroupSettings set, Config config, FeatureContext host) {
-        this.host = host;
-        begun = set;
-        now = set;
+    /** As the operators' file has them. */
+    private volatile GroupSettings settings;
+    /** Null: not in the group yet. */
+    private volatile JoinedGroup joined;
+
+    private volatile boolean closed;
+    /** Once it has served, an instance that does not serve is draining, no more starting. */
+    private boolean hasServed;
+    /** Why this instance is not in the group, as was logged last. */
+    private String loggedJoinError = "";
+
+    GroupFeature(GroupSettings settings, Config config, FeatureContext context) {
+        this.context = context;
+        this.settings = settings;
+        atStart = settings;
         name = config.name();
         zone = config.names().zones().get(config.settings().zone());
         seed = config.seed();
+        adminApi = new GroupAdminApi(name, this::joined, () -> this.settings.electors());
         thread = daemon("group", this::run);
     }
 
     private static Thread daemon(String name, Runnable work) {
-        Thread t = new Thread(null, work, name, STACK);
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(null, work, name, THREAD_STACK_BYTES);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    /** Null before this one is in the group. */
+    /** Null before this instance is in the group. */
     JoinedGroup joined() {
         return joined;
     }
 
+    /** The clock by which statuses are received. */
     static long nowMs() {
-        return System.nanoTime() / 1_000_000;
+        return System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
@@ -84,56 +86,64 @@
     }
 
     private void join() {
-        GroupSettings set = now;
+        List<String> electors = settings.electors();
         try {
-            ClusterTransport group = new ClusterTransport(
-                    new MembershipSettings(
-                            name,
-                            begun.address(),
-                            begun.seeds(),
-                            begun.periodMs(),
-                            begun.ackMs(),
-                            3,
-                            5,
-                            6,
-                            4,
-                            8,
-                            1000,
-                            60_000,
-                            1200),
-                    begun.listen(),
-                    set.keys().byId(),
-                    seed ^ System.nanoTime());
-            ReplicatedRegister register =
-                    new ReplicatedRegister(ConsensusSettings.of(name, set.electors()), group, seed);
+            ClusterTransport transport = new ClusterTransport(
+                    membershipSettings(), atStart.listen(), settings.keys().byId(), seed ^ System.nanoTime());
+            ReplicatedRegister register = new ReplicatedRegister(ConsensusSettings.of(name, electors), transport, seed);
             MemberStatusTable statuses = new MemberStatusTable(
-                    group.incarnation(), version(), zone, (to, bytes) -> group.send(STATUSES, to, bytes));
-            group.registerChannel(STATUSES, (from, bytes) -> statuses.receive(from, bytes, nowMs()));
-            joined = new JoinedGroup(group, register, statuses);
-            Event.of("group.joined", "member", name, "listen", begun.listen(), "electors", set.electors())
+                    transport.incarnation(),
+                    version(),
+                    zone,
+                    (member, status) -> transport.send(STATUS_CHANNEL, member, status));
+            transport.registerChannel(STATUS_CHANNEL, (sender, status) -> statuses.receive(sender, status, nowMs()));
+            joined = new JoinedGroup(transport, register, statuses);
+            Event.of("group.joined", "member", name, "listen", atStart.listen(), "electors", electors)
                     .info();
         } catch (IOException e) {
-            if (!e.toString().equals(why)) { // it is tried twice a second
-                why = e.toString();
-                Event.of("group.not_joined", "listen", begun.listen(), "why", e.getMessage())
+            if (!e.toString().equals(loggedJoinError)) { // it is tried twice a second
+                loggedJoinError = e.toString();
+                Event.of("group.not_joined", "listen", atStart.listen(), "why", e.getMessage())
                         .warn();
             }
         }
     }
 
+    private MembershipSettings membershipSettings() {
+        MembershipSettings defaults = MembershipSettings.of(name, atStart.address(), atStart.seeds());
+        return new MembershipSettings(
+                name,
+                atStart.address(),
+                atStart.seeds(),
+                atStart.periodMs(),
+                atStart.ackMs(),
+                defaults.indirectProbes(),
+                defaults.suspicionMultiplier(),
+                defaults.maxSuspicionStretch(),
+                defaults.retransmitMultiplier(),
+                defaults.maxLocalHealth(),
+                defaults.rejoinIntervalMs(),
+                defaults.departedRetentionMs(),
+                defaults.maxPacketBytes());
+    }
+
+    /** The operators' word for the version, or the jar's; empty: neither tells one. */
     private String version() {
-        String jar = GroupFeature.class.getPackage().getImplementationVersion();
-        return !begun.version().isEmpty() ? begun.version() : jar == null ? "" : jar;
+        if (!atStart.version().isEmpty()) {
+            return atStart.version();
+        }
+        String jarVersion = GroupFeature.class.getPackage().getImplementationVersion();
+        return jarVersion == null ? "" : jarVersion;
     }
 
     private void run() {
         try {
-            while (!over) {
+            while (!closed) {
                 try {
                     if (joined == null) {
                         join();
                     }
-                    tell();
+                    broadcastStatus();
                 } catch (RuntimeException | Error e) { // the next round must still come
                     Event.of("group.fault", "why", e).error();
                 }
@@ -146,78 +156,78 @@
         }
     }
 
-    private void tell() {
-        JoinedGroup j = joined;
-        if (j == null) {
+    private void broadcastStatus() {
+        JoinedGroup group = joined;
+        if (group == null) {
             return;
         }
-        List<MemberUpdate> members = j.group.members();
-        j.statuses.retainMembers(members.stream().map(MemberUpdate::name).toList());
+        List<MemberUpdate> members = group.transport().members();
+        group.statuses().retainMembers(members.stream().map(MemberUpdate::name).toList());
         List<String> others = members.stream()
-                .filter(m -> !m.name().equals(name)
-                        && m.state() != MemberUpdate.State.DEAD
-                        && m.state() != MemberUpdate.State.LEFT)
+                .filter(member -> !member.name().equals(name))
+                .filter(member ->
+                        member.state() != MemberUpdate.State.DEAD && member.state() != MemberUpdate.State.LEFT)
                 .map(MemberUpdate::name)
                 .toList();
-        boolean serving = host.isServing();
-        served |= serving;
-        j.statuses.broadcast(
-                name,
-                serving
-                        ? MemberStatus.Phase.SERVING
-                        : served ? MemberStatus.Phase.DRAINING : MemberStatus.Phase.STARTING,
-                host.metrics().totals(),
-                others,
-                nowMs());
+        group.statuses().broadcast(name, phase(), context.metrics().totals(), others, nowMs());
     }
 
-    /** The others are told at once, not at the next round. */
-    synchronized void soon() {
+    private MemberStatus.Phase phase() {
+        if (context.isServing()) {
+            hasServed = true;
+            return MemberStatus.Phase.SERVING;
+        }
+        return hasServed ? MemberStatus.Phase.DRAINING : MemberStatus.Phase.STARTING;
+    }
+
+    /** Broadcasts the status at once, not at the next round. */
+    synchronized void broadcastSoon() {
         notifyAll();
     }
 
     @Override
     public void beginShutdown() {
-        soon();
+        broadcastSoon();
     }
 
     @Override
-    public void reload(Config config, OperatorConfig next) {
-        GroupSettings set = next.group();
-        if (set == null) {
+    public void reload(Config config, OperatorConfig operator) {
+        GroupSettings next = operator.group();
+        if (next == null) {
             Logger.warn("operator: group is taken out only by a restart");
             return;
         }
-        List<String> later = begun.needingRestart(set);
-        if (!later.isEmpty()) {
-            Logger.warn("operator: changed, but taken up only by a restart: {}", later);
+        List<String> needingRestart = atStart.needingRestart(next);
+        if (!needingRestart.isEmpty()) {
+            Logger.warn("operator: changed, but taken up only by a restart: {}", needingRestart);
         }
-        GroupSettings was = now;
-        now = set;
-        JoinedGroup j = joined;
-        if (j != null) {
-            j.group.setKeys(set.keys().byId());
-            if (!was.electors().equals(set.electors())) {
-                daemon("group electors", () -> electors(j.register, set)).start();
+        GroupSettings previous = settings;
+        settings = next;
+        JoinedGroup group = joined;
+        if (group != null) {
+            group.transport().setKeys(next.keys().byId());
+            if (!previous.electors().equals(next.electors())) {
+                daemon("group electors", () -> changeElectors(group.register(), next))
+                        .start();
             }
         }
     }
 
-    /** Goes on until it is done, or the file says something else. */
-    private void electors(ReplicatedRegister register, GroupSettings set) {
-        while (!over && now == set) {
-            ChangeResult r = register.electors(set.electors(), CALL_MS);
-            if (r.outcome() != ChangeResult.Outcome.NO_MAJORITY) {
-                boolean done = r.outcome() == ChangeResult.Outcome.DECIDED;
+    /** Tries until a majority has decided, or the operators' file says something else. */
+    private void changeElectors(ReplicatedRegister register, GroupSettings wanted) {
+        while (!closed && settings == wanted) {
+            ChangeResult result = register.electors(wanted.electors(), ELECTORS_TIMEOUT_MS);
+            if (result.outcome() != ChangeResult.Outcome.NO_MAJORITY) {
+                boolean changed = result.outcome() == ChangeResult.Outcome.DECIDED;
                 Event.write(
-                        !done,
+                        !changed,
                         "group.electors",
                         "wanted",
-                        set.electors(),
+                        wanted.electors(),
                         "now",
-                        r.value() == null ? null : r.value().electors(),
+                        result.value() == null ? null : result.value().electors(),
                         "why",
-                        done ? null : r.error());
+                        changed ? null : result.error());
                 return;
             }
         }
@@ -225,74 +235,17 @@
 
     @Override
     public Map<String, Call> adminRoutes() {
-        return Map.of(
-                "GET /admin/group", ask -> new AdminResponse(200, shown()), "POST /admin/group/found", this::found);
-    }
-
-    /** After a majority of electors has restarted at once: the file's electors begin anew. */
-    private AdminResponse found(AdminRequest ask) {
-        JoinedGroup j = joined;
-        if (ask.query("why").isBlank()) {
-            return new AdminResponse(400, "the call lacks ?why=; what is agreed so far may be lost by it");
-        }
-        if (j == null) {
-            return new AdminResponse(503, name + " is not in the group yet: look for group.not_joined in the log");
-        }
-        Event.of("group.found_anew", "by", name, "why", ask.query("why"), "electors", now.electors())
-                .warn();
-        ChangeResult r = j.register.bootstrap(now.electors(), CALL_MS);
-        return r.outcome() == ChangeResult.Outcome.DECIDED
-                ? new AdminResponse(200, "begun anew as " + r.value().epoch())
-                : new AdminResponse(
-                        r.outcome() == ChangeResult.Outcome.REJECTED ? 409 : 503,
-                        r.error().getMessage());
-    }
-
-    private String shown() {
-        JoinedGroup j = joined;
-        JsonObject all = new JsonObject();
-        all.addProperty("name", name);
-        all.addProperty("joined", j != null);
-        if (j == null) {
-            return GSON.toJson(all);
-        }
-        VersionedValue value = j.register.decidedValue();
-        all.addProperty("run", j.group.incarnation());
-        all.addProperty("blind", j.register.recovering());
-        all.addProperty("epoch", value == null ? 0 : value.epoch());
-        all.addProperty("version", value == null ? 0 : value.version());
-        JsonArray electors = new JsonArray();
-        (value == null ? now.electors() : value.electors()).forEach(electors::add);
-        all.add("electors", electors);
-        JsonArray members = new JsonArray();
-        for (MemberUpdate u : j.group.members()) {
-            JsonObject m = new JsonObject();
-            m.addProperty("name", u.name());
-            m.addProperty("state", u.state().name());
-            m.addProperty("address", u.address());
-            m.addProperty("run", u.processIncarnation());
-            j.statuses.find(u.name()).ifPresent(h -> {
-                m.addProperty("phase", h.status().phase().name());
-                m.addProperty("version", h.status().version());
-                m.addProperty("heard_ms_ago", nowMs() - h.receivedAtMs());
-            });
-            members.add(m);
-        }
-        all.add("members", members);
-        all.add("dropped", GSON.toJsonTree(j.group.dropped()));
-        all.add("values_sent", GSON.toJsonTree(j.register.valuesSent()));
-        all.add("traffic", GSON.toJsonTree(j.group.traffic().byChannel()));
-        return GSON.toJson(all);
+        return adminApi.routes();
     }
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         thread.interrupt();
-        JoinedGroup j = joined;
-        if (j != null) {
-            j.register.close();
-            j.group.close();
+        JoinedGroup group = joined;
+        if (group != null) {
+            group.register().close();
+            group.transport().close();
         }
     }
 }
--- a/src/main/java/maplespread/feature/PartitionFeature.java
+++ b/src/main/java/maplespread/feature/PartitionFeature.java
@@ -2,7 +2,9 @@
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import maplespread.admin.AdminRoutes.Call;
 import maplespread.caller.RequestSequencer;
 import maplespread.config.Config;
@@ -14,96 +16,108 @@
 import maplespread.partition.client.PartitionService;
 import org.tinylog.Logger;
 
-/** Jobs go to partitions of the workers, and those of one key in order over the whole fleet. */
+/** Requests go to partitions of the workers, and those of one key in order over the whole fleet. */
 final class PartitionFeature implements Feature {
-    private final Config begun;
-    private final FeatureContext host;
+    private final Config configAtStart;
+    private final PartitionSettings settings;
+    private final FeatureContext context;
     private final GroupFeature group;
     private final String groupHost;
-    private PartitionSettings set;
-    private PartitionService keeper;
+    private PartitionService partitions;
 
+    /** {@code groupAddress}: this dispatcher's HOST:PORT in the group. */
     PartitionFeature(
-            PartitionSettings set, Config config, String groupAddress, FeatureContext host, GroupFeature group) {
-        this.set = set;
-        this.host = host;
+            PartitionSettings settings,
+            Config config,
+            String groupAddress,
+            FeatureContext context,
+            GroupFeature group) {
+        this.settings = settings;
+        this.context = context;
         this.group = group;
-        begun = config;
+        configAtStart = config;
         groupHost = groupAddress.substring(0, groupAddress.lastIndexOf(':'));
     }
 
-    /** Comes before all else is asked of this part. */
     @Override
     public EndpointListener wrapListener(EndpointListener next) {
-        PartitionEndpoints fleet = new PartitionEndpoints(next, begun.names());
+        PartitionEndpoints endpoints = new PartitionEndpoints(next, configAtStart.names());
+        PartitionService.Dependencies dependencies = new PartitionService.Dependencies(
+                context::config,
+                this::cluster,
+                context::isServing,
+                this::advertisedAddress,
+                context.peerForwarder(),
+                endpoints);
         try {
-            keeper = new PartitionService(
-                    set,
-                    new PartitionService.Dependencies(
-                            host::config, this::ties, host::isServing, this::address, host.peerForwarder(), fleet));
-        } catch (RoutingTableException e) { // checked when the files were read
+            partitions = new PartitionService(settings, dependencies);
+        } catch (RoutingTableException e) { // the table was checked when the files were read
             throw new IllegalArgumentException(e);
         }
-        return fleet;
+        return endpoints;
     }
 
-    private PartitionService.ClusterHandle ties() {
-        GroupFeature.JoinedGroup j = group.joined();
-        return j == null ? null : new PartitionService.ClusterHandle(j.group(), j.register());
+    /** Null before this instance is in the group. */
+    private PartitionService.ClusterHandle cluster() {
+        JoinedGroup joined = group.joined();
+        return joined == null ? null : new PartitionService.ClusterHandle(joined.transport(), joined.register());
     }
 
-    /** Null before the listener is bound. */
-    private String address() {
-        InetSocketAddress bound = host.listenAddress();
-        if (bound == null || !set.address().isEmpty()) {
-            return bound == null ? null : set.address();
+    /** Where other dispatchers send requests; null before the listener is bound. */
+    private String advertisedAddress() {
+        InetSocketAddress bound = context.listenAddress();
+        if (bound == null) {
+            return null;
         }
-        return (bound.getAddress().isAnyLocalAddress()
-                        ? groupHost
-                        : bound.getAddress().getHostAddress())
-                + ':'
-                + bound.getPort();
+        if (!settings.address().isEmpty()) {
+            return settings.address();
+        }
+        boolean isWildcard = bound.getAddress().isAnyLocalAddress();
+        String host = isWildcard ? groupHost : bound.getAddress().getHostAddress();
+        return host + ':' + bound.getPort();
     }
 
     @Override
     public void onServing() {
-        keeper.start();
+        partitions.start();
     }
 
     @Override
-    public RequestSequencer requestSequencer() {
-        return keeper.sequencer();
+    public Optional<RequestSequencer> requestSequencer() {
+        return Optional.of(partitions.sequencer());
     }
 
     @Override
     public Collection<String> peerAddresses() {
-        return keeper.peers();
+        return partitions.peers();
     }
 
     @Override
-    public void reload(Config config, OperatorConfig next) {
-        if (next.partition() == null) {
+    public void reload(Config config, OperatorConfig operator) {
+        PartitionSettings next = operator.partition();
+        if (next == null) {
             Logger.warn("operator: partition is taken out only by a restart");
             return;
         }
-        if (!set.needingRestart(next.partition()).isEmpty()) {
-            Logger.warn("operator: changed, but taken up only by a restart: {}", set.needingRestart(next.partition()));
+        List<String> needingRestart = settings.needingRestart(next);
+        if (!needingRestart.isEmpty()) {
+            Logger.warn("operator: changed, but taken up only by a restart: {}", needingRestart);
         }
-        keeper.reloadTable(next.partition());
+        partitions.reloadTable(next);
     }
 
     @Override
     public Map<String, Call> adminRoutes() {
-        return keeper.adminCalls();
+        return partitions.adminCalls();
     }
 
     @Override
     public void beginShutdown() {
-        keeper.releaseSlots();
+        partitions.releaseSlots();
     }
 
     @Override
     public void close() {
-        keeper.close();
+        partitions.close();
     }
 }
--- a/src/main/java/maplespread/feature/ReleaseFeature.java
+++ b/src/main/java/maplespread/feature/ReleaseFeature.java
@@ -16,93 +16,95 @@
 import maplespread.release.client.WorkerDrainer;
 import org.tinylog.Logger;
 
-/** Who may be out at once is agreed over the group: drains by call, and releases. */
+/** Releases, and drains by call: who may be unavailable at once is agreed on by the group. */
 final class ReleaseFeature implements Feature {
-    private final FeatureContext host;
+    private final FeatureContext context;
     private final GroupFeature group;
-    private final RolloutService releases;
+    private final RolloutService rollouts;
     private Limits limits;
-    private FleetObserver sight;
+    private FleetObserver observer;
 
-    ReleaseFeature(Limits limits, RegistrySettings registry, Config config, FeatureContext host, GroupFeature group) {
+    /** {@code registry}: where workers are drained; null: an operator drains them. */
+    ReleaseFeature(
+            Limits limits, RegistrySettings registry, Config config, FeatureContext context, GroupFeature group) {
         this.limits = limits;
-        this.host = host;
+        this.context = context;
         this.group = group;
-        releases = new RolloutService(config.name(), new ThisInstance(), new WorkerDrainer(registry), limits);
+        rollouts = new RolloutService(config.name(), new ThisInstance(), new WorkerDrainer(registry), limits);
     }
 
     private final class ThisInstance implements RolloutService.LocalInstance {
         @Override
         public ReplicatedRegister register() {
-            GroupFeature.JoinedGroup j = group.joined();
-            return j == null ? null : j.register();
+            JoinedGroup joined = group.joined();
+            return joined == null ? null : joined.register();
         }
 
         @Override
         public FleetView view() {
-            GroupFeature.JoinedGroup j = group.joined();
-            if (j == null) {
+            JoinedGroup joined = group.joined();
+            if (joined == null) {
                 return new FleetView(List.of(), FleetView.ServiceLevel.NONE);
             }
-            VersionedValue agreed = j.register().decidedValue();
-            return sight.observe(
-                            j.group().members(),
-                            j.statuses(),
-                            host.config(),
-                            GroupFeature.nowMs(),
-                            System.currentTimeMillis())
-                    .withElectors(agreed == null ? List.of() : agreed.electors());
+            VersionedValue agreed = joined.register().decidedValue();
+            FleetView seen = observer.observe(
+                    joined.transport().members(),
+                    joined.statuses(),
+                    context.config(),
+                    GroupFeature.nowMs(),
+                    System.currentTimeMillis());
+            return seen.withElectors(agreed == null ? List.of() : agreed.electors());
         }
 
         @Override
         public long incarnation() {
-            GroupFeature.JoinedGroup j = group.joined();
-            return j == null ? 0 : j.group().incarnation();
+            JoinedGroup joined = group.joined();
+            return joined == null ? 0 : joined.transport().incarnation();
         }
 
         @Override
         public boolean quiesce() {
-            boolean done = host.quiesce();
-            group.soon();
-            return done;
+            boolean quiesced = context.quiesce();
+            group.broadcastSoon();
+            return quiesced;
         }
 
         @Override
         public boolean resume() {
-            boolean done = host.resume();
-            group.soon();
-            return done;
+            boolean resumed = context.resume();
+            group.broadcastSoon();
+            return resumed;
         }
     }
 
     @Override
     public EndpointListener wrapListener(EndpointListener next) {
-        sight = new FleetObserver(next);
-        return sight;
+        observer = new FleetObserver(next);
+        return observer;
     }
 
     @Override
     public void onServing() {
-        releases.start();
+        rollouts.start();
     }
 
     @Override
-    public void reload(Config config, OperatorConfig next) {
-        if (next.release() == null) {
+    public void reload(Config config, OperatorConfig operator) {
+        if (operator.release() == null) {
             Logger.warn("operator: release is taken out only by a restart");
-        } else if (!next.release().equals(limits)) {
-            limits = next.release();
-            releases.updateLimits(limits);
+        } else if (!operator.release().equals(limits)) {
+            limits = operator.release();
+            rollouts.updateLimits(limits);
         }
     }
 
     @Override
     public Map<String, Call> adminRoutes() {
-        return releases.adminRoutes();
+        return rollouts.adminRoutes();
     }
 
     @Override
     public void close() {
-        releases.close();
+        rollouts.close();
     }
 }
--- a/src/main/java/maplespread/feature/StarvationFeature.java
+++ b/src/main/java/maplespread/feature/StarvationFeature.java
@@ -4,6 +4,7 @@
 import com.google.gson.GsonBuilder;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import maplespread.admin.AdminRoutes.AdminResponse;
 import maplespread.admin.AdminRoutes.Call;
 import maplespread.config.Config;
@@ -18,27 +19,34 @@
 import maplespread.policy.EndpointWatchFailure;
 import maplespread.starvation.client.StarvationMonitor;
 
-/** Tells which tenant is starved: a round each window, with the others' windows where there is a group. */
+/** Detects which tenant is starved: evaluates once a window, with the other dispatchers' windows where it has a group. */
 final class StarvationFeature implements Feature {
-    private static final int CHANNEL = 3;
-    private static final long STACK = 256 * 1024;
+    /** The group's channel for windows. */
+    private static final int WINDOW_CHANNEL = 3;
+
+    private static final long THREAD_STACK_BYTES = 256 * 1024;
     private static final Gson GSON = new GsonBuilder()
             .setPrettyPrinting()
             .serializeSpecialFloatingPointValues()
             .create();
-    private final StarvationSettings set;
-    private final GroupFeature group; // null: alone
+
+    private final StarvationSettings settings;
+    /** Null: this dispatcher is alone. */
+    private final GroupFeature group;
+
     private final String name;
-    private final StarvationMonitor watch;
+    private final StarvationMonitor monitor;
     private final Thread thread;
-    private boolean listens;
+    private boolean channelRegistered;
 
-    StarvationFeature(StarvationSettings set, Config config, GroupFeature group, FeatureContext host) {
-        this.set = set;
+    /** {@code group}: null where there is none. */
+    StarvationFeature(StarvationSettings settings, Config config, GroupFeature group, FeatureContext context) {
+        this.settings = settings;
         this.group = group;
         name = config.name();
-        watch = new StarvationMonitor(set, config, group != null, System.currentTimeMillis(), host::setPriorityBoosts);
-        thread = new Thread(null, this::run, "starvation", STACK);
+        monitor = new StarvationMonitor(
+                settings, config, group != null, System.currentTimeMillis(), context::setPriorityBoosts);
+        thread = new Thread(null, this::run, "starvation", THREAD_STACK_BYTES);
         thread.setDaemon(true);
     }
 
@@ -48,43 +56,43 @@
     }
 
     @Override
-    public RequestListener requestListener() {
-        return watch;
+    public Optional<RequestListener> requestListener() {
+        return Optional.of(monitor);
     }
 
     @Override
     public EndpointListener wrapListener(EndpointListener next) {
         return new EndpointListener() {
             @Override
-            public void endpointsChanged(EndpointUpdate news) {
-                watch.endpointsChanged(news);
-                next.endpointsChanged(news);
+            public void endpointsChanged(EndpointUpdate update) {
+                monitor.endpointsChanged(update);
+                next.endpointsChanged(update);
             }
 
             @Override
-            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-                next.watchLost(loss, heardAgoMs);
+            public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+                next.watchLost(failure, heardAgoMs);
             }
 
             @Override
-            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-                next.listUnconfirmed(why, heardAgoMs);
+            public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
+                next.listUnconfirmed(doubt, heardAgoMs);
             }
         };
     }
 
     @Override
-    public void reload(Config config, OperatorConfig next) {
-        watch.configure(config);
+    public void reload(Config config, OperatorConfig operator) {
+        monitor.configure(config);
     }
 
     private void run() {
         try {
             while (true) {
-                Thread.sleep(set.windowMs());
+                Thread.sleep(settings.windowMs());
                 try {
-                    round();
-                } catch (RuntimeException | Error e) { // the next round must still come
+                    evaluateWindow();
+                } catch (RuntimeException | Error e) { // the next window must still be evaluated
                     Event.of("starvation.fault", "why", e).error();
                 }
             }
@@ -93,29 +101,31 @@
         }
     }
 
-    private void round() {
-        GroupFeature.JoinedGroup joined = group == null ? null : group.joined();
+    private void evaluateWindow() {
+        JoinedGroup joined = group == null ? null : group.joined();
         if (joined == null) {
-            watch.evaluate(0, bytes -> {});
+            monitor.evaluate(0, window -> {});
             return;
         }
-        if (!listens) {
-            listens = true;
-            joined.group().registerChannel(CHANNEL, watch::windowReceived);
+        if (!channelRegistered) {
+            channelRegistered = true;
+            joined.transport().registerChannel(WINDOW_CHANNEL, monitor::windowReceived);
         }
-        List<String> others = joined.group().members().stream()
-                .filter(m -> !m.name().equals(name) && m.state() == MemberUpdate.State.ALIVE)
+        List<String> others = joined.transport().members().stream()
+                .filter(member -> !member.name().equals(name) && member.state() == MemberUpdate.State.ALIVE)
                 .map(MemberUpdate::name)
                 .toList();
-        watch.evaluate(
-                others.size(), bytes -> others.forEach(m -> joined.group().send(CHANNEL, m, bytes)));
+        monitor.evaluate(
+                others.size(),
+                window -> others.forEach(member -> joined.transport().send(WINDOW_CHANNEL, member, window)));
     }
 
     @Override
     public Map<String, Call> adminRoutes() {
-        return !set.console()
-                ? Map.of()
-                : Map.of("GET /admin/starvation", ask -> new AdminResponse(200, GSON.toJson(watch.report())));
+        if (!settings.console()) {
+            return Map.of();
+        }
+        return Map.of("GET /admin/starvation", request -> new AdminResponse(200, GSON.toJson(monitor.report())));
     }
 
     @Override
--- a/src/main/java/maplespread/feature/UpgradeFeature.java
+++ b/src/main/java/maplespread/feature/UpgradeFeature.java
@@ -1,5 +1,6 @@
 package maplespread.feature;
 
+import java.net.InetSocketAddress;
 import maplespread.config.Config;
 import maplespread.policy.PolicySettings;
 import maplespread.upgrade.InstanceLock;
@@ -7,77 +8,77 @@
 import org.tinylog.Logger;
 
 /**
- * Another process may take this one's place: while both live, each takes part of the limits, and of what the
- * nodes share out.
+ * Another process may take this one's place: while both live, each takes part of the limits, and of what the nodes
+ * share out.
  */
 final class UpgradeFeature implements Feature {
     private final Config config;
-    private final FeatureContext host;
-    private InstanceLock presence; // null: the directory will not do
-    private volatile boolean shared;
+    private final FeatureContext context;
+    /** Null: not started, or the directory cannot be used. */
+    private InstanceLock instanceLock;
 
-    UpgradeFeature(Config config, FeatureContext host) {
+    private volatile boolean hasPeerProcess;
+
+    UpgradeFeature(Config config, FeatureContext context) {
         this.config = config;
-        this.host = host;
+        this.context = context;
     }
 
     @Override
     public void start() {
-        presence = InstanceLock.acquire(
-                        config.tmp(),
-                        config.listen().getAddress().getHostAddress()
-                                + ':'
-                                + config.listen().getPort())
-                .orElse(null);
+        InetSocketAddress listen = config.listen();
+        String address = listen.getAddress().getHostAddress() + ':' + listen.getPort();
+        instanceLock = InstanceLock.acquire(config.tmp(), address).orElse(null);
         maintain();
     }
 
     @Override
     public void maintain() {
-        boolean now = presence != null && presence.hasPeer();
-        if (now != shared) {
-            shared = now;
-            host.reapplySettings();
+        boolean hasPeer = instanceLock != null && instanceLock.hasPeer();
+        if (hasPeer != hasPeerProcess) {
+            hasPeerProcess = hasPeer;
+            context.reapplySettings();
             Logger.info(
-                    now
+                    hasPeer
                             ? "another process of this dispatcher lives: shares the limits"
                             : "alone again: takes all of the limits");
         }
     }
 
-    boolean shared() {
-        return shared;
+    /** As {@link #maintain} saw it last. */
+    boolean hasPeerProcess() {
+        return hasPeerProcess;
     }
 
-    boolean relieved() {
-        return presence != null && presence.hasServingPeer();
+    boolean hasServingPeerProcess() {
+        return instanceLock != null && instanceLock.hasServingPeer();
     }
 
     @Override
-    public PolicySettings adjustSettings(PolicySettings told) {
-        return shared ? told.sharedByTwoProcesses() : told;
+    public PolicySettings adjustSettings(PolicySettings settings) {
+        return hasPeerProcess ? settings.sharedByTwoProcesses() : settings;
     }
 
     @Override
     public void onServing() {
-        say(InstanceRecord.Phase.SERVING);
+        publish(InstanceRecord.Phase.SERVING);
     }
 
     @Override
     public void beginShutdown() {
-        say(InstanceRecord.Phase.ENDING);
+        publish(InstanceRecord.Phase.ENDING);
     }
 
-    private void say(InstanceRecord.Phase state) {
-        if (presence != null) {
-            presence.publish(state);
+    private void publish(InstanceRecord.Phase phase) {
+        if (instanceLock != null) {
+            instanceLock.publish(phase);
         }
     }
 
     @Override
     public void close() {
-        if (presence != null) {
-            presence.close();
+        if (instanceLock != null) {
+            instanceLock.close();
         }
     }
 }
