--- a/src/main/java/maplespread/errors/FleetException.java
+++ b/src/main/java/maplespread/errors/FleetException.java
@@ -1,23 +1,26 @@
 package maplespread.errors;
 
 /**
- * What the parts of the fleet can refuse or fail with, told so that an operator can act on it; the message
- * has all three words. docs/operators/errors.md lists all of its kinds; a test holds it to the code.
+ * What a part of the fleet has rejected or could not do, told so that an operator can act on it: what is wrong, what
+ * still works, and what to do. The message has all three. docs/operators/errors.md lists every kind; a test holds that
+ * page to the code.
  */
 public abstract class FleetException extends Exception {
     private static final long serialVersionUID = 1;
+
     private final String problem;
     private final String unaffected;
     private final String remedy;
 
-    protected FleetException(String wrong, String works, String remedy) {
-        super(wrong + "; still works: " + works + "; to do: " + remedy);
-        this.problem = wrong;
-        this.unaffected = works;
+    /** Joins the three to the message. */
+    protected FleetException(String problem, String unaffected, String remedy) {
+        super(problem + "; still works: " + unaffected + "; to do: " + remedy);
+        this.problem = problem;
+        this.unaffected = unaffected;
         this.remedy = remedy;
     }
 
-    /** What is wrong, with the names it is about. */
+    /** What is wrong, with the names that it is about. */
     public String problem() {
         return problem;
     }
--- a/src/main/java/maplespread/errors/package-info.java
+++ b/src/main/java/maplespread/errors/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The family of errors that operators are told in three words: what is wrong, what still works, what to do.
- * Owns its root alone; each error stands in the package that raises it. May call nothing.
+ * The root of the exceptions that operators are told in three parts: what is wrong, what still works, what to do. Each
+ * exception stands in the package that throws it. No state, no threads; imports nothing.
  */
 package maplespread.errors;
