--- a/src/main/java/maplespread/partition/client/CompressedTable.java
+++ b/src/main/java/maplespread/partition/client/CompressedTable.java
@@ -13,21 +13,22 @@
 final class CompressedTable {
     private CompressedTable() {}
 
+    /** Deflated, as Base64 without padding. */
     static String compress(String text) {
-        ByteArrayOutputStream packed = new ByteArrayOutputStream();
-        try (DeflaterOutputStream out = new DeflaterOutputStream(packed)) {
-            out.write(text.getBytes(StandardCharsets.UTF_8));
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        try (DeflaterOutputStream deflater = new DeflaterOutputStream(compressed)) {
+            deflater.write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail so
+            throw new UncheckedIOException(e); // writing to memory does not fail
         }
-        return Base64.getEncoder().withoutPadding().encodeToString(packed.toByteArray());
+        return Base64.getEncoder().withoutPadding().encodeToString(compressed.toByteArray());
     }
 
-    /** An IllegalArgumentException where it is no such text. */
-    static String decompress(String packed) {
-        try (InflaterInputStream in = new InflaterInputStream(
-                new ByteArrayInputStream(Base64.getDecoder().decode(packed)))) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    /** Throws an IllegalArgumentException for a text that {@link #compress} has not made. */
+    static String decompress(String compressed) {
+        byte[] bytes = Base64.getDecoder().decode(compressed);
+        try (InflaterInputStream inflater = new InflaterInputStream(new ByteArrayInputStream(bytes))) {
+            return new String(inflater.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
--- a/src/main/java/maplespread/partition/client/PartitionCallException.java
+++ b/src/main/java/maplespread/partition/client/PartitionCallException.java
@@ -2,7 +2,7 @@
 
 import maplespread.errors.FleetException;
 
-/** A call of an operator's about order that could not be followed. Nothing was changed by it. */
+/** A call of an operator about ordered partitions that could not be followed. Nothing was changed by it. */
 public final class PartitionCallException extends FleetException {
     private static final long serialVersionUID = 1;
 
@@ -26,10 +26,11 @@
         }
     }
 
+    /** Of the HTTP response. */
     final int status;
 
-    PartitionCallException(Reason reason, String wrong) {
-        super(wrong, reason.works, reason.remedy);
+    PartitionCallException(Reason reason, String problem) {
+        super(problem, reason.works, reason.remedy);
         status = reason.status;
     }
 }
