--- /dev/null
+++ b/src/test/java/maplespread/policy/EligibilityFilterTest.java
@@ -0,0 +1,21 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** To which workers nothing may be sent. */
+class EligibilityFilterTest {
+    @Test
+    void nothingNewGoesToADrainingOrAbsentWorker() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        host.list(EndpointListKind.DELTA, new EndpointEntry("a", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
+        for (int i = 1; i < 9; i++) {
+            for (RuleCheckingHost.TestAttempt t : host.take(i, 300).tries) {
+                assertEquals("b", t.worker);
+            }
+        }
+        host.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0));
+        assertEquals("a", host.take(20, 300).tries.get(0).worker, "listed again, and b is gone");
+    }
+}
--- /dev/null
+++ b/src/test/java/maplespread/policy/KeyAffinityTest.java
@@ -0,0 +1,92 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Where requests of one key go. */
+class KeyAffinityTest {
+    private static RuleCheckingHost eight() {
+        EndpointEntry[] entries = new EndpointEntry[8];
+        for (int i = 0; i < 8; i++) {
+            entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
+        }
+        return RuleCheckingHost.withWorkers(Idempotency.READ_LIKE, DeduplicationScope.ALL, entries);
+    }
+
+    private static String sentTo(RuleCheckingHost host, long id, String key) {
+        host.calls.put(id, new RuleCheckingHost.TestRequest());
+        host.calls.get(id).spec = host.set.classes().get(0);
+        host.calls.get(id).deadline = host.now + 9000;
+        host.node.requestAccepted(
+                host.us(), new PolicyRequest(id, 0, 0, Math.round((host.now + 9000) * 1000), 100, 1, 0, key));
+        return host.calls.get(id).tries.get(0).worker;
+    }
+
+    /** Guards the shared store: jobs of a key stay together, and all nodes find the same place for it. */
+    @Test
+    void requestsOfAKeyStayTogetherAndDispatchersAgree() {
+        RuleCheckingHost one = eight(), other = eight();
+        java.util.Set<String> places = new java.util.HashSet<>();
+        for (int i = 1; i <= 40; i++) {
+            String key = "fn:" + i % 10, at = sentTo(one, i, key);
+            one.settle(i, AttemptOutcome.SERVED);
+            assertEquals(at, sentTo(other, i, key), "another node, the same home");
+            other.settle(i, AttemptOutcome.SERVED);
+            places.add(key + at);
+        }
+        assertEquals(10, places.size(), "one place for each key: " + places);
+    }
+
+    /** Guards against a full worker: a key's home that is behind in its work is passed over. */
+    @Test
+    void aFullPrimaryWorkerIsPassedOver() {
+        RuleCheckingHost host = eight();
+        java.util.Set<String> places = new java.util.HashSet<>();
+        for (int i = 1; i <= 40 && places.size() < 2; i++) {
+            places.add(sentTo(host, i, "fn:hot"));
+        }
+        assertTrue(places.size() > 1, "only " + places);
+    }
+
+    /** How many jobs of one key its home is given before another worker gets one. */
+    private static int staysAtPrimary(int jobsBefore) {
+        RuleCheckingHost host = eight();
+        PolicySettings s = host.set; // nothing is told of starts: none comes late
+        host.change(new PolicySettings(
+                s.dispatcherCount(),
+                0,
+                0,
+                true,
+                true,
+                false,
+                0,
+                true,
+                2,
+                0.1,
+                0,
+                s.classes(),
+                List.of(),
+                s.permissions(),
+                s.rules()));
+        for (int i = 1; i <= jobsBefore; i++) {
+            sentTo(host, i, null);
+        }
+        host.pass(12_000); // the mean wait is settled
+        String home = sentTo(host, 1000, "fn:hot");
+        int stays = 1;
+        while (sentTo(host, 1000 + stays, "fn:hot").equals(home)) {
+            stays++;
+        }
+        return stays;
+    }
+
+    /** Guards slots that wait for a data set where all are behind: there a key stays longer at its home. */
+    @Test
+    void aMissIsDearerWhileRequestsWait() {
+        int calm = staysAtPrimary(0), behind = staysAtPrimary(48);
+        assertTrue(behind > calm, behind + " where jobs wait, " + calm + " where none do");
+    }
+}
--- /dev/null
+++ b/src/test/java/maplespread/policy/RetryPolicyTest.java
@@ -0,0 +1,63 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** Where and when a request may be sent again. */
+class RetryPolicyTest {
+    @Test
+    void aNonIdempotentRequestIsNotSentAgainOnceItMayHaveRun() {
+        RuleCheckingHost host = RuleCheckingHost.withWorkers(
+                Idempotency.NON_IDEMPOTENT,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 0, 0));
+        RuleCheckingHost.TestRequest c = host.take(1, 500);
+        host.settle(1, AttemptOutcome.ERROR);
+        assertEquals(1, c.tries.size());
+        assertEquals("failed", c.end, "nothing can be legal any more: at once, not after its aim");
+        RuleCheckingHost.TestRequest d = host.take(2, 500);
+        host.settle(2, AttemptOutcome.REJECTED);
+        assertEquals(2, d.tries.size(), "an attempt that never ran may be repeated");
+    }
+
+    @Test
+    void aRequestWithAnIdempotencyKeyIsRepeatedInItsCellOnly() {
+        RuleCheckingHost host = RuleCheckingHost.withWorkers(
+                Idempotency.IDEMPOTENCY_KEY,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 1, 0),
+                RuleCheckingHost.entry("c", 0, 0));
+        RuleCheckingHost.TestRequest c = host.take(1, 500);
+        assertEquals("a", c.tries.get(0).worker);
+        host.settle(1, AttemptOutcome.RESET);
+        assertEquals("c", c.tries.get(1).worker);
+    }
+
+    /** Pair: a broken connection while the list is stale. New requests go elsewhere, listed or not. */
+    @Test
+    void aBrokenConnectionUnderAStaleList() {
+        RuleCheckingHost host = RuleCheckingHost.withWorkers(
+                Idempotency.IDEMPOTENCY_KEY,
+                DeduplicationScope.CELL,
+                RuleCheckingHost.entry("a", 0, 0),
+                RuleCheckingHost.entry("b", 1, 0));
+        RuleCheckingHost.TestRequest c = host.take(1, 300);
+        host.mute.add("a");
+        host.settle(1, AttemptOutcome.RESET);
+        host.listFailed(EndpointWatchFailure.ENDED);
+        for (int i = 2; i < 5; i++) {
+            for (RuleCheckingHost.TestAttempt t : host.take(i, 300).tries) {
+                assertEquals("b", t.worker);
+            }
+        }
+        // The keyed request itself has no other legal place: it tries there, within tryLimit, and then ends.
+        for (int i = 0; i < 4 && !c.ended; i++) {
+            host.settle(1, c.tries.size() - 1, AttemptOutcome.CONNECT_FAILED);
+            host.pass(600);
+        }
+        assertEquals("failed", c.end);
+    }
+}
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -43,6 +43,27 @@
         node = new DispatchPolicy(set, 7, this);
     }
 
+    static RuleCheckingHost withWorkers(Idempotency effect, DeduplicationScope group, EndpointEntry... entries) {
+        RuleCheckingHost host = new RuleCheckingHost(settings(clazz(effect, group), false, 1));
+        host.list(EndpointListKind.CACHED_SNAPSHOT, entries);
+        return host;
+    }
+
+    static RuleCheckingHost withTwoWorkers() {
+        return withWorkers(Idempotency.READ_LIKE, DeduplicationScope.ALL, entry("a", 0, 0), entry("b", 0, 0));
+    }
+
+    static RuleCheckingHost amongDispatchers(int nodes, EndpointEntry... entries) {
+        RuleCheckingHost host =
+                new RuleCheckingHost(settings(clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, nodes));
+        host.list(EndpointListKind.CACHED_SNAPSHOT, entries);
+        return host;
+    }
+
+    static LoadReport report(double active, double free) {
+        return new LoadReport(active, Double.NaN, Double.NaN, Double.NaN, free, Double.NaN);
+    }
+
     static RequestClass clazz(Idempotency effect, DeduplicationScope group) {
         return new RequestClass(400, 2, 10000, 1, 0, effect, group, 15000, false, -1);
     }
--- /dev/null
+++ b/src/test/java/maplespread/policy/SpeedEstimatorTest.java
@@ -0,0 +1,57 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** How speeds are learnt and forgotten. */
+class SpeedEstimatorTest {
+    /** How many jobs a worker that nobody has tried takes, after another of its kind has run four. */
+    private static int acceptedByANewWorker(boolean cold, double runMs) {
+        RuleCheckingHost host = RuleCheckingHost.withWorkers(
+                Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, cold ? 1000 : 0));
+        for (int i = 1; i <= 4; i++) {
+            RuleCheckingHost.TestRequest c = host.take(i, 500);
+            while (c.tries.isEmpty()) {
+                host.pass(100); // its share of the cold budget fills
+            }
+            host.node.attemptProgressed(host.us(), i, 0, "a", true, 0);
+            host.now += runMs;
+            host.settle(i, AttemptOutcome.SERVED);
+        }
+        host.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("b", 0, 0));
+        int taken = 0;
+        while (host.take(1000 + taken, 500).end.isEmpty()) {
+            taken++;
+        }
+        return taken;
+    }
+
+    /** After a mass start most runs are cold: taken for their kind's speed, they refuse warm capacity. */
+    @Test
+    void runsInSlowStartDoNotSlowTheirKind() {
+        int after = acceptedByANewWorker(false, 500);
+        assertTrue(acceptedByANewWorker(false, 1500) < after, "a slow kind takes less");
+        assertEquals(after, acceptedByANewWorker(true, 1500));
+    }
+
+    /** Guards the fading of speeds: a worker once slow must be tried again after its trouble has ended. */
+    @Test
+    void aWorkerOnceSlowIsTriedAgain() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        for (int i = 1; i <= 40; i++) { // each alone; a is ten times slower than b
+            RuleCheckingHost.TestRequest c = host.take(i, 300);
+            host.pass(c.tries.get(0).worker.equals("a") ? 3000 : 300);
+            host.settle(i, AttemptOutcome.SERVED);
+        }
+        assertEquals("b", host.take(100, 300).tries.get(0).worker, "while it is known to be slow");
+        host.settle(100, AttemptOutcome.SERVED);
+        host.pass(120000); // some of the shortest deadline's multiples
+        boolean again = false;
+        for (int i = 101; i < 105; i++) {
+            again |= host.take(i, 300).tries.stream().anyMatch(t -> t.worker.equals("a"));
+        }
+        assertTrue(again, "never tried again");
+    }
+}
