--- /dev/null
+++ b/src/test/java/maplespread/policy/EligibilityTest.java
@@ -0,0 +1,178 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Each condition of a send fails alone here, and is named. */
+class EligibilityTest {
+    private static final double START_MS = 50_000;
+
+    private final Set<Eligibility> seen = EnumSet.noneOf(Eligibility.class);
+
+    /** A request of a class to a worker, both of which a case may spoil. */
+    private static final class Case {
+        final RuleCheckingHost host;
+        final PolicyContext context;
+        final EndpointListFreshness freshness = new EndpointListFreshness((from, to, ageMs) -> {});
+        final WorkerDirectory directory;
+        final EligibilityFilter filter;
+        PendingRequest request;
+
+        Case(RequestClass requestClass) {
+            host = new RuleCheckingHost(RuleCheckingHost.settings(requestClass, false, 1));
+            context = new PolicyContext(7, host);
+            context.apply(host.set);
+            context.nowMs = START_MS;
+            WorkerTable workers = new WorkerTable();
+            FleetLoadEstimate fleetLoad = new FleetLoadEstimate(context, workers);
+            HintCalibration hints = new HintCalibration(context);
+            ArrivalStatistics arrivals = new ArrivalStatistics(context, workers, hints, fleetLoad);
+            fleetLoad.use(arrivals);
+            directory = new WorkerDirectory(workers, context, arrivals, hints, new FailureStatistics(context));
+            directory.update(RuleCheckingHost.entry("a", 0, 0));
+            directory.update(RuleCheckingHost.entry("b", 1, 0));
+            freshness.settings(false, 10_000);
+            freshness.confirmed(START_MS);
+            filter = new EligibilityFilter(context, freshness, new RetryPolicy(context));
+            request = request(1);
+        }
+
+        PendingRequest request(double slots) {
+            long deadlineUs = Math.round((START_MS + 9000) * 1000);
+            return new PendingRequest(new PolicyRequest(1, 0, 0, deadlineUs, 100, slots, 0), context);
+        }
+
+        Worker worker() {
+            return directory.find("a");
+        }
+
+        /** An earlier attempt at the other worker, which is over. */
+        void attempted(boolean neverRan) {
+            InFlightAttempt attempt = new InFlightAttempt(request, directory.find("b"), START_MS, 0);
+            attempt.ended = true;
+            attempt.neverRan = neverRan;
+            request.attempts.add(attempt);
+        }
+    }
+
+    private static Case with(Idempotency idempotency, DeduplicationScope scope) {
+        return new Case(RuleCheckingHost.clazz(idempotency, scope));
+    }
+
+    private static Case readLike() {
+        return with(Idempotency.READ_LIKE, DeduplicationScope.ALL);
+    }
+
+    private void expect(Eligibility expected, Case given) {
+        assertEquals(expected, given.filter.check(given.request, given.worker()));
+        seen.add(expected);
+    }
+
+    @Test
+    void theFirstFailingConditionIsNamed() {
+        expect(Eligibility.ELIGIBLE, readLike());
+
+        Case draining = readLike();
+        draining.directory.update(new EndpointEntry("a", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
+        expect(Eligibility.WORKER_NOT_ACTIVE, draining);
+
+        Case stale = readLike();
+        stale.freshness.silent(START_MS, 60_000);
+        expect(Eligibility.LIST_NOT_CONFIRMED, stale);
+
+        Case otherKind = new Case(new RequestClass(
+                400, 2, 10_000, 1, 0, Idempotency.READ_LIKE, DeduplicationScope.ALL, 15_000, false, 5));
+        expect(Eligibility.WRONG_WORKER_KIND, otherKind);
+
+        Case large = readLike();
+        large.request = large.request(3);
+        expect(Eligibility.REQUEST_TOO_LARGE, large);
+
+        Case restricted = readLike();
+        PolicyRequest accepted = restricted.request.accepted;
+        restricted.request = new PendingRequest(
+                new PolicyRequest(
+                        1, 0, 0, accepted.deadlineUs(), 100, 1, 0, null, null, 1, worker -> worker.equals("b")),
+                restricted.context);
+        expect(Eligibility.NOT_AMONG_ALLOWED_WORKERS, restricted);
+
+        Case ended = readLike();
+        ended.request.ended = true;
+        expect(Eligibility.REQUEST_ENDED, ended);
+
+        Case streaming = readLike();
+        streaming.request.responseStarted = true;
+        expect(Eligibility.REQUEST_ENDED, streaming);
+
+        Case late = readLike();
+        late.context.nowMs = START_MS + 9000;
+        expect(Eligibility.DEADLINE_PASSED, late);
+
+        Case inFlight = readLike();
+        inFlight.request.attemptsInFlight = 1;
+        expect(Eligibility.ATTEMPT_IN_FLIGHT, inFlight);
+    }
+
+    @Test
+    void anEarlierAttemptBarsWhatItMust() {
+        Case used = readLike();
+        for (int i = 0; i < used.host.set.permissions().maxAttempts(); i++) {
+            used.attempted(true);
+        }
+        expect(Eligibility.ATTEMPTS_USED, used);
+
+        Case mayHaveRun = with(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        mayHaveRun.attempted(false);
+        expect(Eligibility.MAY_HAVE_RUN, mayHaveRun);
+
+        Case neverRan = with(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        neverRan.attempted(true);
+        expect(Eligibility.ELIGIBLE, neverRan);
+
+        Case otherCell = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+        otherCell.attempted(false);
+        expect(Eligibility.OUTSIDE_DEDUPLICATION_SCOPE, otherCell);
+
+        Case sameZone = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
+        sameZone.attempted(false);
+        expect(Eligibility.ELIGIBLE, sameZone);
+
+        Case windowOver = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
+        windowOver.attempted(false);
+        windowOver.request = moved(windowOver, START_MS + 60_000);
+        expect(Eligibility.MAY_HAVE_RUN, windowOver);
+    }
+
+    /** The same request with a later deadline, past the time in which its repeat is dropped. */
+    private static PendingRequest moved(Case given, double nowMs) {
+        given.context.nowMs = nowMs;
+        given.freshness.confirmed(nowMs);
+        long deadlineUs = Math.round((nowMs + 9000) * 1000);
+        PendingRequest request = new PendingRequest(new PolicyRequest(1, 0, 0, deadlineUs, 100, 1, 0), given.context);
+        request.attempts.addAll(given.request.attempts);
+        return request;
+    }
+
+    @Test
+    void aWorkerInSlowStartTakesNoMoreThanItsBudget() {
+        Case starting = readLike();
+        starting.worker().slowStart.restart(START_MS);
+        expect(Eligibility.ELIGIBLE, starting);
+        starting.worker().slowStart.spend(1e6);
+        expect(Eligibility.SLOW_START_BUDGET_USED, starting);
+    }
+
+    @Test
+    void everyConditionIsHeldByATest() {
+        List<Runnable> tests = List.of(
+                this::theFirstFailingConditionIsNamed,
+                this::anEarlierAttemptBarsWhatItMust,
+                this::aWorkerInSlowStartTakesNoMoreThanItsBudget);
+        tests.forEach(Runnable::run);
+        assertEquals(EnumSet.allOf(Eligibility.class), seen);
+    }
+}
