--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -109,19 +109,19 @@
     }
 
     @Override
-    public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs) {
+    public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double lastMessageAgoMs) {
         advanceTo(nowUs);
         if (why == EndpointListDoubt.MOVED) {
             freshness.moved(context.nowMs);
         } else {
-            freshness.silent(context.nowMs, heardAgoMs);
+            freshness.silent(context.nowMs, lastMessageAgoMs);
         }
     }
 
     @Override
-    public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs) {
+    public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double lastMessageAgoMs) {
         advanceTo(nowUs);
-        freshness.failed(context.nowMs, loss, heardAgoMs);
+        freshness.failed(context.nowMs, loss, lastMessageAgoMs);
         polls.watchFailed(workers.size());
     }
 
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -65,9 +65,9 @@
     }
 
     /** The watch says nothing any more, last heard so long ago. */
-    void silent(double nowMs, double heardAgoMs) {
+    void silent(double nowMs, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED) {
-            startRenewing(nowMs, nowMs - heardAgoMs, false, false);
+            startRenewing(nowMs, nowMs - lastMessageAgoMs, false, false);
         }
     }
 
@@ -81,13 +81,13 @@
     }
 
     /** There is no watch any more, or a call for one has failed, last heard so long ago. */
-    void failed(double nowMs, EndpointWatchFailure failure, double heardAgoMs) {
+    void failed(double nowMs, EndpointWatchFailure failure, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED && failure == EndpointWatchFailure.ENDED) {
             // Watches end when discovery goes down, and what came before came whole.
             startRenewing(nowMs, nowMs, true, true);
             return;
         }
-        silent(nowMs, heardAgoMs);
+        silent(nowMs, lastMessageAgoMs);
         if (!usable(nowMs)) {
             return; // discovery may have been there meanwhile, with changes that are due by now
         }
@@ -98,9 +98,9 @@
         }
     }
 
-    private void startRenewing(double nowMs, double lastHeardMs, boolean outage, boolean withoutGap) {
-        confirmedAtMs = lastHeardMs;
-        usableUntilMs = lastHeardMs + maxUnconfirmedMs;
+    private void startRenewing(double nowMs, double lastMessageMs, boolean outage, boolean withoutGap) {
+        confirmedAtMs = lastMessageMs;
+        usableUntilMs = lastMessageMs + maxUnconfirmedMs;
         outageLikely = outage;
         gapless = withoutGap;
         connectionRefusedSeen = false;
--- a/src/main/java/maplespread/policy/PolicyEvents.java
+++ b/src/main/java/maplespread/policy/PolicyEvents.java
@@ -23,10 +23,10 @@
     void endpointListConfirmed(long nowUs);
 
     /** The list is in doubt, last heard of so long ago. The host subscribes again without being asked. */
-    void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double heardAgoMs);
+    void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double lastMessageAgoMs);
 
     /** A watch or a call for one failed, or the watch broke, last heard of so long ago. */
-    void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double heardAgoMs);
+    void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double lastMessageAgoMs);
 
     /**
      * A request was accepted.
--- a/src/main/java/maplespread/policy/SpeedEstimator.java
+++ b/src/main/java/maplespread/policy/SpeedEstimator.java
@@ -44,7 +44,7 @@
     /** Brings the estimate up to date: what was learnt fades in favour of the kind's speed. */
     void refresh() {
         double priorMs = PRIOR_REQUESTS * arrivals.meanWorkMs();
-        double keep = memoryKept();
+        double keep = remainingMemory();
         speed = PolicyMath.clamp(
                 (doneWorkMs * keep + priorMs) / (runTimeMs * keep + priorMs / worker.kind.speed), MIN_SPEED, MAX_SPEED);
     }
@@ -59,7 +59,7 @@
                 tookMs * worker.slowStart.capacityShare(),
                 workMs / (MAX_DEVIATION * speed),
                 MAX_DEVIATION * workMs / speed);
-        double keep = memoryKept() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
+        double keep = remainingMemory() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
         learnedAtMs = context.nowMs;
         doneWorkMs = doneWorkMs * keep + workMs;
         runTimeMs = runTimeMs * keep + timeMs;
@@ -86,7 +86,7 @@
         return !Double.isNaN(reportedServiceMs);
     }
 
-    private double memoryKept() {
+    private double remainingMemory() {
         return PolicyMath.decay((context.nowMs - learnedAtMs) / (2 * context.memoryMs));
     }
 }
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -165,10 +165,10 @@
         attempt.request.attemptsInFlight--;
         attempt.neverRan = outcome.provesNeverRan();
         backlog.remove(attempt);
-        boolean tellsOfWorker = !attempt.neverRan
+        boolean concernsWorker = !attempt.neverRan
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.STALE_CONNECTION_RESET;
-        if (tellsOfWorker && !attempt.countedAsFailure) {
+        if (concernsWorker && !attempt.countedAsFailure) {
             outliers.attemptEnded(attempt.request.classIndex, outcome != AttemptOutcome.SERVED);
         }
         switch (outcome) {
--- a/src/test/java/maplespread/policy/AdmissionControlTest.java
+++ b/src/test/java/maplespread/policy/AdmissionControlTest.java
@@ -14,10 +14,10 @@
         int served = 0;
         RuleCheckingHost.TestRequest last = null;
         for (int i = 1; i <= 60; i++) {
-            last = host.take(i, 500);
-            served += last.tries.size();
+            last = host.accept(i, 500);
+            served += last.attempts.size();
         }
-        assertEquals("refused", last.end);
+        assertEquals("refused", last.result);
         assertTrue(served >= 4 && served < 40, "took " + served);
     }
 
@@ -29,13 +29,13 @@
     void aDispatcherThatRejectsAllTriesAWorkerNowAndThen() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         long id = 0;
-        while (host.take(++id, 500).end.isEmpty()) {
+        while (host.accept(++id, 500).result.isEmpty()) {
             assertTrue(id < 60, "all are taken");
         }
         int tried = 0;
         for (int i = 0; i < 110; i++) { // eleven seconds; the memory is ten
-            host.pass(100);
-            tried += host.take(++id, 500).tries.size();
+            host.advance(100);
+            tried += host.accept(++id, 500).attempts.size();
         }
         assertTrue(tried >= 2 && tried <= 3, "tried " + tried);
     }
@@ -43,10 +43,10 @@
     @Test
     void failsWhenItsLastAttemptTimesOutAtTheDeadline() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest c = host.take(1, 500);
-        host.now = c.deadline;
-        host.settle(1, AttemptOutcome.TIMED_OUT);
-        assertNotEquals("", c.end);
+        RuleCheckingHost.TestRequest request = host.accept(1, 500);
+        host.nowMs = request.deadlineMs;
+        host.endAttempt(1, AttemptOutcome.TIMED_OUT);
+        assertNotEquals("", request.result);
     }
 
     @Test
@@ -56,20 +56,24 @@
                 DeduplicationScope.ALL,
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 0, 0));
-        RuleCheckingHost.TestRequest c = host.take(1, 500);
-        while (c.end.isEmpty() && c.tries.size() <= 4) {
-            assertTrue(c.tries.stream().filter(t -> !t.over).count() == 1, "out, or else answered");
-            host.settle(1, AttemptOutcome.ERROR);
-            host.pass(c.end.isEmpty() && c.tries.get(c.tries.size() - 1).over ? 500 : 0); // all rest
+        RuleCheckingHost.TestRequest request = host.accept(1, 500);
+        while (request.result.isEmpty() && request.attempts.size() <= 4) {
+            assertTrue(
+                    request.attempts.stream().filter(attempt -> !attempt.ended).count() == 1, "out, or else answered");
+            host.endAttempt(1, AttemptOutcome.ERROR);
+            host.advance(
+                    request.result.isEmpty() && request.attempts.get(request.attempts.size() - 1).ended
+                            ? 500
+                            : 0); // all rest
         }
-        assertEquals("refused", c.end);
+        assertEquals("refused", request.result);
     }
 
     @Test
     void isAnsweredWhenThereIsNoWorkerAtAll() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL);
-        RuleCheckingHost.TestRequest c = host.take(1, 500);
-        host.pass(1000);
-        assertEquals("refused", c.end);
+        RuleCheckingHost.TestRequest request = host.accept(1, 500);
+        host.advance(1000);
+        assertEquals("refused", request.result);
     }
 }
--- a/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
+++ b/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
@@ -10,13 +10,13 @@
     private static int acceptedAfterARush(double leftMs) {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         for (int i = 1; i <= 900; i++) {
-            if (!host.take(i, 0, 500, 0, leftMs).tries.isEmpty()) {
-                host.settle(i, AttemptOutcome.SERVED);
+            if (!host.accept(i, 0, 500, 0, leftMs).attempts.isEmpty()) {
+                host.endAttempt(i, AttemptOutcome.SERVED);
             }
-            host.now += 30;
+            host.nowMs += 30;
         }
         int taken = 0;
-        while (host.take(1000 + taken, 500).end.isEmpty()) {
+        while (host.accept(1000 + taken, 500).result.isEmpty()) {
             taken++;
         }
         return taken;
--- a/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
@@ -13,10 +13,10 @@
     /** Two workers, by a list held at the start that discovery has said nothing of yet. */
     private static RuleCheckingHost unconfirmed(long seed) {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
-        host.node = new DispatchPolicy(host.set, seed, host);
-        host.confirms = false;
-        host.list(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
+        host.policy = new DispatchPolicy(host.settings, seed, host);
+        host.confirmsCachedList = false;
+        host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         return host;
     }
@@ -32,15 +32,18 @@
         for (int fleet : new int[] {4, 100}) {
             for (int index = 0; index < fleet; index++) {
                 RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
-                        RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, fleet, index));
-                host.confirms = false;
-                host.list(EndpointListKind.CACHED_SNAPSHOT, workers);
-                double from = host.now;
-                while (host.watches == 0) {
-                    host.pass(10);
+                        RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL),
+                        false,
+                        fleet,
+                        index));
+                host.confirmsCachedList = false;
+                host.receiveList(EndpointListKind.CACHED_SNAPSHOT, workers);
+                double from = host.nowMs;
+                while (host.watchCalls == 0) {
+                    host.advance(10);
                 }
-                latest[fleet] = Math.max(latest[fleet], host.now - from);
-                inASecond[fleet == 100 ? (int) (host.now - from) / 1000 : 5]++;
+                latest[fleet] = Math.max(latest[fleet], host.nowMs - from);
+                inASecond[fleet == 100 ? (int) (host.nowMs - from) / 1000 : 5]++;
             }
         }
         assertTrue(latest[4] <= 300, "of 4 nodes after " + latest[4]);
@@ -57,31 +60,31 @@
         for (EndpointWatchFailure loss : EndpointWatchFailure.values()) {
             RuleCheckingHost host = unconfirmed(7);
             for (int i = 0; i < 20; i++) {
-                int asked = host.watches;
-                host.pass(1000);
-                assertEquals(0, host.take(100 + i, 20).tries.size(), loss + " after " + (i + 1) + " s");
-                if (host.watches > asked) {
+                int asked = host.watchCalls;
+                host.advance(1000);
+                assertEquals(0, host.accept(100 + i, 20).attempts.size(), loss + " after " + (i + 1) + " s");
+                if (host.watchCalls > asked) {
                     host.listFailed(loss);
                 }
             }
             assertEquals(List.of(), host.states, "no change of the state without a word");
-            host.list(
+            host.receiveList(
                     EndpointListKind.FULL_SNAPSHOT,
                     RuleCheckingHost.entry("a", 0, 0),
                     RuleCheckingHost.entry("b", 0, 0));
             assertEquals(List.of(EndpointListState.CONFIRMED), host.states);
-            assertEquals(1, host.take(2, 20).tries.size(), "confirmed, it is trusted at once");
+            assertEquals(1, host.accept(2, 20).attempts.size(), "confirmed, it is trusted at once");
         }
     }
 
     @Test
     void theListIsAskedForAgainAfterAFailure() {
         RuleCheckingHost host = unconfirmed(7);
-        host.pass(400);
-        assertEquals(1, host.watches);
+        host.advance(400);
+        assertEquals(1, host.watchCalls);
         host.listFailed(EndpointWatchFailure.ENDED);
-        host.pass(5000);
-        assertTrue(host.watches >= 2, "watches " + host.watches);
+        host.advance(5000);
+        assertTrue(host.watchCalls >= 2, "watches " + host.watchCalls);
     }
 
     /**
@@ -91,12 +94,12 @@
     @Test
     void noOutageDelaysTheNextCallTooLong() {
         RuleCheckingHost host = unconfirmed(7);
-        host.pass(400);
+        host.advance(400);
         for (int i = 0; i < 40; i++) {
-            int asked = host.watches;
+            int asked = host.watchCalls;
             host.listFailed(EndpointWatchFailure.ENDED);
-            host.pass(2700);
-            assertTrue(host.watches > asked, "after " + i + " failures");
+            host.advance(2700);
+            assertTrue(host.watchCalls > asked, "after " + i + " failures");
         }
     }
 
@@ -109,16 +112,16 @@
         double soonest = Double.MAX_VALUE, latest = 0;
         for (int i = 0; i < 40; i++) {
             RuleCheckingHost host = unconfirmed(i);
-            host.pass(400);
-            host.pass(2000); // the call waits
+            host.advance(400);
+            host.advance(2000); // the call waits
             host.listFailed(EndpointWatchFailure.ENDED);
-            int asked = host.watches;
-            double since = host.now;
-            while (host.watches == asked) {
-                host.pass(10);
+            int asked = host.watchCalls;
+            double since = host.nowMs;
+            while (host.watchCalls == asked) {
+                host.advance(10);
             }
-            soonest = Math.min(soonest, host.now - since);
-            latest = Math.max(latest, host.now - since);
+            soonest = Math.min(soonest, host.nowMs - since);
+            latest = Math.max(latest, host.nowMs - since);
         }
         assertTrue(soonest >= 780 && latest > 1800 && latest <= 2700, soonest + " to " + latest);
     }
--- a/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
@@ -56,10 +56,10 @@
             listMs = 1000 / listsPerSecond;
             for (int i = 0; i < NODES; i++) {
                 RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
-                        RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, NODES, i));
-                h.node = new DispatchPolicy(h.set, seed + i, h);
-                h.confirms = false;
-                h.list(EndpointListKind.CACHED_SNAPSHOT, entries);
+                        RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, NODES, i));
+                h.policy = new DispatchPolicy(h.settings, seed + i, h);
+                h.confirmsCachedList = false;
+                h.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
                 nodes.add(h);
             }
         }
@@ -76,9 +76,9 @@
 
         private void step(int i) {
             RuleCheckingHost h = nodes.get(i);
-            h.pass(STEP_MS);
-            if (h.watches > asked[i]) {
-                asked[i] = h.watches;
+            h.advance(STEP_MS);
+            if (h.watchCalls > asked[i]) {
+                asked[i] = h.watchCalls;
                 if (out[i] == null && !watching[i]) {
                     out[i] = new Call(i, now);
                     if (up) {
@@ -101,7 +101,7 @@
                     out[call.node] = null;
                     watching[call.node] = true;
                     answered++;
-                    nodes.get(call.node).list(EndpointListKind.FULL_SNAPSHOT, entries);
+                    nodes.get(call.node).receiveList(EndpointListKind.FULL_SNAPSHOT, entries);
                 }
             }
         }
--- a/src/test/java/maplespread/policy/DispatchPolicyTest.java
+++ b/src/test/java/maplespread/policy/DispatchPolicyTest.java
@@ -13,18 +13,18 @@
     @Test
     void contractBreaksAreRejectedPlainly() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        host.take(1, 300);
+        host.accept(1, 300);
         assertThrows(
                 IllegalStateException.class,
-                () -> host.node.requestAccepted(host.us(), new PolicyRequest(1, 0, 0, 9999999, 1, 1, 0)));
-        assertThrows(IllegalArgumentException.class, () -> host.node.timerExpired(0, 1));
+                () -> host.policy.requestAccepted(host.nowUs(), new PolicyRequest(1, 0, 0, 9999999, 1, 1, 0)));
+        assertThrows(IllegalArgumentException.class, () -> host.policy.timerExpired(0, 1));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> host.node.requestAccepted(host.us(), new PolicyRequest(2, 9, 0, 9999999, 1, 1, 0)));
+                () -> host.policy.requestAccepted(host.nowUs(), new PolicyRequest(2, 9, 0, 9999999, 1, 1, 0)));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> RuleCheckingHost.settings(
-                        RuleCheckingHost.clazz(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL), false, 0));
+                        RuleCheckingHost.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL), false, 0));
         assertThrows(IllegalArgumentException.class, () -> new Tenant(-1));
         assertThrows(
                 IllegalArgumentException.class,
@@ -40,10 +40,10 @@
                         2,
                         1,
                         -0.1,
-                        host.set.classes(),
+                        host.settings.classes(),
                         List.of(),
-                        host.set.permissions(),
-                        host.set.rules()));
+                        host.settings.permissions(),
+                        host.settings.rules()));
     }
 
     @Test
@@ -56,18 +56,25 @@
                 new EndpointEntry("b", EndpointLifecycle.ACTIVE, -1, 0, 0, 0, 1e18));
         long id = 1;
         for (double x : odd) {
-            RuleCheckingHost.TestRequest c = host.take(id, x);
-            for (RuleCheckingHost.TestAttempt t : List.copyOf(c.tries)) {
-                t.over = true;
-                c.ended = true;
-                host.node.attemptEnded(
-                        host.us(), id, 0, t.worker, AttemptOutcome.SERVED, x, true, new LoadReport(x, x, x, x, x, x));
+            RuleCheckingHost.TestRequest request = host.accept(id, x);
+            for (RuleCheckingHost.TestAttempt attempt : List.copyOf(request.attempts)) {
+                attempt.ended = true;
+                request.ended = true;
+                host.policy.attemptEnded(
+                        host.nowUs(),
+                        id,
+                        0,
+                        attempt.worker,
+                        AttemptOutcome.SERVED,
+                        x,
+                        true,
+                        new LoadReport(x, x, x, x, x, x));
             }
             id++;
-            host.pass(200);
+            host.advance(200);
         }
-        host.pass(20000);
-        assertFalse(host.take(id, 300).tries.isEmpty(), "end " + host.calls.get(id).end);
+        host.advance(20000);
+        assertFalse(host.accept(id, 300).attempts.isEmpty(), "end " + host.requests.get(id).result);
     }
 
     /**
@@ -80,47 +87,52 @@
             Random random = new Random(seed);
             Idempotency effect = Idempotency.values()[seed % 3];
             DeduplicationScope group = DeduplicationScope.values()[seed / 3 % 3];
-            RuleCheckingHost host = new RuleCheckingHost(
-                    RuleCheckingHost.settings(RuleCheckingHost.clazz(effect, group), seed % 2 == 0, 1 + seed % 4));
+            RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                    RuleCheckingHost.requestClass(effect, group), seed % 2 == 0, 1 + seed % 4));
             String[] ids = {"a", "b", "c", "d", "e"};
-            host.list(
+            host.receiveList(
                     EndpointListKind.CACHED_SNAPSHOT,
                     RuleCheckingHost.entry("a", 0, 0),
                     RuleCheckingHost.entry("b", 0, 0),
                     RuleCheckingHost.entry("c", 1, 0));
             long next = 1;
             for (int step = 0; step < 1500; step++) {
-                host.pass(random.nextInt(4) == 0 ? random.nextInt(300) : 0);
-                for (var e : host.calls.entrySet()) { // the deadline's own time-out and the client's leaving
-                    RuleCheckingHost.TestRequest c = e.getValue();
-                    if (!c.ended && host.now >= c.deadline) {
-                        host.now = Math.max(host.now, c.deadline);
-                        assertTrue(c.tries.stream().anyMatch(t -> !t.over), "held past the deadline: lost");
-                        c.deadline = host.now;
-                        for (int n = 0; n < c.tries.size(); n++) {
-                            if (!c.tries.get(n).over) {
-                                host.settle(e.getKey(), n, AttemptOutcome.TIMED_OUT);
+                host.advance(random.nextInt(4) == 0 ? random.nextInt(300) : 0);
+                for (var e : host.requests.entrySet()) { // the deadline's own time-out and the client's leaving
+                    RuleCheckingHost.TestRequest request = e.getValue();
+                    if (!request.ended && host.nowMs >= request.deadlineMs) {
+                        host.nowMs = Math.max(host.nowMs, request.deadlineMs);
+                        assertTrue(
+                                request.attempts.stream().anyMatch(attempt -> !attempt.ended),
+                                "held past the deadline: lost");
+                        request.deadlineMs = host.nowMs;
+                        for (int n = 0; n < request.attempts.size(); n++) {
+                            if (!request.attempts.get(n).ended) {
+                                host.endAttempt(e.getKey(), n, AttemptOutcome.TIMED_OUT);
                             }
                         }
-                        assertTrue(c.ended, "no answer at the deadline");
+                        assertTrue(request.ended, "no answer at the deadline");
                     }
                 }
                 String w = ids[random.nextInt(ids.length)];
                 switch (random.nextInt(9)) {
-                    case 0, 1, 2 -> host.take(next++, random.nextInt(5) == 0 ? Double.NaN : random.nextInt(2000));
+                    case 0, 1, 2 -> host.accept(next++, random.nextInt(5) == 0 ? Double.NaN : random.nextInt(2000));
                     case 3, 4, 5 -> {
                         long id = 1 + random.nextLong(next);
-                        RuleCheckingHost.TestRequest c = host.calls.get(id);
-                        if (c != null && !c.tries.isEmpty() && !c.tries.get(c.tries.size() - 1).over) {
-                            AttemptOutcome v = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-                            host.settle(id, v == AttemptOutcome.TIMED_OUT ? AttemptOutcome.ERROR : v);
+                        RuleCheckingHost.TestRequest request = host.requests.get(id);
+                        if (request != null
+                                && !request.attempts.isEmpty()
+                                && !request.attempts.get(request.attempts.size() - 1).ended) {
+                            AttemptOutcome outcome =
+                                    AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+                            host.endAttempt(id, outcome == AttemptOutcome.TIMED_OUT ? AttemptOutcome.ERROR : outcome);
                         } else {
                             // repeated or unknown
-                            host.node.attemptEnded(host.us(), id, 0, w, AttemptOutcome.SERVED, 1, true, null);
+                            host.policy.attemptEnded(host.nowUs(), id, 0, w, AttemptOutcome.SERVED, 1, true, null);
                         }
                     }
                     case 6 ->
-                        host.list(
+                        host.receiveList(
                                 EndpointListKind.DELTA,
                                 new EndpointEntry(
                                         w,
@@ -129,11 +141,17 @@
                                         0,
                                         w.charAt(0) % 2,
                                         0,
-                                        random.nextInt(3) == 0 ? host.now : 0));
-                    case 7 -> host.node.probeEnded(host.us(), w, AttemptOutcome.values()[random.nextInt(8)], 1, null);
+                                        random.nextInt(3) == 0 ? host.nowMs : 0));
+                    case 7 ->
+                        host.policy.probeEnded(host.nowUs(), w, AttemptOutcome.values()[random.nextInt(8)], 1, null);
                     default -> {
-                        host.node.attemptProgressed(
-                                host.us(), 1 + random.nextLong(next), 0, w, random.nextBoolean(), random.nextDouble());
+                        host.policy.attemptProgressed(
+                                host.nowUs(),
+                                1 + random.nextLong(next),
+                                0,
+                                w,
+                                random.nextBoolean(),
+                                random.nextDouble());
                         host.listFailed(EndpointWatchFailure.ENDED);
                     }
                 }
--- a/src/test/java/maplespread/policy/EligibilityFilterTest.java
+++ b/src/test/java/maplespread/policy/EligibilityFilterTest.java
@@ -9,13 +9,13 @@
     @Test
     void nothingNewGoesToADrainingOrAbsentWorker() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        host.list(EndpointListKind.DELTA, new EndpointEntry("a", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
+        host.receiveList(EndpointListKind.DELTA, new EndpointEntry("a", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
         for (int i = 1; i < 9; i++) {
-            for (RuleCheckingHost.TestAttempt t : host.take(i, 300).tries) {
-                assertEquals("b", t.worker);
+            for (RuleCheckingHost.TestAttempt attempt : host.accept(i, 300).attempts) {
+                assertEquals("b", attempt.worker);
             }
         }
-        host.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0));
-        assertEquals("a", host.take(20, 300).tries.get(0).worker, "listed again, and b is gone");
+        host.receiveList(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0));
+        assertEquals("a", host.accept(20, 300).attempts.get(0).worker, "listed again, and b is gone");
     }
 }
--- a/src/test/java/maplespread/policy/EligibilityTest.java
+++ b/src/test/java/maplespread/policy/EligibilityTest.java
@@ -25,7 +25,7 @@
         Case(RequestClass requestClass) {
             host = new RuleCheckingHost(RuleCheckingHost.settings(requestClass, false, 1));
             context = new PolicyContext(7, host);
-            context.apply(host.set);
+            context.apply(host.settings);
             context.nowMs = START_MS;
             WorkerTable workers = new WorkerTable();
             FleetLoadEstimate fleetLoad = new FleetLoadEstimate(context, workers);
@@ -60,7 +60,7 @@
     }
 
     private static Case with(Idempotency idempotency, DeduplicationScope scope) {
-        return new Case(RuleCheckingHost.clazz(idempotency, scope));
+        return new Case(RuleCheckingHost.requestClass(idempotency, scope));
     }
 
     private static Case readLike() {
@@ -120,7 +120,7 @@
     @Test
     void anEarlierAttemptBarsWhatItMust() {
         Case used = readLike();
-        for (int i = 0; i < used.host.set.permissions().maxAttempts(); i++) {
+        for (int i = 0; i < used.host.settings.permissions().maxAttempts(); i++) {
             used.attempted(true);
         }
         expect(Eligibility.ATTEMPTS_USED, used);
--- a/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -45,8 +45,8 @@
         private final Play play;
         private final List<String> breaks = new ArrayList<>();
         private RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
-        private final double start = host.now;
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
+        private final double start = host.nowMs;
         private double deadUntil = -1;
         private boolean moved;
         private int asked;
@@ -65,15 +65,15 @@
         }
 
         private double now() {
-            return host.now - start;
+            return host.nowMs - start;
         }
 
         private void boot() {
-            double now = host.now;
-            host = new RuleCheckingHost(host.set);
-            host.now = now;
-            host.confirms = false;
-            host.list(
+            double now = host.nowMs;
+            host = new RuleCheckingHost(host.settings);
+            host.nowMs = now;
+            host.confirmsCachedList = false;
+            host.receiveList(
                     EndpointListKind.CACHED_SNAPSHOT,
                     RuleCheckingHost.entry("stays", 0, 0),
                     RuleCheckingHost.entry("drains", 0, 0));
@@ -95,7 +95,7 @@
 
         void run() {
             while (now() < LENGTH_MS) {
-                host.pass(STEP_MS);
+                host.advance(STEP_MS);
                 events();
                 if (now() < deadUntil) {
                     continue;
@@ -135,7 +135,7 @@
                     notifiedAt = Math.min(notifiedAt, now() + MOVE_NOTIFIED_MS);
                 }
                 watching = false;
-                host.node.endpointListUnconfirmed(host.us(), EndpointListDoubt.MOVED, 0);
+                host.policy.endpointListUnconfirmed(host.nowUs(), EndpointListDoubt.MOVED, 0);
                 callAt = now();
             }
             if (crossed(5000)) {
@@ -154,7 +154,7 @@
                 }
                 case RESET, OUTAGE -> {
                     watching = false;
-                    host.node.endpointWatchFailed(host.us(), EndpointWatchFailure.ENDED, 0);
+                    host.policy.endpointWatchFailed(host.nowUs(), EndpointWatchFailure.ENDED, 0);
                 }
                 default -> {}
             }
@@ -163,12 +163,12 @@
         /** The host's part: a silent watch is begun anew, and what the node asks for is carried out. */
         private void conversation() {
             if (watching && silentSince >= 0 && now() - heardAt >= SILENCE_SEEN_MS) {
-                host.node.endpointListUnconfirmed(host.us(), EndpointListDoubt.SILENT, now() - heardAt);
+                host.policy.endpointListUnconfirmed(host.nowUs(), EndpointListDoubt.SILENT, now() - heardAt);
                 watching = false;
                 callAt = now();
             }
-            if (host.watches > asked) {
-                asked = host.watches;
+            if (host.watchCalls > asked) {
+                asked = host.watchCalls;
                 if (!watching && callAt < 0) {
                     callAt = now();
                 }
@@ -183,14 +183,14 @@
                 tell();
             } else if (now() - callAt >= CALL_LIMIT_MS) {
                 callAt = -1;
-                host.node.endpointWatchFailed(host.us(), EndpointWatchFailure.NO_ANSWER, CALL_LIMIT_MS);
+                host.policy.endpointWatchFailed(host.nowUs(), EndpointWatchFailure.NO_ANSWER, CALL_LIMIT_MS);
             }
         }
 
         private void tell() {
             boolean drains = play.drainAt >= 0 && now() >= play.drainAt;
             EndpointLifecycle health = drains ? EndpointLifecycle.DRAINING : EndpointLifecycle.ACTIVE;
-            host.list(
+            host.receiveList(
                     EndpointListKind.FULL_SNAPSHOT,
                     RuleCheckingHost.entry("stays", 0, 0),
                     new EndpointEntry("drains", health, 1, 0, 0, 0, 0));
@@ -204,16 +204,16 @@
                 ids++;
                 return;
             }
-            RuleCheckingHost.TestRequest call = host.take(++ids, 20);
+            RuleCheckingHost.TestRequest call = host.accept(++ids, 20);
             taken++;
-            if (call.tries.isEmpty()) {
+            if (call.attempts.isEmpty()) {
                 return;
             }
             sent++;
-            if (call.tries.get(0).worker.equals("drains") && now() > notifiedAt + GRACE_MS) {
+            if (call.attempts.get(0).worker.equals("drains") && now() > notifiedAt + GRACE_MS) {
                 breaks.add(Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + play);
             }
-            host.settle(ids, AttemptOutcome.SERVED);
+            host.endAttempt(ids, AttemptOutcome.SERVED);
         }
     }
 
--- a/src/test/java/maplespread/policy/KeyAffinityTest.java
+++ b/src/test/java/maplespread/policy/KeyAffinityTest.java
@@ -17,12 +17,12 @@
     }
 
     private static String sentTo(RuleCheckingHost host, long id, String key) {
-        host.calls.put(id, new RuleCheckingHost.TestRequest());
-        host.calls.get(id).spec = host.set.classes().get(0);
-        host.calls.get(id).deadline = host.now + 9000;
-        host.node.requestAccepted(
-                host.us(), new PolicyRequest(id, 0, 0, Math.round((host.now + 9000) * 1000), 100, 1, 0, key));
-        return host.calls.get(id).tries.get(0).worker;
+        host.requests.put(id, new RuleCheckingHost.TestRequest());
+        host.requests.get(id).requestClass = host.settings.classes().get(0);
+        host.requests.get(id).deadlineMs = host.nowMs + 9000;
+        host.policy.requestAccepted(
+                host.nowUs(), new PolicyRequest(id, 0, 0, Math.round((host.nowMs + 9000) * 1000), 100, 1, 0, key));
+        return host.requests.get(id).attempts.get(0).worker;
     }
 
     /** Guards the shared store: jobs of a key stay together, and all nodes find the same place for it. */
@@ -32,9 +32,9 @@
         java.util.Set<String> places = new java.util.HashSet<>();
         for (int i = 1; i <= 40; i++) {
             String key = "fn:" + i % 10, at = sentTo(one, i, key);
-            one.settle(i, AttemptOutcome.SERVED);
+            one.endAttempt(i, AttemptOutcome.SERVED);
             assertEquals(at, sentTo(other, i, key), "another node, the same home");
-            other.settle(i, AttemptOutcome.SERVED);
+            other.endAttempt(i, AttemptOutcome.SERVED);
             places.add(key + at);
         }
         assertEquals(10, places.size(), "one place for each key: " + places);
@@ -54,8 +54,8 @@
     /** How many jobs of one key its home is given before another worker gets one. */
     private static int staysAtPrimary(int jobsBefore) {
         RuleCheckingHost host = eight();
-        PolicySettings s = host.set; // nothing is told of starts: none comes late
-        host.change(new PolicySettings(
+        PolicySettings s = host.settings; // nothing is told of starts: none comes late
+        host.changeSettings(new PolicySettings(
                 s.dispatcherCount(),
                 0,
                 0,
@@ -74,7 +74,7 @@
         for (int i = 1; i <= jobsBefore; i++) {
             sentTo(host, i, null);
         }
-        host.pass(12_000); // the mean wait is settled
+        host.advance(12_000); // the mean wait is settled
         String home = sentTo(host, 1000, "fn:hot");
         int stays = 1;
         while (sentTo(host, 1000 + stays, "fn:hot").equals(home)) {
--- a/src/test/java/maplespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/maplespread/policy/OutlierDetectorTest.java
@@ -19,29 +19,29 @@
                 RuleCheckingHost.entry("b", 0, 0),
                 RuleCheckingHost.entry("c", 0, 0));
         for (int i = 1; i <= 3; i++) {
-            host.take(i, 300);
+            host.accept(i, 300);
         }
         for (int step = 0; step < 40; step++) {
-            host.pass(100);
+            host.advance(100);
             for (int i = 2; i <= 3; i++) {
                 if (step == 2) {
-                    host.settle(i, AttemptOutcome.SERVED);
+                    host.endAttempt(i, AttemptOutcome.SERVED);
                 }
             }
         }
         for (int i = 10; i < 13; i++) {
-            assertNotEquals("a", host.take(i, 300).tries.get(0).worker);
+            assertNotEquals("a", host.accept(i, 300).attempts.get(0).worker);
         }
     }
 
     @Test
     void servesOnWhenAllWorkersLookSilent() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        host.take(1, 300);
-        host.take(2, 300);
-        host.pass(6000);
-        RuleCheckingHost.TestRequest c = host.take(3, 300);
-        assertFalse(c.tries.isEmpty(), "all suspected at once: keep serving");
+        host.accept(1, 300);
+        host.accept(2, 300);
+        host.advance(6000);
+        RuleCheckingHost.TestRequest request = host.accept(3, 300);
+        assertFalse(request.attempts.isEmpty(), "all suspected at once: keep serving");
     }
 
     @Test
@@ -52,12 +52,12 @@
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 0, 0),
                 RuleCheckingHost.entry("c", 0, 0));
-        host.take(1, 300);
-        host.pass(5000);
-        host.settle(1, 0, AttemptOutcome.SERVED);
+        host.accept(1, 300);
+        host.advance(5000);
+        host.endAttempt(1, 0, AttemptOutcome.SERVED);
         boolean back = false;
         for (int i = 10; i < 16; i++) {
-            back |= host.take(i, 300).tries.stream().anyMatch(t -> t.worker.equals("a"));
+            back |= host.accept(i, 300).attempts.stream().anyMatch(attempt -> attempt.worker.equals("a"));
         }
         assertTrue(back);
     }
@@ -65,24 +65,24 @@
     @Test
     void anUnreachableWorkerIsEjectedAndComesBackInSlowStart() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest c = host.take(1, 300);
-        host.mute.add("a");
-        host.settle(1, AttemptOutcome.CONNECT_FAILED);
-        assertEquals("b", c.tries.get(1).worker);
-        host.settle(1, AttemptOutcome.SERVED);
-        assertEquals("b", host.take(2, 300).tries.get(0).worker);
-        host.pass(100);
-        host.node.probeEnded(host.us(), "a", AttemptOutcome.CONNECT_FAILED, 1, null);
-        host.mute.clear();
-        host.pass(3000);
-        host.take(3, 300);
-        host.settle(3, AttemptOutcome.SERVED);
+        RuleCheckingHost.TestRequest request = host.accept(1, 300);
+        host.silentWorkers.add("a");
+        host.endAttempt(1, AttemptOutcome.CONNECT_FAILED);
+        assertEquals("b", request.attempts.get(1).worker);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        assertEquals("b", host.accept(2, 300).attempts.get(0).worker);
+        host.advance(100);
+        host.policy.probeEnded(host.nowUs(), "a", AttemptOutcome.CONNECT_FAILED, 1, null);
+        host.silentWorkers.clear();
+        host.advance(3000);
+        host.accept(3, 300);
+        host.endAttempt(3, AttemptOutcome.SERVED);
         assertTrue(host.probes.contains("a"), "probed when the fleet is looked at again");
-        host.pass(1500); // a window's budget after its answer
+        host.advance(1500); // a window's budget after its answer
         double sent = 0;
         for (int i = 10; i < 60; i++) {
-            for (RuleCheckingHost.TestAttempt t : host.take(i, 100).tries) {
-                sent += t.worker.equals("a") ? 100 : 0;
+            for (RuleCheckingHost.TestAttempt attempt : host.accept(i, 100).attempts) {
+                sent += attempt.worker.equals("a") ? 100 : 0;
             }
         }
         assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500, "sent " + sent);
@@ -91,19 +91,19 @@
     /** Guards a healthy worker against one connection that breaks: a probe at once shows that it is well. */
     @Test
     void oneBrokenConnectionIsNoRestart() {
-        for (AttemptOutcome v : new AttemptOutcome[] {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.STALE_CONNECTION_RESET
         }) {
             RuleCheckingHost host = RuleCheckingHost.withWorkers(
                     Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, 0));
-            host.take(1, 300);
-            host.settle(1, v);
+            host.accept(1, 300);
+            host.endAttempt(1, outcome);
             host.answerProbes();
             int taken = 0;
             for (int i = 10; i < 20; i++) {
-                taken += host.take(i, 100).tries.size();
+                taken += host.accept(i, 100).attempts.size();
             }
-            assertTrue(taken > 3, "as a warm worker, not a cold one: " + taken + " after " + v);
+            assertTrue(taken > 3, "as a warm worker, not a cold one: " + taken + " after " + outcome);
         }
     }
 
@@ -114,34 +114,34 @@
     @Test
     void aWorkerThatRejectsBacksOff() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest c = host.take(1, 300);
-        host.settle(1, AttemptOutcome.REJECTED);
-        assertEquals("b", c.tries.get(1).worker);
-        host.settle(1, AttemptOutcome.SERVED);
-        assertEquals("b", host.take(2, 300).tries.get(0).worker);
-        host.settle(2, AttemptOutcome.SERVED);
-        host.pass(1000);
-        assertEquals("a", host.take(3, 300).tries.get(0).worker, "and serves again");
+        RuleCheckingHost.TestRequest request = host.accept(1, 300);
+        host.endAttempt(1, AttemptOutcome.REJECTED);
+        assertEquals("b", request.attempts.get(1).worker);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        assertEquals("b", host.accept(2, 300).attempts.get(0).worker);
+        host.endAttempt(2, AttemptOutcome.SERVED);
+        host.advance(1000);
+        assertEquals("a", host.accept(3, 300).attempts.get(0).worker, "and serves again");
     }
 
     /** Pair: a silent worker while another drains. The second copy goes to the one worker that is left. */
     @Test
     void aSilentWorkerWhileAnotherDrains() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
-        host.list(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
+        host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT,
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 0, 0),
                 RuleCheckingHost.entry("c", 0, 0));
-        RuleCheckingHost.TestRequest c = host.take(1, 900);
-        assertEquals("a", c.tries.get(0).worker);
-        host.list(EndpointListKind.DELTA, new EndpointEntry("b", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
-        host.pass(9000);
-        for (RuleCheckingHost.TestAttempt t : c.tries.subList(1, c.tries.size())) {
-            assertEquals("c", t.worker);
+        RuleCheckingHost.TestRequest request = host.accept(1, 900);
+        assertEquals("a", request.attempts.get(0).worker);
+        host.receiveList(EndpointListKind.DELTA, new EndpointEntry("b", EndpointLifecycle.DRAINING, 1, 0, 0, 0, 0));
+        host.advance(9000);
+        for (RuleCheckingHost.TestAttempt attempt : request.attempts.subList(1, request.attempts.size())) {
+            assertEquals("c", attempt.worker);
         }
-        assertEquals("c", host.take(2, 300).tries.get(0).worker, "neither the silent nor the draining one");
+        assertEquals("c", host.accept(2, 300).attempts.get(0).worker, "neither the silent nor the draining one");
     }
 
     /** Guards slow new connections: while they fail, a worker with an open one goes first, none is 'down'. */
@@ -152,22 +152,22 @@
             entries[i] = RuleCheckingHost.entry("w" + i, i, 0);
         }
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(1, entries);
-        RuleCheckingHost.TestRequest c = host.take(1, 100);
-        String open = c.tries.get(0).worker;
-        host.settle(1, AttemptOutcome.SERVED);
+        RuleCheckingHost.TestRequest request = host.accept(1, 100);
+        String open = request.attempts.get(0).worker;
+        host.endAttempt(1, AttemptOutcome.SERVED);
         for (int i = 0; i < 12; i++) {
-            AttemptOutcome v = open.equals("w" + i) ? AttemptOutcome.SERVED : AttemptOutcome.CONNECT_FAILED;
-            host.node.probeEnded(host.us(), "w" + i, v, 250, null);
+            AttemptOutcome outcome = open.equals("w" + i) ? AttemptOutcome.SERVED : AttemptOutcome.CONNECT_FAILED;
+            host.policy.probeEnded(host.nowUs(), "w" + i, outcome, 250, null);
         }
         assertTrue(host.log.size() < 6, "only the first are taken for down: " + host.log);
-        host.pass(2000);
-        assertEquals(open, host.take(2, 100).tries.get(0).worker);
+        host.advance(2000);
+        assertEquals(open, host.accept(2, 100).attempts.get(0).worker);
     }
 
     /** Guards a worker that fails one class and serves the other: judged by class. */
     @Test
     void aWorkerFailingOneClassKeepsTheOther() {
-        RequestClass spec = RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL);
+        RequestClass spec = RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL);
         PolicySettings one = RuleCheckingHost.settings(spec, false, 1);
         RuleCheckingHost host = new RuleCheckingHost(new PolicySettings(
                 1,
@@ -185,18 +185,18 @@
                 List.of(),
                 one.permissions(),
                 one.rules()));
-        host.list(
+        host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         int firstAtA = 0, secondAtA = 0;
         for (int i = 1; i <= 40; i++) {
-            RuleCheckingHost.TestRequest c = host.take(i, i % 2, 300, 0);
-            host.pass(300);
-            boolean atA = c.tries.get(0).worker.equals("a");
+            RuleCheckingHost.TestRequest request = host.accept(i, i % 2, 300, 0);
+            host.advance(300);
+            boolean atA = request.attempts.get(0).worker.equals("a");
             firstAtA += i > 20 && i % 2 == 0 && atA ? 1 : 0;
             secondAtA += i > 20 && i % 2 == 1 && atA ? 1 : 0;
-            host.settle(i, 0, i % 2 == 0 && atA ? AttemptOutcome.ERROR : AttemptOutcome.SERVED);
-            for (int n = 1; n < c.tries.size(); n++) {
-                host.settle(i, n, AttemptOutcome.SERVED);
+            host.endAttempt(i, 0, i % 2 == 0 && atA ? AttemptOutcome.ERROR : AttemptOutcome.SERVED);
+            for (int n = 1; n < request.attempts.size(); n++) {
+                host.endAttempt(i, n, AttemptOutcome.SERVED);
             }
         }
         assertTrue(firstAtA <= 1, "the class that fails there is kept away: " + firstAtA);
--- a/src/test/java/maplespread/policy/ProbeSchedulerTest.java
+++ b/src/test/java/maplespread/policy/ProbeSchedulerTest.java
@@ -18,11 +18,11 @@
         host.reports.put("a", RuleCheckingHost.report(9, 0));
         host.reports.put("b", RuleCheckingHost.report(9, 0));
         host.reports.put("c", RuleCheckingHost.report(0, 2));
-        RuleCheckingHost.TestRequest c = host.take(1, 400);
+        RuleCheckingHost.TestRequest request = host.accept(1, 400);
         assertEquals(3, host.probes.size(), "the three cheapest at once");
-        assertEquals("c", c.tries.get(0).worker, "the one that was seen to be idle");
+        assertEquals("c", request.attempts.get(0).worker, "the one that was seen to be idle");
         RuleCheckingHost alone = RuleCheckingHost.amongDispatchers(1, RuleCheckingHost.entry("a", 0, 0));
-        alone.take(1, 400);
+        alone.accept(1, 400);
         assertTrue(alone.probes.isEmpty(), "where own pushes are the load there is no look");
     }
 
@@ -31,13 +31,13 @@
     void aWorkerThatDoesNotAnswerAProbeIsPassedOver() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        host.mute.add("a");
+        host.silentWorkers.add("a");
         host.reports.put("b", RuleCheckingHost.report(1, 1));
-        RuleCheckingHost.TestRequest c = host.take(1, 400);
-        assertTrue(c.tries.isEmpty(), "held while an answer is out");
-        host.pass(60);
-        assertEquals("b", c.tries.get(0).worker);
-        assertEquals("b", host.take(2, 400).tries.get(0).worker, "it rests");
+        RuleCheckingHost.TestRequest request = host.accept(1, 400);
+        assertTrue(request.attempts.isEmpty(), "held while an answer is out");
+        host.advance(60);
+        assertEquals("b", request.attempts.get(0).worker);
+        assertEquals("b", host.accept(2, 400).attempts.get(0).worker, "it rests");
     }
 
     /** False alarm: when no worker answers the look, the request is served all the same. */
@@ -45,11 +45,11 @@
     void whenNoProbeIsAnsweredTheRequestIsServedAllTheSame() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        host.mute.add("a");
-        host.mute.add("b");
-        RuleCheckingHost.TestRequest c = host.take(1, 400);
-        host.pass(1000);
-        assertEquals(1, c.tries.size());
+        host.silentWorkers.add("a");
+        host.silentWorkers.add("b");
+        RuleCheckingHost.TestRequest request = host.accept(1, 400);
+        host.advance(1000);
+        assertEquals(1, request.attempts.size());
     }
 
     /** Guards an own stall: the look's timer comes before the answers that stand behind it in the queue. */
@@ -57,15 +57,15 @@
     void afterAProcessPauseAnswersAreAwaitedATickMore() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        host.mute.add("a");
-        host.mute.add("b");
-        host.pass(500);
-        RuleCheckingHost.TestRequest c = host.take(1, 400);
-        host.now += 700; // stands still: timers and answers pile up
-        host.pass(1);
-        assertTrue(c.tries.isEmpty(), "not judged by what it slept through");
-        host.node.probeEnded(host.us(), "a", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(0, 2));
-        host.node.probeEnded(host.us(), "b", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(9, 0));
-        assertEquals("a", c.tries.get(0).worker);
+        host.silentWorkers.add("a");
+        host.silentWorkers.add("b");
+        host.advance(500);
+        RuleCheckingHost.TestRequest request = host.accept(1, 400);
+        host.nowMs += 700; // stands still: timers and answers pile up
+        host.advance(1);
+        assertTrue(request.attempts.isEmpty(), "not judged by what it slept through");
+        host.policy.probeEnded(host.nowUs(), "a", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(0, 2));
+        host.policy.probeEnded(host.nowUs(), "b", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(9, 0));
+        assertEquals("a", request.attempts.get(0).worker);
     }
 }
--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -129,7 +129,7 @@
     private final SplittableRandom random;
     private final MessageDigest digest;
     private final DataOutputStream hashed;
-    private final DispatchPolicy node;
+    private final DispatchPolicy policy;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private final List<ModelWorker> workers = new ArrayList<>();
     private final Map<String, ModelWorker> byId = new HashMap<>();
@@ -156,7 +156,7 @@
         hashed = new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
         settings = plan.settings();
         before = settings;
-        node = new DispatchPolicy(settings, seed, this);
+        policy = new DispatchPolicy(settings, seed, this);
         for (int i = 0; i < plan.workers(); i++) {
             double speed = 0.5 + 1.5 * random.nextDouble();
             int kind = i % 3 == 0 ? 1 : 0;
@@ -172,9 +172,9 @@
 
     /** Plays the whole and returns what was counted and the hash of all actions, as one line. */
     String play() {
-        list(EndpointListKind.CACHED_SNAPSHOT);
+        receiveList(EndpointListKind.CACHED_SNAPSHOT);
         after(20 + random.nextInt(300), () -> {
-            list(EndpointListKind.FULL_SNAPSHOT);
+            receiveList(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         });
         after(1, this::arrival);
@@ -186,7 +186,7 @@
             nowUs = Math.max(nowUs, next.atUs());
             next.work().run();
             if (++events % 50 == 0) {
-                put('#', node.avoidedWorkers(), node.endpointListUsable(nowUs) ? 1 : 0);
+                put('#', policy.avoidedWorkers(), policy.endpointListUsable(nowUs) ? 1 : 0);
             }
         }
         StringBuilder line = new StringBuilder("events=" + events);
@@ -218,7 +218,7 @@
         RequestClass spec = (under == null ? settings : under).classes().get(cls);
         Call call = new Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
         calls.put(call.id, call);
-        node.requestAccepted(
+        policy.requestAccepted(
                 nowUs,
                 new PolicyRequest(
                         call.id,
@@ -248,7 +248,7 @@
     private void leave(Call call) {
         if (!call.ended) {
             call.ended = true;
-            node.requestAbandoned(nowUs, call.id);
+            policy.requestAbandoned(nowUs, call.id);
         }
         if (call.jobs.stream().allMatch(job -> job.over)) {
             calls.remove(call.id);
@@ -304,7 +304,7 @@
             if (job.call.spec.streaming()) {
                 after(job.takesMs / 2, () -> {
                     if (!job.over) {
-                        node.responseStarted(nowUs, job.call.id, job.attempt, worker.id);
+                        policy.responseStarted(nowUs, job.call.id, job.attempt, worker.id);
                     }
                 });
             }
@@ -318,7 +318,7 @@
 
     private void progress(Job job, boolean started, double share) {
         if (!job.over) {
-            node.attemptProgressed(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
+            policy.attemptProgressed(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
         }
     }
 
@@ -345,7 +345,7 @@
         job.call.ended |= verdict == AttemptOutcome.SERVED;
         double lagMs = ms() - job.sentAtMs;
         LoadReport report = verdict == AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
-        node.attemptEnded(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
+        policy.attemptEnded(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
         startNext(worker);
     }
 
@@ -395,24 +395,24 @@
                 worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
     }
 
-    private void list(EndpointListKind kind) {
+    private void receiveList(EndpointListKind kind) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (ModelWorker worker : workers) {
             if (worker.listed) {
                 entries.add(entry(worker));
             }
         }
-        node.endpointListReceived(nowUs, kind, ++version, entries);
+        policy.endpointListReceived(nowUs, kind, ++version, entries);
     }
 
     private void changed(ModelWorker worker) {
         if (!discoveryDown()) {
-            node.endpointListReceived(nowUs, EndpointListKind.DELTA, ++version, List.of(entry(worker)));
+            policy.endpointListReceived(nowUs, EndpointListKind.DELTA, ++version, List.of(entry(worker)));
         }
     }
 
     private void confirm() {
-        node.endpointListConfirmed(nowUs);
+        policy.endpointListConfirmed(nowUs);
     }
 
     private void answerWatch() {
@@ -421,10 +421,10 @@
             double tookMs = loss == EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
             after(
                     tookMs,
-                    () -> node.endpointWatchFailed(
+                    () -> policy.endpointWatchFailed(
                             nowUs, chance(0.05) ? EndpointWatchFailure.NOT_ASKED : loss, tookMs));
         } else {
-            list(EndpointListKind.FULL_SNAPSHOT);
+            receiveList(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
     }
@@ -436,14 +436,14 @@
             after(outageMs + 50, this::answerWatch);
         }
         switch (random.nextInt(4)) {
-            case 0 -> node.endpointWatchFailed(nowUs, EndpointWatchFailure.ENDED, 0);
-            case 1 -> node.endpointWatchFailed(nowUs, EndpointWatchFailure.NO_ANSWER, 2000);
+            case 0 -> policy.endpointWatchFailed(nowUs, EndpointWatchFailure.ENDED, 0);
+            case 1 -> policy.endpointWatchFailed(nowUs, EndpointWatchFailure.NO_ANSWER, 2000);
             case 2 -> {
-                node.endpointListUnconfirmed(nowUs, EndpointListDoubt.SILENT, 3000);
+                policy.endpointListUnconfirmed(nowUs, EndpointListDoubt.SILENT, 3000);
                 after(100, this::answerWatch);
             }
             default -> {
-                node.endpointListUnconfirmed(nowUs, EndpointListDoubt.MOVED, 0);
+                policy.endpointListUnconfirmed(nowUs, EndpointListDoubt.MOVED, 0);
                 after(300, this::answerWatch);
             }
         }
@@ -503,7 +503,7 @@
     private void removeByFullList(ModelWorker worker, double forMs) {
         worker.listed = false;
         if (!discoveryDown()) {
-            list(EndpointListKind.FULL_SNAPSHOT);
+            receiveList(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         }
         after(forMs, () -> {
@@ -561,7 +561,7 @@
                     ? plan.settings().sharedByTwoProcesses().withClasses(classes)
                     : plan.settings().withClasses(classes);
         }
-        node.settingsChanged(nowUs, settings);
+        policy.settingsChanged(nowUs, settings);
     }
 
     /** Events that do not fit: they cost that event and no more. */
@@ -569,14 +569,14 @@
         after(700, this::strayEvent);
         long known = Math.max(1, lastId - random.nextInt(50));
         switch (random.nextInt(8)) {
-            case 0 -> node.attemptEnded(nowUs, lastId + 99, 0, "10.0.0.1:9000", AttemptOutcome.SERVED, 1, true, null);
-            case 1 -> node.attemptProgressed(nowUs, known, 7, "10.0.0.1:9000", true, 0);
-            case 2 -> node.attemptProgressed(nowUs, known, -1, "10.0.0.1:9000", false, 3);
-            case 3 -> node.probeEnded(nowUs, "10.9.9.9:1", AttemptOutcome.SERVED, 1, null);
-            case 4 -> node.requestAbandoned(nowUs, lastId + 99);
-            case 5 -> node.timerExpired(nowUs, 1 + 1 + known);
-            case 6 -> rejected(() -> node.requestAccepted(nowUs, new PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
-            default -> rejected(() -> node.responseStarted(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
+            case 0 -> policy.attemptEnded(nowUs, lastId + 99, 0, "10.0.0.1:9000", AttemptOutcome.SERVED, 1, true, null);
+            case 1 -> policy.attemptProgressed(nowUs, known, 7, "10.0.0.1:9000", true, 0);
+            case 2 -> policy.attemptProgressed(nowUs, known, -1, "10.0.0.1:9000", false, 3);
+            case 3 -> policy.probeEnded(nowUs, "10.9.9.9:1", AttemptOutcome.SERVED, 1, null);
+            case 4 -> policy.requestAbandoned(nowUs, lastId + 99);
+            case 5 -> policy.timerExpired(nowUs, 1 + 1 + known);
+            case 6 -> rejected(() -> policy.requestAccepted(nowUs, new PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
+            default -> rejected(() -> policy.responseStarted(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
         }
     }
 
@@ -630,13 +630,13 @@
         put('P', worker.hashCode(), 0);
         ModelWorker probed = byId.get(worker);
         if (probed.hanging || chance(0.03)) {
-            after(1000, () -> node.probeEnded(nowUs, worker, AttemptOutcome.TIMED_OUT, 1000, null));
+            after(1000, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.TIMED_OUT, 1000, null));
         } else if (!probed.up || probed.unreachable) {
             double lagMs = probed.up ? settings.permissions().connectTimeoutMs() : 0.5;
-            after(lagMs, () -> node.probeEnded(nowUs, worker, AttemptOutcome.CONNECT_FAILED, lagMs, null));
+            after(lagMs, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.CONNECT_FAILED, lagMs, null));
         } else {
             double lagMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
-            after(lagMs, () -> node.probeEnded(nowUs, worker, AttemptOutcome.SERVED, lagMs, report(probed)));
+            after(lagMs, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.SERVED, lagMs, report(probed)));
         }
     }
 
@@ -650,7 +650,7 @@
     @Override
     public void scheduleTimer(double delayMs, long label) {
         put('T', label, Double.doubleToLongBits(delayMs));
-        after(delayMs, () -> node.timerExpired(nowUs, label));
+        after(delayMs, () -> policy.timerExpired(nowUs, label));
     }
 
     @Override
--- a/src/test/java/maplespread/policy/RetryPolicyTest.java
+++ b/src/test/java/maplespread/policy/RetryPolicyTest.java
@@ -13,13 +13,13 @@
                 DeduplicationScope.CELL,
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 0, 0));
-        RuleCheckingHost.TestRequest c = host.take(1, 500);
-        host.settle(1, AttemptOutcome.ERROR);
-        assertEquals(1, c.tries.size());
-        assertEquals("failed", c.end, "nothing can be legal any more: at once, not after its aim");
-        RuleCheckingHost.TestRequest d = host.take(2, 500);
-        host.settle(2, AttemptOutcome.REJECTED);
-        assertEquals(2, d.tries.size(), "an attempt that never ran may be repeated");
+        RuleCheckingHost.TestRequest request = host.accept(1, 500);
+        host.endAttempt(1, AttemptOutcome.ERROR);
+        assertEquals(1, request.attempts.size());
+        assertEquals("failed", request.result, "nothing can be legal any more: at once, not after its aim");
+        RuleCheckingHost.TestRequest d = host.accept(2, 500);
+        host.endAttempt(2, AttemptOutcome.REJECTED);
+        assertEquals(2, d.attempts.size(), "an attempt that never ran may be repeated");
     }
 
     @Test
@@ -30,10 +30,10 @@
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 1, 0),
                 RuleCheckingHost.entry("c", 0, 0));
-        RuleCheckingHost.TestRequest c = host.take(1, 500);
-        assertEquals("a", c.tries.get(0).worker);
-        host.settle(1, AttemptOutcome.RESET);
-        assertEquals("c", c.tries.get(1).worker);
+        RuleCheckingHost.TestRequest request = host.accept(1, 500);
+        assertEquals("a", request.attempts.get(0).worker);
+        host.endAttempt(1, AttemptOutcome.RESET);
+        assertEquals("c", request.attempts.get(1).worker);
     }
 
     /** Pair: a broken connection while the list is stale. New requests go elsewhere, listed or not. */
@@ -44,20 +44,20 @@
                 DeduplicationScope.CELL,
                 RuleCheckingHost.entry("a", 0, 0),
                 RuleCheckingHost.entry("b", 1, 0));
-        RuleCheckingHost.TestRequest c = host.take(1, 300);
-        host.mute.add("a");
-        host.settle(1, AttemptOutcome.RESET);
+        RuleCheckingHost.TestRequest request = host.accept(1, 300);
+        host.silentWorkers.add("a");
+        host.endAttempt(1, AttemptOutcome.RESET);
         host.listFailed(EndpointWatchFailure.ENDED);
         for (int i = 2; i < 5; i++) {
-            for (RuleCheckingHost.TestAttempt t : host.take(i, 300).tries) {
-                assertEquals("b", t.worker);
+            for (RuleCheckingHost.TestAttempt attempt : host.accept(i, 300).attempts) {
+                assertEquals("b", attempt.worker);
             }
         }
         // The keyed request itself has no other legal place: it tries there, within tryLimit, and then ends.
-        for (int i = 0; i < 4 && !c.ended; i++) {
-            host.settle(1, c.tries.size() - 1, AttemptOutcome.CONNECT_FAILED);
-            host.pass(600);
+        for (int i = 0; i < 4 && !request.ended; i++) {
+            host.endAttempt(1, request.attempts.size() - 1, AttemptOutcome.CONNECT_FAILED);
+            host.advance(600);
         }
-        assertEquals("failed", c.end);
+        assertEquals("failed", request.result);
     }
 }
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -11,41 +11,41 @@
 final class RuleCheckingHost implements PolicyActions {
     static final class TestAttempt {
         String worker;
-        double sentAt;
-        boolean over, neverRan;
+        double sentAtMs;
+        boolean ended, neverRan;
     }
 
     static final class TestRequest {
-        RequestClass spec;
-        double deadline;
-        int limit = Integer.MAX_VALUE; // of attempts, as when it was taken
+        RequestClass requestClass;
+        double deadlineMs;
+        int maxAttempts = Integer.MAX_VALUE; // of attempts, as when it was taken
         boolean ended;
-        String end = "";
-        final List<TestAttempt> tries = new ArrayList<>();
+        String result = "";
+        final List<TestAttempt> attempts = new ArrayList<>();
     }
 
-    PolicySettings set;
-    final Map<Long, TestRequest> calls = new HashMap<>();
-    final Map<String, EndpointEntry> listed = new HashMap<>();
+    PolicySettings settings;
+    final Map<Long, TestRequest> requests = new HashMap<>();
+    final Map<String, EndpointEntry> listedEntries = new HashMap<>();
     final List<String> log = new ArrayList<>();
     final List<EndpointListState> states = new ArrayList<>();
     final List<double[]> timers = new ArrayList<>();
     final List<String> probes = new ArrayList<>();
-    final Set<String> mute = new HashSet<>();
+    final Set<String> silentWorkers = new HashSet<>();
     final Map<String, LoadReport> reports = new HashMap<>();
-    int watches, cancels, answered;
-    boolean confirms = true; // a list held at the start is confirmed at once: nothing has changed
-    double now = 1000;
-    DispatchPolicy node;
+    int watchCalls, cancellations, answeredProbes;
+    boolean confirmsCachedList = true; // a list held at the start is confirmed at once: nothing has changed
+    double nowMs = 1000;
+    DispatchPolicy policy;
 
     RuleCheckingHost(PolicySettings set) {
-        this.set = set;
-        node = new DispatchPolicy(set, 7, this);
+        this.settings = set;
+        policy = new DispatchPolicy(set, 7, this);
     }
 
     static RuleCheckingHost withWorkers(Idempotency effect, DeduplicationScope group, EndpointEntry... entries) {
-        RuleCheckingHost host = new RuleCheckingHost(settings(clazz(effect, group), false, 1));
-        host.list(EndpointListKind.CACHED_SNAPSHOT, entries);
+        RuleCheckingHost host = new RuleCheckingHost(settings(requestClass(effect, group), false, 1));
+        host.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
         return host;
     }
 
@@ -54,9 +54,9 @@
     }
 
     static RuleCheckingHost amongDispatchers(int nodes, EndpointEntry... entries) {
-        RuleCheckingHost host =
-                new RuleCheckingHost(settings(clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, nodes));
-        host.list(EndpointListKind.CACHED_SNAPSHOT, entries);
+        RuleCheckingHost host = new RuleCheckingHost(
+                settings(requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, nodes));
+        host.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
         return host;
     }
 
@@ -64,7 +64,7 @@
         return new LoadReport(active, Double.NaN, Double.NaN, Double.NaN, free, Double.NaN);
     }
 
-    static RequestClass clazz(Idempotency effect, DeduplicationScope group) {
+    static RequestClass requestClass(Idempotency effect, DeduplicationScope group) {
         return new RequestClass(400, 2, 10000, 1, 0, effect, group, 15000, false, -1);
     }
 
@@ -95,119 +95,121 @@
         return new EndpointEntry(id, EndpointLifecycle.ACTIVE, 1, 0, cell, 0, up);
     }
 
-    long us() {
-        return Math.round(now * 1000);
+    long nowUs() {
+        return Math.round(nowMs * 1000);
     }
 
-    void list(EndpointListKind kind, EndpointEntry... entries) {
+    void receiveList(EndpointListKind kind, EndpointEntry... entries) {
         if (kind != EndpointListKind.DELTA) {
-            listed.clear();
+            listedEntries.clear();
         }
         for (EndpointEntry e : entries) {
-            listed.put(e.worker(), e);
+            listedEntries.put(e.worker(), e);
         }
-        node.endpointListReceived(us(), kind, 1, List.of(entries));
-        if (kind == EndpointListKind.CACHED_SNAPSHOT && confirms) {
-            node.endpointListReceived(us(), EndpointListKind.DELTA, 1, List.of());
+        policy.endpointListReceived(nowUs(), kind, 1, List.of(entries));
+        if (kind == EndpointListKind.CACHED_SNAPSHOT && confirmsCachedList) {
+            policy.endpointListReceived(nowUs(), EndpointListKind.DELTA, 1, List.of());
         }
-        if (kind != EndpointListKind.CACHED_SNAPSHOT || confirms) {
-            node.endpointListConfirmed(us());
+        if (kind != EndpointListKind.CACHED_SNAPSHOT || confirmsCachedList) {
+            policy.endpointListConfirmed(nowUs());
         }
     }
 
-    TestRequest take(long id, double work) {
-        return take(id, 0, work, 0);
+    TestRequest accept(long id, double work) {
+        return accept(id, 0, work, 0);
     }
 
-    TestRequest take(long id, int cls, double work, double memory) {
-        return take(id, cls, work, memory, set.classes().get(cls).deadlineMs());
+    TestRequest accept(long id, int cls, double work, double memory) {
+        return accept(id, cls, work, memory, settings.classes().get(cls).deadlineMs());
     }
 
     /** With less left than the class's deadline, as a client's later try comes. */
-    TestRequest take(long id, int cls, double work, double memory, double leftMs) {
-        TestRequest c = new TestRequest();
-        c.spec = set.classes().get(cls);
-        c.deadline = now + leftMs;
-        c.limit = set.permissions().maxAttempts();
-        calls.put(id, c);
-        node.requestAccepted(us(), new PolicyRequest(id, cls, 0, Math.round(c.deadline * 1000), work, 1, memory));
+    TestRequest accept(long id, int cls, double work, double memory, double leftMs) {
+        TestRequest request = new TestRequest();
+        request.requestClass = settings.classes().get(cls);
+        request.deadlineMs = nowMs + leftMs;
+        request.maxAttempts = settings.permissions().maxAttempts();
+        requests.put(id, request);
+        policy.requestAccepted(
+                nowUs(), new PolicyRequest(id, cls, 0, Math.round(request.deadlineMs * 1000), work, 1, memory));
         answerProbes();
-        return c;
+        return request;
     }
 
     /** Takes one under settings that no longer hold, as one that was read just before they changed. */
-    TestRequest takeUnder(PolicySettings before, long id) {
-        TestRequest c = new TestRequest();
-        c.spec = before.classes().get(0);
-        c.limit = before.permissions().maxAttempts();
-        c.deadline = now + c.spec.deadlineMs();
-        calls.put(id, c);
-        node.requestAccepted(
-                us(), new PolicyRequest(id, 0, 0, Math.round(c.deadline * 1000), 100, 1, 0, null, before, 1, null));
+    TestRequest acceptUnder(PolicySettings before, long id) {
+        TestRequest request = new TestRequest();
+        request.requestClass = before.classes().get(0);
+        request.maxAttempts = before.permissions().maxAttempts();
+        request.deadlineMs = nowMs + request.requestClass.deadlineMs();
+        requests.put(id, request);
+        policy.requestAccepted(
+                nowUs(),
+                new PolicyRequest(id, 0, 0, Math.round(request.deadlineMs * 1000), 100, 1, 0, null, before, 1, null));
         answerProbes();
-        return c;
+        return request;
     }
 
     /** The watch, or the call for one, has failed. */
     void listFailed(EndpointWatchFailure loss) {
-        node.endpointWatchFailed(us(), loss, 0);
+        policy.endpointWatchFailed(nowUs(), loss, 0);
     }
 
-    void change(PolicySettings next) {
-        set = next;
-        node.settingsChanged(us(), next);
+    void changeSettings(PolicySettings next) {
+        settings = next;
+        policy.settingsChanged(nowUs(), next);
     }
 
     /** Answers the probes sent so far, unless the worker is to stay mute; reports say what is set for it. */
     void answerProbes() {
-        while (answered < probes.size()) {
-            String w = probes.get(answered++);
-            if (!mute.contains(w)) {
-                node.probeEnded(us(), w, AttemptOutcome.SERVED, 1, reports.get(w));
+        while (answeredProbes < probes.size()) {
+            String w = probes.get(answeredProbes++);
+            if (!silentWorkers.contains(w)) {
+                policy.probeEnded(nowUs(), w, AttemptOutcome.SERVED, 1, reports.get(w));
             }
         }
     }
 
-    void settle(long id, AttemptOutcome v) {
-        TestRequest c = calls.get(id);
-        int n = c.tries.size() - 1;
-        settle(id, n, v);
+    void endAttempt(long id, AttemptOutcome outcome) {
+        TestRequest request = requests.get(id);
+        int n = request.attempts.size() - 1;
+        endAttempt(id, n, outcome);
     }
 
-    void settle(long id, int n, AttemptOutcome v) {
-        TestRequest c = calls.get(id);
-        TestAttempt t = c.tries.get(n);
-        t.over = true;
-        t.neverRan = v.provesNeverRan();
-        boolean was = c.ended;
-        c.ended |= v == AttemptOutcome.SERVED;
-        if (c.ended && !was) {
-            c.end = "served";
+    void endAttempt(long id, int n, AttemptOutcome outcome) {
+        TestRequest request = requests.get(id);
+        TestAttempt attempt = request.attempts.get(n);
+        attempt.ended = true;
+        attempt.neverRan = outcome.provesNeverRan();
+        boolean was = request.ended;
+        request.ended |= outcome == AttemptOutcome.SERVED;
+        if (request.ended && !was) {
+            request.result = "served";
         }
-        node.attemptEnded(us(), id, n, t.worker, v, now - t.sentAt, c.ended, null);
+        policy.attemptEnded(nowUs(), id, n, attempt.worker, outcome, nowMs - attempt.sentAtMs, request.ended, null);
     }
 
     /** Lets time pass, firing the node's timers. */
-    void pass(double ms) {
-        double end = now + ms;
+    void advance(double ms) {
+        double end = nowMs + ms;
         while (true) {
             double[] first = null;
-            for (double[] t : timers) {
-                if (t[0] <= end && (first == null || t[0] < first[0])) {
-                    first = t;
+            for (double[] attempt : timers) {
+                if (attempt[0] <= end && (first == null || attempt[0] < first[0])) {
+                    first = attempt;
                 }
             }
             if (first == null) {
                 break;
             }
             timers.remove(first);
-            now = Math.max(now, first[0]);
-            node.timerExpired(us(), (long) first[1]);
+            nowMs = Math.max(nowMs, first[0]);
+            policy.timerExpired(nowUs(), (long) first[1]);
         }
-        now = end;
+        nowMs = end;
     }
 
-    static void rule(boolean ok, String what) {
+    static void requireRule(boolean ok, String what) {
         if (!ok) {
             throw new AssertionError(what);
         }
@@ -215,37 +217,41 @@
 
     @Override
     public void sendAttempt(long id, String worker) {
-        TestRequest c = calls.get(id);
-        rule(!c.ended, "rule 1: a send after the end");
-        rule(now < c.deadline, "rule 1: a send past the deadline");
-        rule(
-                listed.containsKey(worker) && listed.get(worker).lifecycle() == EndpointLifecycle.ACTIVE,
+        TestRequest request = requests.get(id);
+        requireRule(!request.ended, "rule 1: a send after the end");
+        requireRule(nowMs < request.deadlineMs, "rule 1: a send past the deadline");
+        requireRule(
+                listedEntries.containsKey(worker) && listedEntries.get(worker).lifecycle() == EndpointLifecycle.ACTIVE,
                 "rule 3: " + worker);
         int outNow = 0;
-        for (TestAttempt t : c.tries) {
-            outNow += t.over ? 0 : 1;
-            if (!t.neverRan) {
-                rule(c.spec.idempotency() != Idempotency.NON_IDEMPOTENT, "rule 2: unsafe sent twice");
-                if (c.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-                    rule(now - t.sentAt <= c.spec.deduplicationWindowMs(), "rule 2: outside the window");
-                    rule(
-                            c.spec.deduplicationScope() != DeduplicationScope.CELL || cell(t.worker) == cell(worker),
+        for (TestAttempt attempt : request.attempts) {
+            outNow += attempt.ended ? 0 : 1;
+            if (!attempt.neverRan) {
+                requireRule(
+                        request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT, "rule 2: unsafe sent twice");
+                if (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                    requireRule(
+                            nowMs - attempt.sentAtMs <= request.requestClass.deduplicationWindowMs(),
+                            "rule 2: outside the window");
+                    requireRule(
+                            request.requestClass.deduplicationScope() != DeduplicationScope.CELL
+                                    || cell(attempt.worker) == cell(worker),
                             "rule 2: outside the cell");
                 }
             }
         }
-        rule(outNow <= (set.permissions().hedging() ? 1 : 0), "rule 2: too many attempts out");
-        rule(c.tries.size() < Math.min(c.limit, 4), "tryLimit");
-        TestAttempt t = new TestAttempt();
-        t.worker = worker;
-        t.sentAt = now;
-        c.tries.add(t);
+        requireRule(outNow <= (settings.permissions().hedging() ? 1 : 0), "rule 2: too many attempts out");
+        requireRule(request.attempts.size() < Math.min(request.maxAttempts, 4), "tryLimit");
+        TestAttempt attempt = new TestAttempt();
+        attempt.worker = worker;
+        attempt.sentAtMs = nowMs;
+        request.attempts.add(attempt);
     }
 
     private final Map<String, Integer> cells = new HashMap<>();
 
     private int cell(String worker) {
-        EndpointEntry e = listed.get(worker);
+        EndpointEntry e = listedEntries.get(worker);
         if (e != null) {
             cells.put(worker, e.cell());
         }
@@ -254,50 +260,53 @@
 
     @Override
     public void reject(long id, double pauseMs, RejectionReason why) {
-        TestRequest c = calls.get(id);
-        rule(!c.ended, "rule 1: two answers");
-        boolean ran = c.tries.stream().anyMatch(t -> !t.neverRan);
-        rule(
+        TestRequest request = requests.get(id);
+        requireRule(!request.ended, "rule 1: two answers");
+        boolean ran = request.attempts.stream().anyMatch(attempt -> !attempt.neverRan);
+        requireRule(
                 !ran
-                        || c.spec.idempotency() == Idempotency.READ_LIKE
-                        || c.spec.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                                && c.spec.deduplicationScope() == DeduplicationScope.ALL,
+                        || request.requestClass.idempotency() == Idempotency.READ_LIKE
+                        || request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                && request.requestClass.deduplicationScope() == DeduplicationScope.ALL,
                 "rule 2: refused what may have run");
-        rule(now <= c.deadline + set.rules().responseSlackMs(), "rule 1: late answer");
-        rule(pauseMs <= set.permissions().maxRetryAfterMs(), "pause beyond what clients follow");
-        c.ended = true;
-        c.end = "refused";
+        requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
+        requireRule(pauseMs <= settings.permissions().maxRetryAfterMs(), "pause beyond what clients follow");
+        request.ended = true;
+        request.result = "refused";
     }
 
     @Override
     public void fail(long id, RejectionReason why) {
-        TestRequest c = calls.get(id);
-        rule(!c.ended, "rule 1: two answers");
-        rule(now <= c.deadline + set.rules().responseSlackMs(), "rule 1: late answer");
-        c.ended = true;
-        c.end = "failed";
+        TestRequest request = requests.get(id);
+        requireRule(!request.ended, "rule 1: two answers");
+        requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
+        request.ended = true;
+        request.result = "failed";
     }
 
     @Override
     public void cancelAttempt(long id, int attempt) {
-        rule(set.permissions().cancellation() && attempt < calls.get(id).tries.size(), "cancel");
-        cancels++;
+        requireRule(
+                settings.permissions().cancellation()
+                        && attempt < requests.get(id).attempts.size(),
+                "cancel");
+        cancellations++;
     }
 
     @Override
     public void probe(String worker) {
-        rule(set.permissions().probing(), "probe");
+        requireRule(settings.permissions().probing(), "probe");
         probes.add(worker);
     }
 
     @Override
     public void watchEndpointList() {
-        watches++;
+        watchCalls++;
     }
 
     @Override
     public void scheduleTimer(double delayMs, long label) {
-        timers.add(new double[] {now + delayMs, label});
+        timers.add(new double[] {nowMs + delayMs, label});
     }
 
     @Override
--- a/src/test/java/maplespread/policy/SettingsChangeTest.java
+++ b/src/test/java/maplespread/policy/SettingsChangeTest.java
@@ -17,7 +17,8 @@
  */
 class SettingsChangeTest {
     private static PolicySettings settings(Idempotency effect, int tries) {
-        PolicySettings s = RuleCheckingHost.settings(RuleCheckingHost.clazz(effect, DeduplicationScope.ALL), true, 1);
+        PolicySettings s =
+                RuleCheckingHost.settings(RuleCheckingHost.requestClass(effect, DeduplicationScope.ALL), true, 1);
         return new PolicySettings(
                 1,
                 0,
@@ -38,7 +39,7 @@
 
     private static RuleCheckingHost host(PolicySettings set) {
         RuleCheckingHost h = new RuleCheckingHost(set);
-        h.list(
+        h.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT,
                 IntStream.range(0, 5)
                         .mapToObj(i -> RuleCheckingHost.entry("w" + i, 0, 0))
@@ -57,40 +58,40 @@
         PolicySettings before = settings(was, triesWere);
         PolicySettings after = settings(becomes, triesBecome);
         RuleCheckingHost h = host(before);
-        h.take(1, 100);
-        h.change(after);
-        h.takeUnder(before, 2);
-        h.take(3, 100);
+        h.accept(1, 100);
+        h.changeSettings(after);
+        h.acceptUnder(before, 2);
+        h.accept(3, 100);
         for (int i = 0; i < 300; i++) { // longer than their deadlines
-            for (Map.Entry<Long, RuleCheckingHost.TestRequest> e : h.calls.entrySet()) {
-                List<RuleCheckingHost.TestAttempt> tries = e.getValue().tries;
-                if (!tries.isEmpty() && !tries.get(tries.size() - 1).over) {
-                    h.settle(e.getKey(), mayHaveRun ? AttemptOutcome.ERROR : AttemptOutcome.REJECTED);
+            for (Map.Entry<Long, RuleCheckingHost.TestRequest> e : h.requests.entrySet()) {
+                List<RuleCheckingHost.TestAttempt> tries = e.getValue().attempts;
+                if (!tries.isEmpty() && !tries.get(tries.size() - 1).ended) {
+                    h.endAttempt(e.getKey(), mayHaveRun ? AttemptOutcome.ERROR : AttemptOutcome.REJECTED);
                 }
             }
-            h.pass(50);
+            h.advance(50);
         }
         for (long id = 1; id <= 3; id++) {
-            RuleCheckingHost.TestRequest c = h.calls.get(id);
+            RuleCheckingHost.TestRequest request = h.requests.get(id);
             Idempotency effect = id == 3 ? becomes : was;
             int most = mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? 1 : id == 3 ? triesBecome : triesWere;
-            assertEquals(most, c.tries.size(), "attempts of " + id);
-            assertEquals(mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? "failed" : "refused", c.end);
+            assertEquals(most, request.attempts.size(), "attempts of " + id);
+            assertEquals(mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? "failed" : "refused", request.result);
         }
     }
 
     private static int sentToACold(PolicySettings set) {
         RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4));
-        h.change(set);
-        h.list(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("cold", 0, h.now));
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4));
+        h.changeSettings(set);
+        h.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("cold", 0, h.nowMs));
         int sent = 0;
         for (int i = 1; i <= 400; i++) {
-            RuleCheckingHost.TestRequest c = h.take(i, 10);
-            h.pass(5);
-            if (!c.tries.isEmpty()) {
-                sent += c.tries.get(0).worker.equals("cold") ? 1 : 0;
-                h.settle(i, AttemptOutcome.SERVED);
+            RuleCheckingHost.TestRequest request = h.accept(i, 10);
+            h.advance(5);
+            if (!request.attempts.isEmpty()) {
+                sent += request.attempts.get(0).worker.equals("cold") ? 1 : 0;
+                h.endAttempt(i, AttemptOutcome.SERVED);
             }
         }
         return sent;
@@ -100,7 +101,7 @@
     @Test
     void twoProcessesOfOneNodeSendAColdWorkerWhatOneWould() {
         PolicySettings s = RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4);
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4);
         PolicySettings one = new PolicySettings(
                 4,
                 0,
@@ -125,20 +126,20 @@
     @Test
     void whatIsKnownOfWorkersSurvivesAndClassesOnlyCome() {
         RuleCheckingHost h = host(settings(Idempotency.READ_LIKE, 4));
-        String down = h.take(1, 100).tries.get(0).worker;
-        h.mute.add(down);
-        h.settle(1, AttemptOutcome.CONNECT_FAILED);
-        int avoided = h.node.avoidedWorkers();
+        String down = h.accept(1, 100).attempts.get(0).worker;
+        h.silentWorkers.add(down);
+        h.endAttempt(1, AttemptOutcome.CONNECT_FAILED);
+        int avoided = h.policy.avoidedWorkers();
         assertTrue(avoided >= 1);
-        RequestClass one = h.set.classes().get(0);
-        h.change(h.set.withClasses(
-                List.of(one, RuleCheckingHost.clazz(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL))));
-        assertEquals(avoided, h.node.avoidedWorkers());
-        RuleCheckingHost.TestRequest c = h.take(2, 1, 100, 0);
-        h.settle(2, AttemptOutcome.ERROR);
-        h.pass(1000);
-        assertEquals("failed", c.end, "the new class has its own effect");
+        RequestClass one = h.settings.classes().get(0);
+        h.changeSettings(h.settings.withClasses(
+                List.of(one, RuleCheckingHost.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL))));
+        assertEquals(avoided, h.policy.avoidedWorkers());
+        RuleCheckingHost.TestRequest request = h.accept(2, 1, 100, 0);
+        h.endAttempt(2, AttemptOutcome.ERROR);
+        h.advance(1000);
+        assertEquals("failed", request.result, "the new class has its own effect");
         PolicySettings fewer = settings(Idempotency.NON_IDEMPOTENT, 1);
-        assertThrows(IllegalArgumentException.class, () -> h.node.settingsChanged(h.us(), fewer));
+        assertThrows(IllegalArgumentException.class, () -> h.policy.settingsChanged(h.nowUs(), fewer));
     }
 }
--- a/src/test/java/maplespread/policy/SpeedEstimatorTest.java
+++ b/src/test/java/maplespread/policy/SpeedEstimatorTest.java
@@ -12,17 +12,17 @@
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
                 Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, cold ? 1000 : 0));
         for (int i = 1; i <= 4; i++) {
-            RuleCheckingHost.TestRequest c = host.take(i, 500);
-            while (c.tries.isEmpty()) {
-                host.pass(100); // its share of the cold budget fills
+            RuleCheckingHost.TestRequest request = host.accept(i, 500);
+            while (request.attempts.isEmpty()) {
+                host.advance(100); // its share of the cold budget fills
             }
-            host.node.attemptProgressed(host.us(), i, 0, "a", true, 0);
-            host.now += runMs;
-            host.settle(i, AttemptOutcome.SERVED);
+            host.policy.attemptProgressed(host.nowUs(), i, 0, "a", true, 0);
+            host.nowMs += runMs;
+            host.endAttempt(i, AttemptOutcome.SERVED);
         }
-        host.list(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("b", 0, 0));
+        host.receiveList(EndpointListKind.FULL_SNAPSHOT, RuleCheckingHost.entry("b", 0, 0));
         int taken = 0;
-        while (host.take(1000 + taken, 500).end.isEmpty()) {
+        while (host.accept(1000 + taken, 500).result.isEmpty()) {
             taken++;
         }
         return taken;
@@ -41,16 +41,16 @@
     void aWorkerOnceSlowIsTriedAgain() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         for (int i = 1; i <= 40; i++) { // each alone; a is ten times slower than b
-            RuleCheckingHost.TestRequest c = host.take(i, 300);
-            host.pass(c.tries.get(0).worker.equals("a") ? 3000 : 300);
-            host.settle(i, AttemptOutcome.SERVED);
+            RuleCheckingHost.TestRequest request = host.accept(i, 300);
+            host.advance(request.attempts.get(0).worker.equals("a") ? 3000 : 300);
+            host.endAttempt(i, AttemptOutcome.SERVED);
         }
-        assertEquals("b", host.take(100, 300).tries.get(0).worker, "while it is known to be slow");
-        host.settle(100, AttemptOutcome.SERVED);
-        host.pass(120000); // some of the shortest deadline's multiples
+        assertEquals("b", host.accept(100, 300).attempts.get(0).worker, "while it is known to be slow");
+        host.endAttempt(100, AttemptOutcome.SERVED);
+        host.advance(120000); // some of the shortest deadline's multiples
         boolean again = false;
         for (int i = 101; i < 105; i++) {
-            again |= host.take(i, 300).tries.stream().anyMatch(t -> t.worker.equals("a"));
+            again |= host.accept(i, 300).attempts.stream().anyMatch(attempt -> attempt.worker.equals("a"));
         }
         assertTrue(again, "never tried again");
     }
--- a/src/test/java/maplespread/policy/WorkerBacklogTest.java
+++ b/src/test/java/maplespread/policy/WorkerBacklogTest.java
@@ -13,59 +13,67 @@
     @Test
     void aPausedWorkerKeepsItsBacklog() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        host.take(1, 800);
-        host.take(2, 100);
-        host.settle(2, AttemptOutcome.SERVED);
-        host.pass(800);
-        assertEquals("b", host.take(3, 300).tries.get(0).worker);
+        host.accept(1, 800);
+        host.accept(2, 100);
+        host.endAttempt(2, AttemptOutcome.SERVED);
+        host.advance(800);
+        assertEquals("b", host.accept(3, 300).attempts.get(0).worker);
     }
 
     /** Guards against connections that fall silent: a job that a later one has outrun tells of no queue. */
     @Test
     void anOvertakenAttemptIsPlacedAnew() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest silent = host.take(1, 300);
-        String at = silent.tries.get(0).worker;
-        host.pass(250);
+        RuleCheckingHost.TestRequest silent = host.accept(1, 300);
+        String at = silent.attempts.get(0).worker;
+        host.advance(250);
         long next = 2;
-        while (!host.take(next, 300).tries.get(0).worker.equals(at)) {
+        while (!host.accept(next, 300).attempts.get(0).worker.equals(at)) {
             next++;
         }
-        assertEquals(0, host.cancels);
-        host.node.attemptProgressed(host.us(), next, 0, at, true, 0);
-        assertEquals(1, host.cancels, "its connection is dead, not the worker");
-        host.settle(1, 0, AttemptOutcome.CANCELLED);
-        assertEquals(2, silent.tries.size());
+        assertEquals(0, host.cancellations);
+        host.policy.attemptProgressed(host.nowUs(), next, 0, at, true, 0);
+        assertEquals(1, host.cancellations, "its connection is dead, not the worker");
+        host.endAttempt(1, 0, AttemptOutcome.CANCELLED);
+        assertEquals(2, silent.attempts.size());
     }
 
     /** Others' load shown by reports counts as backlog. */
     @Test
     void reportedLoadOfOthersMovesWorkAway() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
-                RuleCheckingHost.clazz(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
-        host.list(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
+        host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        host.take(1, 400);
-        host.settle(1, AttemptOutcome.SERVED);
-        host.node.probeEnded(
-                host.us(), "a", AttemptOutcome.SERVED, 1, new LoadReport(9, Double.NaN, 1, Double.NaN, 0, Double.NaN));
-        host.node.probeEnded(
-                host.us(), "b", AttemptOutcome.SERVED, 1, new LoadReport(0, Double.NaN, 0, Double.NaN, 2, Double.NaN));
-        assertEquals("b", host.take(2, 400).tries.get(0).worker);
+        host.accept(1, 400);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        host.policy.probeEnded(
+                host.nowUs(),
+                "a",
+                AttemptOutcome.SERVED,
+                1,
+                new LoadReport(9, Double.NaN, 1, Double.NaN, 0, Double.NaN));
+        host.policy.probeEnded(
+                host.nowUs(),
+                "b",
+                AttemptOutcome.SERVED,
+                1,
+                new LoadReport(0, Double.NaN, 0, Double.NaN, 2, Double.NaN));
+        assertEquals("b", host.accept(2, 400).attempts.get(0).worker);
     }
 
     /** Guards the queue of others, which no report shows: a job that starts late tells of it. */
     @Test
     void aLateStartTellsOfWorkThatNoReportShows() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        host.take(1, 300);
-        String slow = host.calls.get(1L).tries.get(0).worker;
-        host.pass(400);
-        host.node.attemptProgressed(host.us(), 1, 0, slow, true, 0);
-        host.settle(1, AttemptOutcome.SERVED);
+        host.accept(1, 300);
+        String slow = host.requests.get(1L).attempts.get(0).worker;
+        host.advance(400);
+        host.policy.attemptProgressed(host.nowUs(), 1, 0, slow, true, 0);
+        host.endAttempt(1, AttemptOutcome.SERVED);
         for (int i = 2; i <= 4; i++) {
-            assertNotEquals(slow, host.take(i, 300).tries.get(0).worker, "job " + i);
-            host.settle(i, AttemptOutcome.SERVED);
+            assertNotEquals(slow, host.accept(i, 300).attempts.get(0).worker, "job " + i);
+            host.endAttempt(i, AttemptOutcome.SERVED);
         }
     }
 
@@ -73,14 +81,15 @@
     @Test
     void aWideRequestFillsItsSlots() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest c = host.calls.computeIfAbsent(1L, k -> new RuleCheckingHost.TestRequest());
-        c.spec = host.set.classes().get(0);
-        c.deadline = host.now + 9000;
-        host.node.requestAccepted(
-                host.us(), new PolicyRequest(1, 0, 0, Math.round((host.now + 9000) * 1000), 100, 2, 0));
-        String wide = c.tries.get(0).worker;
-        assertNotEquals(wide, host.take(2, 100).tries.get(0).worker);
-        assertNotEquals(wide, host.take(3, 100).tries.get(0).worker, "the other has a slot left");
+        RuleCheckingHost.TestRequest request =
+                host.requests.computeIfAbsent(1L, k -> new RuleCheckingHost.TestRequest());
+        request.requestClass = host.settings.classes().get(0);
+        request.deadlineMs = host.nowMs + 9000;
+        host.policy.requestAccepted(
+                host.nowUs(), new PolicyRequest(1, 0, 0, Math.round((host.nowMs + 9000) * 1000), 100, 2, 0));
+        String wide = request.attempts.get(0).worker;
+        assertNotEquals(wide, host.accept(2, 100).attempts.get(0).worker);
+        assertNotEquals(wide, host.accept(3, 100).attempts.get(0).worker, "the other has a slot left");
     }
 
     /** Guards nodes with little traffic, which hear of few starts: a full worker's report hides its queue. */
@@ -93,17 +102,17 @@
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(60, entries);
         List.of(entries).forEach(e -> host.reports.put(e.worker(), RuleCheckingHost.report(Double.NaN, 0)));
         for (int i = 1; i <= 6; i++) {
-            RuleCheckingHost.TestRequest c = host.take(i, 300);
-            host.pass(2500);
-            for (RuleCheckingHost.TestAttempt t : c.tries) {
-                host.node.attemptProgressed(host.us(), i, 0, t.worker, true, 0);
-                host.pass(300);
-                host.settle(i, AttemptOutcome.SERVED);
+            RuleCheckingHost.TestRequest request = host.accept(i, 300);
+            host.advance(2500);
+            for (RuleCheckingHost.TestAttempt attempt : request.attempts) {
+                host.policy.attemptProgressed(host.nowUs(), i, 0, attempt.worker, true, 0);
+                host.advance(300);
+                host.endAttempt(i, AttemptOutcome.SERVED);
             }
         }
         int sent = 0;
         for (int i = 101; i <= 120; i++) {
-            sent += host.take(i, 300).tries.size();
+            sent += host.accept(i, 300).attempts.size();
         }
         assertTrue(sent <= 5, "sent as if nobody waited at those not heard of: " + sent);
     }
@@ -112,12 +121,12 @@
     @Test
     void memoryDecidesWhereARequestCanStart() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        assertEquals("a", host.take(1, 0, 500, 1.5).tries.get(0).worker);
-        assertEquals("b", host.take(2, 0, 100, 1.5).tries.get(0).worker);
-        host.settle(2, AttemptOutcome.SERVED);
-        assertEquals("b", host.take(3, 0, 100, 1).tries.get(0).worker, "a slot is free at a, but no memory");
-        assertFalse(host.take(4, 0, 100, -3).tries.isEmpty());
-        assertFalse(host.take(5, 0, 100, Double.NaN).tries.isEmpty());
-        assertFalse(host.take(6, 0, 100, 1e9).tries.isEmpty());
+        assertEquals("a", host.accept(1, 0, 500, 1.5).attempts.get(0).worker);
+        assertEquals("b", host.accept(2, 0, 100, 1.5).attempts.get(0).worker);
+        host.endAttempt(2, AttemptOutcome.SERVED);
+        assertEquals("b", host.accept(3, 0, 100, 1).attempts.get(0).worker, "a slot is free at a, but no memory");
+        assertFalse(host.accept(4, 0, 100, -3).attempts.isEmpty());
+        assertFalse(host.accept(5, 0, 100, Double.NaN).attempts.isEmpty());
+        assertFalse(host.accept(6, 0, 100, 1e9).attempts.isEmpty());
     }
 }
--- a/src/test/java/maplespread/policy/WorkerSelectorTest.java
+++ b/src/test/java/maplespread/policy/WorkerSelectorTest.java
@@ -9,9 +9,9 @@
     @Test
     void takesTheWorkerWithTheLeastBacklog() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        assertEquals("a", host.take(1, 500).tries.get(0).worker);
-        assertEquals("b", host.take(2, 500).tries.get(0).worker);
-        host.settle(1, AttemptOutcome.SERVED);
-        assertEquals("a", host.take(3, 500).tries.get(0).worker);
+        assertEquals("a", host.accept(1, 500).attempts.get(0).worker);
+        assertEquals("b", host.accept(2, 500).attempts.get(0).worker);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        assertEquals("a", host.accept(3, 500).attempts.get(0).worker);
     }
 }
