--- a/src/main/java/maplespread/policy/Eligibility.java
+++ b/src/main/java/maplespread/policy/Eligibility.java
@@ -8,7 +8,7 @@
     /** All conditions hold. */
     ELIGIBLE,
 
-    /** The list shows the worker as draining or removed. Rule 3: only active workers get requests. */
+    /** The list shows the worker as draining or removed. Only active workers get requests. */
     WORKER_NOT_ACTIVE,
 
     /**
@@ -26,24 +26,26 @@
     /** The request is restricted to other workers ({@link PolicyRequest#eligibleWorkers}). */
     NOT_AMONG_ALLOWED_WORKERS,
 
-    /** The request has ended, or its response has started. Rule 1: one final answer. */
+    /** The request has ended, or its response has started: a request gets one final answer. */
     REQUEST_ENDED,
 
-    /** The request's deadline has passed. Rule 1. */
+    /** The request's deadline has passed: its client does not wait any longer. */
     DEADLINE_PASSED,
 
-    /** Another attempt of the request is in flight. Rule 2: one at a time. */
+    /** Another attempt of the request is in flight: a request has one at a time. */
     ATTEMPT_IN_FLIGHT,
 
     /** The request has had all attempts that its settings allow ({@link SitePermissions#maxAttempts}). */
     ATTEMPTS_USED,
 
-    /** An earlier attempt may have run, and its class may not be repeated, or not any more. Rule 2. */
+    /** An earlier attempt may have run, and its class may not be repeated, or not any more ({@link RequestClass#mayRepeatAfter}). */
     MAY_HAVE_RUN,
 
-    /** An earlier attempt may have run, and this worker does not drop its repeat ({@link DeduplicationScope}). Rule 2. */
+    /** An earlier attempt may have run, and this worker does not drop its repeat ({@link DeduplicationScope}). */
     OUTSIDE_DEDUPLICATION_SCOPE,
 
-    /** The worker is in slow start, and this dispatcher's share of what it may be sent is used. Rule 4. */
+    /**
+     * The worker is in slow start, and this dispatcher's share of what it may be sent is used ({@link
+     * SlowStartBudget}). */
     SLOW_START_BUDGET_USED
 }
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -1,17 +1,20 @@
 package maplespread.policy;
 
 /**
- * When a worker is ejected (gets no new requests), when it is tried again, and how likely each request class is to fail
- * at it.
+ * When a worker gets no new requests because of what was seen of it, when it is tried again, and how likely each
+ * request class is to fail at it.
  *
  * <ul>
- *   <li>A broken or impossible connection ejects it until a probe or a trial gets through; a probe goes out at once.
- *   <li>A rejection, a failed connection and a timeout without a sign of life make it back off, without ejection: it
- *       is retried after a while that doubles from one objective.
- *   <li>A class that fails here, or hangs, raises the worker's price for that class alone.
+ *   <li>Ejected: a connection to it broke or could not be had. A probe goes out at once, and again at a look at the
+ *       fleet ({@link FleetLoadEstimate}) whenever its backoff is over. It ends with a sign of life: an answered probe, a
+ *       served attempt, a start or progress report; or when the list says that the worker has started since.
+ *   <li>Backing off, ejected or not: after a rejection, a failed connection, a timeout without a later sign of life, or a
+ *       probe round without its answer. It ends after one objective, twice as long with each such failure in a row,
+ *       32 objectives or half the estimators' memory at most.
+ *   <li>Neither: a class that fails there, or has overdue attempts, raises the worker's price for that class alone.
  * </ul>
  *
- * Times are ms.
+ * <p>A request for which no ready worker is left may still be sent to an ejected one, as a trial. Times are ms.
  */
 final class OutlierDetector {
     /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
--- a/src/test/java/maplespread/policy/AdmissionControlTest.java
+++ b/src/test/java/maplespread/policy/AdmissionControlTest.java
@@ -17,7 +17,7 @@
             last = host.accept(i, 500);
             served += last.attempts.size();
         }
-        assertEquals("refused", last.result);
+        assertEquals("rejected", last.result);
         assertTrue(served >= 4 && served < 40, "took " + served);
     }
 
@@ -66,7 +66,7 @@
                             ? 500
                             : 0); // all rest
         }
-        assertEquals("refused", request.result);
+        assertEquals("rejected", request.result);
     }
 
     @Test
@@ -74,6 +74,6 @@
         RuleCheckingHost host = RuleCheckingHost.withWorkers(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL);
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         host.advance(1000);
-        assertEquals("refused", request.result);
+        assertEquals("rejected", request.result);
     }
 }
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -21,6 +21,7 @@
         int maxAttempts = Integer.MAX_VALUE; // of attempts, as when it was taken
         boolean ended;
         String result = "";
+        RejectionReason reason;
         final List<TestAttempt> attempts = new ArrayList<>();
     }
 
@@ -272,7 +273,8 @@
         requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
         requireRule(pauseMs <= settings.permissions().maxRetryAfterMs(), "pause beyond what clients follow");
         request.ended = true;
-        request.result = "refused";
+        request.result = "rejected";
+        request.reason = why;
     }
 
     @Override
@@ -282,6 +284,7 @@
         requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
         request.ended = true;
         request.result = "failed";
+        request.reason = why;
     }
 
     @Override
--- a/src/test/java/maplespread/policy/SettingsChangeTest.java
+++ b/src/test/java/maplespread/policy/SettingsChangeTest.java
@@ -76,7 +76,7 @@
             Idempotency effect = id == 3 ? becomes : was;
             int most = mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? 1 : id == 3 ? triesBecome : triesWere;
             assertEquals(most, request.attempts.size(), "attempts of " + id);
-            assertEquals(mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? "failed" : "refused", request.result);
+            assertEquals(mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? "failed" : "rejected", request.result);
         }
     }
 
