--- /dev/null
+++ b/src/test/java/maplespread/policy/SlowStartBudgetTest.java
@@ -0,0 +1,65 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What a worker in slow start is sent. */
+class SlowStartBudgetTest {
+    @Test
+    void aWorkerInSlowStartGetsOnlyItsShareOfTheBudget() {
+        RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
+        host.nowMs = 50000;
+        host.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
+        double sent = 0;
+        for (int i = 1; i < 50; i++) {
+            sent += host.accept(i, 100).attempts.size() * 100;
+        }
+        // 4 times present capacity (0.3 of at most 2 slots at speed 1) over 1.5 s, by two nodes
+        assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500 / 2, "sent " + sent);
+    }
+
+    /**
+     * Guards the saved-up cold budget: many nodes, each with a share below one job, must not starve new
+     * workers.
+     */
+    @Test
+    void aShareBelowOneRequestStillLetsOneThroughInTime() {
+        RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 30));
+        host.nowMs = 50000;
+        host.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
+        for (int i = 1; i < 80; i++) {
+            host.accept(i, 500);
+            host.advance(100);
+            for (long id = 1; id <= i; id++) {
+                RuleCheckingHost.TestRequest request = host.requests.get(id);
+                if (!request.ended && request.attempts.size() > 0) {
+                    host.endAttempt(id, AttemptOutcome.SERVED);
+                }
+            }
+        }
+        int sent = host.requests.values().stream()
+                .mapToInt(request -> request.attempts.size())
+                .sum();
+        assertTrue(sent >= 1 && sent <= 12, "sent " + sent);
+    }
+
+    /** Guards savings of cold budget: unused they lapse, so that a thousand nodes do not send at once. */
+    @Test
+    void unusedBudgetLapses() {
+        int sent = 0;
+        for (int node = 0; node < 200; node++) {
+            RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                    RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 200));
+            host.policy = new DispatchPolicy(host.settings, node, host);
+            host.nowMs = 50000;
+            host.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
+            host.advance(6000); // all idle, then all have a request at once
+            sent += host.accept(1, 500).attempts.size();
+        }
+        // 4 times 0.8 of two slots over a window of 1.5 s is 19 jobs of 500 ms
+        assertTrue(sent <= 19, "sent " + sent);
+    }
+}
