--- a/src/main/java/maplespread/discovery/EndpointListener.java
+++ b/src/main/java/maplespread/discovery/EndpointListener.java
@@ -4,13 +4,14 @@
 import maplespread.policy.EndpointListDoubt;
 import maplespread.policy.EndpointWatchFailure;
 
-/** Takes what a source learns. */
+/** Notified of what an {@link EndpointSource} learns, on the source's threads, one call at a time. */
 public interface EndpointListener {
-    void endpointsChanged(EndpointUpdate news);
+    /** The list, or a part of it, has changed. */
+    void endpointsChanged(EndpointUpdate update);
 
-    /** A watch that the module had asked for could not be had or broke, last heard so long ago. */
-    void watchLost(EndpointWatchFailure loss, double heardAgoMs);
+    /** A watch that the policy had asked for could not be opened or broke, last heard of so many ms ago. */
+    void watchLost(EndpointWatchFailure failure, double heardAgoMs);
 
-    /** The list may be out of date, heard of last so long ago, until news comes that is current. */
-    void listUnconfirmed(EndpointListDoubt why, double heardAgoMs);
+    /** The list may be out of date, last heard of so many ms ago, until an update comes that is confirmed. */
+    void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs);
 }
--- a/src/main/java/maplespread/discovery/EndpointParser.java
+++ b/src/main/java/maplespread/discovery/EndpointParser.java
@@ -8,12 +8,13 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Pattern;
 import maplespread.facade.Endpoint;
 import maplespread.facade.EndpointUpdate;
 
-/** Reads discovery's objects. */
+/** Parses discovery's JSON objects: endpoint lists and single endpoints. Thread-safe. */
 public final class EndpointParser {
-    /** An object that is not one of discovery's. */
+    /** A text is not one of discovery's endpoint lists. */
     public static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -22,15 +23,18 @@
         }
     }
 
+    private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9.]+|\\[[0-9A-Fa-f:.]+]");
+
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** With the settings' names, whose places in the lists the routes carry. */
+    /** With the settings' names of zones and machine kinds, whose numbers in the lists endpoints carry. */
     public EndpointParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
+    /** Parses the text of an endpoint list. */
     public EndpointUpdate parse(String text) throws MalformedListException {
         try {
             return parse(JsonParser.parseString(text).getAsJsonObject());
@@ -39,56 +43,61 @@
         }
     }
 
-    public EndpointUpdate parse(JsonObject o) throws MalformedListException {
+    /** Parses an endpoint list: a full snapshot where it has {@code reset}, else a delta. */
+    public EndpointUpdate parse(JsonObject list) throws MalformedListException {
         try {
-            List<Endpoint> routes = new ArrayList<>();
-            for (JsonElement e : o.getAsJsonArray("instances")) {
-                routes.add(parseEndpoint(e.getAsJsonObject()));
+            List<Endpoint> endpoints = new ArrayList<>();
+            for (JsonElement instance : list.getAsJsonArray("instances")) {
+                endpoints.add(parseEndpoint(instance.getAsJsonObject()));
             }
-            boolean whole = o.has("reset") && o.get("reset").getAsBoolean();
+            boolean reset = list.has("reset") && list.get("reset").getAsBoolean();
             return new EndpointUpdate(
-                    whole ? EndpointUpdate.Kind.FULL_SNAPSHOT : EndpointUpdate.Kind.DELTA,
-                    o.get("generation").getAsLong(),
-                    routes);
+                    reset ? EndpointUpdate.Kind.FULL_SNAPSHOT : EndpointUpdate.Kind.DELTA,
+                    list.get("generation").getAsLong(),
+                    endpoints);
         } catch (RuntimeException e) {
             throw new MalformedListException("not a route set: " + e.getMessage());
         }
     }
 
-    /** One worker; any runtime exception: it cannot be read. */
-    public Endpoint parseEndpoint(JsonObject o) {
-        String address = o.get("hostPort").getAsString();
+    /** Parses one endpoint; any runtime exception: it cannot be read, its message says why. */
+    public Endpoint parseEndpoint(JsonObject instance) {
+        String address = instance.get("hostPort").getAsString();
         parseAddress(address);
-        Endpoint.State state = lifecycle(o.get("lifecycle").getAsString());
+        Endpoint.State state = parseState(instance.get("lifecycle").getAsString());
         return new Endpoint(
-                o.get("instanceId").getAsString(),
+                instance.get("instanceId").getAsString(),
                 address,
                 state,
-                o.has("weight") ? o.get("weight").getAsDouble() : 1,
-                place(kinds, o, "machineType"),
-                o.has("cell") ? o.get("cell").getAsInt() : 0,
-                place(zones, o, "zone"),
-                o.has("startedAtMs") ? o.get("startedAtMs").getAsDouble() : 0);
+                instance.has("weight") ? instance.get("weight").getAsDouble() : 1,
+                numberOf(kinds, instance, "machineType"),
+                instance.has("cell") ? instance.get("cell").getAsInt() : 0,
+                numberOf(zones, instance, "zone"),
+                instance.has("startedAtMs") ? instance.get("startedAtMs").getAsDouble() : 0);
     }
 
-    /** Operators know an unknown lifecycle by this text, whatever the enum's name is here. */
-    private static Endpoint.State lifecycle(String text) {
+    private static Endpoint.State parseState(String lifecycle) {
         try {
-            return Endpoint.State.valueOf(text);
+            return Endpoint.State.valueOf(lifecycle);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("No enum constant maplespread.facade.Route.State." + text);
+            // The text that operators have always read; it is not to change with the type's name.
+            throw new IllegalArgumentException("No enum constant maplespread.facade.Route.State." + lifecycle);
         }
     }
 
-    private static int place(List<String> names, JsonObject o, String key) {
-        return o.has(key) ? names.indexOf(o.get(key).getAsString()) : -1;
+    /** The number of the member's name; -1 where it is missing or not in the settings. */
+    private static int numberOf(List<String> names, JsonObject instance, String member) {
+        return instance.has(member) ? names.indexOf(instance.get(member).getAsString()) : -1;
     }
 
-    /** A numeric address with its port; names are not looked up. */
+    /**
+     * A numeric address with its port; names are not looked up. {@link IllegalArgumentException} with the text
+     * where it is none.
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
-        if (!host.matches("[0-9.]+|\\[[0-9A-Fa-f:.]+]")) {
+        if (!NUMERIC_HOST.matcher(host).matches()) {
             throw new IllegalArgumentException("not a numeric address: " + text);
         }
         try {
--- a/src/main/java/maplespread/discovery/EndpointSource.java
+++ b/src/main/java/maplespread/discovery/EndpointSource.java
@@ -3,21 +3,21 @@
 import java.io.Closeable;
 import java.net.InetSocketAddress;
 
-/** Where the workers are learned from. It reports what it learns by itself, from {@link #start} on. */
+/** Learns the workers' endpoints and notifies an {@link EndpointListener}, from {@link #start} on. Thread-safe. */
 public interface EndpointSource extends Closeable {
     /** Begins; returns at once. */
     void start();
 
-    /** The module's word that the list is wanted. A source that keeps its own pace may pass it over. */
+    /** The policy wants the list. A source that decides itself when to ask may ignore it. */
     void watch();
 
     /** The platform's discovery is at another address; false where that changes nothing here. */
     boolean moveTo(InetSocketAddress address);
 
-    /** Why nothing it has said should be relied on any more; null where it may be. */
+    /** Why nothing that it has learned should be relied on any more; null where it may be. */
     String notReadyReason();
 
-    /** Ends; nothing is reported after it. */
+    /** Ends; the listener is not notified after it. */
     @Override
     void close();
 }
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -8,101 +8,111 @@
 import maplespread.policy.EndpointWatchFailure;
 
 /**
- * One source at a time has the word, and another takes over when it has read the whole list: until then the
- * old one is still obeyed, so that no drain is missed and no moment is without a list.
+ * Passes on what one source at a time learns. Another source takes over when it has read the full list: until
+ * then the old one still counts, so that no drain is missed and no moment is without a list. Thread-safe; the
+ * listener is notified under this object's lock.
  */
 public final class EndpointSourceSwitch implements EndpointSource {
-    /** Makes a source that reports to the sink; it is started here. */
+    /** Makes a source that notifies the listener; it is started by the switch. */
     public interface Factory extends Function<EndpointListener, EndpointSource> {}
 
-    private final EndpointListener to;
-    private EndpointSource newest;
-    private EndpointSource spoken;
-    private boolean over;
+    /** Passes on what one source learns, while that source counts. */
+    private final class SourceListener implements EndpointListener {
+        private EndpointSource source; // set before the source is started
 
-    public EndpointSourceSwitch(Factory first, EndpointListener to) {
-        this.to = to;
-        newest = make(first);
-        spoken = newest;
-    }
-
-    private EndpointSource make(Factory maker) {
-        EndpointSource[] made = new EndpointSource[1];
-        made[0] = maker.apply(new EndpointListener() {
-            @Override
-            public void endpointsChanged(EndpointUpdate news) {
-                EndpointSourceSwitch.this.news(made[0], news);
-            }
+        @Override
+        public void endpointsChanged(EndpointUpdate update) {
+            onUpdate(source, update);
+        }
 
-            @Override
-            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-                synchronized (EndpointSourceSwitch.this) {
-                    if (speaks(made[0])) {
-                        to.watchLost(loss, heardAgoMs);
-                    }
+        @Override
+        public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+            synchronized (EndpointSourceSwitch.this) {
+                if (counts(source)) {
+                    listener.watchLost(failure, heardAgoMs);
                 }
             }
+        }
 
-            @Override
-            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-                synchronized (EndpointSourceSwitch.this) {
-                    if (speaks(made[0])) {
-                        to.listUnconfirmed(why, heardAgoMs);
-                    }
+        @Override
+        public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
+            synchronized (EndpointSourceSwitch.this) {
+                if (counts(source)) {
+                    listener.listUnconfirmed(doubt, heardAgoMs);
                 }
             }
-        });
-        return made[0];
+        }
     }
 
-    private boolean speaks(EndpointSource source) {
-        return !over && (source == newest || source == spoken);
+    private final EndpointListener listener;
+    private EndpointSource newest;
+    private EndpointSource active; // the last one that has sent a full list
+    private boolean closed;
+
+    /** With a first source, which counts from the beginning. */
+    public EndpointSourceSwitch(Factory first, EndpointListener listener) {
+        this.listener = listener;
+        newest = make(first);
+        active = newest;
+    }
+
+    private EndpointSource make(Factory factory) {
+        SourceListener sourceListener = new SourceListener();
+        sourceListener.source = factory.apply(sourceListener);
+        return sourceListener.source;
     }
 
-    /** Has another source take over once it speaks. */
+    private boolean counts(EndpointSource source) {
+        return !closed && (source == newest || source == active);
+    }
+
+    /** Has another source take over once it has sent a full list. */
     public void switchTo(Factory next) {
-        EndpointSource before;
-        EndpointSource now;
+        EndpointSource superseded;
+        EndpointSource started;
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 return;
             }
-            before = newest != spoken ? newest : null; // it never spoke
-            now = make(next);
-            newest = now;
+            superseded = newest != active ? newest : null; // it never sent a list
+            newest = make(next);
+            started = newest;
         }
-        if (before != null) {
-            before.close();
+        if (superseded != null) {
+            superseded.close();
         }
-        now.start();
-        now.watch();
+        started.start();
+        started.watch();
     }
 
-    private void news(EndpointSource from, EndpointUpdate news) {
-        EndpointSource old = null;
+    private void onUpdate(EndpointSource source, EndpointUpdate update) {
+        EndpointSource replaced = null;
         synchronized (this) {
-            if (over || from != newest && from != spoken) {
+            if (!counts(source)) {
                 return;
             }
-            if (from == newest && spoken != newest) {
-                if (news.kind() == EndpointUpdate.Kind.DELTA) {
-                    return; // not yet all that there is
+            if (source == newest && active != newest) {
+                if (update.kind() == EndpointUpdate.Kind.DELTA) {
+                    return; // not yet the full list
                 }
-                old = spoken;
-                spoken = newest;
-                Event.of("routes.handed_over", "revision", news.version()).info();
+                replaced = active;
+                active = newest;
+                Event.of("routes.handed_over", "revision", update.version()).info();
             }
-            to.endpointsChanged(news);
+            listener.endpointsChanged(update);
         }
-        if (old != null) {
-            EndpointSource last = old;
-            // From a thread of its own: the old one may hold its lock while it waits here to report.
-            Thread closer = new Thread(last::close, "routes handed over");
-            closer.setDaemon(true);
-            closer.start();
+        if (replaced != null) {
+            closeInBackground(replaced);
         }
     }
 
+    /** On a thread of its own: the source may hold its lock while it waits here to notify. */
+    private static void closeInBackground(EndpointSource source) {
+        Thread closer = new Thread(source::close, "routes handed over");
+        closer.setDaemon(true);
+        closer.start();
+    }
+
     @Override
     public void start() {
         newest().start();
@@ -111,7 +121,7 @@
     @Override
     public void watch() {
         newest().watch();
-        spoken().watch();
+        active().watch();
     }
 
     @Override
@@ -121,11 +131,11 @@
 
     @Override
     public String notReadyReason() {
-        return spoken().notReadyReason(); // not under the lock: it takes its own
+        return active().notReadyReason(); // not under this lock: the source takes its own
     }
 
-    private synchronized EndpointSource spoken() {
-        return spoken;
+    private synchronized EndpointSource active() {
+        return active;
     }
 
     private synchronized EndpointSource newest() {
@@ -134,14 +144,14 @@
 
     @Override
     public void close() {
-        EndpointSource a;
-        EndpointSource b;
+        EndpointSource newestSource;
+        EndpointSource activeSource;
         synchronized (this) {
-            over = true;
-            a = newest;
-            b = spoken;
+            closed = true;
+            newestSource = newest;
+            activeSource = active;
         }
-        a.close();
-        b.close();
+        newestSource.close();
+        activeSource.close();
     }
 }
--- a/src/main/java/maplespread/discovery/JsonObjectSplitter.java
+++ b/src/main/java/maplespread/discovery/JsonObjectSplitter.java
@@ -1,8 +1,9 @@
 package maplespread.discovery;
 
-/** Puts lines together to JSON objects: one may stand on a line of its own, or be indented over many. */
+/** Joins lines to JSON objects: one may stand on a line of its own, or be indented over many. Not thread-safe. */
 final class JsonObjectSplitter {
-    private static final int LONGEST = 1 << 22;
+    private static final int MAX_OBJECT_CHARS = 1 << 22;
+
     private final StringBuilder text = new StringBuilder();
     private int depth;
     private boolean quoted;
@@ -12,27 +13,31 @@
         if (depth == 0 && !line.isEmpty() && line.charAt(0) != '{') {
             throw new EndpointParser.MalformedListException("not a JSON object");
         }
-        for (int i = 0; i < line.length(); i++) {
-            char c = line.charAt(i);
-            if (quoted && c == '\\') {
-                i++;
-            } else if (c == '"') {
-                quoted = !quoted;
-            } else if (!quoted && (c == '{' || c == '[')) {
-                depth++;
-            } else if (!quoted && (c == '}' || c == ']')) {
-                depth--;
-            }
-        }
-        if (text.length() + line.length() > LONGEST) {
-            throw new EndpointParser.MalformedListException("longer than " + LONGEST);
+        countBrackets(line);
+        if (text.length() + line.length() > MAX_OBJECT_CHARS) {
+            throw new EndpointParser.MalformedListException("longer than " + MAX_OBJECT_CHARS);
         }
         text.append(line);
         if (depth > 0 || text.length() == 0) {
             return null;
         }
-        String whole = text.toString();
+        String object = text.toString();
         text.setLength(0);
-        return whole;
+        return object;
+    }
+
+    private void countBrackets(String line) {
+        for (int i = 0; i < line.length(); i++) {
+            char next = line.charAt(i);
+            if (quoted && next == '\\') {
+                i++; // the escaped character
+            } else if (next == '"') {
+                quoted = !quoted;
+            } else if (!quoted && (next == '{' || next == '[')) {
+                depth++;
+            } else if (!quoted && (next == '}' || next == ']')) {
+                depth--;
+            }
+        }
     }
 }
--- a/src/main/java/maplespread/discovery/SubsetFilter.java
+++ b/src/main/java/maplespread/discovery/SubsetFilter.java
@@ -14,114 +14,120 @@
 import maplespread.subset.SubsetAssignment;
 
 /**
- * Hands on of the route set what lies in this dispatcher's subset ({@link SubsetAssignment}), and says among how many
- * dispatchers each of these workers is shared. A worker that drains leaves the ring at once, so that another
- * one takes its place, and the drain of one in use is always handed on. One that falls out of the subset
- * alone is handed on as deleted: it gets nothing new, and what it runs is finished.
+ * Passes on of the endpoint list what lies in this dispatcher's subset ({@link SubsetAssignment}), and tells
+ * among how many dispatchers each of these workers is shared. A worker that drains leaves the subset at once, so
+ * that another one takes its place; the drain of one in use is always passed on. One that only falls out of the
+ * subset is passed on as deleted: it gets no new request, and what it runs is finished. Thread-safe.
  */
 public final class SubsetFilter implements EndpointListener {
-    private final EndpointListener to;
-    private final IntConsumer sharers;
-    private final SubsetAssignment cut;
+    private final EndpointListener listener;
+    private final IntConsumer dispatchersPerWorker;
+    private final SubsetAssignment assignment;
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    private Set<String> shown = Set.of(); // what the dispatcher has been told of
-    private long generation;
-    private int told;
+    private Set<String> passedOn = Set.of(); // workers that the listener knows
+    private long listVersion;
+    private int lastDispatchersPerWorker;
 
-    /** {@code sharers}: hears how many dispatchers share a worker, before the list that this goes with. */
-    public SubsetFilter(SubsetAssignment cut, IntConsumer sharers, EndpointListener to) {
-        this.cut = cut;
-        this.sharers = sharers;
-        this.to = to;
+    /**
+     * {@code dispatchersPerWorker}: notified of how many dispatchers share a worker, before the list that this
+     * goes with.
+     */
+    public SubsetFilter(SubsetAssignment assignment, IntConsumer dispatchersPerWorker, EndpointListener listener) {
+        this.assignment = assignment;
+        this.dispatchersPerWorker = dispatchersPerWorker;
+        this.listener = listener;
     }
 
     @Override
-    public synchronized void endpointsChanged(EndpointUpdate news) {
-        generation = news.version();
-        boolean whole = news.kind() != EndpointUpdate.Kind.DELTA;
-        if (whole) {
+    public synchronized void endpointsChanged(EndpointUpdate update) {
+        listVersion = update.version();
+        if (update.kind() != EndpointUpdate.Kind.DELTA) {
             listed.clear();
-            cut.clear();
+            assignment.clear();
         }
         Map<String, Endpoint> changed = new LinkedHashMap<>();
-        for (Endpoint r : news.endpoints()) {
-            changed.put(r.worker(), r);
-            if (r.state() == Endpoint.State.DELETED) {
-                listed.remove(r.worker());
-            } else {
-                listed.put(r.worker(), r);
-            }
-            if (r.state() == Endpoint.State.SERVING) {
-                cut.put(r.worker(), r.zone());
-            } else {
-                cut.remove(r.worker());
-            }
+        for (Endpoint endpoint : update.endpoints()) {
+            changed.put(endpoint.worker(), endpoint);
+            list(endpoint);
+        }
+        passOn(update.kind(), changed, update.confirmed());
+    }
+
+    private void list(Endpoint endpoint) {
+        if (endpoint.state() == Endpoint.State.DELETED) {
+            listed.remove(endpoint.worker());
+        } else {
+            listed.put(endpoint.worker(), endpoint);
+        }
+        if (endpoint.state() == Endpoint.State.SERVING) {
+            assignment.put(endpoint.worker(), endpoint.zone());
+        } else {
+            assignment.remove(endpoint.worker());
         }
-        tell(news.kind(), changed, news.confirmed());
     }
 
-    /** So many dispatchers there are from now on, and so they share the workers. */
-    public synchronized void resize(int dispatchers, SubsetAssignment.SubsetSettings wish) {
-        cut.resize(dispatchers, wish);
-        tell(EndpointUpdate.Kind.DELTA, Map.of(), false); // nobody has said anything of the list
+    /** So many dispatchers share the workers from now on, by these settings. */
+    public synchronized void resize(int dispatchers, SubsetAssignment.SubsetSettings settings) {
+        assignment.resize(dispatchers, settings);
+        passOn(EndpointUpdate.Kind.DELTA, Map.of(), false); // nothing has confirmed the list
     }
 
-    private void tell(EndpointUpdate.Kind kind, Map<String, Endpoint> changed, boolean current) {
-        boolean whole = kind != EndpointUpdate.Kind.DELTA;
-        Set<String> used = cut.workers();
-        if (cut.maxDispatchersPerWorker() != told) {
-            told = cut.maxDispatchersPerWorker();
-            sharers.accept(told);
+    private void passOn(EndpointUpdate.Kind kind, Map<String, Endpoint> changed, boolean confirmed) {
+        boolean full = kind != EndpointUpdate.Kind.DELTA;
+        Set<String> used = assignment.workers();
+        if (assignment.maxDispatchersPerWorker() != lastDispatchersPerWorker) {
+            lastDispatchersPerWorker = assignment.maxDispatchersPerWorker();
+            dispatchersPerWorker.accept(lastDispatchersPerWorker);
         }
         Set<String> next = new LinkedHashSet<>(used);
-        List<Endpoint> on = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (String worker : used) {
-            if (whole || !shown.contains(worker) || changed.containsKey(worker)) {
-                on.add(listed.get(worker));
+            if (full || !passedOn.contains(worker) || changed.containsKey(worker)) {
+                endpoints.add(listed.get(worker));
             }
         }
-        for (String worker : shown) {
-            Endpoint left = listed.get(worker);
+        for (String worker : passedOn) {
             if (used.contains(worker)) {
                 continue;
             }
-            if (left != null && left.state() == Endpoint.State.DRAINING) {
-                next.add(worker); // its end is still to be told
-                if (whole || changed.containsKey(worker)) {
-                    on.add(left);
+            Endpoint endpoint = listed.get(worker);
+            if (endpoint != null && endpoint.state() == Endpoint.State.DRAINING) {
+                next.add(worker); // its end is still to be passed on
+                if (full || changed.containsKey(worker)) {
+                    endpoints.add(endpoint);
                 }
-            } else if (!whole) {
-                on.add(left == null ? changed.get(worker) : gone(left));
+            } else if (!full) {
+                endpoints.add(endpoint == null ? changed.get(worker) : deleted(endpoint));
             }
         }
-        shown = next;
-        to.endpointsChanged(new EndpointUpdate(kind, generation, on, current));
+        passedOn = next;
+        listener.endpointsChanged(new EndpointUpdate(kind, listVersion, endpoints, confirmed));
     }
 
-    private static Endpoint gone(Endpoint r) {
+    private static Endpoint deleted(Endpoint endpoint) {
         return new Endpoint(
-                r.worker(),
-                r.address(),
+                endpoint.worker(),
+                endpoint.address(),
                 Endpoint.State.DELETED,
-                r.weight(),
-                r.kind(),
-                r.cell(),
-                r.zone(),
-                r.startedAtMs());
+                endpoint.weight(),
+                endpoint.kind(),
+                endpoint.cell(),
+                endpoint.zone(),
+                endpoint.startedAtMs());
     }
 
-    /** How many workers the whole list has. */
+    /** How many workers the full list has. */
     public synchronized int listed() {
         return listed.size();
     }
 
     @Override
-    public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-        to.watchLost(loss, heardAgoMs);
+    public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+        listener.watchLost(failure, heardAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-        to.listUnconfirmed(why, heardAgoMs);
+    public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
+        listener.listUnconfirmed(doubt, heardAgoMs);
     }
 }
--- a/src/main/java/maplespread/discovery/WatchTimeouts.java
+++ b/src/main/java/maplespread/discovery/WatchTimeouts.java
@@ -3,37 +3,44 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a watch may be silent before it is a broken one. The platform counts what a silent watch missed as
- * told {@code TOLD_MS} after the silence began, whether or not it arrived, so until then there is time to
- * find the silence and for the call that follows it. Milliseconds.
+ * How long a watch may be silent before it counts as broken. The platform counts what a silent watch missed as
+ * notified six seconds after the silence began, whether or not it arrived: until then there is time to notice
+ * the silence and for the call that follows it. Milliseconds.
  *
- * @param silenceMs without a word, at the least, from the call on; {@code spreadMs}: drawn on top, anew for
- *     each watch, as all dispatchers may fall silent in one instant and discovery answers one call after
- *     another
- * @param renewMs for the first word of the watch that takes a silent one's place
+ * @param silenceMs without a line, at the least, from the call on
+ * @param spreadMs drawn on top, anew for each watch: all dispatchers may fall silent in one instant, and
+ *     discovery answers one call after another
+ * @param renewMs for the first line of the watch that takes a silent one's place
  */
 public record WatchTimeouts(long silenceMs, long spreadMs, long renewMs) {
     /** Between two lines of a watch while nothing changes, by the protocol. */
-    private static final long LINE_MS = 2000;
-    /** From the beginning of a silence until what it hid counts as told, by the protocol. */
-    private static final long TOLD_MS = 6000;
-    /** What is left of that for the news to be taken in and obeyed. */
+    private static final long LINE_INTERVAL_MS = 2000;
+
+    /** From the beginning of a silence until what it hid counts as notified, by the protocol. */
+    private static final long CHANGE_NOTIFIED_MS = 6000;
+
+    /** What is left of that for the update to be taken in and obeyed. */
     private static final long SPARE_MS = 200;
 
+    /** Lines may be late by this part of what is left after a line's interval. */
+    private static final int LATE_PART = 5;
+
+    /** Checks that there is a time for silences and one for calls. */
     public WatchTimeouts {
         if (silenceMs < 1 || spreadMs < 0 || renewMs < 1) {
             throw new IllegalArgumentException("a time for silences and one for calls are needed");
         }
     }
 
-    /** By the protocol's figures: lines may be late by a fifth of what a silence leaves. */
+    /** By the protocol's times. */
     public static WatchTimeouts ofProtocol() {
-        long late = (TOLD_MS - LINE_MS) / 5;
-        long silence = LINE_MS + late;
-        return new WatchTimeouts(silence, late / 2, TOLD_MS - SPARE_MS - silence - late / 2);
+        long lateMs = (CHANGE_NOTIFIED_MS - LINE_INTERVAL_MS) / LATE_PART;
+        long silenceMs = LINE_INTERVAL_MS + lateMs;
+        long spreadMs = lateMs / 2;
+        return new WatchTimeouts(silenceMs, spreadMs, CHANGE_NOTIFIED_MS - SPARE_MS - silenceMs - spreadMs);
     }
 
-    /** How long this watch may be silent. */
+    /** How long the next watch may be silent. */
     long drawSilenceLimitMs(SplittableRandom random) {
         return silenceMs + random.nextLong(spreadMs + 1);
     }
--- a/src/main/java/maplespread/quota/TenantQuota.java
+++ b/src/main/java/maplespread/quota/TenantQuota.java
@@ -7,90 +7,114 @@
 import maplespread.policy.Tenant;
 
 /**
- * What requests count for under their tenants' shares. Token buckets by tenant are filled at this
- * dispatcher's part of each allowance. What part that is, nobody tells: one node in N has 1/N of the traffic
- * on the mean, and some have several times that. So a bucket fills by the larger of two: the plain 1/N, and
- * what the other tenants' traffic here is of their allowances. The first is right where all dispatchers have
- * alike, the second where this one has more than others; a tenant's own traffic says nothing of its part, or
- * greed would make room for itself.
+ * Weighs requests by their tenants' quotas. A token bucket for each tenant fills at this dispatcher's part of the
+ * tenant's quota. How large that part is, no dispatcher can know: one of N has 1/N of the traffic on the mean,
+ * and some have several times that. So a bucket fills by the larger of two: the plain 1/N, which is right where
+ * all dispatchers have alike, and what the other tenants' traffic here is of their quotas, which is right where
+ * this one has more than others. A tenant's own traffic says nothing of its part, or asking more would raise it.
  *
- * <p>Who is beyond its share counts in full as long as nobody within is turned away for it. As more of those
- * within are, it counts for less, down to nearly nothing at {@link #SHORT}: then the module, which weighs a
- * request by its worth, turns it away first.
- *
- * <p>Guards against a tenant's burst that every dispatcher takes for its own small part of it, against a
- * tenant that is thought greedy at a dispatcher where simply more of all arrives, and against a price for
- * being beyond on days when there is enough for all.
+ * <p>A request beyond its tenant's quota has its full weight as long as no request within its quota is rejected
+ * for it. As more of those are, its weight falls, down to nearly nothing at {@link #MAX_REJECTED_SHARE}: then the
+ * policy, which weighs a request by its priority, rejects it first. Not thread-safe.
  */
 public final class TenantQuota {
-    private static final double BURST_MS = 1000; // a bucket holds its fill of so long
-    private static final double MEMORY_MS = 2000; // of the rate that is seen here
-    private static final double STEP = 0.02; // of one end: about 50 are remembered
-    private static final double SHORT = 0.01; // of those within, turned away: too many
-    private static final double LEAST = 0.01;
-    private final double[] allowances; // a second, over all nodes; 0: no limit
+    private static final double MS_PER_SECOND = 1000;
+
+    /** A bucket holds what it is filled by in this time, */
+    private static final double BURST_MS = 1000;
+
+    /** and so many requests at the least. */
+    private static final double MIN_BURST = 3;
+
+    /** Time constant of the rates that are seen here. */
+    private static final double RATE_MEMORY_MS = 2000;
+
+    /** Weight of one completed request in the rejected share: about 50 are remembered. */
+    private static final double REJECTED_SHARE_STEP = 0.02;
+
+    /** Share of requests within their quota that are rejected from which those beyond it have the least weight. */
+    private static final double MAX_REJECTED_SHARE = 0.01;
+
+    private static final double MIN_WEIGHT = 0.01;
+
+    /** By tenant, a second, over all dispatchers; 0: no limit. */
+    private final double[] quotas;
+
+    private final double quotaSum;
     private final double[] tokens;
-    private final double[] filled; // when each bucket was last looked at
-    private final double sum;
-    private final Set<Long> within = new HashSet<>(); // open requests that are within their share
-    private final double[] rates; // seen here, a second, by tenant
-    private double rate; // of all that have an allowance
-    private double rateAt = Double.NaN;
-    private double turnedAway; // of those within, lately
+    /** By tenant when its bucket was last filled; NaN: never. */
+    private final double[] filledAtMs;
+
+    /** By tenant its requests a second that are seen here. */
+    private final double[] rates;
 
+    private double limitedRate; // of all tenants that have a quota
+    private double ratesAtMs = Double.NaN;
+    private final Set<Long> inFlightWithinQuota = new HashSet<>();
+    private double rejectedShare; // of requests within their quota, lately
+
+    /** The quotas are those of the tenants, in order. */
     public TenantQuota(List<Tenant> tenants) {
-        allowances = tenants.stream().mapToDouble(Tenant::quotaPerSecond).toArray();
-        tokens = new double[allowances.length];
-        filled = new double[tokens.length];
+        quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).toArray();
+        tokens = new double[quotas.length];
+        filledAtMs = new double[tokens.length];
         rates = new double[tokens.length];
-        Arrays.fill(filled, Double.NaN);
-        sum = Arrays.stream(allowances).sum();
+        Arrays.fill(filledAtMs, Double.NaN);
+        quotaSum = Arrays.stream(quotas).sum();
     }
 
     /**
-     * What the request counts for, from 0.01 to 1. {@code first}: not a later try of one that was counted
-     * before; those are judged and not counted again. {@code dispatchers}: among how many the tenants'
-     * traffic is spread.
+     * The request's weight, from 0.01 to 1. {@code first}: not a later attempt of a request that was counted
+     * before; those are weighed and not counted again. {@code dispatchers}: among how many the tenants' traffic
+     * is spread.
      */
     public double weight(double nowMs, long id, int tenant, boolean first, int dispatchers) {
-        if (tenant < 0 || tenant >= allowances.length || allowances[tenant] <= 0) {
+        if (tenant < 0 || tenant >= quotas.length || quotas[tenant] <= 0) {
             return 1;
         }
         if (first) {
-            double keep = Double.isNaN(rateAt) ? 0 : Math.exp(-(nowMs - rateAt) / MEMORY_MS);
-            rate = 0;
-            for (int t = 0; t < rates.length; t++) {
-                rates[t] = rates[t] * keep + (t == tenant ? 1000 / MEMORY_MS : 0);
-                rate += allowances[t] > 0 ? rates[t] : 0;
-            }
-            rateAt = nowMs;
+            countRequest(nowMs, tenant);
         }
-        double others = sum - allowances[tenant];
-        double part = others > 0 ? Math.min(1, (rate - rates[tenant]) / others) : 0;
-        double fill = allowances[tenant] * Math.max(1.0 / dispatchers, part) / 1000;
-        double most = Math.max(3, fill * BURST_MS);
-        double age = Double.isNaN(filled[tenant]) ? BURST_MS : nowMs - filled[tenant];
-        tokens[tenant] = Math.min(most, tokens[tenant] + age * fill);
-        filled[tenant] = nowMs;
+        fillBucket(nowMs, tenant, dispatchers);
         if (tokens[tenant] < 1) {
-            return Math.max(LEAST, 1 - turnedAway / SHORT);
+            return Math.max(MIN_WEIGHT, 1 - rejectedShare / MAX_REJECTED_SHARE);
         }
         if (first) {
             tokens[tenant]--;
         }
-        within.add(id);
+        inFlightWithinQuota.add(id);
         return 1;
     }
 
-    /** The request has its answer; {@code away}: it was turned away or failed. */
-    public void requestCompleted(long id, boolean away) {
-        if (within.remove(id)) {
-            turnedAway += STEP * ((away ? 1 : 0) - turnedAway);
+    private void countRequest(double nowMs, int tenant) {
+        double kept = Double.isNaN(ratesAtMs) ? 0 : Math.exp(-(nowMs - ratesAtMs) / RATE_MEMORY_MS);
+        limitedRate = 0;
+        for (int i = 0; i < rates.length; i++) {
+            rates[i] = rates[i] * kept + (i == tenant ? MS_PER_SECOND / RATE_MEMORY_MS : 0);
+            limitedRate += quotas[i] > 0 ? rates[i] : 0;
+        }
+        ratesAtMs = nowMs;
+    }
+
+    private void fillBucket(double nowMs, int tenant, int dispatchers) {
+        double othersQuota = quotaSum - quotas[tenant];
+        double othersPart = othersQuota > 0 ? Math.min(1, (limitedRate - rates[tenant]) / othersQuota) : 0;
+        double fillPerMs = quotas[tenant] * Math.max(1.0 / dispatchers, othersPart) / MS_PER_SECOND;
+        double capacity = Math.max(MIN_BURST, fillPerMs * BURST_MS);
+        double elapsedMs = Double.isNaN(filledAtMs[tenant]) ? BURST_MS : nowMs - filledAtMs[tenant];
+        tokens[tenant] = Math.min(capacity, tokens[tenant] + elapsedMs * fillPerMs);
+        filledAtMs[tenant] = nowMs;
+    }
+
+    /** The request has its final response; {@code rejected}: it was rejected or has failed. */
+    public void requestCompleted(long id, boolean rejected) {
+        if (inFlightWithinQuota.remove(id)) {
+            rejectedShare += REJECTED_SHARE_STEP * ((rejected ? 1 : 0) - rejectedShare);
         }
     }
 
-    /** Nobody waits for the request any more: it tells nothing. */
+    /** The client has left: its request tells nothing. */
     public void clientLeft(long id) {
-        within.remove(id);
+        inFlightWithinQuota.remove(id);
     }
 }
--- a/src/main/java/maplespread/quota/package-info.java
+++ b/src/main/java/maplespread/quota/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What a request counts for under its tenant's share, as one of many dispatchers can tell without a word to
- * the others. Pure: no sockets, clock, threads or randomness. The decision module is told the result with
- * each request; it alone decides what is turned away.
+ * Weighs requests by their tenants' quotas, as one dispatcher of many can without asking the others. Owns the
+ * token buckets. Does no input or output and has no clock, threads or randomness; the caller guards it. The
+ * policy takes the weight with each request, and alone decides what is rejected. May import {@code policy}'s
+ * settings alone.
  */
 package maplespread.quota;
--- a/src/main/java/maplespread/subset/DeterministicAperture.java
+++ b/src/main/java/maplespread/subset/DeterministicAperture.java
@@ -8,21 +8,26 @@
 import maplespread.policy.StableHash;
 
 /**
- * A deterministic aperture on a ring. Workers stand in an order that every dispatcher draws alike from the
- * seed, worker {@code j} of {@code M} on the arc [j/M, (j+1)/M). Dispatcher {@code i} stands at the fraction
- * of {@code i} times the golden ratio and covers the arc of {@code k/M} from there; a worker's weight is the
- * part of its arc covered, in (0, 1]. Guards against: a herd on the workers that every dispatcher's first
- * choices share (the order is one for all, the starts differ); a dispatcher that joins moving others (the
- * positions of indices below it never change); a worker that joins moving more than the edges of arcs.
+ * A deterministic aperture on a ring. Workers stand in an order that every dispatcher computes alike from the
+ * seed, worker {@code j} of {@code M} on the arc [j/M, (j+1)/M). Dispatcher {@code i} stands at the fraction of
+ * {@code i} times the golden ratio and covers the arc of {@code k/M} from there; a worker's weight is the part of
+ * its arc that is covered, in (0, 1]. The order is one for all and the starts differ, so first choices do not
+ * coincide; a dispatcher that joins moves no other; a worker that joins moves the edges of arcs alone.
  */
 public final class DeterministicAperture {
-    private static final double LEAST = 1e-9; // a weight below this is no connection
+    /** A part of an arc below this is no connection. */
+    private static final double MIN_COVERED_PART = 1e-9;
+
+    /** 2^64 divided by the golden ratio. */
+    private static final long GOLDEN_RATIO_FRACTION = 0x9E3779B97F4A7C15L;
+
+    private static final int DOUBLE_MANTISSA_BITS = 53;
 
     private DeterministicAperture() {}
 
     /**
      * The subset of dispatcher {@code index} (0 to {@code dispatchers - 1}): worker to weight. {@code width}:
-     * workers a dispatcher covers, at least 1; all workers where it is {@code workers.size()} or more.
+     * workers that a dispatcher covers, at least 1; all of them where it is {@code workers.size()} or more.
      */
     public static Map<String, Double> of(int index, int dispatchers, double width, List<String> workers, long seed) {
         if (dispatchers < 1 || index < 0 || index >= dispatchers) {
@@ -34,52 +39,59 @@
         return of(index, width, ordered(workers, seed));
     }
 
-    /** The same of workers that stand in order already: one order does for a whole fleet. */
+    /** The same of workers that are in order already. */
     static Map<String, Double> of(int index, double width, String[] order) {
         Map<String, Double> subset = new LinkedHashMap<>();
-        arc(index, width, order.length, (place, covered) -> subset.merge(order[place], covered, Double::sum));
+        visitArc(index, width, order.length, (place, part) -> subset.merge(order[place], part, Double::sum));
         return subset;
     }
 
-    /** Takes a place on the ring and how much of its worker's arc is covered. */
+    /** Visits the places on the ring that an arc covers. */
     interface ArcVisitor {
+        /** {@code part}: how much of the place's own arc is covered, in (0, 1]. */
         void visit(int place, double part);
     }
 
-    /** The places, of {@code m}, that the arc of {@code width} workers of a dispatcher covers. */
-    static void arc(int index, double width, int m, ArcVisitor to) {
-        if (width >= m) {
-            for (int j = 0; j < m; j++) {
-                to.visit(j, 1);
+    /** Visits the places, of {@code places}, that the arc of {@code width} workers of a dispatcher covers. */
+    static void visitArc(int index, double width, int places, ArcVisitor visitor) {
+        if (width >= places) {
+            for (int place = 0; place < places; place++) {
+                visitor.visit(place, 1);
             }
             return;
         }
-        double from = position(index) * m; // in units of one worker's arc
+        double from = position(index) * places; // in units of one worker's arc
         double end = from + width;
-        for (long j = (long) Math.floor(from); j < Math.ceil(end); j++) {
-            double covered = Math.min(end, j + 1) - Math.max(from, j);
-            if (covered > LEAST) {
-                to.visit((int) (j % m), covered);
+        for (long place = (long) Math.floor(from); place < Math.ceil(end); place++) {
+            double covered = Math.min(end, place + 1) - Math.max(from, place);
+            if (covered > MIN_COVERED_PART) {
+                visitor.visit((int) (place % places), covered);
             }
         }
     }
 
     /**
-     * The fraction of {@code i} times the golden ratio: each new index falls into one of the largest gaps. So
-     * do the indices of any part of the fleet, every fourth one say: where zones are dealt out by index, the
+     * The fraction of the index times the golden ratio: each new index falls into one of the largest gaps. So do
+     * the indices of any part of the fleet, every fourth one say: where zones are dealt out by index, the
      * dispatchers of each zone still spread over the whole ring.
      */
-    static double position(int i) {
-        return (i * 0x9E3779B97F4A7C15L >>> 11) / (double) (1L << 53);
+    static double position(int index) {
+        long fraction = index * GOLDEN_RATIO_FRACTION >>> Long.SIZE - DOUBLE_MANTISSA_BITS;
+        return fraction / (double) (1L << DOUBLE_MANTISSA_BITS);
     }
 
-    /** The workers in the order all dispatchers agree on; a worker's place depends on its id and the seed. */
+    /** The workers in the order that all dispatchers compute alike, by a hash of the seed and the worker's id. */
     static String[] ordered(List<String> workers, long seed) {
         String[] all = workers.stream().distinct().toArray(String[]::new);
         Arrays.sort(
                 all,
-                Comparator.comparingLong((String w) -> StableHash.hash(seed + "/" + w))
-                        .thenComparing(w -> w));
+                Comparator.comparingLong((String worker) -> ringHash(worker, seed))
+                        .thenComparing(worker -> worker));
         return all;
     }
+
+    /** The hash by which a worker has its place on the ring. */
+    static long ringHash(String worker, long seed) {
+        return StableHash.hash(seed + "/" + worker);
+    }
 }
--- a/src/test/java/maplespread/subset/DeterministicApertureTest.java
+++ b/src/test/java/maplespread/subset/DeterministicApertureTest.java
@@ -50,7 +50,7 @@
         for (int zones : new int[] {2, 3, 4, 5, 8}) {
             double[] met = new double[1000];
             for (int i = 1; i < 200; i += zones) {
-                DeterministicAperture.arc(i, 200, 1000, (place, part) -> met[place] += part);
+                DeterministicAperture.visitArc(i, 200, 1000, (place, part) -> met[place] += part);
             }
             double mean = java.util.Arrays.stream(met).average().orElseThrow();
             double most = java.util.Arrays.stream(met).max().orElseThrow() / mean;
