--- a/src/main/java/maplespread/worker/ConnectionPool.java
+++ b/src/main/java/maplespread/worker/ConnectionPool.java
@@ -109,14 +109,14 @@
     }
 
     private PooledConnection connect(String address, long limitMs) throws IOException {
-        InetSocketAddress to = EndpointParser.parseAddress(address);
+        InetSocketAddress target = EndpointParser.parseAddress(address);
         PooledConnection evicted = beginConnecting();
         if (evicted != null) {
             evicted.connection.close();
         }
         try {
             long dialMs = Math.min(limitMs, config.get().times().dialMs());
-            return new PooledConnection(dialer.dial(to, dialMs), address);
+            return new PooledConnection(dialer.dial(target, dialMs), address);
         } catch (IOException | RuntimeException | Error e) {
             connectingFailed();
             throw e;
