--- a/src/main/java/maplespread/membership/SwimMembership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
+import maplespread.membership.IndirectProbes.IndirectProbe;
 import maplespread.membership.MemberUpdate.State;
 import maplespread.membership.SwimMessage.Kind;
 
@@ -24,24 +24,16 @@
     /** A tick that comes later than this many probe periods after it was due means that the process was paused. */
     private static final double PAUSE_PERIODS = 4;
 
-    /** Part of the acknowledgement timeout after which a helper reports that it has no answer. */
-    private static final long NACK_NUMERATOR = 4;
-
-    private static final long NACK_DENOMINATOR = 5;
-
     /** One of this many rejoin rounds compares the whole group with another member. */
     private static final int ROUNDS_PER_SYNC = 8;
 
-    /** A probe made on behalf of another member. */
-    private record IndirectProbe(String requesterAddress, long requesterSequence, long nackAt) {}
-
     private final MembershipSettings settings;
     private final MembershipTransport transport;
     private final SplittableRandom random;
     private final GroupView group;
     private final GossipSender gossip;
     private final Map<String, Suspicion> suspicions = new HashMap<>();
-    private final Map<Long, IndirectProbe> indirectProbes = new TreeMap<>();
+    private final IndirectProbes indirectProbes;
     private final ProbeOrder probeOrder;
     private final LocalHealth localHealth;
     private Probe probe;
@@ -64,6 +56,7 @@
         this.settings = settings;
         this.transport = transport;
         random = new SplittableRandom(seed);
+        indirectProbes = new IndirectProbes(settings.ackTimeoutMs());
         probeOrder = new ProbeOrder(random);
         localHealth = new LocalHealth(settings.maxLocalHealth());
         group = new GroupView(
@@ -117,7 +110,7 @@
             nextProbeAt = now + localHealth.scaled(settings.probePeriodMs());
             startProbe(now);
         }
-        reportUnansweredIndirectProbes(now);
+        reportUnanswered(now);
         declareDead(now);
         if (now >= nextRejoinAt) {
             rejoin(now);
@@ -127,14 +120,10 @@
         return nextTickAt;
     }
 
-    private void reportUnansweredIndirectProbes(long now) {
-        indirectProbes.values().removeIf(pending -> {
-            if (pending.nackAt() > now) {
-                return false;
-            }
-            gossip.send(pending.requesterAddress(), Kind.NACK, pending.requesterSequence());
-            return true;
-        });
+    private void reportUnanswered(long now) {
+        for (IndirectProbe unanswered : indirectProbes.removeUnanswered(now)) {
+            gossip.send(unanswered.requesterAddress(), Kind.NACK, unanswered.requesterSequence());
+        }
     }
 
     private void declareDead(long now) {
@@ -147,9 +136,7 @@
 
     private long nextDueAt() {
         long next = Math.min(nextRejoinAt, probe == null ? nextProbeAt : probe.nextStepAt());
-        for (IndirectProbe pending : indirectProbes.values()) {
-            next = Math.min(next, pending.nackAt());
-        }
+        next = Math.min(next, indirectProbes.nextNackAt());
         for (Suspicion suspicion : suspicions.values()) {
             next = Math.min(next, endsAt(suspicion));
         }
@@ -259,14 +246,14 @@
 
     private void probeForAnother(long now, String requesterAddress, SwimMessage request) {
         long sequence = ++lastSequence;
-        long nackAt = now + settings.ackTimeoutMs() * NACK_NUMERATOR / NACK_DENOMINATOR;
-        indirectProbes.put(sequence, new IndirectProbe(requesterAddress, request.sequence(), nackAt));
+        indirectProbes.add(sequence, requesterAddress, request.sequence(), now);
         ping(request.target(), request.targetAddress(), sequence);
     }
 
     private void acknowledged(long sequence) {
-        IndirectProbe pending = indirectProbes.remove(sequence);
-        if (pending != null) {
+        Optional<IndirectProbe> requested = indirectProbes.acknowledged(sequence);
+        if (requested.isPresent()) {
+            IndirectProbe pending = requested.get();
             gossip.send(pending.requesterAddress(), Kind.ACK, pending.requesterSequence());
         } else if (isOfProbe(sequence)) {
             probe.acknowledge();
