--- /dev/null
+++ b/src/test/java/maplespread/policy/WorkerBacklogTest.java
@@ -0,0 +1,132 @@
+package maplespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What is known of the work at a worker. */
+class WorkerBacklogTest {
+    @Test
+    void aPausedWorkerKeepsItsBacklog() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        host.accept(1, 800);
+        host.accept(2, 100);
+        host.endAttempt(2, AttemptOutcome.SERVED);
+        host.advance(800);
+        assertEquals("b", host.accept(3, 300).attempts.get(0).worker);
+    }
+
+    /** Guards against connections that fall silent: a job that a later one has outrun tells of no queue. */
+    @Test
+    void anOvertakenAttemptIsPlacedAnew() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        RuleCheckingHost.TestRequest silent = host.accept(1, 300);
+        String at = silent.attempts.get(0).worker;
+        host.advance(250);
+        long next = 2;
+        while (!host.accept(next, 300).attempts.get(0).worker.equals(at)) {
+            next++;
+        }
+        assertEquals(0, host.cancellations);
+        host.policy.attemptProgressed(host.nowUs(), next, 0, at, true, 0);
+        assertEquals(1, host.cancellations, "its connection is dead, not the worker");
+        host.endAttempt(1, 0, AttemptOutcome.CANCELLED);
+        assertEquals(2, silent.attempts.size());
+    }
+
+    /** Others' load shown by reports counts as backlog. */
+    @Test
+    void reportedLoadOfOthersMovesWorkAway() {
+        RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
+        host.receiveList(
+                EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
+        host.accept(1, 400);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        host.policy.probeEnded(
+                host.nowUs(),
+                "a",
+                AttemptOutcome.SERVED,
+                1,
+                new LoadReport(9, Double.NaN, 1, Double.NaN, 0, Double.NaN));
+        host.policy.probeEnded(
+                host.nowUs(),
+                "b",
+                AttemptOutcome.SERVED,
+                1,
+                new LoadReport(0, Double.NaN, 0, Double.NaN, 2, Double.NaN));
+        assertEquals("b", host.accept(2, 400).attempts.get(0).worker);
+    }
+
+    /** Guards the queue of others, which no report shows: a job that starts late tells of it. */
+    @Test
+    void aLateStartTellsOfWorkThatNoReportShows() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        host.accept(1, 300);
+        String slow = host.requests.get(1L).attempts.get(0).worker;
+        host.advance(400);
+        host.policy.attemptProgressed(host.nowUs(), 1, 0, slow, true, 0);
+        host.endAttempt(1, AttemptOutcome.SERVED);
+        for (int i = 2; i <= 4; i++) {
+            assertNotEquals(slow, host.accept(i, 300).attempts.get(0).worker, "job " + i);
+            host.endAttempt(i, AttemptOutcome.SERVED);
+        }
+    }
+
+    /** Guards the backlog of wide jobs: one that takes two slots leaves no free one of two. */
+    @Test
+    void aWideRequestFillsItsSlots() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        RuleCheckingHost.TestRequest request =
+                host.requests.computeIfAbsent(1L, k -> new RuleCheckingHost.TestRequest());
+        request.requestClass = host.settings.classes().get(0);
+        request.deadlineMs = host.nowMs + 9000;
+        host.policy.requestAccepted(
+                host.nowUs(), new PolicyRequest(1, 0, 0, Math.round((host.nowMs + 9000) * 1000), 100, 2, 0));
+        String wide = request.attempts.get(0).worker;
+        assertNotEquals(wide, host.accept(2, 100).attempts.get(0).worker);
+        assertNotEquals(wide, host.accept(3, 100).attempts.get(0).worker, "the other has a slot left");
+    }
+
+    /** Guards nodes with little traffic, which hear of few starts: a full worker's report hides its queue. */
+    @Test
+    void aFewLateStartsTellOfTheWholeFleet() {
+        EndpointEntry[] entries = new EndpointEntry[20];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
+        }
+        RuleCheckingHost host = RuleCheckingHost.amongDispatchers(60, entries);
+        List.of(entries).forEach(e -> host.reports.put(e.worker(), RuleCheckingHost.report(Double.NaN, 0)));
+        for (int i = 1; i <= 6; i++) {
+            RuleCheckingHost.TestRequest request = host.accept(i, 300);
+            host.advance(2500);
+            for (RuleCheckingHost.TestAttempt attempt : request.attempts) {
+                host.policy.attemptProgressed(host.nowUs(), i, 0, attempt.worker, true, 0);
+                host.advance(300);
+                host.endAttempt(i, AttemptOutcome.SERVED);
+            }
+        }
+        int sent = 0;
+        for (int i = 101; i <= 120; i++) {
+            sent += host.accept(i, 300).attempts.size();
+        }
+        assertTrue(sent <= 5, "sent as if nobody waited at those not heard of: " + sent);
+    }
+
+    /** A worker without room for a job's memory is no place to start it; absurd needs are as if none. */
+    @Test
+    void memoryDecidesWhereARequestCanStart() {
+        RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
+        assertEquals("a", host.accept(1, 0, 500, 1.5).attempts.get(0).worker);
+        assertEquals("b", host.accept(2, 0, 100, 1.5).attempts.get(0).worker);
+        host.endAttempt(2, AttemptOutcome.SERVED);
+        assertEquals("b", host.accept(3, 0, 100, 1).attempts.get(0).worker, "a slot is free at a, but no memory");
+        assertFalse(host.accept(4, 0, 100, -3).attempts.isEmpty());
+        assertFalse(host.accept(5, 0, 100, Double.NaN).attempts.isEmpty());
+        assertFalse(host.accept(6, 0, 100, 1e9).attempts.isEmpty());
+    }
+}
