--- a/src/test/java/maplespread/cluster/MemberStatusTableTest.java
+++ b/src/test/java/maplespread/cluster/MemberStatusTableTest.java
@@ -21,7 +21,7 @@
 
     /** What comes late, twice, or from a run before never takes the place of what is newer. */
     @Test
-    void theNewestWordCountsInWhateverOrder() {
+    void theNewestStatusCountsInWhateverOrder() {
         MemberStatusTable all = new MemberStatusTable(1, "", "", (to, bytes) -> {});
         long[][] words = {{5, 3}, {5, 2}, {5, 3}, {4, 99}, {6, 1}, {5, 4}};
         long[] kept = {3, 3, 3, 3, 1, 1};
@@ -36,7 +36,7 @@
 
     /** Broken bytes are no status, and a long name is cut: a word stays within 200 bytes. */
     @Test
-    void wordsAreBoundedAndBrokenOnesPassedOver() {
+    void statusesAreBoundedAndBrokenOnesAreSkipped() {
         byte[] sound = status(7, 8, "v".repeat(500)).encode();
         assertTrue(sound.length <= 200, "" + sound.length);
         assertEquals("v".repeat(64), MemberStatus.decode(sound).orElseThrow().version());
@@ -61,7 +61,7 @@
 
     /** Of 200 others each is told within four rounds, 64 in one; shares are of the last rounds alone. */
     @Test
-    void allAreToldInTurnOfTheLastSeconds() {
+    void allMembersAreSentTheFiguresOfTheLastSecondsInTurn() {
         List<String> others = IntStream.range(0, 200).mapToObj(i -> "m" + i).toList();
         List<String> told = new ArrayList<>();
         MemberStatusTable all = new MemberStatusTable(1, "", "", (to, bytes) -> told.add(to));
--- a/src/test/java/maplespread/consensus/ConsensusCostTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusCostTest.java
@@ -32,7 +32,7 @@
         return g;
     }
 
-    /** Bytes of all words while a member that is no elector reads, before anybody looks for news. */
+    /** Bytes of all messages while a member that is no elector reads, before anybody looks for news. */
     private static long readBytes(VirtualAgreement g, int reader) {
         List<ChangeResult> results = new ArrayList<>();
         long before = g.sentBytes();
@@ -60,15 +60,15 @@
         }
     }
 
-    /** With nothing to do: what an elector hears and says is bounded whatever the fleet, and a word's size is, too. */
+    /** With nothing to do: what an elector hears and says is bounded whatever the fleet, and a message's size is, too. */
     @Test
-    void anIdleFleetsWordsDoNotGrowWithIt() {
+    void anIdleFleetsMessagesDoNotGrowWithIt() {
         for (int members : new int[] {25, 100}) {
             VirtualAgreement g = settled(members, LONG, 3);
             long sent = g.sent();
             long bytes = idleBytes(g, 20_000);
-            double words = g.sent() - sent;
-            assertTrue(bytes / words < 450, members + " members: " + bytes / words + " bytes a word");
+            double messages = g.sent() - sent;
+            assertTrue(bytes / messages < 450, members + " members: " + bytes / messages + " bytes a message");
             double perMember = bytes / 20.0 / members;
             assertTrue(perMember < 1200, members + " members: " + perMember + " bytes a second and member");
         }
@@ -76,7 +76,7 @@
 
     /** A decision whose first telling is lost everywhere is known to nearly all in 4 s, and to the last a round later. */
     @Test
-    void aDecisionThatWasLostOnItsWayIsLookedAfterSoon() {
+    void aDecisionWhoseAnnouncementWasLostIsSpreadSoon() {
         int members = 60;
         for (int seed = 0; seed < 6; seed++) {
             VirtualAgreement g = settled(members, 10, seed);
--- a/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -33,7 +33,7 @@
             ELECTORS,
             List.of(new AppliedChange("p", 11, 12, 13), new AppliedChange("q", 21, 22, 23)));
 
-    private static ConsensusMessage word(Kind kind, boolean flag, AcceptedState held) {
+    private static ConsensusMessage message(Kind kind, boolean flag, AcceptedState held) {
         return new ConsensusMessage(
                 kind,
                 "a",
@@ -61,12 +61,12 @@
             int kindNumber = kind.ordinal();
             for (RegisterState kept : Arrays.asList(null, PLAIN, MOVING)) {
                 AcceptedState held = kept == null ? null : new AcceptedState(BALLOT, kept);
-                ConsensusMessage sent = word(kind, kindNumber % 2 == 0, held);
+                ConsensusMessage sent = message(kind, kindNumber % 2 == 0, held);
                 byte[] bytes = MessageFormat.encode(sent, null, List.of());
                 assertEquals(sent, MessageFormat.decode(bytes).orElseThrow().message());
                 lines.add(kindNumber + " " + hex(bytes));
             }
-            ConsensusMessage sent = word(kind, true, new AcceptedState(BALLOT, PLAIN));
+            ConsensusMessage sent = message(kind, true, new AcceptedState(BALLOT, PLAIN));
             lines.add(kindNumber + " reference "
                     + hex(MessageFormat.encode(sent, digest, List.of(digest, new Digest(1, 2)))));
         }
@@ -78,7 +78,7 @@
 
     @Test
     void whatIsNoMessageIsNotRead() {
-        byte[] bytes = MessageFormat.encode(word(Kind.PREPARE, true, null), null, List.of());
+        byte[] bytes = MessageFormat.encode(message(Kind.PREPARE, true, null), null, List.of());
         byte[] version = bytes.clone();
         version[0] = 3;
         byte[] kind = bytes.clone();
@@ -174,8 +174,8 @@
             ConsensusSettings settings = new ConsensusSettings(name, MEMBERS.subList(0, 3), 50, 500);
             nodes.put(name, new ConsensusNode(settings, ++boots, boots, now, new ConsensusTransport() {
                 @Override
-                public void send(String to, ConsensusMessage word) {
-                    byte[] bytes = codec.encode(to, word);
+                public void send(String to, ConsensusMessage message) {
+                    byte[] bytes = codec.encode(to, message);
                     transcript.add("send", now, name, to, bytes);
                     packets.add(new Packet(name, to, bytes));
                 }
--- a/src/test/java/maplespread/consensus/ConsensusNodeTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusNodeTest.java
@@ -162,7 +162,7 @@
 
     /** Guards the operator's way on: nothing goes by itself, the founded life has what anybody still knew. */
     @Test
-    void whereAMajorityRestartsAtOnceNothingIsDecidedUntilItIsFounded() {
+    void whereAMajorityRestartsAtOnceNothingIsDecidedUntilItIsBootstrapped() {
         for (int seed = 0; seed < 50; seed++) {
             VirtualAgreement g = group(5, seed);
             decide(g, "n4", "a");
@@ -199,7 +199,7 @@
 
     /** Even where restarts spare nobody and lives are founded again and again: no version has two values. */
     @Test
-    void whateverRestartsAndIsFoundedAVersionHasOneValueAndALifeGoesOn() {
+    void whateverRestartsAndIsBootstrappedAVersionHasOneValueAndChangesGoOn() {
         for (int seed = FIRST; seed < FIRST + HISTORIES; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             VirtualAgreement g = group(5, seed);
@@ -288,7 +288,7 @@
 
     /** Words in any order, old ones kept for long, with restarts and moves anywhere: the histories' worst. */
     @Test
-    void inNoOrderOfWordsHasAVersionTwoValues() {
+    void inNoOrderOfMessagesHasAVersionTwoValues() {
         int decided = 0;
         for (int seed = FIRST; seed < FIRST + 8 * HISTORIES; seed++) {
             RandomInterleavings order = new RandomInterleavings(3 + seed % 3, 1 + seed % 4, 12, 8, seed % 6 > 2);
@@ -301,7 +301,7 @@
 
     /** Restarts, tries given up, the states met at most; by hand as many as there is time for. */
     @Test
-    void inEveryOrderOfTheWordsOfTwoChangesAVersionHasOneValue() {
+    void inEveryOrderOfTheMessagesOfTwoChangesAVersionHasOneValue() {
         int[][] table = {{0, 0, 10_000}, {1, 0, 2000}, {1, 1, Integer.getInteger("states", 2000)}};
         for (int[] row : table) {
             ExhaustiveInterleavings all = new ExhaustiveInterleavings();
--- a/src/test/java/maplespread/consensus/CrashVectorTest.java
+++ b/src/test/java/maplespread/consensus/CrashVectorTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Votes of a run that is over arrive after the next run has read what the others know: word by word. */
+/** Votes of an ended incarnation arrive after the next one has read what the others know: message by message. */
 class CrashVectorTest {
-    private record Packet(String to, ConsensusMessage word) {}
+    private record Packet(String to, ConsensusMessage message) {}
 
     private static final List<String> ELECTORS = List.of("a", "b", "c");
     private static final List<String> ALL = List.of("a", "b", "c", "p", "q");
@@ -27,8 +27,8 @@
         ConsensusSettings set = new ConsensusSettings(name, ELECTORS, 100_000, 100_000);
         nodes.put(name, new ConsensusNode(set, ++boots, 1, now, new ConsensusTransport() {
             @Override
-            public void send(String to, ConsensusMessage word) {
-                packets.add(new Packet(to, word));
+            public void send(String to, ConsensusMessage message) {
+                packets.add(new Packet(to, message));
             }
 
             @Override
@@ -46,7 +46,7 @@
         for (int i = 0; i < packets.size(); ) {
             if (which.test(packets.get(i))) {
                 Packet p = packets.remove(i);
-                nodes.get(p.to()).received(now, p.word());
+                nodes.get(p.to()).received(now, p.message());
                 i = 0;
             } else {
                 i++;
@@ -55,27 +55,27 @@
     }
 
     private void deliver(Kind kind, String from, String to) {
-        deliver(p -> p.word().kind() == kind && p.word().sender().equals(from) && p.to().equals(to));
+        deliver(p -> p.message().kind() == kind && p.message().sender().equals(from) && p.to().equals(to));
     }
 
     private long under(Kind kind) {
-        return packets.stream().filter(p -> p.word().kind() == kind).count();
+        return packets.stream().filter(p -> p.message().kind() == kind).count();
     }
 
     private void append(String by) {
         nodes.get(by).change(now, v -> v.text() + by, now + 1_000_000, r -> decided.add(by));
     }
 
-    /** Only electors hear that it asks: a proposer must learn of the new run by their votes. */
+    /** Only electors receive its requests: a proposer must learn of the new incarnation by their votes. */
     private void restart(String name) {
         start(name);
-        deliver(p -> p.word().kind() == Kind.RECOVERY_REQUEST && ELECTORS.contains(p.to())
-                || p.word().kind() == Kind.RECOVERY_RESPONSE);
+        deliver(p -> p.message().kind() == Kind.RECOVERY_REQUEST && ELECTORS.contains(p.to())
+                || p.message().kind() == Kind.RECOVERY_RESPONSE);
         assertTrue(!nodes.get(name).recovering());
     }
 
     @BeforeEach
-    void allSeeAndKnowAValue() {
+    void allHaveRecoveredAndKnowAValue() {
         ALL.forEach(this::start);
         deliver(p -> true);
         now = 100_000;
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void anAcceptanceOfARunThatIsOverDecidesNothing() {
+    void anAcceptanceOfAnEndedIncarnationDecidesNothing() {
         append("p");
-        deliver(p -> p.word().kind() == Kind.PREPARE || p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PREPARE || p.message().kind() == Kind.PROMISE);
         deliver(Kind.ACCEPT, "p", "c");
         restart("c");
         deliver(Kind.ACCEPT, "p", "a");
@@ -98,12 +98,12 @@
         deliver(Kind.ACCEPTED, "a", "p");
         assertEquals(List.of("a"), decided, "c has forgotten it");
         deliver(Kind.ACCEPT, "p", "b");
-        deliver(p -> p.word().kind() == Kind.ACCEPTED);
+        deliver(p -> p.message().kind() == Kind.ACCEPTED);
         assertEquals(List.of("a", "p"), decided, "a and b have not");
     }
 
     @Test
-    void aPromiseOfARunThatIsOverBearsNothing() {
+    void aPromiseOfAnEndedIncarnationCountsForNothing() {
         append("p");
         deliver(Kind.PREPARE, "p", "c");
         restart("c");
@@ -112,30 +112,30 @@
         deliver(Kind.PROMISE, "a", "p");
         assertEquals(0, under(Kind.ACCEPT), "c has forgotten its promise");
         deliver(Kind.PREPARE, "p", "b");
-        deliver(p -> p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PROMISE);
         assertEquals(3, under(Kind.ACCEPT));
     }
 
     @Test
-    void aTryThatRestsOnARunThatIsOverIsRefused() {
+    void aRoundThatRestsOnAnEndedIncarnationIsRefused() {
         append("p");
         deliver(Kind.PREPARE, "p", "a");
         deliver(Kind.PREPARE, "p", "c");
-        deliver(p -> p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PROMISE);
         restart("c");
         deliver(Kind.ACCEPT, "p", "a");
         deliver(Kind.ACCEPT, "p", "c");
         assertEquals(2, under(Kind.REFUSE));
     }
 
-    /** What a majority has promised, and what it has taken, a run that begins has read. */
+    /** What a majority has promised and accepted, an incarnation that begins has read. */
     @Test
-    void promisesAndValuesOutliveARun() {
+    void promisesAndValuesOutliveARestart() {
         append("p");
         append("q"); // the same round: q is above p
         deliver(Kind.PREPARE, "q", "a");
         deliver(Kind.PREPARE, "q", "c");
-        deliver(p -> p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PROMISE);
         restart("c");
         deliver(Kind.PREPARE, "p", "c");
         assertEquals(1, under(Kind.REFUSE), "it promised q");
@@ -143,14 +143,14 @@
     }
 
     @Test
-    void aLaterLifeIsLaterWhateverItsVersion() {
+    void aLaterEpochIsLaterWhateverItsVersion() {
         VersionedValue old = new VersionedValue(1, 9, "", 0, ELECTORS),
                 next = new VersionedValue(2, 1, "", 1, ELECTORS);
         assertTrue(next.isLaterThan(old) && !old.isLaterThan(next) && !old.isLaterThan(old));
     }
 
     @Test
-    void aRunThatHearsNobodyStaysBlind() {
+    void anIncarnationWithoutAnswersGoesOnRecovering() {
         start("c");
         now += 300_000;
         nodes.get("c").tick(now);
@@ -158,9 +158,9 @@
     }
 
     @Test
-    void whatAProposerThatDiedHadTakenIsFinishedByAnElector() {
+    void anElectorFinishesTheChangeOfADeadProposer() {
         append("p");
-        deliver(p -> p.word().kind() != Kind.ACCEPTED);
+        deliver(p -> p.message().kind() != Kind.ACCEPTED);
         packets.clear();
         for (int i = 0; i < 20; i++) {
             now += 50_000;
@@ -171,9 +171,9 @@
     }
 
     @Test
-    void aRefusalIsToldOnceWhatItRestsOnIsDecided() {
+    void aRejectionIsReportedOnceTheStateItRestsOnIsDecided() {
         append("p");
-        deliver(p -> p.word().kind() == Kind.PREPARE || p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PREPARE || p.message().kind() == Kind.PROMISE);
         deliver(Kind.ACCEPT, "p", "a");
         List<ChangeResult> results = new ArrayList<>();
         nodes.get("q")
@@ -184,7 +184,7 @@
                         },
                         now + 1_000_000,
                         results::add);
-        deliver(p -> p.word().kind() == Kind.PREPARE || p.word().kind() == Kind.PROMISE);
+        deliver(p -> p.message().kind() == Kind.PREPARE || p.message().kind() == Kind.PROMISE);
         assertEquals(List.of(), results, "nobody has decided it yet");
         deliver(p -> true);
         assertEquals("ap", results.get(0).value().text());
--- a/src/test/java/maplespread/consensus/MessageCodecTest.java
+++ b/src/test/java/maplespread/consensus/MessageCodecTest.java
@@ -17,13 +17,13 @@
 
 class MessageCodecTest {
     private static final String LONG = "x".repeat(2_000);
-    private static final int SHORT = 600; // bytes: less than any word with the long text
+    private static final int SHORT = 600; // bytes: less than any message with the long text
 
     private static RegisterState kept(long version, String text) {
         return new RegisterState(new VersionedValue(1, version, text, 0, List.of("a", "b")), List.of(), List.of());
     }
 
-    private static ConsensusMessage word(String from, long boot, RegisterState kept) {
+    private static ConsensusMessage message(String from, long boot, RegisterState kept) {
         Ballot at = new Ballot(1, 2, "a", 3);
         AcceptedState held = kept == null ? null : new AcceptedState(at, kept);
         return new ConsensusMessage(
@@ -33,8 +33,8 @@
     /** Both know each other, and each knows that the other holds the value. */
     private static void acquainted(MessageCodec a, MessageCodec b, RegisterState kept) {
         for (int i = 0; i < 2; i++) {
-            b.decode("a", a.encode("b", word("a", 1, kept)));
-            a.decode("b", b.encode("a", word("b", 1, kept)));
+            b.decode("a", a.encode("b", message("a", 1, kept)));
+            a.decode("b", b.encode("a", message("b", 1, kept)));
         }
     }
 
@@ -42,25 +42,25 @@
     void aValueGoesWholeUntilThePeerIsKnownToHoldIt() {
         MessageCodec a = new MessageCodec();
         MessageCodec b = new MessageCodec();
-        ConsensusMessage sent = word("a", 1, kept(1, LONG));
+        ConsensusMessage sent = message("a", 1, kept(1, LONG));
         for (int i = 0; i < 3; i++) { // no sign that any has arrived
             assertTrue(a.encode("b", sent).length > LONG.length());
         }
         assertEquals(sent, b.decode("a", a.encode("b", sent)).message());
-        assertNull(a.decode("b", b.encode("a", word("b", 1, null))).reply());
+        assertNull(a.decode("b", b.encode("a", message("b", 1, null))).reply());
         byte[] reference = a.encode("b", sent);
         assertTrue(reference.length < SHORT, reference.length + " bytes");
         assertEquals(sent, b.decode("a", reference).message());
     }
 
-    /** Its run before held the value, this one does not: nothing wrong is read, and the value comes at once. */
+    /** Its earlier incarnation held the value, this one does not: nothing wrong is read, and the value comes at once. */
     @Test
     void whoCannotResolveAReferenceRequestsTheValue() {
         MessageCodec a = new MessageCodec();
         RegisterState kept = kept(1, LONG);
         acquainted(a, new MessageCodec(), kept);
         MessageCodec again = new MessageCodec();
-        ConsensusMessage sent = word("a", 1, kept);
+        ConsensusMessage sent = message("a", 1, kept);
         MessageCodec.Received received = again.decode("a", a.encode("b", sent));
         assertNull(received.message());
         assertNotNull(received.reply());
@@ -71,15 +71,15 @@
     }
 
     @Test
-    void aNewRunOfAPeerHoldsNothing() {
+    void aNewIncarnationOfAPeerHoldsNothing() {
         MessageCodec a = new MessageCodec();
         RegisterState kept = kept(1, LONG);
         acquainted(a, new MessageCodec(), kept);
-        assertTrue(a.encode("b", word("a", 1, kept)).length < SHORT);
-        a.decode("b", new MessageCodec().encode("a", word("b", 2, null)));
-        assertTrue(a.encode("b", word("a", 1, kept)).length > LONG.length());
-        a.decode("b", new MessageCodec().encode("a", word("b", 1, kept))); // late, of the run that is over
-        assertTrue(a.encode("b", word("a", 1, kept)).length > LONG.length());
+        assertTrue(a.encode("b", message("a", 1, kept)).length < SHORT);
+        a.decode("b", new MessageCodec().encode("a", message("b", 2, null)));
+        assertTrue(a.encode("b", message("a", 1, kept)).length > LONG.length());
+        a.decode("b", new MessageCodec().encode("a", message("b", 1, kept))); // late, of the run that is over
+        assertTrue(a.encode("b", message("a", 1, kept)).length > LONG.length());
     }
 
     /** A member of the version before looks at the first three flags alone, and sets no other. */
@@ -87,8 +87,8 @@
     void aMemberOfTheVersionBeforeIsSentWholeValuesWithoutHoldings() {
         MessageCodec a = new MessageCodec();
         RegisterState kept = kept(1, LONG);
-        byte[] blind = MessageFormat.encode(word("b", 1, kept), null, List.of());
-        ConsensusMessage w = word("b", 1, kept);
+        byte[] blind = MessageFormat.encode(message("b", 1, kept), null, List.of());
+        ConsensusMessage w = message("b", 1, kept);
         byte[] other = MessageFormat.encode(
                 new ConsensusMessage(
                         w.kind(),
@@ -111,14 +111,14 @@
         }
         blind[flags] &= 7;
         assertEquals(w, a.decode("b", blind).message());
-        byte[] answer = a.encode("b", word("a", 1, kept));
+        byte[] answer = a.encode("b", message("a", 1, kept));
         assertTrue(answer.length > LONG.length());
         assertTrue(MessageFormat.decode(answer).orElseThrow().holdings().isEmpty());
         assertNull(MessageFormat.decode(answer).orElseThrow().reference());
     }
 
     @Test
-    void whatIsNoWordIsNotReadable() {
+    void whatIsNoMessageIsNotReadable() {
         MessageCodec a = new MessageCodec();
         assertFalse(a.decode("b", new byte[0]).readable());
         assertFalse(a.decode("b", new byte[] {2, 1, 1}).readable(), "a request without its digest");
@@ -128,14 +128,14 @@
         assertNull(a.decode("b", unknown).reply(), "a request of one who was sent nothing");
         assertEquals(
                 "a",
-                a.decode("b", new MessageCodec().encode("b", word("a", 1, null)))
+                a.decode("b", new MessageCodec().encode("b", message("a", 1, null)))
                         .message()
                         .sender());
     }
 
     /**
      * Packets are lost, repeated and passed by later ones, members begin anew, and there are more values than are
-     * kept: each word that is read is one that was sent, and once the network is sound the newest one arrives.
+     * kept: each message that is read is one that was sent, and once the network is sound the newest one arrives.
      */
     @Test
     void whatIsReadWasSentWhateverTheNetworkDoes() {
@@ -159,7 +159,7 @@
                     boots.merge(from, 1L, Long::sum);
                 }
                 int version = random.nextInt(12);
-                ConsensusMessage w = word(from, boots.get(from), kept(version, LONG + version));
+                ConsensusMessage w = message(from, boots.get(from), kept(version, LONG + version));
                 sent.add(w);
                 byte[] bytes = codecs.get(from).encode(to, w);
                 references += bytes.length < SHORT ? 1 : 0;
@@ -172,7 +172,7 @@
                     }
                 }
             }
-            ConsensusMessage last = word("a", boots.get("a"), kept(99, LONG));
+            ConsensusMessage last = message("a", boots.get("a"), kept(99, LONG));
             sent.add(last);
             open.clear();
             open.add(new Packet("a", "b", codecs.get("a").encode("b", last)));
@@ -183,7 +183,7 @@
             }
             assertEquals(last, got, "seed " + seed);
         }
-        assertTrue(references > 1_000, references + " words went by reference");
+        assertTrue(references > 1_000, references + " messages went by reference");
     }
 
     private record Packet(String from, String to, byte[] bytes) {}
--- a/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
+++ b/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
@@ -20,17 +20,17 @@
  * is promised. Members are single letters. Steps: {@code up ab} starts them, empty; {@code down a}; {@code
  * p+x} appends; {@code p:part=x} writes a section; {@code p=abc} moves the electors there; {@code p!abc}
  * founds with these; {@code again p} ends its try and its rest, {@code rest p} its rest alone; {@code KIND
- * a bc} has such words from a to each arrive, {@code last KIND a b} the newest, {@code copy KIND a b}
+ * a bc} has such messages from a to each arrive, {@code last KIND a b} the newest, {@code copy KIND a b}
  * leaves one under way; {@code ask p ab} stands for PREPARE and its answers, {@code put p ab} for ACCEPT,
  * {@code see c ab} for ASK; {@code lose} drops all; {@code among ab} has all between these arrive; {@code
- * first 3} the oldest three; {@code freeze p}, {@code thaw p}, whose words wait; {@code peace}: all
+ * first 3} the oldest three; {@code freeze p}, {@code thaw p}, whose messages wait; {@code peace}: all
  * arrives and time goes on until all are told.
  */
 class ScriptedMessagesTest {
     private static final int EVERY = Integer.getInteger("every", 16);
     private static final long STEP = 100_000, FAR = 1_000_000_000_000L;
 
-    private record Packet(String to, ConsensusMessage word) {}
+    private record Packet(String to, ConsensusMessage message) {}
 
     /** One play of a script. */
     private static final class Play {
@@ -73,7 +73,7 @@
                     }
                     case "freeze" -> each(s[1], frozen::add);
                     case "thaw" -> each(s[1], frozen::remove);
-                    case "among" -> all(p -> s[1].contains(p.to) && s[1].contains(p.word.sender()));
+                    case "among" -> all(p -> s[1].contains(p.to) && s[1].contains(p.message.sender()));
                     case "ask" -> both(Kind.PREPARE, Kind.PROMISE, s);
                     case "put" -> both(Kind.ACCEPT, Kind.ACCEPTED, s);
                     case "see" -> both(Kind.RECOVERY_REQUEST, Kind.RECOVERY_RESPONSE, s);
@@ -105,7 +105,7 @@
         }
 
         private static boolean fits(Packet p, String kind, String from, String to) {
-            return p.word.kind().name().equals(kind) && from.contains(p.word.sender()) && to.contains(p.to);
+            return p.message.kind().name().equals(kind) && from.contains(p.message.sender()) && to.contains(p.to);
         }
 
         private void both(Kind there, Kind back, String[] s) {
@@ -143,8 +143,8 @@
             waiting.remove(name);
             nodes.put(name, new ConsensusNode(set, ++boots, boots, times.get(name), new ConsensusTransport() {
                 @Override
-                public void send(String to, ConsensusMessage word) {
-                    packets.add(new Packet(to, word));
+                public void send(String to, ConsensusMessage message) {
+                    packets.add(new Packet(to, message));
                 }
 
                 @Override
@@ -165,14 +165,14 @@
 
         private void arrive(Packet p) {
             if (nodes.containsKey(p.to)) {
-                nodes.get(p.to).received(times.get(p.to), p.word);
+                nodes.get(p.to).received(times.get(p.to), p.message);
             }
         }
 
         private void all(Predicate<Packet> which) {
             for (int i = 0; i < packets.size(); ) {
                 Packet p = packets.get(i);
-                if (which.test(p) && !frozen.contains(p.to) && !frozen.contains(p.word.sender())) {
+                if (which.test(p) && !frozen.contains(p.to) && !frozen.contains(p.message.sender())) {
                     packets.remove(i);
                     arrive(p);
                     i = 0;
@@ -342,7 +342,7 @@
         }
     }
 
-    /** What is begun; what befalls it after each number of words; the text and the electors after peace. */
+    /** What is begun; what befalls it after each number of messages; the text and the electors after peace. */
     private static final String[][] MOVES = {
         {"p=cde", "up a", "0", "cde"},
         {"p=cde", "up b; q+y", "0y", "cde"},
@@ -362,13 +362,13 @@
 
     /** Lists that move by more than one, with a restart, a newcomer of the same name, a frozen proposer. */
     @Test
-    void electorsMoveWhateverBefallsThemAtWhicheverWord() {
+    void electorsMoveWhateverHappensAfterWhicheverMessage() {
         int plays = 0;
         for (String[] row : MOVES) {
             int left = 0;
-            for (int words = 0; left == 0; words += EVERY, plays++) {
-                String at = row[0] + ", " + words + " words, " + row[1];
-                Play play = new Play("abc").run("up abcdepq" + BEGIN + row[0] + "; first " + words);
+            for (int messages = 0; left == 0; messages += EVERY, plays++) {
+                String at = row[0] + ", " + messages + " messages, " + row[1];
+                Play play = new Play("abc").run("up abcdepq" + BEGIN + row[0] + "; first " + messages);
                 left = play.left; // more than there were: the last one
                 play.run(row[1] + "; peace");
                 assertEquals(List.of(), play.faults, at);
@@ -386,12 +386,12 @@
         assertTrue(plays * EVERY > 40 * MOVES.length, plays + " plays");
     }
 
-    /** Whichever words of two changes come first: neither undoes the other's section, nor harms it. */
+    /** Whichever messages of two changes come first: neither undoes the other's section, nor harms it. */
     @Test
     void sectionsThatAreWrittenAtOnceAreBothKept() {
-        int left = 0, words = 0;
-        for (; left == 0; words++) {
-            Play play = new Play("abc").run("up abcpq; peace; p:release=1; q:partition=2; first " + words);
+        int left = 0, messages = 0;
+        for (; left == 0; messages++) {
+            Play play = new Play("abc").run("up abcpq; peace; p:release=1; q:partition=2; first " + messages);
             left = play.left;
             play.run("p:release=3; q:relief=BIG; q:relief=4; peace");
             String text = play.last().text();
@@ -400,7 +400,7 @@
                     java.util.stream.Stream.of("release", "partition", "relief")
                             .map(part -> SharedState.read(text, part))
                             .toList(),
-                    words + " words");
+                    messages + " messages");
             assertTrue(
                     play.faults.isEmpty()
                             && play.waiting.isEmpty()
@@ -408,6 +408,6 @@
                                     + "REJECTED the section relief would have 15362 bytes, of 15360 at most"),
                     play.told + "");
         }
-        assertTrue(words > 30, words + " words");
+        assertTrue(messages > 30, messages + " messages");
     }
 }
