--- a/src/test/java/maplespread/errors/ErrorCatalogTest.java
+++ b/src/test/java/maplespread/errors/ErrorCatalogTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -14,10 +15,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Holds docs/operators/errors.md to the code. */
 class ErrorCatalogTest {
     /** The operators' list has every error and every kind of it, in the code's words, and no other. */
     @Test
-    void theOperatorsListHasEveryError() throws Exception {
+    void operatorsPageListsEveryErrorInTheCodesWords() throws Exception {
         List<String> rows = Files.readAllLines(Path.of("docs/operators/errors.md")).stream()
                 .filter(line -> line.startsWith("| `"))
                 .toList();
@@ -64,29 +66,29 @@
                         .toString()
                         .replaceAll("[.]class$", "")
                         .replace('/', '.');
-                Class<?> c = Class.forName(name, false, FleetException.class.getClassLoader());
-                if (FleetException.class.isAssignableFrom(c) && c != FleetException.class) {
-                    all.add(c);
+                Class<?> found = Class.forName(name, false, FleetException.class.getClassLoader());
+                if (FleetException.class.isAssignableFrom(found) && found != FleetException.class) {
+                    all.add(found);
                 }
             }
         }
         return all;
     }
 
-    /** The kind's own words as the row ends with them; none where each error has words of its own. */
+    /** The kind's own words as the row ends with them; none where the kind has no texts. */
     private static String words(Object kind) {
+        boolean hasTexts = Stream.of(kind.getClass().getDeclaredFields())
+                .anyMatch(field -> field.getType() == String.class && !Modifier.isStatic(field.getModifiers()));
+        return hasTexts ? " | " + text(kind, "works") + " | " + text(kind, "remedy") + " |" : " |";
+    }
+
+    private static String text(Object kind, String name) {
         try {
-            StringBuilder all = new StringBuilder();
-            for (String word : new String[] {"works", "remedy"}) {
-                Field f = kind.getClass().getDeclaredField(word);
-                f.setAccessible(true);
-                all.append(" | ").append(f.get(kind));
-            }
-            return all + " |";
-        } catch (NoSuchFieldException its) {
-            return " |";
+            Field field = kind.getClass().getDeclaredField(name);
+            field.setAccessible(true);
+            return (String) field.get(kind);
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
+            throw new AssertionError(kind + " has texts, but not " + name, e);
         }
     }
 }
--- a/src/test/java/maplespread/errors/FleetExceptionGoldenTest.java
+++ b/src/test/java/maplespread/errors/FleetExceptionGoldenTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aMessageHasAllThreeWords() {
+    void joinsItsThreePartsToTheMessage() {
         FleetException error = new Sample();
         assertEquals("wrong; still works: works; to do: remedy", error.getMessage());
         assertEquals(List.of("wrong", "works", "remedy"), List.of(error.problem(), error.unaffected(), error.remedy()));
@@ -33,7 +33,7 @@
 
     /** Each constructor called with plain arguments: once for each of its kinds, where it has some. */
     @Test
-    void everyErrorIsToldInTheSameWords() throws Exception {
+    void everyErrorHasTheSameWords() throws Exception {
         TreeSet<String> found = new TreeSet<>();
         for (Class<?> error : errors()) {
             for (Constructor<?> made : error.getDeclaredConstructors()) {
@@ -46,7 +46,7 @@
                 }
             }
         }
-        GoldenFile.assertMatches("faults/errors.txt", String.join("\n", found) + "\n");
+        GoldenFile.assertMatches("errors/errors.txt", String.join("\n", found) + "\n");
     }
 
     private static Object[] arguments(Class<?>[] types, Object kind) {
--- a/src/test/java/maplespread/feature/GroupFeatureGoldenTest.java
+++ b/src/test/java/maplespread/feature/GroupFeatureGoldenTest.java
@@ -33,8 +33,8 @@
                 });
     }
 
-    private static String answer(GroupFeature part, String call, Map<String, String> query) {
-        AdminResponse reply = part.adminRoutes().get(call).answer(new AdminRequest(query, ""));
+    private static String answer(GroupFeature feature, String call, Map<String, String> query) {
+        AdminResponse reply = feature.adminRoutes().get(call).answer(new AdminRequest(query, ""));
         return call + query + " -> " + reply.status() + ' ' + reply.text() + '\n';
     }
 
@@ -48,25 +48,26 @@
         GroupSettings settings = OperatorReader.text("{\"group\":{\"listen\":\"" + address
                         + "\",\"electors\":[\"toy\"],\"version\":\"1.5\",\"key_files\":[\"deploy/group.key\"]}}")
                 .group();
-        GroupFeature part = new GroupFeature(settings, config, host(config));
-        StringBuilder found = new StringBuilder(new TreeSet<>(part.adminRoutes().keySet()) + "\n");
-        found.append(answer(part, "GET /admin/group", Map.of()));
-        found.append(answer(part, "POST /admin/group/found", Map.of()));
-        found.append(answer(part, "POST /admin/group/found", Map.of("why", "all restarted")));
+        GroupFeature feature = new GroupFeature(settings, config, host(config));
+        StringBuilder found =
+                new StringBuilder(new TreeSet<>(feature.adminRoutes().keySet()) + "\n");
+        found.append(answer(feature, "GET /admin/group", Map.of()));
+        found.append(answer(feature, "POST /admin/group/found", Map.of()));
+        found.append(answer(feature, "POST /admin/group/found", Map.of("why", "all restarted")));
         try {
-            part.start();
-            while (part.joined() == null
-                    || part.joined().register().change(Mutation.READ, 1000).outcome() != ChangeResult.Outcome.DECIDED
-                    || part.joined().statuses().find("toy").isEmpty()) {
+            feature.start();
+            while (feature.joined() == null
+                    || feature.joined().register().change(Mutation.READ, 1000).outcome() != ChangeResult.Outcome.DECIDED
+                    || feature.joined().statuses().find("toy").isEmpty()) {
                 Thread.yield(); // the address was taken, its time was over, or the first round is not
             }
-            found.append(answer(part, "GET /admin/group", Map.of()).replaceAll("[0-9]+(?=[,\\n])", "N"));
-            found.append(answer(part, "POST /admin/group/found", Map.of("why", "all restarted"))
+            found.append(answer(feature, "GET /admin/group", Map.of()).replaceAll("[0-9]+(?=[,\\n])", "N"));
+            found.append(answer(feature, "POST /admin/group/found", Map.of("why", "all restarted"))
                     .replaceAll("as [0-9]+", "as N"));
         } finally {
-            part.close();
+            feature.close();
         }
-        GoldenFile.assertMatches("parts/group.txt", found.toString().replace(address, "ADDRESS"));
+        GoldenFile.assertMatches("feature/group.txt", found.toString().replace(address, "ADDRESS"));
         assertEquals(true, found.indexOf("deploy/group.key") < 0, "no key is shown");
     }
 }
--- a/src/test/java/maplespread/upgrade/InstanceLockTest.java
+++ b/src/test/java/maplespread/upgrade/InstanceLockTest.java
@@ -20,7 +20,7 @@
     private static final String HERE = "127.0.0.1:7070";
 
     @Test
-    void aProcessSeesTheOthersOfItsAddressWhileTheyLive(@TempDir Path dir) {
+    void seesLiveProcessesOfTheSameAddress(@TempDir Path dir) {
         try (InstanceLock old = InstanceLock.acquire(dir, HERE).orElseThrow()) {
             assertFalse(old.hasPeer());
             old.publish(InstanceRecord.Phase.SERVING);
@@ -41,41 +41,42 @@
         }
     }
 
-    /** Guards a start among what earlier processes have left: unheld locks, damaged and foreign notes. */
+    /** Earlier processes may have left locks that nobody holds, and damaged or foreign records. */
     @Test
-    void remainsOfEarlierProcessesAreClearedAndPassedOver(@TempDir Path dir) throws Exception {
+    void deletesTheFilesOfDeadProcessesAndSkipsUnreadableRecords(@TempDir Path dir) throws Exception {
         String serving = new InstanceRecord(HERE, InstanceRecord.Phase.SERVING).encode();
-        for (String note : List.of(serving, serving.substring(0, 9), "", "\u0001", "maplespread-9 x y z")) {
+        for (String text : List.of(serving, serving.substring(0, 9), "", "\u0001", "maplespread-9 x y z")) {
             Path lock = Files.writeString(dir.resolve("maplespread-1-1.lock"), "");
-            Path said = Files.writeString(dir.resolve("maplespread-1-1.note"), note);
-            try (InstanceLock me = InstanceLock.acquire(dir, HERE).orElseThrow()) {
-                assertFalse(me.hasPeer(), note);
-                assertFalse(Files.exists(lock) || Files.exists(said), "cleared away");
+            Path recordFile = Files.writeString(dir.resolve("maplespread-1-1.note"), text);
+            try (InstanceLock self = InstanceLock.acquire(dir, HERE).orElseThrow()) {
+                assertFalse(self.hasPeer(), text);
+                assertFalse(Files.exists(lock) || Files.exists(recordFile), "cleared away");
             }
         }
         try (InstanceLock live = InstanceLock.acquire(dir, HERE).orElseThrow();
-                InstanceLock me = InstanceLock.acquire(dir, HERE).orElseThrow();
+                InstanceLock self = InstanceLock.acquire(dir, HERE).orElseThrow();
                 Stream<Path> all = Files.list(dir)) {
-            Path note = all.filter(f -> f.toString().endsWith(".note"))
+            Path recordFile = all.filter(file -> file.toString().endsWith(".note"))
                     .sorted()
                     .findFirst()
                     .orElseThrow();
-            Files.writeString(note, "damaged");
-            int seen = (live.hasPeer() ? 1 : 0) + (me.hasPeer() ? 1 : 0);
+            Files.writeString(recordFile, "damaged");
+            int seen = (live.hasPeer() ? 1 : 0) + (self.hasPeer() ? 1 : 0);
             assertEquals(1, seen, "only the damaged one is unseen");
         }
         assertEquals(Optional.empty(), InstanceLock.acquire(dir.resolve("none"), HERE));
     }
 
     @Property(tries = 200)
-    void aNoteIsReadBackWholeOrNotAtAll(@ForAll @IntRange(max = 40) int at, @ForAll @CharRange(to = '~') char c) {
-        InstanceRecord note = new InstanceRecord(HERE, InstanceRecord.Phase.SERVING);
-        String text = note.encode();
-        assertEquals(Optional.of(note), InstanceRecord.parse(text));
-        int i = at % (text.length() - 1);
-        String damaged = text.substring(0, i) + c + text.substring(i + 1);
+    void parsesARecordWholeOrNotAtAll(
+            @ForAll @IntRange(max = 40) int index, @ForAll @CharRange(to = '~') char changed) {
+        InstanceRecord written = new InstanceRecord(HERE, InstanceRecord.Phase.SERVING);
+        String text = written.encode();
+        assertEquals(Optional.of(written), InstanceRecord.parse(text));
+        int position = index % (text.length() - 1);
+        String damaged = text.substring(0, position) + changed + text.substring(position + 1);
         Optional<InstanceRecord> read = InstanceRecord.parse(damaged);
-        assertTrue(read.isEmpty() || read.get().equals(note), damaged);
-        assertTrue(InstanceRecord.parse(text.substring(0, i)).isEmpty(), "cut at " + i);
+        assertTrue(read.isEmpty() || read.get().equals(written), damaged);
+        assertTrue(InstanceRecord.parse(text.substring(0, position)).isEmpty(), "cut at " + position);
     }
 }
