--- a/src/main/java/maplespread/discovery/DiscoveryClient.java
+++ b/src/main/java/maplespread/discovery/DiscoveryClient.java
@@ -27,7 +27,7 @@
     private final EndpointListener listener;
     private final EndpointParser parser;
     private DiscoveryWatch newest; // of the address that is asked
-    private DiscoveryWatch heard; // the last one that has sent anything
+    private DiscoveryWatch active; // the last one that has sent anything
 
     /** {@code listVersion}: of the list held; {@code pushed}: it comes from an agent that pushes it. */
     public DiscoveryClient(
@@ -44,7 +44,7 @@
         this.listener = listener;
         random = new SplittableRandom(seed);
         newest = new DiscoveryWatch(this, address, listVersion);
-        heard = newest;
+        active = newest;
     }
 
     /** Begins; the first watch is opened when the policy asks, or at once where the list is pushed. */
@@ -68,7 +68,7 @@
         if (newest.isClosed() || newest.address().equals(address)) {
             return false;
         }
-        if (newest != heard) {
+        if (newest != active) {
             newest.close(); // it never sent anything
         }
         newest = new DiscoveryWatch(this, address, 0); // its versions may count otherwise
@@ -88,7 +88,7 @@
     @Override
     public synchronized void close() {
         newest.close();
-        heard.close();
+        active.close();
     }
 
     // ------------------------------------------------------------ from the watches
@@ -124,8 +124,9 @@
     }
 
     /** A watch has ended, and was not closed; on its own thread. */
-    void onWatchLost(DiscoveryWatch watch, EndpointWatchFailure failure, long heardAgoMs) throws InterruptedException {
-        listener.watchLost(failure, heardAgoMs);
+    void onWatchLost(DiscoveryWatch watch, EndpointWatchFailure failure, long lastReceivedAgoMs)
+            throws InterruptedException {
+        listener.watchLost(failure, lastReceivedAgoMs);
         if (pushed) {
             Thread.sleep(AGENT_RETRY_MS);
             synchronized (this) {
@@ -139,9 +140,9 @@
         if (watch.isClosed()) {
             return;
         }
-        if (watch == newest && heard != newest) {
-            heard.close();
-            heard = newest;
+        if (watch == newest && active != newest) {
+            active.close();
+            active = newest;
             Logger.info("{} has spoken, and no other address is watched", watch.address());
         }
         watch.setListVersion(update.version());
--- a/src/main/java/maplespread/discovery/DiscoveryWatch.java
+++ b/src/main/java/maplespread/discovery/DiscoveryWatch.java
@@ -41,11 +41,11 @@
     private HttpConnection connection;
 
     // Of the watch's own thread:
-    private boolean updateHeard; // of the watch that is open
-    private boolean lineHeard; // of the present connection
+    private boolean updateReceived; // of the watch that is open
+    private boolean lineReceived; // of the present connection
     private long calledAtNanos;
     private long connectedAfterMs;
-    private long heardAtNanos; // the last line, or the call
+    private long receivedAtNanos; // the last line, or the call
 
     DiscoveryWatch(DiscoveryClient owner, InetSocketAddress address, long listVersion) {
         this.owner = owner;
@@ -101,7 +101,7 @@
                 WatchEnd end = watch();
                 if (markEnded()) {
                     report(end);
-                    owner.onWatchLost(this, end.failure, msSince(heardAtNanos));
+                    owner.onWatchLost(this, end.failure, msSince(receivedAtNanos));
                 }
             }
         } catch (InterruptedException e) {
@@ -117,7 +117,7 @@
             }
             requested = false;
             open = true;
-            updateHeard = false;
+            updateReceived = false;
             return !closed;
         }
     }
@@ -144,21 +144,21 @@
             long silenceMs = owner.drawSilenceLimitMs();
             boolean limitedStart = renewed || owner.isPushed();
             long firstLineMs = limitedStart ? owner.timeouts().renewMs() : silenceMs;
-            lineHeard = false;
+            lineReceived = false;
             calledAtNanos = System.nanoTime();
-            heardAtNanos = calledAtNanos;
+            receivedAtNanos = calledAtNanos;
             connectedAfterMs = NOT_CONNECTED;
             try {
                 follow(firstLineMs, silenceMs);
                 return new WatchEnd(
-                        "the watch ended", lineHeard ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER);
+                        "the watch ended", lineReceived ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER);
             } catch (SocketTimeoutException e) {
-                if (!lineHeard && limitedStart) {
+                if (!lineReceived && limitedStart) {
                     return new WatchEnd("no word within " + firstLineMs + " ms", EndpointWatchFailure.NO_ANSWER);
                 }
-                owner.onSilence(this, lineHeard, msSince(heardAtNanos));
+                owner.onSilence(this, lineReceived, msSince(receivedAtNanos));
                 renewed = true;
-                updateHeard = false;
+                updateReceived = false;
                 owner.warnRateLimited(address + ": the watch is silent; it is begun anew");
             } catch (IOException e) {
                 return new WatchEnd("the watch broke: " + e.getMessage(), failureOf(e));
@@ -174,7 +174,7 @@
             return cause instanceof ConnectException ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NOT_ASKED;
         }
         // A line that cannot be read is no end on discovery's side: it goes on, and its changes count.
-        boolean ended = lineHeard && !(cause instanceof HttpException);
+        boolean ended = lineReceived && !(cause instanceof HttpException);
         return ended ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER;
     }
 
@@ -192,7 +192,7 @@
                         "connected_ms",
                         connectedAfterMs < 0 ? null : connectedAfterMs,
                         "spoke",
-                        lineHeard)
+                        lineReceived)
                 .warn();
     }
 
@@ -224,7 +224,7 @@
                     throw new IOException("discovery answered " + parser.head().status());
                 }
                 long waitMs =
-                        lineHeard ? silenceMs : TimeUnit.NANOSECONDS.toMillis(firstLineDueNanos - System.nanoTime());
+                        lineReceived ? silenceMs : TimeUnit.NANOSECONDS.toMillis(firstLineDueNanos - System.nanoTime());
                 if (!opened.fill(waitMs)) {
                     return;
                 }
@@ -233,8 +233,8 @@
     }
 
     private void takeLine(JsonObjectSplitter objects, String text) throws HttpException {
-        lineHeard = true;
-        heardAtNanos = System.nanoTime();
+        lineReceived = true;
+        receivedAtNanos = System.nanoTime();
         EndpointUpdate update;
         try {
             String object = objects.add(text);
@@ -245,7 +245,7 @@
         } catch (EndpointParser.MalformedListException e) {
             throw new HttpException(STATUS_BAD_GATEWAY, "malformed line: " + e.getMessage());
         }
-        if (!updateHeard) {
+        if (!updateReceived) {
             Logger.info(
                     "the watch of {} is on, generation {}, {} with {} workers, {} ms after the call",
                     address,
@@ -254,7 +254,7 @@
                     update.endpoints().size(),
                     msSince(calledAtNanos));
         }
-        updateHeard = true;
+        updateReceived = true;
         owner.onUpdate(this, update);
     }
 }
--- a/src/main/java/maplespread/discovery/EndpointListener.java
+++ b/src/main/java/maplespread/discovery/EndpointListener.java
@@ -9,9 +9,9 @@
     /** The list, or a part of it, has changed. */
     void endpointsChanged(EndpointUpdate update);
 
-    /** A watch that the policy had asked for could not be opened or broke, last heard of so many ms ago. */
-    void watchLost(EndpointWatchFailure failure, double heardAgoMs);
+    /** A watch that the policy had asked for could not be opened or broke; the last line came so many ms ago. */
+    void watchLost(EndpointWatchFailure failure, double lastReceivedAgoMs);
 
-    /** The list may be out of date, last heard of so many ms ago, until an update comes that is confirmed. */
-    void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs);
+    /** The list may be out of date; the last line came so many ms ago, until an update comes that is confirmed. */
+    void listUnconfirmed(EndpointListDoubt doubt, double lastReceivedAgoMs);
 }
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -26,19 +26,19 @@
         }
 
         @Override
-        public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+        public void watchLost(EndpointWatchFailure failure, double lastReceivedAgoMs) {
             synchronized (EndpointSourceSwitch.this) {
                 if (counts(source)) {
-                    listener.watchLost(failure, heardAgoMs);
+                    listener.watchLost(failure, lastReceivedAgoMs);
                 }
             }
         }
 
         @Override
-        public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
+        public void listUnconfirmed(EndpointListDoubt doubt, double lastReceivedAgoMs) {
             synchronized (EndpointSourceSwitch.this) {
                 if (counts(source)) {
-                    listener.listUnconfirmed(doubt, heardAgoMs);
+                    listener.listUnconfirmed(doubt, lastReceivedAgoMs);
                 }
             }
         }
--- a/src/main/java/maplespread/discovery/SubsetFilter.java
+++ b/src/main/java/maplespread/discovery/SubsetFilter.java
@@ -122,12 +122,12 @@
     }
 
     @Override
-    public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
-        listener.watchLost(failure, heardAgoMs);
+    public void watchLost(EndpointWatchFailure failure, double lastReceivedAgoMs) {
+        listener.watchLost(failure, lastReceivedAgoMs);
     }
 
     @Override
-    public void listUnconfirmed(EndpointListDoubt doubt, double heardAgoMs) {
-        listener.listUnconfirmed(doubt, heardAgoMs);
+    public void listUnconfirmed(EndpointListDoubt doubt, double lastReceivedAgoMs) {
+        listener.listUnconfirmed(doubt, lastReceivedAgoMs);
     }
 }
--- a/src/main/java/maplespread/quota/TenantQuota.java
+++ b/src/main/java/maplespread/quota/TenantQuota.java
@@ -87,10 +87,10 @@
     }
 
     private void countRequest(double nowMs, int tenant) {
-        double kept = Double.isNaN(ratesAtMs) ? 0 : Math.exp(-(nowMs - ratesAtMs) / RATE_MEMORY_MS);
+        double decay = Double.isNaN(ratesAtMs) ? 0 : Math.exp(-(nowMs - ratesAtMs) / RATE_MEMORY_MS);
         limitedRate = 0;
         for (int i = 0; i < rates.length; i++) {
-            rates[i] = rates[i] * kept + (i == tenant ? MS_PER_SECOND / RATE_MEMORY_MS : 0);
+            rates[i] = rates[i] * decay + (i == tenant ? MS_PER_SECOND / RATE_MEMORY_MS : 0);
             limitedRate += quotas[i] > 0 ? rates[i] : 0;
         }
         ratesAtMs = nowMs;
--- a/src/main/java/maplespread/registry/EndpointView.java
+++ b/src/main/java/maplespread/registry/EndpointView.java
@@ -27,49 +27,6 @@
  * lost data.
  */
 public final class EndpointView {
-    private static final long NOT_ORPHANED = Long.MAX_VALUE;
-
-    /** What one key says. */
-    private static final class Claim {
-        final int target;
-        final String key;
-        long revision;
-        /** Of the value that came last, readable or not. */
-        int valueHash;
-        /** The number of the reading at which the endpoint was decoded last. */
-        long reading;
-        /** Null until a value of it could be decoded. */
-        Endpoint endpoint;
-
-        long orphanUntilMs = NOT_ORPHANED;
-
-        Claim(int target, String key) {
-            this.target = target;
-            this.key = key;
-        }
-
-        boolean isOrphan() {
-            return orphanUntilMs < NOT_ORPHANED;
-        }
-
-        boolean holds(RegistryEntry entry) {
-            return revision == entry.revision() && valueHash == entry.valueHash();
-        }
-
-        /** Whether this claim counts rather than the other one. */
-        boolean precedes(Claim other) {
-            int byStart = Double.compare(endpoint.startedAtMs(), other.endpoint.startedAtMs());
-            if (byStart != 0) {
-                return byStart > 0;
-            }
-            boolean drains = endpoint.state() != Endpoint.State.SERVING;
-            if (drains != (other.endpoint.state() != Endpoint.State.SERVING)) {
-                return drains;
-            }
-            return target != other.target ? target < other.target : key.compareTo(other.key) < 0;
-        }
-    }
-
     /** How many workers a replacement has changed, and how. */
     public record ChangeCounts(int added, int removed, int drained, int restarted, int changed) {
         static final ChangeCounts NONE = new ChangeCounts(0, 0, 0, 0, 0);
@@ -87,13 +44,13 @@
     private final EntryDecoder decoder;
     private final RegistryListener listener;
     private final long forgetAfterMs;
-    private final List<Map<String, Claim>> targets = new ArrayList<>();
+    private final List<Map<String, EndpointClaim>> targets = new ArrayList<>();
     private final BitSet unreadTargets = new BitSet();
-    private final Map<String, List<Claim>> claimsByWorker = new HashMap<>();
+    private final Map<String, List<EndpointClaim>> claimsByWorker = new HashMap<>();
     private final Map<String, Endpoint> publishedEndpoints = new LinkedHashMap<>();
     private final DrainMemory drains = new DrainMemory();
-    private final Set<Claim> orphans = new LinkedHashSet<>();
-    private long earliestOrphanEndMs = NOT_ORPHANED;
+    private final Set<EndpointClaim> orphans = new LinkedHashSet<>();
+    private long earliestOrphanEndMs = EndpointClaim.NOT_ORPHANED;
     private long readings;
     private long listVersion;
     private boolean published;
@@ -134,8 +91,8 @@
 
     /** The key of a target that was changed last, the first one of equals; null where it has none. */
     String newestKey(int target) {
-        Claim newest = null;
-        for (Claim claim : targets.get(target).values()) {
+        EndpointClaim newest = null;
+        for (EndpointClaim claim : targets.get(target).values()) {
             boolean newer = newest == null
                     || claim.revision > newest.revision
                     || claim.revision == newest.revision && claim.key.compareTo(newest.key) < 0;
@@ -170,9 +127,9 @@
      * has come further since.
      */
     boolean contradicts(int target, Map<String, RegistryEntry> snapshot, long revision) {
-        Map<String, Claim> held = targets.get(target);
+        Map<String, EndpointClaim> held = targets.get(target);
         for (RegistryEntry entry : snapshot.values()) {
-            Claim claim = held.get(entry.key());
+            EndpointClaim claim = held.get(entry.key());
             boolean contradiction;
             if (claim == null || claim.isOrphan()) {
                 contradiction = entry.revision() <= revision;
@@ -206,8 +163,8 @@
     ChangeCounts replace(
             int target, Map<String, RegistryEntry> snapshot, boolean otherHistory, long revision, long nowMs) {
         Set<String> touchedWorkers = new LinkedHashSet<>();
-        Map<String, Claim> held = targets.get(target);
-        for (Claim claim : List.copyOf(held.values())) {
+        Map<String, EndpointClaim> held = targets.get(target);
+        for (EndpointClaim claim : List.copyOf(held.values())) {
             boolean stays = snapshot.containsKey(claim.key) || claim.isOrphan() && !otherHistory;
             if (stays) {
                 continue;
@@ -219,7 +176,7 @@
             }
         }
         for (RegistryEntry entry : snapshot.values()) {
-            Claim claim = held.get(entry.key());
+            EndpointClaim claim = held.get(entry.key());
             if (otherHistory || claim == null || claim.isOrphan() || !claim.holds(entry)) {
                 put(target, entry, touchedWorkers);
             }
@@ -231,7 +188,7 @@
         return publish(touchedWorkers, revision);
     }
 
-    private void orphan(Claim claim, long nowMs) {
+    private void orphan(EndpointClaim claim, long nowMs) {
         if (!claim.isOrphan()) {
             claim.orphanUntilMs = nowMs + forgetAfterMs;
             orphans.add(claim);
@@ -248,8 +205,8 @@
             return;
         }
         Set<String> touchedWorkers = new LinkedHashSet<>();
-        earliestOrphanEndMs = NOT_ORPHANED;
-        for (Claim claim : List.copyOf(orphans)) {
+        earliestOrphanEndMs = EndpointClaim.NOT_ORPHANED;
+        for (EndpointClaim claim : List.copyOf(orphans)) {
             if (claim.target == target && claim.orphanUntilMs <= confirmedAtMs) {
                 remove(claim.target, claim.key, touchedWorkers);
             } else {
@@ -263,11 +220,11 @@
     }
 
     private void put(int target, RegistryEntry entry, Set<String> touchedWorkers) {
-        Claim claim = targets.get(target).computeIfAbsent(entry.key(), key -> new Claim(target, key));
+        EndpointClaim claim = targets.get(target).computeIfAbsent(entry.key(), key -> new EndpointClaim(target, key));
         claim.revision = entry.revision();
         claim.valueHash = entry.valueHash();
         if (orphans.remove(claim)) {
-            claim.orphanUntilMs = NOT_ORPHANED;
+            claim.orphanUntilMs = EndpointClaim.NOT_ORPHANED;
         }
         Endpoint endpoint;
         try {
@@ -296,8 +253,8 @@
         touchedWorkers.add(endpoint.worker());
     }
 
-    private void addClaim(String worker, Claim claim) {
-        List<Claim> claims = claimsByWorker.computeIfAbsent(worker, w -> new ArrayList<>(1));
+    private void addClaim(String worker, EndpointClaim claim) {
+        List<EndpointClaim> claims = claimsByWorker.computeIfAbsent(worker, w -> new ArrayList<>(1));
         claims.add(claim);
         if (claims.size() > 1) {
             listener.eventOccurred(
@@ -306,19 +263,19 @@
     }
 
     private void remove(int target, String key, Set<String> touchedWorkers) {
-        Claim claim = targets.get(target).remove(key);
+        EndpointClaim claim = targets.get(target).remove(key);
         if (claim != null) {
             orphans.remove(claim);
             withdraw(claim, touchedWorkers);
         }
     }
 
-    private void withdraw(Claim claim, Set<String> touchedWorkers) {
+    private void withdraw(EndpointClaim claim, Set<String> touchedWorkers) {
         if (claim.endpoint == null) {
             return;
         }
         String worker = claim.endpoint.worker();
-        List<Claim> claims = claimsByWorker.get(worker);
+        List<EndpointClaim> claims = claimsByWorker.get(worker);
         claims.remove(claim);
         if (claims.isEmpty()) {
             claimsByWorker.remove(worker);
@@ -331,8 +288,8 @@
 
     /** The worker's endpoint by the claim that counts; null where nothing claims it. */
     private Endpoint effectiveEndpoint(String worker) {
-        Claim best = null;
-        for (Claim claim : claimsByWorker.getOrDefault(worker, List.of())) {
+        EndpointClaim best = null;
+        for (EndpointClaim claim : claimsByWorker.getOrDefault(worker, List.of())) {
             if (best == null || claim.precedes(best)) {
                 best = claim;
             }
--- a/src/main/java/maplespread/registry/client/RegistryConnection.java
+++ b/src/main/java/maplespread/registry/client/RegistryConnection.java
@@ -199,12 +199,12 @@
     }
 
     private void send(String address, RegistryRequest request) throws IOException, CallFailedException {
-        boolean kept = connection != null && address.equals(connectedTo);
-        if (kept && System.nanoTime() - usedAtNanos > TRUSTED_IDLE_NANOS && connection.stale()) {
+        boolean reusable = connection != null && address.equals(connectedTo);
+        if (reusable && System.nanoTime() - usedAtNanos > TRUSTED_IDLE_NANOS && connection.stale()) {
             // Reported as a break, not dialled again unnoticed: another history may answer at the address.
             throw new IOException("the connection had ended");
         }
-        if (!kept) {
+        if (!reusable) {
             connect(address);
         }
         HttpWriter writer = HttpWriter.request(request.method(), request.target(), address);
--- a/src/main/java/maplespread/starvation/FleetWindow.java
+++ b/src/main/java/maplespread/starvation/FleetWindow.java
@@ -8,7 +8,7 @@
 
 /**
  * The windows of the last while, of one dispatcher or of many, added up. A window counts once, however often
- * and in whatever order it comes; one of an earlier incarnation, or from before what is kept, not at all. Not
+ * and in whatever order it comes; one of an earlier incarnation, or from before what is retained, not at all. Not
  * thread-safe.
  */
 public final class FleetWindow {
@@ -33,7 +33,7 @@
         /** Which of the newest sequence numbers have come, as bits, the newest one lowest. */
         long receivedBits;
 
-        long heardAtMs;
+        long receivedAtMs;
         WaitWindow ongoing; // the window whose ongoing requests count; null: none does
 
         Source(long incarnation) {
@@ -58,9 +58,9 @@
         }
 
         /** Takes note of an older window; false where it has come before or is too old. */
-        boolean recordOlder(WaitWindow window, long keepMs) {
+        boolean recordOlder(WaitWindow window, long retentionMs) {
             long behind = newestSequence - window.sequence();
-            long maxBehind = Math.min(Long.SIZE, keepMs / Math.max(1, window.lengthMs()));
+            long maxBehind = Math.min(Long.SIZE, retentionMs / Math.max(1, window.lengthMs()));
             if (behind >= maxBehind || (receivedBits >>> behind & 1) == 1) {
                 return false;
             }
@@ -69,11 +69,11 @@
         }
     }
 
-    private record KeptWindow(long atMs, WaitWindow window) {}
+    private record RetainedWindow(long atMs, WaitWindow window) {}
 
-    private final long keepMs;
+    private final long retentionMs;
     private final boolean separatesPlaces;
-    private final ArrayDeque<KeptWindow> kept = new ArrayDeque<>();
+    private final ArrayDeque<RetainedWindow> retained = new ArrayDeque<>();
     private final Map<String, Source> sources = new TreeMap<>();
     private final Map<Long, WaitHistogram> cells = new HashMap<>();
     private final Map<Long, WaitHistogram> strata = new HashMap<>();
@@ -86,11 +86,11 @@
     private long dropped;
 
     /**
-     * {@code keepMs}: for how long a window counts; {@code separatesPlaces}: whether places are told apart. One
+     * {@code retentionMs}: for how long a window counts; {@code separatesPlaces}: whether places are told apart. One
      * dispatcher among many sees too few requests in each for that.
      */
-    public FleetWindow(long keepMs, boolean separatesPlaces) {
-        this.keepMs = keepMs;
+    public FleetWindow(long retentionMs, boolean separatesPlaces) {
+        this.retentionMs = retentionMs;
         this.separatesPlaces = separatesPlaces;
     }
 
@@ -112,15 +112,15 @@
         if (source.isNewest(window)) {
             source.recordNewest(window);
             replaceOngoing(source, window);
-        } else if (!source.recordOlder(window, keepMs)) {
+        } else if (!source.recordOlder(window, retentionMs)) {
             return false;
         }
-        source.heardAtMs = nowMs;
+        source.receivedAtMs = nowMs;
         if (entries + window.codes().length > MAX_ENTRIES) {
             dropped++;
             return false;
         }
-        kept.add(new KeptWindow(nowMs, window));
+        retained.add(new RetainedWindow(nowMs, window));
         addEnded(window, 1);
         countRequests(nowMs, window);
         return true;
@@ -133,7 +133,7 @@
             return known;
         }
         if (sources.size() >= MAX_PROCESSES) {
-            sources.values().removeIf(source -> nowMs - source.heardAtMs >= keepMs);
+            sources.values().removeIf(source -> nowMs - source.receivedAtMs >= retentionMs);
         }
         if (sources.size() >= MAX_PROCESSES) {
             return null;
@@ -199,14 +199,14 @@
         return CellCode.cell(0, CellCode.requestClass(cell), CellCode.place(cell), CellCode.band(cell));
     }
 
-    /** Removes what is older than {@code keepMs}. */
+    /** Removes what is older than {@code retentionMs}. */
     public void evictExpired(long nowMs) {
-        while (!kept.isEmpty() && nowMs - kept.peek().atMs() >= keepMs) {
-            addEnded(kept.remove().window(), -1);
+        while (!retained.isEmpty() && nowMs - retained.peek().atMs() >= retentionMs) {
+            addEnded(retained.remove().window(), -1);
         }
-        requestsBySlot.headMap((nowMs - keepMs) / slotMs, true).clear();
+        requestsBySlot.headMap((nowMs - retentionMs) / slotMs, true).clear();
         for (Source source : sources.values()) {
-            if (nowMs - source.heardAtMs >= keepMs) {
+            if (nowMs - source.receivedAtMs >= retentionMs) {
                 replaceOngoing(source, null);
             }
         }
@@ -217,7 +217,7 @@
     /** How many processes' windows are in it. */
     public int reportingProcesses(long nowMs) {
         return (int) sources.values().stream()
-                .filter(source -> nowMs - source.heardAtMs < keepMs)
+                .filter(source -> nowMs - source.receivedAtMs < retentionMs)
                 .count();
     }
 
--- a/src/main/java/maplespread/starvation/LogRankComparison.java
+++ b/src/main/java/maplespread/starvation/LogRankComparison.java
@@ -124,22 +124,22 @@
     private LogRankComparison() {}
 
     /**
-     * Adds a comparison of a group's requests in a stratum with the others'. {@code kept}: what share of the
+     * Adds a comparison of a group's requests in a stratum with the others'. {@code retainedShare}: what share of the
      * group's requests counts; the rest, those that waited longest, are left out as beyond its share.
      */
-    static void add(Sum sum, Stratum stratum, WaitHistogram own, double kept) {
+    static void add(Sum sum, Stratum stratum, WaitHistogram own, double retainedShare) {
         int others = stratum.total - own.total();
         if (others <= 0) {
             return;
         }
-        sum.removalCarry += own.total() * (1 - kept);
+        sum.removalCarry += own.total() * (1 - retainedShare);
         int removed = Math.min(own.total(), (int) sum.removalCarry);
         sum.removalCarry -= removed;
         int total = own.total() - removed;
         int[] counts = new int[own.size()];
         // First those censored the latest, then those served the latest.
-        int stillToRemove = removeLongest(own, counts, true, removed);
-        removeLongest(own, counts, false, stillToRemove);
+        int remaining = removeLongest(own, counts, true, removed);
+        removeLongest(own, counts, false, remaining);
         double othersMeanMs =
                 (stratum.total * stratum.meanMs - own.total() * restrictedMeanMs(own, stratum.deadlineMs)) / others;
         for (int i = 0; i < counts.length; i++) {
--- a/src/main/java/maplespread/starvation/StarvationDetector.java
+++ b/src/main/java/maplespread/starvation/StarvationDetector.java
@@ -148,12 +148,12 @@
     private static TenantComparison compareInPlace(
             DetectionRound round, PlaceGroup group, int tenant, WaitHistogram[] bands) {
         TenantComparison comparison = new TenantComparison(group.subject(tenant));
-        double kept = 1 - Math.min(1, OVERUSE_REMOVAL_FACTOR * round.overuse(tenant));
+        double retainedShare = 1 - Math.min(1, OVERUSE_REMOVAL_FACTOR * round.overuse(tenant));
         for (int band = 0; band < PlaceGroup.BANDS; band++) {
             if (bands[band] != null) {
                 LogRankComparison.add(comparison.all, group.strata[band], bands[band], 1);
-                if (kept < 1) {
-                    LogRankComparison.add(comparison.withinShare, group.strata[band], bands[band], kept);
+                if (retainedShare < 1) {
+                    LogRankComparison.add(comparison.withinShare, group.strata[band], bands[band], retainedShare);
                 }
             }
         }
--- a/src/main/java/maplespread/starvation/WaitRecorder.java
+++ b/src/main/java/maplespread/starvation/WaitRecorder.java
@@ -109,7 +109,7 @@
         }
         closedAtMs = nowMs;
         TreeMap<Long, Integer> ended = endedCounts();
-        TreeMap<Long, Integer> stillOngoing = ongoingCounts(nowMs);
+        TreeMap<Long, Integer> ongoingCodeCounts = ongoingCounts(nowMs);
         WaitWindow window = new WaitWindow(
                 process,
                 incarnation,
@@ -118,8 +118,8 @@
                 omitted,
                 codes(ended),
                 counts(ended),
-                codes(stillOngoing),
-                counts(stillOngoing));
+                codes(ongoingCodeCounts),
+                counts(ongoingCodeCounts));
         cells = new HashMap<>();
         omitted = 0;
         return window;
--- a/src/main/java/maplespread/starvation/WindowCodec.java
+++ b/src/main/java/maplespread/starvation/WindowCodec.java
@@ -37,7 +37,7 @@
     private static final double FIRST_THINNING = 0.9;
 
     private static final double NEXT_THINNING = 0.8;
-    private static final double MIN_KEPT_SHARE = 1e-3;
+    private static final double MIN_RETAINED_SHARE = 1e-3;
     private static final int CODE_HASH_FACTOR = 31;
     private static final int REQUEST_HASH_SHIFT = 56;
 
@@ -52,29 +52,29 @@
     /** The window in at most {@code maxBytes}, thinned where needed. */
     public static byte[] encode(WaitWindow window, int maxBytes) {
         byte[] bytes = write(window);
-        double kept = FIRST_THINNING * maxBytes / bytes.length;
-        while (bytes.length > maxBytes && kept > MIN_KEPT_SHARE) {
-            bytes = write(thin(window, kept));
-            kept *= NEXT_THINNING;
+        double retainedShare = FIRST_THINNING * maxBytes / bytes.length;
+        while (bytes.length > maxBytes && retainedShare > MIN_RETAINED_SHARE) {
+            bytes = write(thin(window, retainedShare));
+            retainedShare *= NEXT_THINNING;
         }
         return bytes;
     }
 
-    private static WaitWindow thin(WaitWindow window, double keptShare) {
+    private static WaitWindow thin(WaitWindow window, double retainedShare) {
         int[] counts = window.counts().clone();
         int omitted = window.omitted();
         for (int i = 0; i < counts.length; i++) {
-            int kept = 0;
+            int retained = 0;
             for (int request = 0; request < counts[i]; request++) {
                 long code = window.codes()[i] * CODE_HASH_FACTOR + window.sequence();
-                kept += hash(code, request) < keptShare ? 1 : 0;
+                retained += hash(code, request) < retainedShare ? 1 : 0;
             }
-            omitted += counts[i] - kept;
-            counts[i] = kept;
+            omitted += counts[i] - retained;
+            counts[i] = retained;
         }
         int[] ongoing = window.ongoingCounts().clone();
         for (int i = 0; i < ongoing.length; i++) {
-            ongoing[i] = hash(window.ongoingCodes()[i], i) < keptShare ? ongoing[i] : 0;
+            ongoing[i] = hash(window.ongoingCodes()[i], i) < retainedShare ? ongoing[i] : 0;
         }
         return new WaitWindow(
                 window.process(),
