--- a/src/test/java/maplespread/starvation/PriorityBoostTest.java
+++ b/src/test/java/maplespread/starvation/PriorityBoostTest.java
@@ -24,11 +24,11 @@
     }
 
     private static PriorityBoost after(int rounds, List<Verdict> standing) {
-        PriorityBoost relief = new PriorityBoost(LIMITS, 10);
+        PriorityBoost boost = new PriorityBoost(LIMITS, 10);
         for (int i = 0; i < rounds; i++) {
-            relief.update(standing, true);
+            boost.update(standing, true);
         }
-        return relief;
+        return boost;
     }
 
     /** Rows: what stands; whether it is known; the weight after 5 rounds of it, and after 5 good ones. */
@@ -46,15 +46,15 @@
         };
         for (Object[] r : rows) {
             for (int good : new int[] {0, 5}) {
-                PriorityBoost relief = after(good, List.of(verdict(3, Kind.STARVED)));
+                PriorityBoost boost = after(good, List.of(verdict(3, Kind.STARVED)));
                 for (int i = 0; i < 5; i++) {
                     @SuppressWarnings("unchecked")
                     List<Verdict> standing = (List<Verdict>) r[0];
-                    relief.update(standing, (boolean) r[1]);
+                    boost.update(standing, (boolean) r[1]);
                 }
                 double expected = (double) r[good == 0 ? 2 : 3];
-                assertEquals(expected, relief.weight(3), 1e-9, r[0] + " " + good);
-                assertEquals(1, relief.weight(4));
+                assertEquals(expected, boost.weight(3), 1e-9, r[0] + " " + good);
+                assertEquals(1, boost.weight(4));
             }
         }
     }
@@ -62,23 +62,23 @@
     /** It rises at once, is held, and falls a fifth as fast; once it was too early, it is held for longer. */
     @Test
     void itFallsSlowlyAndThenLaterStill() {
-        PriorityBoost relief = after(10, List.of(verdict(0, Kind.STARVED)));
+        PriorityBoost boost = after(10, List.of(verdict(0, Kind.STARVED)));
         int[] held = new int[3];
         for (int i = 0; i < held.length; i++) {
-            assertEquals(2, relief.weight(0), 1e-9);
-            while (relief.weight(0) > 2 - 1e-9 && held[i] < 1000) {
-                relief.update(List.of(), true);
+            assertEquals(2, boost.weight(0), 1e-9);
+            while (boost.weight(0) > 2 - 1e-9 && held[i] < 1000) {
+                boost.update(List.of(), true);
                 held[i]++;
             }
-            assertEquals(1.98, relief.weight(0), 1e-9);
-            relief.update(List.of(verdict(0, Kind.STARVED)), true);
+            assertEquals(1.98, boost.weight(0), 1e-9);
+            boost.update(List.of(verdict(0, Kind.STARVED)), true);
         }
         assertEquals(4, held[0]);
         assertTrue(held[1] > held[0] && held[2] > held[1] + 4, held[1] + " " + held[2]);
         for (int i = 0; i < 1000; i++) {
-            relief.update(List.of(), true);
+            boost.update(List.of(), true);
         }
-        assertEquals(List.of(), relief.activeWeights());
+        assertEquals(List.of(), boost.activeWeights());
     }
 
     /** Whatever is said of whom, and however it changes: no weight and no sum of them is out of bounds. */
@@ -86,7 +86,7 @@
     void boundedWhateverIsSaid() {
         for (int seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            PriorityBoost relief = new PriorityBoost(LIMITS, 3 + random.nextInt(10));
+            PriorityBoost boost = new PriorityBoost(LIMITS, 3 + random.nextInt(10));
             boolean[] starved = new boolean[8];
             for (int round = 0; round < 2000; round++) {
                 List<Verdict> standing = new ArrayList<>();
@@ -96,11 +96,11 @@
                         standing.add(verdict(t, random.nextInt(30) == 0 ? Kind.LONG_JOBS : Kind.STARVED));
                     }
                 }
-                relief.update(standing, random.nextInt(50) > 0);
+                boost.update(standing, random.nextInt(50) > 0);
                 double sum = 0;
                 for (int t = 0; t < starved.length; t++) {
-                    assertTrue(relief.weight(t) >= 1 && relief.weight(t) <= 2 + 1e-9, "weight");
-                    sum += relief.weight(t) - 1;
+                    assertTrue(boost.weight(t) >= 1 && boost.weight(t) <= 2 + 1e-9, "weight");
+                    sum += boost.weight(t) - 1;
                 }
                 assertTrue(sum <= LIMITS.maxTotalBoost() + 1e-9, "all together " + sum);
             }
@@ -110,28 +110,28 @@
     /** A harms B by its relief: each time that B appears, A gets half of what it had; then B has peace. */
     @Test
     void whoHarmsAnotherIsLowered() {
-        PriorityBoost relief = after(10, List.of(verdict(0, Kind.STARVED)));
+        PriorityBoost boost = after(10, List.of(verdict(0, Kind.STARVED)));
         List<Verdict> both = List.of(verdict(0, Kind.STARVED), verdict(1, Kind.STARVED));
         double last = 2;
         int appeared = 0;
-        for (; relief.weight(0) > 1.05 && appeared < 20; appeared++) {
-            relief.update(both, true);
-            assertEquals(last - 0.1, relief.weight(0), 1e-9, "lowered at once");
-            assertEquals(1, relief.weight(1), "the victim does not run with it");
+        for (; boost.weight(0) > 1.05 && appeared < 20; appeared++) {
+            boost.update(both, true);
+            assertEquals(last - 0.1, boost.weight(0), 1e-9, "lowered at once");
+            assertEquals(1, boost.weight(1), "the victim does not run with it");
             for (int i = 0; i < 30; i++) {
-                relief.update(List.of(verdict(0, Kind.STARVED)), true);
+                boost.update(List.of(verdict(0, Kind.STARVED)), true);
             }
-            assertEquals((last - 1) / 2 < 0.1 ? 1 : 1 + (last - 1) / 2, relief.weight(0), 1e-9, "half");
-            last = relief.weight(0);
+            assertEquals((last - 1) / 2 < 0.1 ? 1 : 1 + (last - 1) / 2, boost.weight(0), 1e-9, "half");
+            last = boost.weight(0);
         }
         assertEquals(4, appeared, "it is halved to nothing");
-        relief = after(10, List.of(verdict(0, Kind.STARVED)));
+        boost = after(10, List.of(verdict(0, Kind.STARVED)));
         for (int i = 0; i < 40; i++) { // B's harm is another: it goes on
-            relief.update(both, true);
-            assertTrue(relief.weight(1) == 1 || i > 10 + 10, "not before A's is over and a view has passed");
+            boost.update(both, true);
+            assertTrue(boost.weight(1) == 1 || i > 10 + 10, "not before A's is over and a view has passed");
         }
-        assertEquals(1.75, relief.weight(0), 0.05 + 1e-9);
-        assertEquals(3.5, relief.weight(0) + relief.weight(1), 1e-9, "both, by all there is");
+        assertEquals(1.75, boost.weight(0), 0.05 + 1e-9);
+        assertEquals(3.5, boost.weight(0) + boost.weight(1), 1e-9, "both, by all there is");
     }
 
     private static Relieved play(Case wrong, long seed, boolean guarded, int seconds) {
--- a/src/test/java/maplespread/starvation/StarvationDetectorTest.java
+++ b/src/test/java/maplespread/starvation/StarvationDetectorTest.java
@@ -120,30 +120,30 @@
     @Test
     void entryAndExitDiffer() {
         FleetLayout site = new FleetLayout(new double[] {2000}, new double[30], 1, 1);
-        StarvationDetector judge = new StarvationDetector(site, 0.1);
+        StarvationDetector detector = new StarvationDetector(site, 0.1);
         double[] slower = {0, 140, 400, 160, 160, 0}; // by phases of five rounds
         Kind[] stands = {Kind.FINE, Kind.FINE, Kind.STARVED, Kind.STARVED, Kind.STARVED, Kind.FINE};
         SplittableRandom random = new SplittableRandom(1);
-        WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
+        WaitRecorder recorder = new WaitRecorder("a", 1, 1000, new double[] {2000});
         long id = 0;
         for (int round = 0; round < 5 * slower.length; round++) {
-            FleetWindow view = new FleetWindow(500, true);
+            FleetWindow fleetWindow = new FleetWindow(500, true);
             for (int i = 0; i < 900; i++) {
-                waits.requestAccepted(0, ++id, i % 30, 0, 0, 10);
-                waits.requestCompleted(
+                recorder.requestAccepted(0, ++id, i % 30, 0, 0, 10);
+                recorder.requestCompleted(
                         30 + random.nextInt(40) + (i % 30 == 7 ? (long) slower[round / 5] : 0),
                         id,
                         0,
                         WaitRecorder.Completion.SERVED);
             }
-            view.add(round * 1000L, waits.closeWindow(1000));
-            judge.evaluate(round * 1000L, view);
+            fleetWindow.add(round * 1000L, recorder.closeWindow(1000));
+            detector.evaluate(round * 1000L, fleetWindow);
             if (round % 5 == 0 && round > 0) {
-                assertEquals(stands[round / 5 - 1], judge.verdictOf(7, 0, 0), "one round alone changes nothing");
+                assertEquals(stands[round / 5 - 1], detector.verdictOf(7, 0, 0), "one round alone changes nothing");
             }
             if (round % 5 == 4) {
-                assertEquals(stands[round / 5], judge.verdictOf(7, 0, 0), "phase " + round / 5);
-                assertEquals(Kind.FINE, judge.verdictOf(8, 0, 0));
+                assertEquals(stands[round / 5], detector.verdictOf(7, 0, 0), "phase " + round / 5);
+                assertEquals(Kind.FINE, detector.verdictOf(8, 0, 0));
             }
         }
     }
@@ -151,11 +151,11 @@
     /** Few jobs, long tails, and bursts whose jobs wait alike: nothing of it is anybody's fault. */
     @Test
     void noiseIsNoVerdict() {
-        StarvationDetector judge =
+        StarvationDetector detector =
                 new StarvationDetector(new FleetLayout(new double[] {2000}, new double[40], 1, 1), 0.1);
-        FleetWindow view = new FleetWindow(10_000, true);
+        FleetWindow fleetWindow = new FleetWindow(10_000, true);
         SplittableRandom random = new SplittableRandom(5);
-        WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
+        WaitRecorder recorder = new WaitRecorder("a", 1, 1000, new double[] {2000});
         long id = 0;
         int named = 0;
         for (int round = 0; round < 600; round++) {
@@ -163,13 +163,13 @@
                 int tenant = random.nextInt(40);
                 long wait = (long) (-300 * Math.log(1 - random.nextDouble()));
                 for (int job = 0; job < 4; job++) {
-                    waits.requestAccepted(0, ++id, tenant, 0, 0, 0);
-                    waits.requestCompleted(wait, id, 0, WaitRecorder.Completion.SERVED);
+                    recorder.requestAccepted(0, ++id, tenant, 0, 0, 0);
+                    recorder.requestCompleted(wait, id, 0, WaitRecorder.Completion.SERVED);
                 }
             }
-            view.evictExpired(round * 1000L);
-            view.add(round * 1000L, waits.closeWindow(round * 1000L));
-            named += judge.evaluate(round * 1000L, view).size();
+            fleetWindow.evictExpired(round * 1000L);
+            fleetWindow.add(round * 1000L, recorder.closeWindow(round * 1000L));
+            named += detector.evaluate(round * 1000L, fleetWindow).size();
         }
         assertEquals(0, named);
     }
@@ -179,7 +179,7 @@
     void whoJudgesAloneAmongManyNeedsMore() {
         int[] from = new int[3]; // refused of ten that make a verdict
         for (int refused = 10; refused > 0; refused--) {
-            StarvationDetector[] judges = {
+            StarvationDetector[] detectors = {
                 new StarvationDetector(new FleetLayout(new double[] {2000}, new double[30], 1, 1), 0.1),
                 StarvationDetector.singleDispatcher(
                         new FleetLayout(new double[] {2000}, new double[30], 1, 1), 0.1, null),
@@ -187,11 +187,11 @@
                         new FleetLayout(new double[] {2000}, new double[30], 200, 1), 0.1, null)
             };
             for (int round = 0; round < 3; round++) {
-                FleetWindow view = new FleetWindow(500, false);
-                WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
+                FleetWindow fleetWindow = new FleetWindow(500, false);
+                WaitRecorder recorder = new WaitRecorder("a", 1, 1000, new double[] {2000});
                 for (int i = 0; i < 300; i++) {
-                    waits.requestAccepted(0, i, i % 30, 0, 0, 10);
-                    waits.requestCompleted(
+                    recorder.requestAccepted(0, i, i % 30, 0, 0, 10);
+                    recorder.requestCompleted(
                             30 + i % 41,
                             i,
                             0,
@@ -199,13 +199,13 @@
                                     ? WaitRecorder.Completion.REJECTED
                                     : WaitRecorder.Completion.SERVED);
                 }
-                view.add(round, waits.closeWindow(1000));
-                for (StarvationDetector judge : judges) {
-                    judge.evaluate(round, view);
+                fleetWindow.add(round, recorder.closeWindow(1000));
+                for (StarvationDetector detector : detectors) {
+                    detector.evaluate(round, fleetWindow);
                 }
             }
-            for (int j = 0; j < judges.length; j++) {
-                from[j] = judges[j].verdictOf(7, 0, 0) == Kind.STARVED ? refused : from[j];
+            for (int j = 0; j < detectors.length; j++) {
+                from[j] = detectors[j].verdictOf(7, 0, 0) == Kind.STARVED ? refused : from[j];
             }
         }
         assertTrue(from[0] > 0 && from[1] == from[0] && from[2] > from[0], java.util.Arrays.toString(from));
@@ -238,28 +238,28 @@
     /** A starved tenant with much of a place's traffic makes no crowd of the place. */
     @Test
     void oneTenantIsNoCrowd() {
-        StarvationDetector judge =
+        StarvationDetector detector =
                 new StarvationDetector(new FleetLayout(new double[] {2000}, new double[9], 1, 1), 0.1);
         SplittableRandom random = new SplittableRandom(6);
         for (int round = 0; round < 4; round++) {
-            FleetWindow view = new FleetWindow(500, true);
-            WaitRecorder waits = new WaitRecorder("a", 1, 1000, new double[] {2000});
+            FleetWindow fleetWindow = new FleetWindow(500, true);
+            WaitRecorder recorder = new WaitRecorder("a", 1, 1000, new double[] {2000});
             for (int id = 0; id < 2000; id++) {
                 int tenant = id % 9 < 4 ? 0 : id % 9;
                 int place = random.nextInt(8);
-                waits.requestAccepted(0, id, tenant, 0, place, 10);
-                waits.requestCompleted(
+                recorder.requestAccepted(0, id, tenant, 0, place, 10);
+                recorder.requestCompleted(
                         30 + random.nextInt(40) + (tenant == 0 && place == 3 ? 900 : 0),
                         id,
                         place,
                         WaitRecorder.Completion.SERVED);
             }
-            view.add(round * 1000L, waits.closeWindow(0));
-            judge.evaluate(round * 1000L, view);
+            fleetWindow.add(round * 1000L, recorder.closeWindow(0));
+            detector.evaluate(round * 1000L, fleetWindow);
         }
-        assertEquals(Kind.STARVED, judge.verdictOf(0, 0, 3));
+        assertEquals(Kind.STARVED, detector.verdictOf(0, 0, 3));
         for (int tenant = 4; tenant < 9; tenant++) {
-            assertEquals(Kind.FINE, judge.verdictOf(tenant, 0, 3));
+            assertEquals(Kind.FINE, detector.verdictOf(tenant, 0, 3));
         }
     }
 }
--- a/src/test/java/maplespread/starvation/StarvationGoldenTest.java
+++ b/src/test/java/maplespread/starvation/StarvationGoldenTest.java
@@ -24,16 +24,16 @@
     }
 
     private static WaitWindow window() {
-        WaitRecorder waits = new WaitRecorder("n-1", 1_700_000_000_000L, 1000, new double[] {2000, 500});
+        WaitRecorder recorder = new WaitRecorder("n-1", 1_700_000_000_000L, 1000, new double[] {2000, 500});
         WaitRecorder.Completion[] ends = WaitRecorder.Completion.values();
         for (int i = 0; i < 60; i++) {
-            waits.requestAccepted(i, i, i % 5 * 300, i % 2, i % 7 * 11, i % 3 == 0 ? Double.NaN : 40 * i);
+            recorder.requestAccepted(i, i, i % 5 * 300, i % 2, i % 7 * 11, i % 3 == 0 ? Double.NaN : 40 * i);
             if (i % 6 != 5) {
-                waits.requestCompleted(i * 31, i, i % 4 == 0 ? WaitRecorder.SAME_PLACE : i % 9, ends[i % 4]);
+                recorder.requestCompleted(i * 31, i, i % 4 == 0 ? WaitRecorder.SAME_PLACE : i % 9, ends[i % 4]);
             }
         }
-        waits.requestCompleted(3000, 999, 0, WaitRecorder.Completion.SERVED); // never taken
-        return waits.closeWindow(2500);
+        recorder.requestCompleted(3000, 999, 0, WaitRecorder.Completion.SERVED); // never taken
+        return recorder.closeWindow(2500);
     }
 
     @Test
@@ -148,7 +148,7 @@
     }
 
     /** One dispatcher's second: fair but for what begins in its turn at 8, 16, 24 and 32 s. */
-    private static void second(WaitRecorder waits, SplittableRandom random, int second) {
+    private static void second(WaitRecorder recorder, SplittableRandom random, int second) {
         for (int job = 0; job < 150; job++) {
             int tenant = random.nextInt(second >= 16 && second < 24 && job % 2 == 0 ? 1 : 12);
             int cls = random.nextInt(2);
@@ -163,9 +163,9 @@
                     : WaitRecorder.Completion.SERVED;
             long at = second * 1000L + random.nextInt(1000);
             long id = second * 1000L + job;
-            waits.requestAccepted(at, id, tenant, cls, place, random.nextInt(9) == 0 ? Double.NaN : work);
+            recorder.requestAccepted(at, id, tenant, cls, place, random.nextInt(9) == 0 ? Double.NaN : work);
             if (random.nextInt(40) != 0) {
-                waits.requestCompleted(
+                recorder.requestCompleted(
                         at + Math.round(work + wait),
                         id,
                         random.nextInt(4) == 0 ? WaitRecorder.SAME_PLACE : place,
@@ -184,11 +184,11 @@
         StarvationDetector fleet = new StarvationDetector(site, 0.1);
         StarvationDetector alone = StarvationDetector.singleDispatcher(site, 0.1, fleet);
         StarvationDetector silent = StarvationDetector.singleDispatcher(site, 0.1, null);
-        FleetWindow[] views = {
+        FleetWindow[] fleetWindows = {
             new FleetWindow(10_000, true), new FleetWindow(10_000, true), new FleetWindow(10_000, false)
         };
-        StarvationDetector[] judges = {fleet, alone, silent};
-        PriorityBoost relief = new PriorityBoost(new PriorityBoost.Limits(2, 0.1, 1.5, true), 10);
+        StarvationDetector[] detectors = {fleet, alone, silent};
+        PriorityBoost boost = new PriorityBoost(new PriorityBoost.Limits(2, 0.1, 1.5, true), 10);
         SplittableRandom random = new SplittableRandom(11);
         for (int second = 0; second < 56; second++) {
             long now = second * 1000L + 1000;
@@ -198,29 +198,29 @@
                 if (i > 0 && second >= 40) {
                     continue; // not heard any more
                 }
-                views[0].add(now, w);
+                fleetWindows[0].add(now, w);
                 if (i == 0) {
-                    views[1].add(now, w);
-                    views[2].add(now, w);
+                    fleetWindows[1].add(now, w);
+                    fleetWindows[2].add(now, w);
                 }
             }
-            for (int j = 0; j < judges.length; j++) {
-                views[j].evictExpired(now);
-                List<Verdict> changes = new ArrayList<>(judges[j].evaluate(now, views[j]));
+            for (int j = 0; j < detectors.length; j++) {
+                fleetWindows[j].evictExpired(now);
+                List<Verdict> changes = new ArrayList<>(detectors[j].evaluate(now, fleetWindows[j]));
                 changes.sort((a, b) -> Integer.compare(order(a), order(b)));
                 String at = second + "/" + j;
                 changes.forEach(v -> verdict(at, v));
                 line(
                         at,
-                        judges[j].varianceInflation(),
-                        judges[j].comparisonCount(),
-                        judges[j].enoughReported(),
-                        judges[j].activeVerdicts().size(),
-                        views[j].reportingProcesses(now),
-                        views[j].estimatedBytes());
+                        detectors[j].varianceInflation(),
+                        detectors[j].comparisonCount(),
+                        detectors[j].enoughReported(),
+                        detectors[j].activeVerdicts().size(),
+                        fleetWindows[j].reportingProcesses(now),
+                        fleetWindows[j].estimatedBytes());
             }
-            relief.update(fleet.activeVerdicts(), fleet.enoughReported());
-            line(relief.activeWeights().stream()
+            boost.update(fleet.activeVerdicts(), fleet.enoughReported());
+            line(boost.activeWeights().stream()
                     .map(w -> w.tenant() + "=" + w.weight())
                     .toList());
         }
@@ -235,7 +235,7 @@
     void weightsOfRandomVerdicts() throws Exception {
         for (boolean guarded : new boolean[] {true, false}) {
             SplittableRandom random = new SplittableRandom(5);
-            PriorityBoost relief = new PriorityBoost(new PriorityBoost.Limits(2.5, 0.2, 2, guarded), 5);
+            PriorityBoost boost = new PriorityBoost(new PriorityBoost.Limits(2.5, 0.2, 2, guarded), 5);
             boolean[] starved = new boolean[6];
             for (int round = 0; round < 300; round++) {
                 List<Verdict> standing = new ArrayList<>();
@@ -246,11 +246,11 @@
                         standing.add(new Verdict(kind, t, 0, 0, 0, Verdict.Statistics.NONE, 1, 1));
                     }
                 }
-                for (PriorityBoost.Change c : relief.update(standing, random.nextInt(25) != 0)) {
+                for (PriorityBoost.Change c : boost.update(standing, random.nextInt(25) != 0)) {
                     line(round, c.kind(), c.tenant(), c.weight(), c.victim());
                 }
             }
-            line(relief.activeWeights().stream()
+            line(boost.activeWeights().stream()
                     .map(w -> w.tenant() + "=" + w.weight())
                     .toList());
         }
--- a/src/test/java/maplespread/starvation/WaitRecorderTest.java
+++ b/src/test/java/maplespread/starvation/WaitRecorderTest.java
@@ -32,10 +32,10 @@
             {Completion.REJECTED, 2500, 0.0, 2500, true}
         };
         for (Object[] r : rows) {
-            WaitRecorder waits = new WaitRecorder("a", 1, 1000, DEADLINE);
-            waits.requestAccepted(0, 1, 3, 0, 5, (double) r[2]);
-            waits.requestCompleted((int) r[1], 1, 6, (Completion) r[0]);
-            long code = waits.closeWindow(1000).codes()[0];
+            WaitRecorder recorder = new WaitRecorder("a", 1, 1000, DEADLINE);
+            recorder.requestAccepted(0, 1, 3, 0, 5, (double) r[2]);
+            recorder.requestCompleted((int) r[1], 1, 6, (Completion) r[0]);
+            long code = recorder.closeWindow(1000).codes()[0];
             assertEquals(
                     CellCode.BIN_LOWER_MS[CellCode.binFor((int) r[3])],
                     CellCode.BIN_LOWER_MS[CellCode.bin(code)],
@@ -47,38 +47,38 @@
 
     @Test
     void whatIsStillInWorkCountsUntilTheNextWindow() {
-        WaitRecorder waits = new WaitRecorder("a", 1, 1000, DEADLINE);
-        FleetWindow view = new FleetWindow(10_000, true);
-        waits.requestAccepted(0, 1, 0, 0, 0, 10);
-        assertEquals(0, waits.closeWindow(1000).ongoingCodes().length, "not yet longer than a window");
+        WaitRecorder recorder = new WaitRecorder("a", 1, 1000, DEADLINE);
+        FleetWindow fleetWindow = new FleetWindow(10_000, true);
+        recorder.requestAccepted(0, 1, 0, 0, 0, 10);
+        assertEquals(0, recorder.closeWindow(1000).ongoingCodes().length, "not yet longer than a window");
         for (int s = 2; s <= 4; s++) {
-            WaitWindow w = waits.closeWindow(s * 1000);
+            WaitWindow w = recorder.closeWindow(s * 1000);
             assertEquals(1, w.ongoingCodes().length);
-            view.add(s * 1000, w);
-            assertEquals(1, view.cells().values().iterator().next().total(), "once, whatever the windows");
+            fleetWindow.add(s * 1000, w);
+            assertEquals(1, fleetWindow.cells().values().iterator().next().total(), "once, whatever the windows");
         }
-        waits.requestCompleted(4500, 1, 0, Completion.SERVED);
-        view.add(5000, waits.closeWindow(5000));
-        WaitHistogram s = view.cells().values().iterator().next();
+        recorder.requestCompleted(4500, 1, 0, Completion.SERVED);
+        fleetWindow.add(5000, recorder.closeWindow(5000));
+        WaitHistogram s = fleetWindow.cells().values().iterator().next();
         assertEquals(1, s.total());
         assertEquals(0, s.censoredTotal());
-        assertEquals(0, view.strata().values().iterator().next().censoredTotal());
-        view.evictExpired(30_000);
-        assertTrue(view.cells().isEmpty() && view.strata().isEmpty(), "all of it goes");
+        assertEquals(0, fleetWindow.strata().values().iterator().next().censoredTotal());
+        fleetWindow.evictExpired(30_000);
+        assertTrue(fleetWindow.cells().isEmpty() && fleetWindow.strata().isEmpty(), "all of it goes");
     }
 
     /** By how long after the one before a window is closed: what ended in it, and what is open, counts. */
     @Test
     void aPauseOfThisProcessTellsNothing() {
         for (int gap : new int[] {1000, 2900, 3001, 60_000}) {
-            WaitRecorder waits = new WaitRecorder("a", 1, 1000, DEADLINE);
-            waits.closeWindow(0);
-            waits.requestAccepted(10, 1, 0, 0, 0, 10);
-            waits.requestAccepted(10, 2, 0, 0, 0, 10);
-            waits.requestCompleted(gap - 1, 1, 0, Completion.SERVED);
-            WaitWindow w = waits.closeWindow(gap);
-            waits.requestCompleted(gap + 1, 2, 0, Completion.SERVED);
-            WaitWindow after = waits.closeWindow(gap + 1000);
+            WaitRecorder recorder = new WaitRecorder("a", 1, 1000, DEADLINE);
+            recorder.closeWindow(0);
+            recorder.requestAccepted(10, 1, 0, 0, 0, 10);
+            recorder.requestAccepted(10, 2, 0, 0, 0, 10);
+            recorder.requestCompleted(gap - 1, 1, 0, Completion.SERVED);
+            WaitWindow w = recorder.closeWindow(gap);
+            recorder.requestCompleted(gap + 1, 2, 0, Completion.SERVED);
+            WaitWindow after = recorder.closeWindow(gap + 1000);
             assertEquals(gap > 3000 ? 0 : 1, w.codes().length, gap + " ms");
             assertEquals(gap > 3000 ? 0 : 1, after.codes().length, gap + " ms");
             assertEquals(2, w.requestCount() + after.requestCount(), "all are counted, if only as left out");
@@ -87,36 +87,36 @@
 
     @Test
     void memoryIsBounded() {
-        WaitRecorder waits = new WaitRecorder("a", 1, 1000, DEADLINE);
+        WaitRecorder recorder = new WaitRecorder("a", 1, 1000, DEADLINE);
         for (int id = 0; id < 20_000; id++) {
-            waits.requestAccepted(0, id, id % 30_000, 0, 0, 10);
+            recorder.requestAccepted(0, id, id % 30_000, 0, 0, 10);
         }
         for (int id = 0; id < 20_000; id++) {
-            waits.requestCompleted(20, id, 0, Completion.SERVED);
+            recorder.requestCompleted(20, id, 0, Completion.SERVED);
         }
-        WaitWindow w = waits.closeWindow(1000);
+        WaitWindow w = recorder.closeWindow(1000);
         assertEquals(4096, w.codes().length);
         assertEquals(20_000, w.requestCount());
     }
 
     private static WaitWindow random(SplittableRandom random, String process, long run, long number) {
-        WaitRecorder waits = new WaitRecorder(process, run, 1000, DEADLINE);
+        WaitRecorder recorder = new WaitRecorder(process, run, 1000, DEADLINE);
         for (long skip = 0; skip < number; skip++) {
-            waits.closeWindow(0);
+            recorder.closeWindow(0);
         }
         for (long id = 0; id < random.nextInt(300); id++) {
-            waits.requestAccepted(0, id, random.nextInt(9), 0, random.nextInt(4), 1 + random.nextInt(500));
+            recorder.requestAccepted(0, id, random.nextInt(9), 0, random.nextInt(4), 1 + random.nextInt(500));
             if (random.nextInt(9) > 0) {
-                waits.requestCompleted(
+                recorder.requestCompleted(
                         random.nextInt(3000), id, random.nextInt(4), Completion.values()[random.nextInt(4)]);
             }
         }
-        return waits.closeWindow(2000);
+        return recorder.closeWindow(2000);
     }
 
-    private static Map<Long, String> sums(FleetWindow view) {
+    private static Map<Long, String> sums(FleetWindow fleetWindow) {
         Map<Long, String> all = new HashMap<>();
-        view.cells().forEach((cell, s) -> all.put(cell, s.total() + "/" + s.censoredTotal()));
+        fleetWindow.cells().forEach((cell, s) -> all.put(cell, s.total() + "/" + s.censoredTotal()));
         return all;
     }
 
