--- a/src/main/java/maplespread/caller/ClientListener.java
+++ b/src/main/java/maplespread/caller/ClientListener.java
@@ -11,53 +11,74 @@
 import maplespread.http.HttpConnection;
 import org.tinylog.Logger;
 
-/** Accepts client connections and keeps the set of caller legs within its size. */
+/**
+ * Accepts client connections and keeps their number within its limit. Accepting runs on a thread of its own; the other
+ * methods may be called by any thread.
+ */
 public final class ClientListener implements Runnable {
     private static final int POLL_MS = 100;
-    private static final int LAST_MS = 50; // in which nobody comes, then it closes
-    private static final long MOST_LAST_MS = 200; // but no longer than this
-    private static final int MOMENTS = 5;
-    private static final int UNTRIED = 10;
+    /** The listener closes when nobody has come for so long, */
+    private static final int LAST_ACCEPT_MS = 50;
+    /** or after this, though newcomers do not end. */
+    private static final long MAX_LAST_ACCEPT_MS = 200;
+
+    /** How often, a millisecond apart, room is looked for while bytes are on their way to be read. */
+    private static final int MAX_ROOM_RETRIES = 5;
+    /** Silence counts so many times where no acceptable request ever came. */
+    private static final int UNTRIED_FACTOR = 10;
+
+    private static final int ACCEPT_FAULT_PAUSE_MS = 20;
+    private static final long NANOS_PER_MS = 1_000_000;
+
     private final ServerSocket server;
-    private final ServingContext service;
-    private final ExecutorService legThreads;
-    private final ExecutorService spareThreads; // a few, for connections beyond the size
-    private final Set<ClientConnection> legs = ConcurrentHashMap.newKeySet();
-    private volatile long jobsAt = System.nanoTime() - Long.MAX_VALUE / 2; // the last leg's with any
+    private final ServingContext context;
+    private final ExecutorService connectionThreads;
+    /** A few, for connections beyond the limit. */
+    private final ExecutorService overLimitThreads;
+
+    private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
+    /** When the last connection that had brought an acceptable request ended. */
+    private volatile long lastUsefulEndNanos = System.nanoTime() - Long.MAX_VALUE / 2;
+
     private volatile boolean closing;
     private volatile boolean closed;
 
+    /** {@code overLimitThreads}: for connections beyond the limit, each of which has one request rejected. */
     public ClientListener(
-            ServerSocket server, ServingContext service, ExecutorService legThreads, ExecutorService spareThreads) {
+            ServerSocket server,
+            ServingContext context,
+            ExecutorService connectionThreads,
+            ExecutorService overLimitThreads) {
         this.server = server;
-        this.service = service;
-        this.legThreads = legThreads;
-        this.spareThreads = spareThreads;
+        this.context = context;
+        this.connectionThreads = connectionThreads;
+        this.overLimitThreads = overLimitThreads;
     }
 
     /**
-     * The kernel's accept already counts as taken, so every connection is accepted and read, to the last one
-     * in the queue when the listener closes; what exceeds the size is answered with a refusal. On a loaded
-     * machine a connection that is open for its client comes into the queue some milliseconds later: the last
-     * look waits for it, save where newcomers do not end, as beside the process that takes over.
+     * The kernel's accept already counts as taken, so every connection is accepted and read, to the last one in the queue
+     * when the listener closes; what exceeds the limit is answered with a rejection. On a loaded machine a connection that
+     * is open for its client comes into the queue some milliseconds later: the last look waits for it, save where
+     * newcomers do not end, as beside the process that takes over.
      */
     @Override
     public void run() {
-        long since = 0;
+        long closingSinceNanos = 0;
         while (true) {
             boolean last = closing;
-            since = last && since == 0 ? System.nanoTime() : since;
-            boolean enough = last && System.nanoTime() - since > MOST_LAST_MS * 1_000_000;
+            if (last && closingSinceNanos == 0) {
+                closingSinceNanos = System.nanoTime();
+            }
             try {
-                server.setSoTimeout(enough ? 1 : last ? LAST_MS : POLL_MS);
+                server.setSoTimeout(last ? lastAcceptMs(closingSinceNanos) : POLL_MS);
                 serve(server.accept());
-            } catch (SocketTimeoutException none) {
+            } catch (SocketTimeoutException e) {
                 if (last) {
                     break;
                 }
             } catch (IOException | RuntimeException | Error e) { // out of descriptors, say: it must go on
                 Logger.warn("accept failed: {}", e.getMessage());
-                pause(20);
+                pause(ACCEPT_FAULT_PAUSE_MS);
             }
         }
         try {
@@ -68,6 +89,11 @@
         closed = true;
     }
 
+    private static int lastAcceptMs(long closingSinceNanos) {
+        boolean longEnough = System.nanoTime() - closingSinceNanos > MAX_LAST_ACCEPT_MS * NANOS_PER_MS;
+        return longEnough ? 1 : LAST_ACCEPT_MS;
+    }
+
     private void serve(Socket socket) throws IOException {
         HttpConnection connection;
         try {
@@ -76,79 +102,82 @@
             socket.close(); // it has been reset meanwhile
             throw e;
         }
-        freeClients();
-        boolean room = room();
-        ClientConnection leg = new ClientConnection(connection, service, !room);
-        legs.add(leg);
+        evictIdleUseful();
+        boolean withinLimit = makeRoom();
+        ClientConnection client = new ClientConnection(connection, context, !withinLimit);
+        connections.add(client);
         Runnable work = () -> {
             try {
-                leg.run();
+                client.run();
             } finally {
-                if (leg.useful()) {
-                    jobsAt = System.nanoTime();
+                if (client.useful()) {
+                    lastUsefulEndNanos = System.nanoTime();
                 }
-                legs.remove(leg);
+                connections.remove(client);
             }
         };
         try {
-            (room ? legThreads : spareThreads).execute(work);
+            (withinLimit ? connectionThreads : overLimitThreads).execute(work);
         } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is left to read it
-            legs.remove(leg);
-            leg.refuse();
+            connections.remove(client);
+            client.rejectUnread();
         }
     }
 
     /**
-     * Makes room for one more leg at the cost of one that holds no whole request: the longest silent, where
-     * silence counts ten times for one that never brought a job. The accepting must not wait: useful clients
-     * stand in the same queue as a crowd, and their time runs. Closing an idle connection of a useful client
-     * costs it a new one, closing a newcomer's costs its first request, whose bytes are on their way.
+     * Makes room for one more connection at the cost of one that holds no whole request: the longest silent, where silence
+     * counts {@link #UNTRIED_FACTOR} times for one that never brought an acceptable request. Accepting must not wait: useful
+     * clients stand in the same queue as a crowd, and their time runs. Closing an idle connection of a useful client costs
+     * it a new one, closing a newcomer's costs its first request, whose bytes are on their way.
      */
-    private boolean room() {
-        if (legs.size() < service.limits().get().clientConnections()) {
+    private boolean makeRoom() {
+        if (connections.size() < context.limits().get().clientConnections()) {
             return true;
         }
-        boolean ended = end(1, UNTRIED);
-        for (int i = 0; i < MOMENTS && !ended && legs.stream().anyMatch(ClientConnection::untried); i++) {
+        boolean evicted = evictLongestSilent(1, UNTRIED_FACTOR);
+        for (int i = 0;
+                i < MAX_ROOM_RETRIES && !evicted && connections.stream().anyMatch(ClientConnection::untried);
+                i++) {
             pause(1); // bytes have come, and will now be read
-            ended = end(1, UNTRIED);
+            evicted = evictLongestSilent(1, UNTRIED_FACTOR);
         }
-        return ended;
+        return evicted;
     }
 
     /**
-     * Ends the longest idle useful leg where there are many. A third of the descriptors is all that clients
-     * may hold: connections that they keep and do not use would leave them none for their next requests.
+     * Ends the longest idle useful connection where there are many. A third of the descriptors is all that clients may
+     * hold: connections that they keep and do not use would leave them none for their next requests.
      */
-    private void freeClients() {
-        if (legs.stream().filter(l -> l.useful() && !l.ending()).count()
-                > service.limits().get().servedClientConnections()) {
-            end(1, 0);
+    private void evictIdleUseful() {
+        long useful = connections.stream()
+                .filter(client -> client.useful() && !client.closing())
+                .count();
+        if (useful > context.limits().get().servedClientConnections()) {
+            evictLongestSilent(1, 0);
         }
     }
 
-    /** Ends the longest silent; another where a request came to it in that moment. */
-    private boolean end(int useful, int untried) {
-        ClientConnection silent = longestSilent(useful, untried);
-        while (silent != null && !silent.end()) {
-            silent = longestSilent(useful, untried);
+    /** Ends the longest silent; another where a request came to it in that moment. False where there is none. */
+    private boolean evictLongestSilent(int usefulFactor, int untriedFactor) {
+        ClientConnection silent = longestSilent(usefulFactor, untriedFactor);
+        while (silent != null && !silent.closeNow()) {
+            silent = longestSilent(usefulFactor, untriedFactor);
         }
         if (silent != null) {
-            service.metrics().shed();
+            context.metrics().shed();
         }
         return silent != null;
     }
 
-    /** Silence counts so many times for useful legs and for those that never brought a job. */
-    private ClientConnection longestSilent(int useful, int untried) {
-        long now = System.nanoTime();
+    private ClientConnection longestSilent(int usefulFactor, int untriedFactor) {
+        long nowNanos = System.nanoTime();
         ClientConnection found = null;
-        long most = 0;
-        for (ClientConnection leg : legs) {
-            long silence = (now - leg.quietSince()) * (leg.useful() ? useful : untried);
-            if (silence > most && !leg.ending() && leg.silent()) {
-                found = leg;
-                most = silence;
+        long longest = 0;
+        for (ClientConnection client : connections) {
+            long silence = (nowNanos - client.quietSinceNanos()) * (client.useful() ? usefulFactor : untriedFactor);
+            if (silence > longest && !client.closing() && client.silent()) {
+                found = client;
+                longest = silence;
             }
         }
         return found;
@@ -156,13 +185,13 @@
 
     /** How many client connections are open. */
     public int size() {
-        return legs.size();
+        return connections.size();
     }
 
-    /** Ends the legs whose clients do not read their answers, and forgets ids of long ago. */
+    /** Ends the connections whose clients do not read their responses, and forgets expired ids. */
     public void sweep() {
-        legs.forEach(ClientConnection::cutIfStuck);
-        service.recentIds().removeExpired();
+        connections.forEach(ClientConnection::cutIfStuck);
+        context.recentIds().removeExpired();
     }
 
     /** Stops accepting once the queue is empty. */
@@ -175,43 +204,45 @@
         return closed;
     }
 
-    /** Whether a leg that brought jobs is there, or was so shortly ago: its like may be on their way. */
-    public boolean wanted(long ms) {
-        return !legs.isEmpty() || System.nanoTime() - jobsAt < ms * 1_000_000;
+    /**
+     * Whether a connection is open, or a useful one was within {@code graceMs} milliseconds: others may be on their way.
+     */
+    public boolean wanted(long graceMs) {
+        return !connections.isEmpty() || System.nanoTime() - lastUsefulEndNanos < graceMs * NANOS_PER_MS;
     }
 
     /**
-     * Has the legs end that wait for a request; whether none is left, and none can come. What is accepted
-     * last may come between the two looks, so the one at the listener is the first.
+     * Has the connections end that wait for a request; whether none is left, and none can come. What is accepted last may
+     * come between the two looks, so the one at the listener is the first.
      */
     public boolean over() {
-        boolean last = closed;
-        for (ClientConnection leg : legs) {
-            if (leg.quiet()) {
-                leg.part();
+        boolean acceptsNone = closed;
+        for (ClientConnection client : connections) {
+            if (client.quiet()) {
+                client.closeWhenIdle();
             }
         }
-        return last && legs.isEmpty();
+        return acceptsNone && connections.isEmpty();
     }
 
-    /** Has the legs end that have been quiet for so long. */
-    public void endQuiet(long ms) {
-        long before = System.nanoTime() - ms * 1_000_000;
-        for (ClientConnection leg : legs) {
-            if (leg.quiet() && leg.quietSince() - before < 0) {
-                leg.part();
+    /** Has the connections end that have been quiet for {@code quietMs} milliseconds. */
+    public void endQuiet(long quietMs) {
+        long beforeNanos = System.nanoTime() - quietMs * NANOS_PER_MS;
+        for (ClientConnection client : connections) {
+            if (client.quiet() && client.quietSinceNanos() - beforeNanos < 0) {
+                client.closeWhenIdle();
             }
         }
     }
 
-    /** Answers what is still in work as failed. */
+    /** Answers what is still in flight as failed. */
     public void failAll() {
-        legs.forEach(ClientConnection::fail);
+        connections.forEach(ClientConnection::fail);
     }
 
-    private static void pause(long ms) {
+    private static void pause(long pauseMs) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(pauseMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/maplespread/caller/ClientRequest.java
+++ b/src/main/java/maplespread/caller/ClientRequest.java
@@ -12,146 +12,191 @@
 import maplespread.policy.Idempotency;
 import maplespread.worker.WorkerRequest;
 
-/** Checks a client's job and reads what decisions need of it. Nothing that fails here reaches a worker. */
+/**
+ * Checks a client's request and reads what decisions need of it. What fails here is an {@link HttpException} with its status
+ * and reaches no worker. Nothing of the client's own head goes on but what was checked here: a worker closes on a head that
+ * it cannot read, and a field may mean something else to it than to this parser.
+ */
 final class ClientRequest {
-    private static final long LONGEST_MS = 3_600_000;
-    /** For the answer's way to the client, so that one at the deadline still arrives in time. */
-    private static final long WAY_BACK_US = 5_000;
+    private static final long MAX_REMAINING_MS = 3_600_000;
+    /** For the response's way to the client, so that one at the deadline still arrives in time. */
+    private static final long RESPONSE_TRANSIT_US = 5_000;
 
-    private static final int LONGEST_TARGET = 2048;
-    private static final List<String> HANDED_ON =
+    private static final int MAX_TARGET_CHARS = 2048;
+    /** The fields that a request keeps when it is forwarded to another dispatcher. */
+    private static final List<String> FORWARDED_FIELDS =
             List.of("X-Lane", "X-Org", "X-Estimate", "X-Labels", "X-Entity", "Idempotency-Key");
 
+    /** What is sent to a worker. */
     final WorkerRequest message;
-    final InFlightRequest transaction;
+    /** The request as decisions see it. */
+    final InFlightRequest inFlight;
+
     private final HttpHead head;
     private final String tenant;
-    private final Map<String, Double> labels = new HashMap<>();
+    private final Map<String, Double> labels;
+    /** Slots that it takes at a worker. */
+    private double slots = 1;
+    /** Memory units that it takes at a worker. */
+    private double memory;
 
-    /** {@code lastByteUs}: when the request's last byte had come, on the dispatcher's clock. */
-    ClientRequest(ServingContext service, HttpHead head, byte[] body, long lastByteUs) throws HttpException {
+    /** {@code lastByteUs}: when the request's last byte had come, on {@code DecisionService.nowUs}. */
+    ClientRequest(ServingContext context, HttpHead head, byte[] body, long lastByteUs) throws HttpException {
         this.head = head;
-        Config config = service.config();
-        int cls = config.names().place(firstPart(head.target()));
-        if (cls < 0) {
+        Config config = context.config();
+        int classIndex = checkClass(config);
+        String requestClass = head.get("X-Lane");
+        String id = required("X-Txn");
+        if (!id.matches("[!-~]{1,128}")) {
+            throw new HttpException(400, "malformed X-Txn");
+        }
+        int tenantIndex = checkTenant(config);
+        tenant = config.names().tenants().isEmpty()
+                ? null
+                : config.names().tenants().get(tenantIndex);
+        double waitMs = Math.min(
+                checkRemainingMs(), config.settings().classes().get(classIndex).deadlineMs());
+        double workMs = number(atMostOne("X-Estimate"), "X-Estimate", Double.NaN) / 1000;
+        labels = readLabels();
+        String entity = atMostOne("X-Entity");
+        List<String[]> fields = new ArrayList<>();
+        addField(fields, "X-Lane", requestClass);
+        if (tenant != null) {
+            addField(fields, "X-Org", tenant);
+        }
+        addEntity(fields, entity);
+        addIdempotencyKey(fields, config.settings().classes().get(classIndex).idempotency());
+        message = new WorkerRequest(head.method(), head.target(), id, requestClass, fields, body);
+        long deadlineUs = lastByteUs + Math.round(waitMs * 1000) - RESPONSE_TRANSIT_US;
+        inFlight = new InFlightRequest(
+                classIndex,
+                tenantIndex,
+                Math.min(deadlineUs, context.shutdownDeadlineUs().getAsLong()),
+                workMs,
+                slots,
+                memory,
+                entity,
+                config.settings());
+    }
+
+    private int checkClass(Config config) throws HttpException {
+        int classIndex = config.names().place(firstPart(head.target()));
+        if (classIndex < 0) {
             throw new HttpException(404, "no such path");
         }
-        if (head.target().length() > LONGEST_TARGET) {
+        if (head.target().length() > MAX_TARGET_CHARS) {
             throw new HttpException(414, "target too long");
         }
         if (!head.method().equals("POST")) {
             throw new HttpException(405, "jobs come by POST");
         }
-        String lane = need(head, "X-Lane");
-        if (config.names().place(lane) < 0) {
+        int named = config.names().place(required("X-Lane"));
+        if (named < 0) {
             throw new HttpException(404, "no such class");
         }
-        if (config.names().place(lane) != cls) {
+        if (named != classIndex) {
             throw new HttpException(400, "X-Lane and path differ");
         }
-        String id = need(head, "X-Txn");
-        if (!id.matches("[!-~]{1,128}")) {
-            throw new HttpException(400, "malformed X-Txn");
+        return classIndex;
+    }
+
+    private int checkTenant(Config config) throws HttpException {
+        if (config.names().tenants().isEmpty()) {
+            return 0;
         }
-        int place = 0;
-        if (!config.names().tenants().isEmpty()) {
-            place = config.names().tenants().indexOf(need(head, "X-Org"));
-            if (place < 0) {
-                throw new HttpException(400, "unknown X-Org");
-            }
+        int tenantIndex = config.names().tenants().indexOf(required("X-Org"));
+        if (tenantIndex < 0) {
+            throw new HttpException(400, "unknown X-Org");
         }
-        tenant = config.names().tenants().isEmpty()
-                ? null
-                : config.names().tenants().get(place);
-        String remaining = need(head, "X-Remaining-Ms");
+        return tenantIndex;
+    }
+
+    private long checkRemainingMs() throws HttpException {
+        String remaining = required("X-Remaining-Ms");
         if (!remaining.matches("[0-9]{1,7}")
-                || Long.parseLong(remaining) > LONGEST_MS
+                || Long.parseLong(remaining) > MAX_REMAINING_MS
                 || Long.parseLong(remaining) == 0) {
             throw new HttpException(400, "X-Remaining-Ms out of range");
         }
-        double waitMs = Math.min(
-                Long.parseLong(remaining), config.settings().classes().get(cls).deadlineMs());
-        double workMs = figure(one(head, "X-Estimate"), "X-Estimate", Double.NaN) / 1000;
-        double slots = 1;
-        double memory = 0;
-        String labels = one(head, "X-Labels");
-        for (String label : labels == null ? new String[0] : labels.split(",")) {
-            int eq = label.indexOf('=');
-            if (eq < 1) {
+        return Long.parseLong(remaining);
+    }
+
+    /** Labels that are not known here are allowed: the protocol may add some. */
+    private Map<String, Double> readLabels() throws HttpException {
+        Map<String, Double> values = new HashMap<>();
+        String text = atMostOne("X-Labels");
+        for (String label : text == null ? new String[0] : text.split(",")) {
+            int equals = label.indexOf('=');
+            if (equals < 1) {
                 throw new HttpException(400, "malformed X-Labels");
             }
-            double v = figure(label.substring(eq + 1), "X-Labels", 0);
-            if (service.sequencer() != null) {
-                this.labels.put(label.substring(0, eq).strip(), v);
-            }
-            switch (label.substring(0, eq).strip().toLowerCase(Locale.ROOT)) {
-                case "slots", "coresneeded", "x1" -> slots = v;
-                case "memory", "ramunits", "x2" -> memory = v;
-                default -> {} // keys may be added
+            double value = number(label.substring(equals + 1), "X-Labels", 0);
+            String name = label.substring(0, equals).strip();
+            values.put(name, value);
+            switch (name.toLowerCase(Locale.ROOT)) {
+                case "slots", "coresneeded", "x1" -> slots = value;
+                case "memory", "ramunits", "x2" -> memory = value;
+                default -> {}
             }
         }
-        String entity = one(head, "X-Entity");
-        // Nothing of the client's own head goes on but what was checked here: a worker closes on a head
-        // that it cannot read, and a field may mean something else to it than to this parser.
-        List<String[]> fields = new ArrayList<>();
-        fields.add(new String[] {"X-Lane", lane});
-        if (tenant != null) {
-            fields.add(new String[] {"X-Org", tenant});
+        return values;
+    }
+
+    private static void addField(List<String[]> fields, String name, String value) {
+        fields.add(new String[] {name, value});
+    }
+
+    private static void addEntity(List<String[]> fields, String entity) throws HttpException {
+        if (entity == null || entity.isEmpty()) {
+            return;
         }
-        if (entity != null && !entity.isEmpty()) {
-            if (!entity.matches("[ -~]{1,256}")) {
-                throw new HttpException(400, "malformed X-Entity");
-            }
-            fields.add(new String[] {"X-Entity", entity});
+        if (!entity.matches("[ -~]{1,256}")) {
+            throw new HttpException(400, "malformed X-Entity");
         }
-        // A keyed class is safe to send again only because its workers drop a repeat of the key: a worker
-        // that never sees the key runs the job twice, and one that sees another key takes it for another job.
-        String key = one(head, "Idempotency-Key");
-        boolean keyed = config.settings().classes().get(cls).idempotency() == Idempotency.IDEMPOTENCY_KEY;
-        if (keyed && (key == null || key.isEmpty())) {
+        addField(fields, "X-Entity", entity);
+    }
+
+    /**
+     * A class with idempotency keys is safe to retry only because its workers drop a repeat of the key: a worker that never
+     * sees the key runs the request twice, and one that sees another key takes it for another request.
+     */
+    private void addIdempotencyKey(List<String[]> fields, Idempotency idempotency) throws HttpException {
+        String key = atMostOne("Idempotency-Key");
+        boolean missing = key == null || key.isEmpty();
+        if (missing && idempotency == Idempotency.IDEMPOTENCY_KEY) {
             throw new HttpException(400, "Idempotency-Key is missing");
         }
-        if (key != null && !key.isEmpty()) {
-            if (!key.matches("[!-~]{1,255}")) {
-                throw new HttpException(400, "malformed Idempotency-Key");
-            }
-            fields.add(new String[] {"Idempotency-Key", key});
-        }
-        message = new WorkerRequest(head.method(), head.target(), id, lane, fields, body);
-        long waitsUntilUs = lastByteUs + Math.round(waitMs * 1000) - WAY_BACK_US;
-        transaction = new InFlightRequest(
-                cls,
-                place,
-                Math.min(waitsUntilUs, service.shutdownDeadlineUs().getAsLong()),
-                workMs,
-                slots,
-                memory,
-                entity,
-                config.settings());
+        if (missing) {
+            return;
+        }
+        if (!key.matches("[!-~]{1,255}")) {
+            throw new HttpException(400, "malformed Idempotency-Key");
+        }
+        addField(fields, "Idempotency-Key", key);
     }
 
-    /** As those see it who give jobs their turn. */
-    RequestSequencer.SequencedRequest job(long nowUs) {
+    /** The request as the sequencer sees it. {@code nowUs}: on {@code DecisionService.nowUs}. */
+    RequestSequencer.SequencedRequest sequenced(long nowUs) {
         List<String[]> fields = new ArrayList<>();
-        for (String name : HANDED_ON) {
+        for (String name : FORWARDED_FIELDS) {
             if (head.get(name) != null) {
-                fields.add(new String[] {name, head.get(name)});
+                addField(fields, name, head.get(name));
             }
         }
         String entity = head.get("X-Entity");
         return new RequestSequencer.SequencedRequest(
                 message,
-                transaction,
+                inFlight,
                 tenant,
                 entity == null || entity.isEmpty() ? null : entity,
                 labels,
                 fields,
                 head.get(RequestSequencer.FORWARDED_BY_HEADER),
-                (transaction.deadlineUs() - nowUs) / 1000);
+                (inFlight.deadlineUs() - nowUs) / 1000);
     }
 
-    /** Whether another dispatcher has the client. */
-    boolean handedOn() {
+    /** Whether it comes from another dispatcher, which has the client. */
+    boolean isForwarded() {
         return head.get(RequestSequencer.FORWARDED_BY_HEADER) != null;
     }
 
@@ -163,22 +208,22 @@
         return target.startsWith("/") ? target.substring(1, end) : "";
     }
 
-    private static String one(HttpHead head, String name) throws HttpException {
+    private String atMostOne(String name) throws HttpException {
         if (head.count(name) > 1) {
             throw new HttpException(400, name + " stands twice");
         }
         return head.get(name);
     }
 
-    private static String need(HttpHead head, String name) throws HttpException {
-        String value = one(head, name);
+    private String required(String name) throws HttpException {
+        String value = atMostOne(name);
         if (value == null || value.isEmpty()) {
             throw new HttpException(400, name + " is missing");
         }
         return value;
     }
 
-    private static double figure(String text, String name, double otherwise) throws HttpException {
+    private static double number(String text, String name, double otherwise) throws HttpException {
         if (text == null) {
             return otherwise;
         }
--- a/src/main/java/maplespread/caller/ClientResponse.java
+++ b/src/main/java/maplespread/caller/ClientResponse.java
@@ -12,168 +12,183 @@
 import maplespread.metrics.Metrics;
 import maplespread.metrics.Metrics.ResponseCode;
 
-/** The one final answer to a request: whoever comes first writes it, and nobody after that. */
+/**
+ * The one final response to a request. Any thread may give it: the first one to claim it writes it, and nobody after that.
+ */
 final class ClientResponse {
     private final HttpConnection connection;
-    private final BooleanSupplier last;
-    private final Metrics figures;
+    private final BooleanSupplier closesConnection;
+    private final Metrics metrics;
     private final AtomicBoolean claimed = new AtomicBoolean();
-    private final CountDownLatch over = new CountDownLatch(1);
-    private volatile boolean closed;
-    private volatile String lane; // of the job taken; null: none was
-    private volatile String tried; // the worker that it went to last
-    private volatile RequestListener ends; // null: nobody hears of it
-    private volatile long number; // of the job, to whom hears of it
-    private long takenAt; // nanoseconds; written before the lane
-
-    /** {@code last}: whether the connection ends with this answer, asked when it is given. */
-    ClientResponse(HttpConnection connection, BooleanSupplier last, Metrics figures) {
+    private final CountDownLatch completed = new CountDownLatch(1);
+    private volatile boolean connectionClosed;
+    /** The class of the accepted request; null: none was accepted. */
+    private volatile String acceptedClass;
+
+    private volatile String lastWorker;
+    /** Notified of the request's completion, once; null: nobody is. */
+    private volatile RequestListener listener;
+    /** What the listener gave for the request. */
+    private volatile long listenerHandle;
+    /** Written before the class. */
+    private long acceptedNanos;
+
+    /** {@code closesConnection}: whether the connection ends with this response, asked when it is given. */
+    ClientResponse(HttpConnection connection, BooleanSupplier closesConnection, Metrics metrics) {
         this.connection = connection;
-        this.last = last;
-        this.figures = figures;
+        this.closesConnection = closesConnection;
+        this.metrics = metrics;
     }
 
-    /** A job of this class has been taken: its end is counted, once, by whoever gives the answer. */
-    void taken(String lane) {
-        takenAt = System.nanoTime();
-        this.lane = lane;
-        figures.taken();
+    /** A request of this class has been accepted: its end is counted, once, by whoever gives the response. */
+    void accepted(String requestClass) {
+        acceptedNanos = System.nanoTime();
+        acceptedClass = requestClass;
+        metrics.taken();
     }
 
-    /** The same, and whoever wants to hear of it does; null: nobody. */
-    void taken(ClientRequest job, RequestListener who) {
-        taken(job.message.lane());
-        ends = who;
-        number = who == null ? 0 : who.requestAccepted(job.transaction);
+    /** The same, and {@code notified} is told of it and of its completion; null: nobody is. */
+    void accepted(ClientRequest request, RequestListener notified) {
+        accepted(request.message.lane());
+        listener = notified;
+        listenerHandle = notified == null ? 0 : notified.requestAccepted(request.inFlight);
     }
 
-    /** The job goes to this worker now. */
-    void tried(String worker) {
-        tried = worker;
+    /** The request is sent to this worker now. */
+    void attempted(String worker) {
+        lastWorker = worker;
     }
 
-    private void ended(RequestListener.Result how) {
-        RequestListener who = ends;
-        ends = null; // once, though ending the connection fails
-        if (who != null) {
-            who.requestCompleted(number, how, tried);
+    private void notifyCompleted(RequestListener.Result result) {
+        RequestListener notified = listener;
+        listener = null; // once, though ending the connection fails
+        if (notified != null) {
+            notified.requestCompleted(listenerHandle, result, lastWorker);
         }
     }
 
+    /** 200 with the worker's result. */
     void served(byte[] result) {
         give(ResponseCode.SUCCESS, HttpWriter.response(200), result);
     }
 
-    /** A refusal: it is harmless to try again, after the pause. */
-    void busy(double pauseMs) {
+    /** 503: a retry is safe, after {@code retryAfterMs} milliseconds where that is above 0. */
+    void rejected(double retryAfterMs) {
         HttpWriter head = HttpWriter.response(503);
-        if (pauseMs > 0) {
-            head.field("Retry-After", String.format(Locale.ROOT, "%.3f", pauseMs / 1000));
+        if (retryAfterMs > 0) {
+            head.field("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
         }
-        give(ResponseCode.BUSY, head, text("busy"));
+        give(ResponseCode.BUSY, head, line("busy"));
     }
 
+    /** An error with its sentence. */
     void failed(int status, String why) {
         HttpWriter head = HttpWriter.response(status);
         if (status == 405) {
             head.field("Allow", why.contains("POST") ? "POST" : "GET");
         }
-        give(ResponseCode.FAILURE, head, text(why));
+        give(ResponseCode.FAILURE, head, line(why));
     }
 
-    /** It may have run, and may yet run. */
-    void doubtful(String why) {
-        give(
-                ResponseCode.FAILURE,
-                HttpWriter.response(502).field(RequestSequencer.ORDER_REASON_HEADER, "in-doubt"),
-                text(why));
+    /** 502: it may have run, and may yet run. */
+    void inDoubt(String why) {
+        HttpWriter head = HttpWriter.response(502).field(RequestSequencer.ORDER_REASON_HEADER, "in-doubt");
+        give(ResponseCode.FAILURE, head, line(why));
     }
 
-    /** What another one has said, unchanged. */
-    void said(RequestSequencer.FinalResponse said) {
-        HttpWriter head = HttpWriter.response(said.status());
-        said.fields().forEach(f -> head.field(f[0], f[1]));
-        give(
-                said.status() == 200
-                        ? ResponseCode.SUCCESS
-                        : said.status() == 503 ? ResponseCode.BUSY : ResponseCode.FAILURE,
-                head,
-                said.body());
+    /** The response of another dispatcher or of the sequencer, unchanged. */
+    void relayed(RequestSequencer.FinalResponse finalResponse) {
+        HttpWriter head = HttpWriter.response(finalResponse.status());
+        finalResponse.fields().forEach(field -> head.field(field[0], field[1]));
+        give(codeOf(finalResponse.status()), head, finalResponse.body());
     }
 
-    void plain(int status, String why) {
-        give(ResponseCode.FAILURE, HttpWriter.response(status), text(why));
+    private static ResponseCode codeOf(int status) {
+        return switch (status) {
+            case 200 -> ResponseCode.SUCCESS;
+            case 503 -> ResponseCode.BUSY;
+            default -> ResponseCode.FAILURE;
+        };
     }
 
-    /** The client has broken the framing: fails, ends the connection. False where an answer came before. */
-    boolean broken(String why) {
-        return give(ResponseCode.FAILURE, HttpWriter.response(400), text(why), true);
+    /** A line of text under a status. */
+    void plain(int status, String text) {
+        give(ResponseCode.FAILURE, HttpWriter.response(status), line(text));
     }
 
-    /** Ends the matter without an answer: the client has left. */
+    /** 400, as the client has broken the framing; the connection ends. False where a response came before. */
+    boolean framingBroken(String why) {
+        return give(ResponseCode.FAILURE, HttpWriter.response(400), line(why), true);
+    }
+
+    /** Ends the matter without a response: the client has left. */
     void drop() {
         if (claimed.compareAndSet(false, true)) {
-            figures.left();
-            ended(RequestListener.Result.CLIENT_LEFT);
-            over();
+            metrics.left();
+            notifyCompleted(RequestListener.Result.CLIENT_LEFT);
+            complete();
         }
     }
 
     /** Whether it has been written, or dropped. */
     boolean given() {
-        return over.getCount() == 0;
+        return completed.getCount() == 0;
     }
 
     /** Whether the connection has ended with it. */
     boolean closed() {
-        return closed;
+        return connectionClosed;
     }
 
+    /** Blocks until it has been written, or dropped. */
     void awaitGiven() throws InterruptedException {
-        over.await();
+        completed.await();
     }
 
     private void give(ResponseCode code, HttpWriter head, byte[] body) {
         give(code, head, body, false);
     }
 
-    private boolean give(ResponseCode code, HttpWriter head, byte[] body, boolean end) {
+    private boolean give(ResponseCode code, HttpWriter head, byte[] body, boolean forceClose) {
         if (!claimed.compareAndSet(false, true)) {
             return false;
         }
-        boolean close = end || last.getAsBoolean();
-        closed = close;
+        boolean close = forceClose || closesConnection.getAsBoolean();
+        connectionClosed = close;
         try {
             connection.send((close ? head.field("Connection", "close") : head).body(body));
-            if (lane != null) {
-                figures.answered(lane, code, System.nanoTime() - takenAt);
+            if (acceptedClass != null) {
+                metrics.answered(acceptedClass, code, System.nanoTime() - acceptedNanos);
             }
-            ended(
-                    code == ResponseCode.SUCCESS
-                            ? RequestListener.Result.SERVED
-                            : code == ResponseCode.BUSY
-                                    ? RequestListener.Result.REJECTED
-                                    : RequestListener.Result.FAILED);
+            notifyCompleted(resultOf(code));
             if (close) {
                 connection.endSending();
             }
-        } catch (IOException e) {
-            ended(RequestListener.Result.CLIENT_LEFT);
-            connection.close(); // the client has gone
+        } catch (IOException e) { // the client has gone
+            notifyCompleted(RequestListener.Result.CLIENT_LEFT);
+            connection.close();
         } finally {
-            over();
+            complete();
         }
         return true;
     }
 
-    private void over() {
-        if (lane != null) {
-            figures.over();
+    private static RequestListener.Result resultOf(ResponseCode code) {
+        return switch (code) {
+            case SUCCESS -> RequestListener.Result.SERVED;
+            case BUSY -> RequestListener.Result.REJECTED;
+            case FAILURE -> RequestListener.Result.FAILED;
+        };
+    }
+
+    private void complete() {
+        if (acceptedClass != null) {
+            metrics.over();
         }
-        over.countDown();
+        completed.countDown();
     }
 
-    private static byte[] text(String why) {
-        return (why + "\n").getBytes(StandardCharsets.UTF_8);
+    private static byte[] line(String text) {
+        return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
 }
--- /dev/null
+++ b/src/main/java/maplespread/caller/RequestExecution.java
@@ -0,0 +1,181 @@
+package maplespread.caller;
+
+import maplespread.facade.Attempt;
+import maplespread.facade.Decision;
+import maplespread.facade.DecisionService;
+import maplespread.facade.Outcome;
+import maplespread.http.RateLimitedLogger;
+import maplespread.log.Event;
+import maplespread.policy.RejectionReason;
+import maplespread.worker.AttemptResult;
+import org.tinylog.Logger;
+
+/**
+ * Runs one accepted request to its final response: waits for its turn where requests have an order, asks for decisions,
+ * runs attempts. Runs on a request thread, while the connection's own thread watches whether the client leaves.
+ */
+final class RequestExecution implements Runnable {
+    private static final RateLimitedLogger UNSERVED_LOG = new RateLimitedLogger();
+
+    /** The permit of requests that have no order: always valid. */
+    private static final RequestSequencer.Permit UNORDERED = new RequestSequencer.Permit() {
+        @Override
+        public boolean isValid() {
+            return true;
+        }
+
+        @Override
+        public void attemptCompleted(Outcome outcome) {}
+
+        @Override
+        public RequestSequencer.Completion release(boolean served) {
+            return RequestSequencer.Completion.ENDED;
+        }
+
+        @Override
+        public RequestSequencer.FinalResponse permitLostResponse() {
+            return null;
+        }
+    };
+
+    private final ServingContext context;
+    private final DecisionService decisions;
+    private final ClientRequest request;
+    private final ClientResponse response;
+    private RequestSequencer.Permit permit = UNORDERED;
+    /** The permit has been released, or there is none to release. */
+    private boolean permitReleased;
+
+    RequestExecution(ServingContext context, ClientRequest request, ClientResponse response) {
+        this.context = context;
+        this.decisions = context.dispatcher();
+        this.request = request;
+        this.response = response;
+    }
+
+    @Override
+    public void run() {
+        try {
+            if (acquirePermit()) {
+                serve();
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (RuntimeException | Error e) { // one failing request must not end the process
+            Logger.error(e, "a request failed");
+            decisions.reportClientLeft(request.inFlight);
+        } finally {
+            if (!permitReleased) {
+                permit.attemptCompleted(Outcome.RESET); // whether it ran is not known
+                permit.release(false);
+            }
+            if (!response.given()) {
+                response.failed(500, "internal error");
+            }
+        }
+    }
+
+    /** Waits for the request's turn; false where it has ended without one. */
+    private boolean acquirePermit() throws InterruptedException {
+        if (context.sequencer() == null) {
+            return true;
+        }
+        RequestSequencer.SequencingResult result = context.sequencer().acquire(request.sequenced(decisions.nowUs()));
+        if (result instanceof RequestSequencer.FinalResponse finalResponse) {
+            respond(finalResponse);
+        }
+        if (!(result instanceof RequestSequencer.Permit acquired)) {
+            return false;
+        }
+        permit = acquired;
+        if (response.given()) { // its client has left meanwhile
+            releasePermit(false);
+            return false;
+        }
+        return true;
+    }
+
+    private RequestSequencer.Completion releasePermit(boolean served) {
+        permitReleased = true;
+        return permit.release(served);
+    }
+
+    private void serve() throws InterruptedException {
+        while (true) {
+            if (!permit.isValid()) {
+                decisions.reportClientLeft(request.inFlight);
+                permitLost();
+                return;
+            }
+            Decision decision = decisions.decide(request.inFlight);
+            if (!(decision instanceof Attempt attempt)) {
+                end(decision);
+                return;
+            }
+            if (runAttempt(attempt)) {
+                return;
+            }
+        }
+    }
+
+    /** The permit was lost before the request could be sent, or between two attempts. */
+    private void permitLost() {
+        if (releasePermit(false) == RequestSequencer.Completion.NEVER_RAN) {
+            respond(permit.permitLostResponse());
+        } else {
+            response.inDoubt("it may have run, and its turn was lost");
+        }
+    }
+
+    private void end(Decision decision) {
+        boolean inDoubt = releasePermit(false) == RequestSequencer.Completion.IN_DOUBT;
+        if (decision instanceof Decision.Rejected rejected) {
+            recordUnserved(rejected.reason());
+            response.rejected(rejected.retryAfterMs());
+        } else if (decision instanceof Decision.Failed failed) {
+            recordUnserved(failed.reason());
+            if (inDoubt) {
+                response.inDoubt("it may have run, or may yet run");
+            } else {
+                response.failed(502, "no worker served it");
+            }
+        } // else the client has left
+    }
+
+    /** Rejections under load are only counted; each other reason is worth a line. */
+    private void recordUnserved(RejectionReason reason) {
+        context.metrics().unserved(reason);
+        if (reason != RejectionReason.OVERLOADED) {
+            UNSERVED_LOG.info(() -> Event.of(
+                    "request.unserved", "request", request.message.id(), "why", reason, "list", decisions.listState()));
+        }
+    }
+
+    private void respond(RequestSequencer.FinalResponse finalResponse) {
+        if (!finalResponse.idConsumed()) {
+            context.recentIds().unregister(request.message.id());
+        }
+        response.relayed(finalResponse);
+    }
+
+    /** Runs one attempt; whether it served the request. */
+    private boolean runAttempt(Attempt attempt) {
+        AttemptResult result = null;
+        Outcome outcome = Outcome.RESET; // should running it fail
+        response.attempted(attempt.worker());
+        try {
+            result = context.attemptRunner().run(attempt, request.message);
+            outcome = result.outcome;
+            permit.attemptCompleted(outcome);
+            if (outcome == Outcome.SERVED) {
+                permit.release(true); // the next request of its key need not wait for this client
+                response.served(result.body);
+            }
+        } finally {
+            decisions.reportAttemptEnded(attempt, outcome, result == null ? null : result.load);
+        }
+        result.finish();
+        permitReleased = outcome == Outcome.SERVED;
+        return permitReleased;
+    }
+}
--- a/src/main/java/maplespread/caller/ServingContext.java
+++ b/src/main/java/maplespread/caller/ServingContext.java
@@ -12,10 +12,11 @@
 import maplespread.worker.AttemptRunner;
 
 /**
- * What all caller legs share. {@code sizes}: how much may be held at present; {@code serving}: false from the
- * start of the shutdown on; {@code unready}: why the workers known are not to be relied on, or null; {@code
- * parting}: whether connections are to end after their present requests; {@code lastUs}: no request may last
- * beyond it; {@code ends}: hears of each job, or null; {@code turns}: gives jobs their turn, or null.
+ * What all client connections share. {@code limits}: how much may be held at present; {@code serving}: false from the start
+ * of the shutdown on; {@code notReadyReason}: why the endpoint list is not to be relied on, or null; {@code
+ * closingConnections}: whether connections are to end after their present requests; {@code shutdownDeadlineUs}: no request
+ * may last beyond it; {@code requestListener}: notified of each request, or null; {@code sequencer}: gives requests their
+ * turn, or null.
  */
 public record ServingContext(
         Supplier<Config> current,
@@ -33,44 +34,44 @@
         LongSupplier shutdownDeadlineUs,
         RequestListener requestListener,
         RequestSequencer sequencer) {
-    /** Bodies above this length are few, and so many at once fit the heap. */
-    static final int LARGE = 8 * 1024;
+    /** Bodies above this length are few at once, so that all fit the heap. */
+    static final int LARGE_BODY_BYTES = 8 * 1024;
 
-    private static final int LARGE_AT_ONCE = 48;
+    private static final int MAX_LARGE_BODIES = 48;
 
-    /** With all room free. */
+    /** With all permits free. */
     public ServingContext(
             Supplier<Config> current,
             DecisionService dispatcher,
-            AttemptRunner branches,
-            ExecutorService transactions,
-            Supplier<Config.Limits> sizes,
-            Metrics figures,
+            AttemptRunner attemptRunner,
+            ExecutorService requestThreads,
+            Supplier<Config.Limits> limits,
+            Metrics metrics,
             BooleanSupplier serving,
-            Supplier<String> unready,
-            BooleanSupplier parting,
-            LongSupplier lastUs,
-            RequestListener ends,
-            RequestSequencer turns) {
+            Supplier<String> notReadyReason,
+            BooleanSupplier closingConnections,
+            LongSupplier shutdownDeadlineUs,
+            RequestListener requestListener,
+            RequestSequencer sequencer) {
         this(
                 current,
                 dispatcher,
-                branches,
-                transactions,
-                sizes,
-                new ConcurrencyLimit(() -> sizes.get().requestsInFlight()),
-                new Semaphore(LARGE_AT_ONCE),
+                attemptRunner,
+                requestThreads,
+                limits,
+                new ConcurrencyLimit(() -> limits.get().requestsInFlight()),
+                new Semaphore(MAX_LARGE_BODIES),
                 new RecentRequestIds(() -> current.get().times().longestDeadlineMs()),
-                figures,
+                metrics,
                 serving,
-                unready,
-                parting,
-                lastUs,
-                ends,
-                turns);
+                notReadyReason,
+                closingConnections,
+                shutdownDeadlineUs,
+                requestListener,
+                sequencer);
     }
 
-    /** What holds at present; asked once for each request, which keeps to it. */
+    /** The configuration in force; asked once for each request, which keeps to it. */
     Config config() {
         return current.get();
     }
