--- a/src/test/java/maplespread/release/InstanceCommandsTest.java
+++ b/src/test/java/maplespread/release/InstanceCommandsTest.java
@@ -20,7 +20,9 @@
         grantOutage("w0");
         long number = state.plannedOutages().get("w0").number();
         assertRejected(
-                Reason.MEMBER, InstanceCommands.confirmReturn("d0", number, fleet.get("w0"))); // the run that had it
+                Reason.MEMBER,
+                InstanceCommands.confirmReturn(
+                        "d0", number, fleet.get("w0"))); // the incarnation that the outage was granted to
         putMember("w0", Role.WORKER, "z0", 2, "2", Status.SERVING, 4, false);
         assertRejected(Reason.MEMBER, InstanceCommands.confirmReturn("d0", number, fleet.get("w0"))); // cold
         for (int tries = 1; tries <= 3; tries++) {
@@ -41,7 +43,7 @@
         assertEquals(
                 state,
                 InstanceCommands.confirmReturn("d1", held.lastOutageNumber(), fleet.get("w0"))
-                        .apply(state)); // told twice
+                        .apply(state)); // confirmed twice
     }
 
     @Test
@@ -73,7 +75,7 @@
     void takesUpMembersThatChangeDuringARelease() throws ReleaseRejectedException {
         beginRelease();
         grantOutage("w0");
-        // Another name at the address of the one that is out: its leave and its turn go on.
+        // Another name at the address of the unavailable member takes over its outage and its turn.
         fleet.remove("w0");
         fleet.put("w9", memberAtW0("w9", 5, "2"));
         RolloutState old = state;
@@ -84,10 +86,10 @@
                 Reason.NOT_QUIET,
                 InstanceCommands.updateMembers("d1", old.stabilityVersion(), List.of(fleet.get("w9"))));
         apply(InstanceCommands.confirmReturn("d0", 1, fleet.get("w9")));
-        // An older sight does not bring the old one back.
+        // An older view does not bring the replaced member back.
         apply(InstanceCommands.updateMembers("d0", state.stabilityVersion(), List.of(memberAtW0("w0", 1, "1"))));
         assertFalse(state.members().containsKey("w0"));
-        // Upgraded in place: another run, never out, no leave.
+        // Upgraded in place: a later incarnation that was never unavailable and needs no outage.
         setMember("w1", 2, "2", Status.SERVING);
         assertRejected(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "w1", state.stabilityVersion(), view()));
         apply(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w1"))));
--- a/src/test/java/maplespread/release/OperatorCommandsTest.java
+++ b/src/test/java/maplespread/release/OperatorCommandsTest.java
@@ -10,7 +10,7 @@
 
 /** What operators can ask for, in every phase of a release. */
 class OperatorCommandsTest extends ReleaseFixture {
-    /** Where each call leads from each state; a reason where it is refused. */
+    /** The phase that each call leads to from each phase, or the reason why it is rejected. */
     @Test
     void definesEveryCallInEveryPhase() throws ReleaseRejectedException {
         String table = """
@@ -66,7 +66,7 @@
         apply(OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
         assertRejected(
                 Reason.NOT_DUE,
-                InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // out by hand
+                InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // it has a manual outage
         confirmReturn("w0", "2");
         apply(InstanceCommands.finish("d0", view()));
         assertEquals(Phase.DONE, state.phase());
@@ -82,7 +82,7 @@
 
     @Test
     void rejectsOutdatedCallsAndUnexplainedForcedDrains() throws ReleaseRejectedException {
-        DrainPermission.require(state, "d0"); // nothing is on
+        DrainPermission.require(state, "d0"); // neither a release nor a limit is in force
         beginRelease();
         assertRejected(Reason.NO_LEAVE, drainCheck("d0"));
         assertRejected(Reason.NO_LEAVE, OperatorCommands.forceDrain("op", "d0", " "));
@@ -108,7 +108,7 @@
                 OperatorCommands.rollBack("op", "", state.controlVersion()).apply(state);
         apply(OperatorCommands.halt("op", "three"));
         one = state.controlVersion();
-        assertRejected(Reason.HALTED, drainCheck("w0")); // leave from before is no leave to begin now
+        assertRejected(Reason.HALTED, drainCheck("w0")); // an outage granted before the halt permits no drain now
         apply(OperatorCommands.resume("op", "", state.controlVersion()));
         RolloutState goesOn = state;
         state = rolls;
--- a/src/test/java/maplespread/release/OutageAdmissionTest.java
+++ b/src/test/java/maplespread/release/OutageAdmissionTest.java
@@ -12,7 +12,7 @@
 
 /** Which member may become unavailable: limits, capacity and electors. */
 class OutageAdmissionTest extends ReleaseFixture {
-    /** Five of nine may go by the limits; electors that restart know nothing, so their majority stays. */
+    /** The limits would allow five of nine; electors that restart lose what they knew, so their majority must stay. */
     @Test
     void keepsAMajorityOfElectorsAvailable() throws ReleaseRejectedException {
         for (int i = 3; i < 9; i++) {
@@ -21,7 +21,7 @@
         apply(OperatorCommands.setLimits("op", new Limits(5, 2, 1, Limits.ANY, 0.5, 0, 20_000, 0.05, 0.02, 0.5)));
         apply(InstanceCommands.updateMembers("d0", state.stabilityVersion(), new ArrayList<>(fleet.values())));
         List<String> electors = List.of("d0", "d1", "d2", "d3", "d4");
-        setMember("d4", 1, "1", Status.UNKNOWN); // an accident, seen by the proposer alone
+        setMember("d4", 1, "1", Status.UNKNOWN); // seen unavailable by the proposer alone
         apply(OperatorCommands.grantManualOutage(
                 "op", "d8", state.stabilityVersion(), view().withElectors(electors), "no elector"));
         apply(OperatorCommands.grantManualOutage(
@@ -50,7 +50,7 @@
                 Reason.LIMIT,
                 InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // two of zone z0
         apply(FaultCommands.recordObservations("d0", state.stabilityVersion(), List.of(), List.of(fleet.get("w2"))));
-        setMember("w2", 1, "1", Status.UNKNOWN); // in the view alone
+        setMember("w2", 1, "1", Status.UNKNOWN); // unavailable in the view alone
         assertRejected(Reason.LIMIT, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         setMember("w2", 1, "1", Status.SERVING);
         for (String cold : List.of("w1", "w2", "w3")) {
@@ -61,7 +61,10 @@
                 InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view())); // 18 of 40 stays
         setMember("w3", 1, "1", Status.SERVING);
         putMember("w3", Role.WORKER, "z1", 1, "1", Status.SERVING, 8, true);
-        apply(InstanceCommands.updateMembers("d0", state.stabilityVersion(), fleet.values())); // hides no loss
+        apply(InstanceCommands.updateMembers(
+                "d0",
+                state.stabilityVersion(),
+                fleet.values())); // a release's slow workers do not lower the known capacity
         assertRejected(
                 Reason.NOT_QUIET, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion() - 1, view()));
         grantOutage("w0"); // 20 of 40
--- a/src/test/java/maplespread/release/RolloutControllerTest.java
+++ b/src/test/java/maplespread/release/RolloutControllerTest.java
@@ -12,9 +12,7 @@
 
 /** What depends on time, by the clock of one instance. */
 class RolloutControllerTest extends ReleaseFixture {
-    // ------------------------------------------------------------ what depends on time
-
-    /** Looks every 100 ms, and has decided what is proposed. Returns the actions of the last look. */
+    /** Evaluates every 100 ms and applies what is proposed. Returns the actions of the last evaluation. */
     private List<RolloutAction> evaluateEach100Ms(RolloutController controller, long from, long to, boolean majority) {
         List<RolloutAction> actions = List.of();
         for (long time = from; time <= to; time += 100) {
@@ -42,7 +40,7 @@
         evaluateEach100Ms(controller, 0, 900, true);
         RolloutController other = controller(900);
         evaluateEach100Ms(other, 900, 1_800, true);
-        evaluateEach100Ms(controller, 3_900, 4_800, true); // stood still from 900 to 3900
+        evaluateEach100Ms(controller, 3_900, 4_800, true); // its process was paused from 900 to 3900
         assertEquals(0, state.lastOutageNumber());
         evaluateEach100Ms(other, 1_900, 2_000, true);
         assertEquals(1, state.lastOutageNumber());
@@ -55,7 +53,7 @@
         confirmReturn("w2", "2");
         setMember("w3", 1, "1", Status.DOWN);
         evaluateEach100Ms(other, 3_300, 9_000, true);
-        assertEquals(3, state.lastOutageNumber()); // an accident's turn is never
+        assertEquals(3, state.lastOutageNumber()); // a member with an unplanned outage gets no planned one
         assertEquals(List.of("w3"), List.copyOf(state.unplannedOutages().keySet()));
     }
 
@@ -110,13 +108,13 @@
             beginRelease();
             RolloutController controller = controller(0);
             service = new ServiceLevel(bad.refusedShare(), bad.errorShare(), bad.waitMs(), 50);
-            evaluateEach100Ms(controller, 0, 300, true); // on too few answers
+            evaluateEach100Ms(controller, 0, 300, true); // too few samples to judge by
             assertEquals(Phase.RUNNING, state.phase());
             service = bad;
             evaluateEach100Ms(controller, 400, 400, true);
             assertEquals(Phase.HALTED, state.phase());
             apply(OperatorCommands.resume("op", "", state.controlVersion()));
-            evaluateEach100Ms(controller, 500, 800, true); // as bad as that is the operator's will
+            evaluateEach100Ms(controller, 500, 800, true); // the operator has accepted this service level
             evaluateEach100Ms(controller(500), 500, 800, true);
             assertEquals(Phase.RUNNING, state.phase());
             service = new ServiceLevel(0.2, 0.1, 40, 1_000);
@@ -141,13 +139,14 @@
         assertTrue(state.halt().why().startsWith("limit exceeded"), String.valueOf(state.halt()));
     }
 
-    /** One accident more each moment must not put the halt off. */
+    /** An unplanned outage more each moment must not delay the halt. */
     @Test
     void haltsAsSoonWhenUnplannedOutagesKeepComing() throws ReleaseRejectedException {
         beginRelease();
         RolloutController controller = controller(0);
         long time = 0;
-        for (String id : List.of("d1", "w0", "w1", "w2", "w3", "d2")) { // one in 400 ms, told by others
+        for (String id :
+                List.of("d1", "w0", "w1", "w2", "w3", "d2")) { // one every 400 ms, reported by another instance
             setMember(id, 1, "1", Status.DOWN);
             apply(FaultCommands.recordObservations("d1", state.stabilityVersion(), List.of(id), List.of()));
             evaluateEach100Ms(controller, time, time + 300, true);
@@ -163,14 +162,14 @@
         RolloutController controller = controller(0);
         evaluateEach100Ms(controller, 0, 100, true);
         evaluateEach100Ms(controller, 200, 5_000, false);
-        evaluateEach100Ms(controller, 5_100, 5_200, true); // too short
+        evaluateEach100Ms(controller, 5_100, 5_200, true); // too short a loss
         assertEquals(Phase.RUNNING, state.phase());
         evaluateEach100Ms(controller, 5_300, 16_000, false);
-        apply(InstanceCommands.recordHeartbeat(state.heartbeats())); // another has had one
+        apply(InstanceCommands.recordHeartbeat(state.heartbeats())); // another instance has reached a majority
         evaluateEach100Ms(controller, 16_100, 16_200, true);
         assertEquals(Phase.RUNNING, state.phase());
         evaluateEach100Ms(controller, 16_300, 16_400, false);
-        evaluateEach100Ms(controller, 27_000, 27_100, false); // stood still itself
+        evaluateEach100Ms(controller, 27_000, 27_100, false); // paused itself
         evaluateEach100Ms(controller, 27_200, 27_300, true);
         assertEquals(Phase.RUNNING, state.phase());
         evaluateEach100Ms(controller, 27_400, 37_500, false);
