--- a/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
+++ b/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
@@ -90,7 +90,7 @@
             proposeMembers(handle, value.electors());
         }
         proposeSlots(handle);
-        state.storePendingStops(PROPOSAL_WAIT_MS);
+        state.lines().storePendingStops(PROPOSAL_WAIT_MS);
         if (configured.toBeOffered() && state.mayChange()) {
             proposeConfiguredTable(handle);
         }
--- a/src/main/java/maplespread/partition/client/ClusterOperations.java
+++ b/src/main/java/maplespread/partition/client/ClusterOperations.java
@@ -7,7 +7,7 @@
 
     /**
      * Has it stored that the key is stopped; false: that is not known. Blocks for at most {@code waitMs}, so it must
-     * not be called under the lock of {@link OrderingState}.
+     * not be called under the {@link OrderingLock}.
      */
     boolean storeStop(String key, long waitMs);
 
--- a/src/main/java/maplespread/partition/client/OrderedDispatch.java
+++ b/src/main/java/maplespread/partition/client/OrderedDispatch.java
@@ -18,7 +18,7 @@
 /**
  * Gives each request its permit or its response: at once where its rule has no order, in the line of its key where
  * this member owns the key's slot, by forwarding where another one does. All of it runs on the request's own
- * thread, which waits under the lock of {@link OrderingState} and forwards without it.
+ * thread, which waits under the {@link OrderingLock} and forwards without it.
  */
 final class OrderedDispatch implements RequestSequencer {
     /** How often a request that can go nowhere looks again at what may have changed elsewhere. */
@@ -27,11 +27,13 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     private final OrderingState state;
+    private final OrderingLock lock;
+    private final OrderedLines lines;
     private final PartitionEndpoints endpoints;
     private final ClusterOperations operations;
     private final OrderResponses responses;
     private final RequestForwarding forwarding;
-    /** Requests whose thread is in {@link #acquire}; guarded by the state's lock. */
+    /** Requests whose thread is in {@link #acquire}; guarded by the lock. */
     private final IdentityHashMap<InFlightRequest, PendingRequest> pending = new IdentityHashMap<>();
 
     /** {@code name}: of this dispatcher. */
@@ -42,6 +44,8 @@
             PeerForwarder forwarder,
             ClusterOperations operations) {
         this.state = state;
+        lock = state.lock();
+        lines = state.lines();
         this.endpoints = endpoints;
         this.operations = operations;
         responses = new OrderResponses(operations::maxRetryAfterMs);
@@ -71,7 +75,7 @@
     @Override
     public SequencingResult acquire(SequencedRequest sequenced) throws InterruptedException {
         PendingRequest request = new PendingRequest(sequenced);
-        state.locked(() -> pending.put(sequenced.request(), request));
+        lock.locked(() -> pending.put(sequenced.request(), request));
         try {
             while (true) {
                 Optional<SequencingResult> result = decideHere(request);
@@ -83,13 +87,13 @@
                 }
             }
         } finally {
-            state.locked(() -> pending.remove(sequenced.request()));
+            lock.locked(() -> pending.remove(sequenced.request()));
         }
     }
 
     @Override
     public void clientLeft(InFlightRequest inFlight) {
-        PendingRequest request = state.locked(() -> {
+        PendingRequest request = lock.locked(() -> {
             PendingRequest found = pending.get(inFlight);
             if (found != null) {
                 found.clientLeft = true;
@@ -106,7 +110,7 @@
 
     /** What becomes of the request as far as this member goes; empty: it is to be forwarded to its target. */
     private Optional<SequencingResult> decideHere(PendingRequest request) throws InterruptedException {
-        state.lockInterruptibly();
+        lock.lockInterruptibly();
         try {
             while (!request.clientLeft) {
                 Step step = decideOnce(request);
@@ -123,7 +127,7 @@
             }
             return Optional.of(new ClientLeft());
         } finally {
-            state.unlock();
+            lock.unlock();
         }
     }
 
@@ -186,14 +190,14 @@
         }
         long nowMs = MonotonicTime.nowMs();
         OrderedRequest ordered = new OrderedRequest(state, responses, request, decision, slotOwnedSince);
-        state.register(ordered);
+        lines.register(ordered);
         try {
-            state.enqueue(nowMs, ordered);
+            lines.enqueue(nowMs, ordered);
             while (!ordered.sent && ordered.rejection == null && !request.clientLeft) {
                 ordered.decided.await();
             }
         } finally {
-            state.withdraw(ordered);
+            lines.withdraw(ordered);
         }
         if (ordered.sent) {
             request.sequenced.request().restrict(workers, ordered::isValid);
@@ -237,11 +241,11 @@
         request.target = null;
         long backoffMs = RECHECK_MS << Math.min(request.rejectedForwards, MAX_BACKOFF_DOUBLINGS);
         request.rejectedForwards++;
-        state.lockInterruptibly();
+        lock.lockInterruptibly();
         try { // until it may have been agreed anew who owns the slot
             state.awaitChange(Math.min(backoffMs, Math.max(1, request.remainingMs())));
         } finally {
-            state.unlock();
+            lock.unlock();
         }
         return Optional.empty();
     }
@@ -281,7 +285,7 @@
     boolean learn(SlotAssignment next, RoutingTable current, RoutingTable previous) {
         boolean learned = state.learn(next, current, previous);
         if (learned) {
-            List<PendingRequest> lost = state.locked(() -> pending.values().stream()
+            List<PendingRequest> lost = lock.locked(() -> pending.values().stream()
                     .filter(request -> isLost(request.target, next))
                     .toList());
             lost.forEach(forwarding::cancel);
--- a/src/main/java/maplespread/partition/client/OrderedRequest.java
+++ b/src/main/java/maplespread/partition/client/OrderedRequest.java
@@ -11,7 +11,7 @@
 
 /**
  * A request in the line of a key that this member owns, and the permit to send it once its turn has come. Its own
- * thread waits for {@link #decided}; fields that are not final are guarded by the lock of {@link OrderingState},
+ * thread waits for {@link #decided}; fields that are not final are guarded by the {@link OrderingLock},
  * except where they are volatile: attempts end on threads of their own.
  */
 final class OrderedRequest implements RequestSequencer.Permit {
@@ -38,7 +38,7 @@
     private volatile boolean attemptMayStillRun;
     private volatile boolean attemptFailed;
 
-    /** Made under the state's lock. */
+    /** Made under the lock. */
     OrderedRequest(
             OrderingState state,
             OrderResponses responses,
@@ -49,15 +49,15 @@
         this.responses = responses;
         this.request = request;
         this.slotOwnedSinceEpoch = slotOwnedSinceEpoch;
-        id = state.nextId();
-        decided = state.newCondition();
+        id = state.lines().nextId();
+        decided = state.lines().newCondition();
         rule = decision.rule();
         key = decision.key();
         tableAllowsFromMs = decision.sendAllowedFrom();
         tablesVersion = state.tablesVersion();
     }
 
-    /** From when on it may be sent, {@link FencingCheck#NEVER}: no longer by this member. Under the state's lock. */
+    /** From when on it may be sent, {@link FencingCheck#NEVER}: no longer by this member. Under the lock. */
     long sendAllowedFrom(long nowMs) {
         if (tablesVersion != state.tablesVersion()) {
             RoutingDecision decision = state.decide(nowMs, request.attributes).orElseThrow();
@@ -72,7 +72,7 @@
 
     @Override
     public boolean isValid() {
-        return state.locked(() -> {
+        return state.lock().locked(() -> {
             long nowMs = MonotonicTime.nowMs();
             return sendAllowedFrom(nowMs) <= nowMs;
         });
@@ -97,8 +97,8 @@
     @Override
     public RequestSequencer.Completion release(boolean served) {
         ExecutionResult result = result(served);
-        boolean stopToStore = state.complete(this, result);
-        if (stopToStore && !state.storeStop(key, Math.max(1, request.remainingMs()))) {
+        boolean stopToStore = state.lines().complete(this, result);
+        if (stopToStore && !state.lines().storeStop(key, Math.max(1, request.remainingMs()))) {
             return RequestSequencer.Completion.IN_DOUBT;
         }
         if (!mayHaveRun) {
--- a/src/main/java/maplespread/partition/client/OrderingState.java
+++ b/src/main/java/maplespread/partition/client/OrderingState.java
@@ -1,22 +1,17 @@
 package maplespread.partition.client;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
-import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Predicate;
-import java.util.function.Supplier;
 import maplespread.log.Event;
 import maplespread.partition.FencingCheck;
 import maplespread.partition.LeaseSettings;
 import maplespread.partition.Partition;
-import maplespread.partition.PerKeyQueue;
 import maplespread.partition.RequestAttributes;
 import maplespread.partition.RoutingTable;
 import maplespread.partition.RoutingTableTransition;
@@ -24,36 +19,24 @@
 import maplespread.partition.SlotAssignment;
 
 /**
- * What this member knows and has in hand of ordered requests: its fencing check, the routing tables, and the
- * requests in the lines of its keys. All of it is guarded by one lock, which is held for moments only.
+ * What this member knows of the order of requests: its lease and fencing check, the assignment, and the routing
+ * tables. Guarded by the {@link OrderingLock}, as are the {@link OrderedLines} that belong to it: methods of the
+ * first part are called under it, the others take it themselves.
  *
- * <p>Threads that come here: each request's own, the lease thread ({@link #startRenewal}), the transport's
- * receiving thread ({@link #recordGrant}), whoever learns an agreed value ({@link #learn}), the coordinator's
- * ({@link #drainedSlots}, {@link #openedSlots}, {@link #storePendingStops}), the one that runs {@link
- * #runDueLoop}, and the admin server's for figures.
+ * <p>Threads that come here: each request's own, the lease thread ({@link #startRenewal}), the transport's receiving
+ * thread ({@link #recordGrant}), whoever learns an agreed value ({@link #learn}), the coordinator's ({@link
+ * #drainedSlots}, {@link #openedSlots}), and the admin server's for figures.
  */
-final class OrderingState implements PerKeyQueue.Callbacks {
-    /** The longest sleep of the thread that runs what is due. */
-    private static final long MAX_DUE_WAIT_MS = 1000;
-
+final class OrderingState {
     /** A question to all electors: its number, and the epoch that it is about. */
     record LeaseRound(long number, long epoch) {}
 
     private final LeaseSettings settings;
     private final PartitionEndpoints endpoints;
-    private final ClusterOperations operations;
-
-    private final ReentrantLock lock = new ReentrantLock();
+    private final OrderingLock lock = new OrderingLock();
+    private final OrderedLines lines;
     /** The lease, the assignment or the tables have changed. */
     private final Condition changed = lock.newCondition();
-    /** Something is due earlier than {@link #dueAtMs} was. */
-    private final Condition dueSooner = lock.newCondition();
-
-    private final PerKeyQueue queue;
-    /** Those that wait in line or are out, by id. */
-    private final Map<Long, OrderedRequest> requests = new HashMap<>();
-    /** Keys whose stop some thread is having stored. */
-    private final Set<String> stopsBeingStored = new HashSet<>();
 
     private String member = "";
     /** Null until this member has joined the group. */
@@ -64,9 +47,7 @@
     private RoutingTable table;
 
     private long tablesVersion;
-    private long lastId;
     private boolean leaseHeld;
-    private long dueAtMs = Long.MAX_VALUE;
 
     OrderingState(
             LeaseSettings settings,
@@ -76,51 +57,24 @@
         this.settings = settings;
         this.table = configured;
         this.endpoints = endpoints;
-        this.operations = operations;
-        queue = new PerKeyQueue(settings, this);
+        lines = new OrderedLines(lock, settings, operations);
     }
 
-    /** Does the work under the lock. */
-    <T> T locked(Supplier<T> work) {
-        lock.lock();
-        try {
-            return work.get();
-        } finally {
-            lock.unlock();
-        }
+    OrderingLock lock() {
+        return lock;
     }
 
-    private void runLocked(Runnable work) {
-        locked(() -> {
-            work.run();
-            return null;
-        });
+    OrderedLines lines() {
+        return lines;
     }
 
     // ------------------------------------------------------------ for requests, under the lock
 
-    /** For a request's own thread, which decides and waits under the lock. */
-    void lockInterruptibly() throws InterruptedException {
-        lock.lockInterruptibly();
-    }
-
-    void unlock() {
-        lock.unlock();
-    }
-
-    Condition newCondition() {
-        return lock.newCondition();
-    }
-
     /** Waits until lease, assignment or tables have changed, or for so long; may return earlier than that. */
     void awaitChange(long limitMs) throws InterruptedException {
         changed.await(limitMs, TimeUnit.MILLISECONDS);
     }
 
-    long nextId() {
-        return ++lastId;
-    }
-
     /** Grows with each table that is learned. */
     long tablesVersion() {
         return tablesVersion;
@@ -155,128 +109,11 @@
         return fencing.sendAllowedFrom(nowMs, fencing.assignment().slotOf(key), ownedSinceEpoch);
     }
 
-    /** The callbacks find the request from now on; {@link #withdraw} must follow. */
-    void register(OrderedRequest ordered) {
-        requests.put(ordered.id, ordered);
-        ordered.request.queued = ordered;
-    }
-
-    /** Puts a registered request in the line of its key, whereby it may be sent or rejected at once. */
-    void enqueue(long nowMs, OrderedRequest ordered) {
-        queue.enqueue(
-                nowMs,
-                new PerKeyQueue.QueuedRequest(
-                        ordered.id,
-                        ordered.key,
-                        ordered.rule,
-                        ordered.request.workMs,
-                        ordered.request.deadlineMs,
-                        nowMs));
-        runDue();
-    }
-
-    /** Its thread waits no longer; one that was not sent leaves its line. */
-    void withdraw(OrderedRequest ordered) {
-        ordered.request.queued = null;
-        if (!ordered.sent) {
-            queue.cancel(MonotonicTime.nowMs(), ordered.id);
-            requests.remove(ordered.id);
-            runDue();
-        }
-    }
-
-    // ------------------------------------------------------------ the lines' callbacks, under the lock
-
-    @Override
-    public long sendAllowedFrom(PerKeyQueue.QueuedRequest queued) {
-        return requests.get(queued.id()).sendAllowedFrom(MonotonicTime.nowMs());
-    }
-
-    @Override
-    public void send(PerKeyQueue.QueuedRequest queued) {
-        OrderedRequest ordered = requests.get(queued.id());
-        ordered.sent = true;
-        ordered.decided.signal();
-    }
-
-    @Override
-    public void reject(PerKeyQueue.QueuedRequest queued, PerKeyQueue.Rejection why) {
-        OrderedRequest ordered = requests.get(queued.id());
-        ordered.rejection = why;
-        ordered.decided.signal();
-    }
-
-    /** To be called after whatever may have changed what is due when. */
-    private void runDue() {
-        long nextMs = queue.runDue(MonotonicTime.nowMs());
-        if (nextMs < dueAtMs) {
-            dueAtMs = nextMs;
-            dueSooner.signal();
-        }
-    }
-
-    // ------------------------------------------------------------ what ends, and what is due
-
-    /** A request that was sent has ended. Whether the caller is to have the stop of its key stored. */
-    boolean complete(OrderedRequest ordered, PerKeyQueue.ExecutionResult result) {
-        return locked(() -> {
-            requests.remove(ordered.id);
-            queue.complete(MonotonicTime.nowMs(), ordered.id, result);
-            boolean stopToStore = result == PerKeyQueue.ExecutionResult.FAILED
-                    && queue.unstoredStops().contains(ordered.key)
-                    && stopsBeingStored.add(ordered.key);
-            runDue();
-            return stopToStore;
-        });
-    }
-
-    /** Runs what is due, for ever, on a thread for that alone; ends by an interrupt. */
-    void runDueLoop() throws InterruptedException {
-        lock.lockInterruptibly();
-        try {
-            while (true) {
-                dueAtMs = queue.runDue(MonotonicTime.nowMs());
-                long waitMs = Math.min(MAX_DUE_WAIT_MS, dueAtMs - MonotonicTime.nowMs());
-                dueSooner.await(Math.max(1, waitMs), TimeUnit.MILLISECONDS);
-            }
-        } finally {
-            lock.unlock();
-        }
-    }
-
-    /** Has those stops stored that no request's thread waits for. Blocks, for {@code waitMs} a key at most. */
-    void storePendingStops(long waitMs) {
-        Set<String> keys = locked(() -> {
-            Set<String> pending = queue.unstoredStops();
-            pending.removeIf(key -> !stopsBeingStored.add(key));
-            return pending;
-        });
-        keys.forEach(key -> storeStop(key, waitMs));
-    }
-
-    /** Has a stop stored; false: that is not known, and the key goes on. Blocks: not under the lock. */
-    boolean storeStop(String key, long waitMs) {
-        boolean stored = false;
-        try {
-            stored = operations.storeStop(key, waitMs);
-        } finally {
-            boolean keyGoesOn = !stored;
-            runLocked(() -> {
-                stopsBeingStored.remove(key);
-                if (keyGoesOn) {
-                    queue.stopNotStored(MonotonicTime.nowMs(), key);
-                    runDue();
-                }
-            });
-        }
-        return stored;
-    }
-
     // ------------------------------------------------------------ what the fleet agrees on
 
     /** This member is in the group now, under this name. */
     void join(String asMember, int slots) {
-        runLocked(() -> {
+        lock.runLocked(() -> {
             member = asMember;
             fencing = new FencingCheck(settings, asMember, SlotAssignment.initial(slots, "", 0));
         });
@@ -284,7 +121,7 @@
 
     /** Takes up a value that was agreed on, with its tables; false: it is no later than the known one. */
     boolean learn(SlotAssignment next, RoutingTable current, RoutingTable previous) {
-        return locked(() -> {
+        return lock.locked(() -> {
             long nowMs = MonotonicTime.nowMs();
             long maxRunMs = RoutingTableTransition.maxRunMs(current, previous);
             if (!fencing.learn(nowMs, next, maxRunMs)) {
@@ -294,11 +131,11 @@
                 tables = tables == null ? new RoutingTableTransition() : tables;
                 table = current;
                 tablesVersion++;
-                queue.updatePartitions(current.partitions().values());
+                lines.updatePartitions(current.partitions().values());
                 retainPartitions(current, previous);
             }
             tables.learn(nowMs, next.tableEpoch(), current, previous, settings.holdMs(maxRunMs));
-            queue.updateStoppedKeys(next.stoppedKeys());
+            lines.updateStoppedKeys(next.stoppedKeys());
             reevaluate(nowMs);
             return true;
         });
@@ -311,14 +148,13 @@
     }
 
     private void reevaluate(long nowMs) {
-        queue.reevaluateAll(nowMs);
+        lines.reevaluateAll(nowMs);
         changed.signalAll();
-        runDue();
     }
 
     /** Begins a round of questions to the electors; empty: this member has not joined yet. */
     Optional<LeaseRound> startRenewal() {
-        return locked(() -> {
+        return lock.locked(() -> {
             if (fencing == null) {
                 return Optional.<LeaseRound>empty();
             }
@@ -330,7 +166,7 @@
 
     /** An elector has granted what was asked in this round. */
     void recordGrant(String elector, long round, Predicate<Set<String>> isMajority) {
-        runLocked(() -> {
+        lock.runLocked(() -> {
             fencing.recordGrant(elector, round, isMajority);
             updateLease();
         });
@@ -347,49 +183,49 @@
 
     /** Slots of earlier epochs, of which nothing is in flight or held any more. */
     Set<Integer> drainedSlots() {
-        return locked(() -> {
+        return lock.locked(() -> {
             if (tables == null) {
                 return Set.<Integer>of();
             }
-            Set<Integer> busy = queue.busySlots(MonotonicTime.nowMs(), fencing.assignment()::slotOf);
+            Set<Integer> busy = lines.busySlots(MonotonicTime.nowMs(), fencing.assignment()::slotOf);
             return fencing.drainedSlots(slot -> !busy.contains(slot));
         });
     }
 
     /** Slots for whose earlier owners this member has waited long enough, and since which epoch it owns each. */
     Map<Integer, Long> openedSlots() {
-        return locked(() -> tables == null ? Map.<Integer, Long>of() : fencing.openedSlots(MonotonicTime.nowMs()));
+        return lock.locked(() -> tables == null ? Map.<Integer, Long>of() : fencing.openedSlots(MonotonicTime.nowMs()));
     }
 
     // ------------------------------------------------------------ figures
 
     /** The latest assignment that is known; empty: none was agreed on. */
     Optional<SlotAssignment> assignment() {
-        return locked(() -> tables == null ? Optional.<SlotAssignment>empty() : Optional.of(fencing.assignment()));
+        return lock.locked(() -> tables == null ? Optional.<SlotAssignment>empty() : Optional.of(fencing.assignment()));
     }
 
     /** The agreed table; empty: none was agreed on. */
     Optional<RoutingTable> agreedTable() {
-        return locked(() -> tables == null ? Optional.<RoutingTable>empty() : Optional.of(table));
+        return lock.locked(() -> tables == null ? Optional.<RoutingTable>empty() : Optional.of(table));
     }
 
     /** Whether the next table may come: the last change has settled. */
     boolean mayChange() {
-        return locked(() -> tables != null && tables.mayChange(MonotonicTime.nowMs()));
+        return lock.locked(() -> tables != null && tables.mayChange(MonotonicTime.nowMs()));
     }
 
     boolean holdsLease() {
-        return locked(() -> fencing != null && fencing.holdsLease(MonotonicTime.nowMs()));
+        return lock.locked(() -> fencing != null && fencing.holdsLease(MonotonicTime.nowMs()));
     }
 
     /** The longest in milliseconds that a request can run under the table in force, or the configured one. */
     long maxRunMs() {
-        return locked(() -> table.maxRunMs());
+        return lock.locked(() -> table.maxRunMs());
     }
 
     /** Slots that this member may send for at this moment. */
     List<Integer> openSlots() {
-        return locked(() -> {
+        return lock.locked(() -> {
             List<Integer> open = new ArrayList<>();
             if (tables == null) {
                 return open;
@@ -404,13 +240,4 @@
             return open;
         });
     }
-
-    int waitingCount() {
-        return locked(queue::waitingCount);
-    }
-
-    /** Milliseconds of estimated work that wait for a partition. */
-    double waitingWorkMs(String partition) {
-        return locked(() -> queue.waitingWorkMs(partition));
-    }
 }
--- a/src/main/java/maplespread/partition/client/PartitionAdminApi.java
+++ b/src/main/java/maplespread/partition/client/PartitionAdminApi.java
@@ -165,7 +165,7 @@
         all.addProperty("member", handle.map(h -> h.member(name)).orElse(""));
         all.addProperty("joined", handle.isPresent());
         all.addProperty("lease", state.holdsLease());
-        all.addProperty("waiting", state.waitingCount());
+        all.addProperty("waiting", state.lines().waitingCount());
         agreed.ifPresent(assignment -> describe(assignment, key, all));
         return GSON.toJson(all);
     }
@@ -201,7 +201,9 @@
     private JsonObject waitingWork() {
         JsonObject work = new JsonObject();
         RoutingTable table = state.agreedTable().orElseThrow();
-        table.partitions().keySet().forEach(partition -> work.addProperty(partition, state.waitingWorkMs(partition)));
+        table.partitions()
+                .keySet()
+                .forEach(partition -> work.addProperty(partition, state.lines().waitingWorkMs(partition)));
         return work;
     }
 
--- a/src/main/java/maplespread/partition/client/PartitionService.java
+++ b/src/main/java/maplespread/partition/client/PartitionService.java
@@ -81,7 +81,7 @@
         threads = List.of(
                 PartitionThreads.daemon("partition", leaseRenewer::run),
                 PartitionThreads.daemon("partition turns", () -> {
-                    state.runDueLoop();
+                    state.lines().runDueLoop();
                     return 0;
                 }),
                 PartitionThreads.daemon("partition changes", coordinator::run));
--- a/src/main/java/maplespread/partition/client/PendingRequest.java
+++ b/src/main/java/maplespread/partition/client/PendingRequest.java
@@ -5,7 +5,7 @@
 
 /**
  * A request from its arrival until it has a permit or a response. Its own thread waits for it; the fields that
- * are not final are guarded by the lock of {@link OrderingState}, except where they are volatile.
+ * are not final are guarded by the {@link OrderingLock}, except where they are volatile.
  */
 final class PendingRequest {
     /** Where a request goes whose slot another member owns: the address, and what was agreed when it was chosen. */
--- a/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
@@ -272,13 +272,13 @@
     void whatWaitsBehindAHead() throws Exception {
         owns(OWN);
         worker();
-        daemon(state::runDueLoop);
+        daemon(state.lines()::runDueLoop);
         for (String cls : List.of("skip", "aged")) {
             RequestSequencer.Permit head = go(cls, "1");
             CompletableFuture<String> behind = new CompletableFuture<>();
             daemon(() -> behind.complete(taken(cls, "1", null, 0, LONG_MS)));
             if (cls.equals("skip")) {
-                until("it waits", () -> state.waitingCount() == 1);
+                until("it waits", () -> state.lines().waitingCount() == 1);
                 head.attemptCompleted(Outcome.ERROR);
                 assertEquals(RequestSequencer.Completion.ENDED, head.release(false));
             }
