--- a/src/test/java/maplespread/partition/RoutingTableTest.java
+++ b/src/test/java/maplespread/partition/RoutingTableTest.java
@@ -35,68 +35,70 @@
             List.of(new Partition.Worker("w1", "z1", "big", 1)));
     private static final List<String> TEXTS = List.of("", "a", "ab", "abc", "b", "ba", "c");
 
-    private static boolean plainly(JsonObject when, RequestAttributes job) {
-        for (String name : when.keySet()) {
-            Object v = job.get(name);
-            JsonElement e = when.get(name);
-            JsonObject o = e.isJsonObject() ? e.getAsJsonObject() : new JsonObject();
-            JsonElement in = o.has("in") ? o.get("in") : e;
-            boolean ok = v != null
-                    && (in.isJsonObject()
-                            || in.isJsonPrimitive() && same(in, v)
-                            || in.isJsonArray()
-                                    && in.getAsJsonArray().asList().stream().anyMatch(x -> same(x, v)));
-            ok = ok
-                    && (!o.has("prefix")
-                            || v.toString().startsWith(o.get("prefix").getAsString()))
-                    && (!o.has("from") || (Double) v >= o.get("from").getAsDouble())
-                    && (!o.has("below") || (Double) v < o.get("below").getAsDouble())
-                    && (!o.has("share")
-                            || AttributeMatcher.Share.unitHash(v.toString()) < 0.5
-                                    == (o.getAsJsonArray("share").get(0).getAsDouble() == 0));
-            if (!ok) {
-                return false;
-            }
+    /** Whether a rule's conditions hold for a request, read from their text without any index. */
+    private static boolean matchesByText(JsonObject when, RequestAttributes request) {
+        return when.keySet().stream().allMatch(name -> matchesByText(when.get(name), request.get(name)));
+    }
+
+    private static boolean matchesByText(JsonElement condition, Object value) {
+        if (value == null) {
+            return false;
         }
-        return true;
+        JsonObject object = condition.isJsonObject() ? condition.getAsJsonObject() : new JsonObject();
+        JsonElement listed = object.has("in") ? object.get("in") : condition;
+        boolean isListed = listed.isJsonObject()
+                || listed.isJsonPrimitive() && same(listed, value)
+                || listed.isJsonArray()
+                        && listed.getAsJsonArray().asList().stream().anyMatch(entry -> same(entry, value));
+        return isListed
+                && (!object.has("prefix")
+                        || value.toString().startsWith(object.get("prefix").getAsString()))
+                && (!object.has("from") || (Double) value >= object.get("from").getAsDouble())
+                && (!object.has("below") || (Double) value < object.get("below").getAsDouble())
+                && (!object.has("share")
+                        || AttributeMatcher.Share.unitHash(value.toString()) < 0.5
+                                == (object.getAsJsonArray("share").get(0).getAsDouble() == 0));
     }
 
-    private static boolean same(JsonElement e, Object v) {
-        return v instanceof Double d ? e.getAsDouble() == d : e.getAsString().equals(v);
+    private static boolean same(JsonElement element, Object value) {
+        return value instanceof Double number
+                ? element.getAsDouble() == number
+                : element.getAsString().equals(value);
     }
 
-    private static String when(SplittableRandom r) {
+    private static String when(SplittableRandom random) {
         List<String> all = new ArrayList<>();
         for (String name : List.of("class", "tenant", "entity", "path", "label.x")) {
-            String text = TEXTS.get(r.nextInt(TEXTS.size()));
-            int from = r.nextInt(4);
+            String text = TEXTS.get(random.nextInt(TEXTS.size()));
+            int from = random.nextInt(4);
             boolean label = name.equals("label.x");
             boolean closed = name.equals("class") || name.equals("tenant");
             String one = label
-                    ? "" + r.nextInt(4)
+                    ? "" + random.nextInt(4)
                     : closed
-                            ? "\"" + (name.equals("class") ? SITE.classes() : SITE.tenants()).get(r.nextInt(2)) + "\""
+                            ? "\"" + (name.equals("class") ? SITE.classes() : SITE.tenants()).get(random.nextInt(2))
+                                    + "\""
                             : "\"" + text + "\"";
             String asks =
-                    switch (r.nextInt(label ? 4 : closed ? 2 : 6)) {
+                    switch (random.nextInt(label ? 4 : closed ? 2 : 6)) {
                         case 0 -> one;
                         case 1 -> label ? "{\"in\":[1,2],\"from\":" + from + "}" : "[" + one + "]";
                         case 2 -> label ? "{\"from\":" + from + "}" : "{\"prefix\":\"" + text + "\"}";
                         case 3 ->
                             label
-                                    ? "{\"from\":" + from + ",\"below\":" + (from + 1 + r.nextInt(2)) + "}"
-                                    : "{\"share\":" + (r.nextBoolean() ? "[0,0.5]" : "[0.5,1]") + "}";
+                                    ? "{\"from\":" + from + ",\"below\":" + (from + 1 + random.nextInt(2)) + "}"
+                                    : "{\"share\":" + (random.nextBoolean() ? "[0,0.5]" : "[0.5,1]") + "}";
                         case 4 -> "{\"prefix\":\"" + text + "\",\"share\":[0,0.5]}";
                         default -> "{\"prefix\":\"a\",\"in\":[\"ab\",\"" + text + "\"]}";
                     };
-            if (r.nextInt(3) == 0) {
+            if (random.nextInt(3) == 0) {
                 all.add("\"" + name + "\":" + asks);
             }
         }
         return "{" + String.join(",", all) + "}";
     }
 
-    private static List<RequestAttributes> jobs() {
+    private static List<RequestAttributes> requests() {
         List<RequestAttributes> all = new ArrayList<>();
         for (String cls : SITE.classes()) {
             for (String tenant : SITE.tenants()) {
@@ -117,22 +119,22 @@
         return all;
     }
 
-    private static final List<RequestAttributes> JOBS = jobs();
+    private static final List<RequestAttributes> REQUESTS = requests();
 
     /** The first that matches, read rule by rule; a rule is refused as dead only if no job comes to it. */
     @Property(tries = 60, seed = "27")
-    void decidesAsThePlainReadingDoes(@ForAll long seed) throws RoutingTableException {
-        SplittableRandom r = new SplittableRandom(seed);
+    void decidesAsTheTextReadRuleByRuleDoes(@ForAll long seed) throws RoutingTableException {
+        SplittableRandom random = new SplittableRandom(seed);
         List<String> whens = new ArrayList<>();
-        for (int i = 0, n = 1 + r.nextInt(80); i < n; i++) {
-            whens.add(when(r));
+        for (int i = 0, n = 1 + random.nextInt(80); i < n; i++) {
+            whens.add(when(random));
         }
         whens.removeIf(w -> w.equals("{}"));
         whens.add("{}");
         List<RequestAttributes> some =
-                r.ints(500, 0, JOBS.size()).mapToObj(JOBS::get).toList();
+                random.ints(500, 0, REQUESTS.size()).mapToObj(REQUESTS::get).toList();
         List<RequestAttributes> most =
-                r.ints(3000, 0, JOBS.size()).mapToObj(JOBS::get).toList();
+                random.ints(3000, 0, REQUESTS.size()).mapToObj(REQUESTS::get).toList();
         while (true) {
             List<JsonObject> read = whens.stream()
                     .map(w -> JsonParser.parseString(w).getAsJsonObject())
@@ -142,12 +144,12 @@
                     .collect(Collectors.joining(","));
             try {
                 RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "]}", SITE);
-                for (RequestAttributes job : some) {
-                    int plain = IntStream.range(0, read.size())
-                            .filter(i -> plainly(read.get(i), job))
+                for (RequestAttributes request : some) {
+                    int expected = IntStream.range(0, read.size())
+                            .filter(i -> matchesByText(read.get(i), request))
                             .findFirst()
                             .getAsInt();
-                    assertEquals("" + plain, table.decide(job).name(), whens + " " + job);
+                    assertEquals("" + expected, table.decide(request).name(), whens + " " + request);
                 }
                 return;
             } catch (RoutingTableException e) {
@@ -155,8 +157,8 @@
                 int dead = Integer.parseInt(e.where().substring(5));
                 assertTrue(
                         most.stream()
-                                .filter(j -> plainly(read.get(dead), j))
-                                .allMatch(j -> read.subList(0, dead).stream().anyMatch(w -> plainly(w, j))),
+                                .filter(j -> matchesByText(read.get(dead), j))
+                                .allMatch(j -> read.subList(0, dead).stream().anyMatch(w -> matchesByText(w, j))),
                         e.getMessage() + whens);
                 whens.remove(dead);
             }
@@ -165,16 +167,17 @@
 
     /** Without shares every kind of value is among the jobs, so a rule that is let through meets one. */
     @Property(tries = 60, seed = "27")
-    void everyRuleThatIsLetThroughMeetsAJob(@ForAll long seed) throws RoutingTableException {
-        SplittableRandom r = new SplittableRandom(seed);
-        List<String> whens = Stream.generate(() -> when(r))
+    void everyAcceptedRuleIsReachedByARequest(@ForAll long seed) throws RoutingTableException {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<String> whens = Stream.generate(() -> when(random))
                 .filter(w -> !w.equals("{}") && !w.contains("share"))
-                .limit(2 + r.nextInt(6))
+                .limit(2 + random.nextInt(6))
                 .toList();
         String rows = whens.stream().map(w -> "{\"when\":" + w + "},").collect(Collectors.joining());
         try {
             RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "{}]}", SITE);
-            Set<String> came = JOBS.stream().map(j -> table.decide(j).name()).collect(Collectors.toSet());
+            Set<String> came =
+                    REQUESTS.stream().map(j -> table.decide(j).name()).collect(Collectors.toSet());
             came.add("" + (whens.size() + 1));
             assertEquals(whens.size() + 1, came.size(), whens + " " + came);
         } catch (RoutingTableException e) {
@@ -224,7 +227,7 @@
     }
 
     @Test
-    void atAChangeOnlyJobsWhoseKeyChangesWait() throws RoutingTableException {
+    void duringATransitionOnlyRequestsWhoseKeyChangesWait() throws RoutingTableException {
         String text = "{\"rules\":[{\"when\":{\"class\":\"stock\"},\"order\":\"by_key\",\"key\":\"KEY\","
                 + "\"runs_ms\":7},{\"order\":\"by_key\"}]}";
         RoutingTable old = RoutingTableParser.parse(text.replace("KEY", "entity"), SITE);
@@ -290,8 +293,8 @@
         for (int round = 0; round < 100 || best >= 2000 && System.nanoTime() < end; round++) {
             long from = System.nanoTime();
             long sum = 0;
-            for (RequestAttributes job : jobs) {
-                sum += table.decide(job).maxRunMs();
+            for (RequestAttributes request : jobs) {
+                sum += table.decide(request).maxRunMs();
             }
             best = Math.min(best, (System.nanoTime() - from) / 4096.0 + sum * 0);
         }
--- a/src/test/java/maplespread/partition/SlotAssignmentTest.java
+++ b/src/test/java/maplespread/partition/SlotAssignmentTest.java
@@ -5,97 +5,107 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
 /** The map of slots: what moves, what is remembered, and what it says of leases. */
 class SlotAssignmentTest {
-    private static Set<String> fleet(int n) {
-        Set<String> all = new TreeSet<>();
-        for (int i = 0; i < n; i++) {
-            all.add("n" + i + "#1");
+    private static Set<String> memberNames(int count) {
+        Set<String> members = new TreeSet<>();
+        for (int i = 0; i < count; i++) {
+            members.add("n" + i + "#1");
         }
-        return all;
+        return members;
     }
 
     @Test
-    void onlySlotsOfThoseThatComeOrGoMove() {
-        SlotAssignment ten = SlotAssignment.initial(1024, "t").members(fleet(10));
-        SlotAssignment eleven = SlotAssignment.fromJson(ten.members(fleet(11)).toJson());
+    void onlySlotsOfJoiningOrDepartingMembersMove() {
+        SlotAssignment ten = SlotAssignment.initial(1024, "t").members(memberNames(10));
+        SlotAssignment eleven =
+                SlotAssignment.fromJson(ten.members(memberNames(11)).toJson());
         int moved = 0;
         for (int i = 0; i < 1024; i++) {
-            SlotAssignment.Slot was = ten.slots().get(i);
-            SlotAssignment.Slot is = eleven.slots().get(i);
-            if (!was.owner().equals(is.owner())) {
-                assertEquals("n10#1", is.owner());
-                assertEquals(Set.of(was.owner()), is.previousOwners().keySet());
-                assertEquals(eleven.epoch(), is.ownedSinceEpoch());
+            SlotAssignment.Slot before = ten.slots().get(i);
+            SlotAssignment.Slot after = eleven.slots().get(i);
+            if (!before.owner().equals(after.owner())) {
+                assertEquals("n10#1", after.owner());
+                assertEquals(Set.of(before.owner()), after.previousOwners().keySet());
+                assertEquals(eleven.epoch(), after.ownedSinceEpoch());
                 moved++;
             } else {
-                assertEquals(was, is);
+                assertEquals(before, after);
             }
         }
         assertTrue(moved > 1024 / 11 * 0.6 && moved < 1024 / 11 * 1.5, "moved " + moved);
-        SlotAssignment back = eleven.members(fleet(10));
+        SlotAssignment back = eleven.members(memberNames(10));
         for (int i = 0; i < 1024; i++) {
             assertEquals(ten.slots().get(i).owner(), back.slots().get(i).owner());
         }
-        Set<String> again = fleet(10);
-        again.remove("n3#1");
-        again.add("n3#2"); // restarted: the earlier run is a leaver
-        SlotAssignment run = ten.members(again);
+        Set<String> restarted = memberNames(10);
+        restarted.remove("n3#1");
+        restarted.add("n3#2"); // the earlier incarnation is a previous owner
+        SlotAssignment afterRestart = ten.members(restarted);
         for (int i = 0; i < 1024; i++) {
-            boolean its = ten.slots().get(i).owner().equals("n3#1");
+            boolean wasItsSlot = ten.slots().get(i).owner().equals("n3#1");
             assertEquals(
-                    its ? Set.of("n3#1") : Set.of(),
-                    run.slots().get(i).previousOwners().keySet());
+                    wasItsSlot ? Set.of("n3#1") : Set.of(),
+                    afterRestart.slots().get(i).previousOwners().keySet());
         }
-        again.add("n3#1");
-        assertThrows(IllegalArgumentException.class, () -> ten.members(again));
+        restarted.add("n3#1");
+        assertThrows(IllegalArgumentException.class, () -> ten.members(restarted));
     }
 
-    /** A value that is begun anew keeps what operators have said, and comes after all that was. */
+    /** A reinitialized value keeps tables and stopped keys, and its numbers come after all that there were. */
     @Test
-    void aValueBegunAnewHasNoOwners() {
-        SlotAssignment o = SlotAssignment.initial(8, "t").members(fleet(2)).table("u", 1);
-        SlotAssignment again =
-                o.stopKey(o.slots().get(o.slotOf("k")).owner(), "k").reinitialized(1000);
+    void aReinitializedAssignmentHasNoOwners() {
+        SlotAssignment assignment =
+                SlotAssignment.initial(8, "t").members(memberNames(2)).table("u", 1);
+        SlotAssignment reinitialized = assignment
+                .stopKey(assignment.slots().get(assignment.slotOf("k")).owner(), "k")
+                .reinitialized(1000);
         assertEquals(
-                SlotAssignment.initial(8, "u", 1000).members(fleet(3)).slots(),
-                again.members(fleet(3)).slots());
-        assertEquals(Set.of("k"), again.stoppedKeys());
-        assertTrue(again.slots().stream()
-                .allMatch(s -> s.owner().isEmpty() && s.previousOwners().isEmpty()));
+                SlotAssignment.initial(8, "u", 1000).members(memberNames(3)).slots(),
+                reinitialized.members(memberNames(3)).slots());
+        assertEquals(Set.of("k"), reinitialized.stoppedKeys());
+        assertTrue(reinitialized.slots().stream()
+                .allMatch(
+                        slot -> slot.owner().isEmpty() && slot.previousOwners().isEmpty()));
         assertEquals(
                 "u u 1000 1000 1000",
-                again.table() + " " + again.previousTable() + " " + again.version() + " " + again.epoch() + " "
-                        + again.tableEpoch());
+                reinitialized.table() + " " + reinitialized.previousTable() + " " + reinitialized.version() + " "
+                        + reinitialized.epoch() + " " + reinitialized.tableEpoch());
     }
 
     @Test
-    void leasesGoToMembersThatAreHeardAndKnowTheEpoch() {
-        SlotAssignment o = SlotAssignment.initial(8, "t").members(fleet(2));
-        assertTrue(o.grantsLease("n0#1", o.epoch())
-                && !o.grantsLease("n0#1", o.epoch() - 1)
-                && !o.grantsLease("n2#1", 99));
-        SlotAssignment quiet = o.silent(Set.of("n0#1"));
-        assertTrue(!quiet.grantsLease("n0#1", 99) && quiet.grantsLease("n1#1", quiet.epoch()));
-        assertEquals(o.slots(), quiet.slots(), "nothing moves by silence");
+    void leasesAreGrantedToHeardMembersThatKnowTheEpoch() {
+        SlotAssignment assignment = SlotAssignment.initial(8, "t").members(memberNames(2));
+        assertTrue(assignment.grantsLease("n0#1", assignment.epoch())
+                && !assignment.grantsLease("n0#1", assignment.epoch() - 1)
+                && !assignment.grantsLease("n2#1", 99));
+        SlotAssignment silent = assignment.silent(Set.of("n0#1"));
+        assertTrue(!silent.grantsLease("n0#1", 99) && silent.grantsLease("n1#1", silent.epoch()));
+        assertEquals(assignment.slots(), silent.slots(), "nothing moves by silence");
         assertEquals(
-                quiet.silent(),
-                quiet.silent(Set.of("n0#1", "n1#1")).silent().entrySet().stream()
-                        .filter(e -> e.getKey().equals("n0#1"))
-                        .collect(java.util.stream.Collectors.toMap(e -> e.getKey(), e -> e.getValue())),
+                silent.silent(),
+                silent.silent(Set.of("n0#1", "n1#1")).silent().entrySet().stream()
+                        .filter(entry -> entry.getKey().equals("n0#1"))
+                        .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
                 "silence goes on unbroken");
         assertNotEquals(
-                quiet.silent(), quiet.silent(Set.of()).silent(Set.of("n0#1")).silent());
-        SlotAssignment next = o.table("u", o.tableEpoch());
-        assertTrue(!next.grantsLease("n0#1", o.epoch()), "a table ends the leases of before");
-        assertEquals(next, next.table("t", o.tableEpoch()), "who has not heard of it changes nothing");
-        String mine = "n0#1".equals(o.slots().get(o.slotOf("k")).owner()) ? "n0#1" : "n1#1";
-        assertEquals(Set.of("k"), o.stopKey(mine, "k").stoppedKeys());
-        assertEquals(o, o.stopKey(mine.equals("n0#1") ? "n1#1" : "n0#1", "k"), "only its owner stops a key");
-        assertEquals(Set.of(), o.stopKey(mine, "k").startKey("k").stoppedKeys());
+                silent.silent(), silent.silent(Set.of()).silent(Set.of("n0#1")).silent());
+        SlotAssignment changed = assignment.table("u", assignment.tableEpoch());
+        assertTrue(!changed.grantsLease("n0#1", assignment.epoch()), "a new table ends earlier leases");
+        assertEquals(changed, changed.table("t", assignment.tableEpoch()), "who has not heard of it changes nothing");
+        String owner =
+                "n0#1".equals(assignment.slots().get(assignment.slotOf("k")).owner()) ? "n0#1" : "n1#1";
+        assertEquals(Set.of("k"), assignment.stopKey(owner, "k").stoppedKeys());
+        assertEquals(
+                assignment,
+                assignment.stopKey(owner.equals("n0#1") ? "n1#1" : "n0#1", "k"),
+                "only its owner stops a key");
+        assertEquals(Set.of(), assignment.stopKey(owner, "k").startKey("k").stoppedKeys());
     }
 }
