--- a/src/main/java/maplespread/policy/AttemptOutcome.java
+++ b/src/main/java/maplespread/policy/AttemptOutcome.java
@@ -26,7 +26,7 @@
     /** It was never sent. */
     NEVER_SENT,
 
-    /** An idle connection broke before the worker had said anything on it: this tells nothing of the worker. */
+    /** An idle connection broke before the worker sent a byte of the response: no sign of a fault of the worker. */
     STALE_CONNECTION_RESET;
 
     /** Whether this outcome proves that the attempt never ran, so that a repeat is safe for any class. */
--- a/src/main/java/maplespread/policy/CostModel.java
+++ b/src/main/java/maplespread/policy/CostModel.java
@@ -98,7 +98,7 @@
         return worker.backlog.hasFreeSlot(request) ? 0 : worker.backlog.waitMs();
     }
 
-    /** Who sends nothing learns nothing, and would reject all for ever: after half the memory it tries the cheapest. */
+    /** A dispatcher that sends nothing learns nothing and would reject for ever: after a while it tries the cheapest. */
     private boolean mayTryAnyway() {
         return context.nowMs - lastSentMs > context.memoryMs / 2;
     }
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -259,7 +259,7 @@
     }
 
     private void tick() {
-        freshness.usable(context.nowMs); // its change of state is told in time
+        freshness.usable(context.nowMs); // so that the state change is reported in time
         polls.pollIfDue();
         for (Worker worker : directory.busy()) {
             worker.outliers.countOverdue(pauses.pauseEndedMs());
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -37,7 +37,7 @@
     /** Discovery ended the watch by itself, as it does when it goes down. */
     private boolean outageLikely;
 
-    /** Since the list was confirmed there was no moment in which a change could be had without its being heard. */
+    /** Since the list was confirmed this process has missed no moment in which discovery could have had a change. */
     private boolean gapless;
 
     private boolean connectionRefusedSeen;
@@ -49,7 +49,7 @@
     /**
      * Puts settings into force.
      *
-     * @param pushed the list comes from an agent beside this process, which has no crowd of callers
+     * @param pushed an agent beside this process pushes the list; no other caller competes for it
      * @param maxListAgeMs for so long without a call the settings let a list stand
      */
     void settings(boolean pushed, double maxListAgeMs) {
@@ -64,7 +64,7 @@
         moveTo(EndpointListState.CONFIRMED, nowMs);
     }
 
-    /** The watch says nothing any more, last heard so long ago. */
+    /** The watch is silent, its last message so long ago. */
     void silent(double nowMs, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED) {
             startRenewing(nowMs, nowMs - lastMessageAgoMs, false, false);
@@ -80,7 +80,7 @@
         }
     }
 
-    /** There is no watch any more, or a call for one has failed, last heard so long ago. */
+    /** The watch ended or a call for one failed, the last message so long ago. */
     void failed(double nowMs, EndpointWatchFailure failure, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED && failure == EndpointWatchFailure.ENDED) {
             // Watches end when discovery goes down, and what came before came whole.
@@ -94,7 +94,7 @@
         switch (failure) {
             case REFUSED -> callRefused(nowMs);
             case ENDED, NO_ANSWER -> callUnanswered(nowMs);
-            case NOT_ASKED -> {} // the fault is this side's, and tells nothing of discovery
+            case NOT_ASKED -> {} // a local fault, no sign of discovery's state
         }
     }
 
@@ -108,7 +108,7 @@
     }
 
     /**
-     * A crowd before discovery and an outage look alike from here. After a watch that discovery itself has ended it is
+     * An overloaded discovery and one that is down look alike from here. After a watch that discovery itself has ended it is
      * taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
      */
     private void callUnanswered(double nowMs) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Nobody is there to know of a change, and nobody was since the list was confirmed. */
+    /** Nothing listens at discovery: there is no change to know of, and was none since the list was confirmed. */
     private void callRefused(double nowMs) {
         if (agentPushesList || gapless) {
             connectionRefusedSeen = true;
--- a/src/main/java/maplespread/policy/EndpointListState.java
+++ b/src/main/java/maplespread/policy/EndpointListState.java
@@ -5,13 +5,13 @@
     /** Discovery has said nothing since this process started: nothing is sent by the list. */
     UNCONFIRMED,
 
-    /** A watch tells all changes. */
+    /** A watch reports all changes. */
     CONFIRMED,
 
-    /** No watch tells changes, for a short while: the list still counts. */
+    /** There is no watch since a short while: the list still counts. */
     RENEWING,
 
-    /** No watch tells changes, and discovery is down, so that there are none to know of: the list still counts. */
+    /** There is no watch, and discovery is down, so that there is no change to know of: the list still counts. */
     UNREACHABLE,
 
     /** Changes may have been missed that this dispatcher is held to: nothing is sent by the list. */
--- a/src/main/java/maplespread/policy/EndpointWatchFailure.java
+++ b/src/main/java/maplespread/policy/EndpointWatchFailure.java
@@ -11,6 +11,6 @@
     /** The call was made, and no first line came. */
     NO_ANSWER,
 
-    /** The call never left this machine: it tells nothing of discovery. */
+    /** The call never left this machine: no sign of discovery's state. */
     NOT_ASKED
 }
--- a/src/main/java/maplespread/policy/HintCalibration.java
+++ b/src/main/java/maplespread/policy/HintCalibration.java
@@ -2,7 +2,7 @@
 
 /**
  * How far the work hints of requests are to be believed. Small requests tend to run longer than hinted and large ones
- * shorter; taken at their word, slow workers, which are given the small ones, would look ever slower. The slope of
+ * shorter; believed in full, slow workers, which are given the small ones, would look ever slower. The slope of
  * log run time on log hint, within each worker, says how much of a hint's distance from the middle is real.
  */
 final class HintCalibration {
--- a/src/main/java/maplespread/policy/IdleConnections.java
+++ b/src/main/java/maplespread/policy/IdleConnections.java
@@ -1,7 +1,7 @@
 package maplespread.policy;
 
 /**
- * Whether an idle connection to a worker stands open, as far as this dispatcher's own traffic tells: a new one costs
+ * Whether an idle connection to a worker stands open, as far as this dispatcher's own traffic shows: a new one costs
  * time, and is lost where workers cannot be connected to.
  */
 final class IdleConnections {
--- a/src/main/java/maplespread/policy/InFlightAttempt.java
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -28,13 +28,13 @@
     /** No idle connection was open to the worker. */
     final boolean openedConnection;
 
-    /** When the worker told that it runs; NaN while it has not. */
+    /** When the worker reported that it runs; NaN before that. */
     double startedAtMs = Double.NaN;
 
-    /** When the worker last told of its progress. */
+    /** When the worker last reported its progress. */
     double progressedAtMs;
 
-    /** Share of the work that is done, by the worker's word. */
+    /** Share of the work that is done, as the worker reported. */
     double doneShare;
 
     boolean ended;
@@ -66,7 +66,7 @@
         return !Double.isNaN(startedAtMs);
     }
 
-    /** Time since it was last told of, without what the fetch is likely to have taken of it. */
+    /** Time since the last report on it, less what the fetch is likely to have taken of that. */
     double runTimeMs(double nowMs) {
         double tookMs = nowMs - progressedAtMs;
         return doneShare > 0 ? tookMs : Math.max(tookMs / 2, tookMs - fetchMs);
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -20,7 +20,7 @@
     /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
     private static final double SLOW_CONNECT_SHARE = 0.5;
 
-    /** When this share of new connections fails slowly, that tells of the network, and ejects nobody. */
+    /** When this share of new connections fails slowly, the network is at fault, and no worker is ejected. */
     private static final double NETWORK_FAULT_SHARE = 0.25;
 
     /** Weight of an attempt in the worker's own rate: a memory of about two. */
@@ -103,7 +103,7 @@
         }
     }
 
-    /** The list says that the worker has started then: what was lost before tells nothing of the new process. */
+    /** The list says that the worker has started then: connections lost before that are no sign against the new process. */
     void restarted(double startedAtMs) {
         ejected &= connectionLostAtMs >= startedAtMs;
     }
@@ -124,7 +124,7 @@
     /**
      * No connection could be had after this time, or one broke (0 ms). One connection that breaks proves no restart:
      * taken for one, it would cost a healthy worker's capacity; a second one without a sign of life in between does. A
-     * slow failure tells of this worker only where others can be connected to.
+     * slow failure counts against this worker only where others can be connected to.
      */
     void connectionFailed(double lagMs) {
         boolean slow = lagMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
--- a/src/main/java/maplespread/policy/PendingRequest.java
+++ b/src/main/java/maplespread/policy/PendingRequest.java
@@ -8,10 +8,10 @@
  * are those of the settings under which it was accepted, whatever holds later. Times are ms on the host's clock.
  */
 final class PendingRequest {
-    /** Hints below this share of the shortest objective tell nothing. */
+    /** Hints below this share of the shortest objective are ignored. */
     private static final double MIN_HINT_SHARE = 1e-4;
 
-    /** Hints above this many deadlines tell nothing. */
+    /** Hints above this many deadlines are ignored. */
     private static final double MAX_HINT_DEADLINES = 1e3;
 
     /** Memory units and slots from here on are taken for errors. */
--- a/src/main/java/maplespread/policy/PolicyActions.java
+++ b/src/main/java/maplespread/policy/PolicyActions.java
@@ -1,7 +1,7 @@
 package maplespread.policy;
 
 /**
- * What a policy tells its host to do, called while it handles an event. None of these calls may call back into the
+ * What a policy asks of its host, called while it handles an event. None of these calls may call back into the
  * policy, nor block.
  */
 public interface PolicyActions {
--- a/src/main/java/maplespread/policy/PolicyEvents.java
+++ b/src/main/java/maplespread/policy/PolicyEvents.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a host tells its policy; nothing else moves it. The host calls from one thread at a time, in order. Times are
+ * What a host reports to its policy; nothing else changes its state. The host calls from one thread at a time, in order. Times are
  * microseconds of the host's own clock, which must never run backwards.
  *
  * <p>Every method throws {@link IllegalArgumentException} if time runs backwards.
@@ -19,13 +19,13 @@
     /** A message of the endpoint list has come. {@code version} only grows. */
     void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries);
 
-    /** Discovery has told all that it has, and a watch goes on telling. */
+    /** Discovery has sent all that it has, and a watch reports changes from now on. */
     void endpointListConfirmed(long nowUs);
 
-    /** The list is in doubt, last heard of so long ago. The host subscribes again without being asked. */
+    /** The list is in doubt, the last message so long ago. The host subscribes again without being asked. */
     void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double lastMessageAgoMs);
 
-    /** A watch or a call for one failed, or the watch broke, last heard of so long ago. */
+    /** A watch or a call for one failed, or the watch broke, the last message so long ago. */
     void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double lastMessageAgoMs);
 
     /**
@@ -47,7 +47,7 @@
      *
      * @param lagMs from its sending to its end
      * @param ended the request has ended, by this attempt or earlier
-     * @param report what the worker told with it; may be null
+     * @param report the load report that came with it; may be null
      */
     void attemptEnded(
             long nowUs,
--- a/src/main/java/maplespread/policy/PolicySettings.java
+++ b/src/main/java/maplespread/policy/PolicySettings.java
@@ -10,7 +10,7 @@
  * @param zone this dispatcher's zone
  * @param pollsDiscovery the endpoint list comes only when it is asked for; else an agent pushes it
  * @param weightPerWork the priority weight counts per ms of work, not per request
- * @param workersReportStart workers tell when a request starts to run
+ * @param workersReportStart workers report when a request starts to run
  * @param progressIntervalMs time between two progress reports of a worker; 0: there are none
  * @param fifoWorkers workers start waiting requests in the order in which they came
  * @param tickMs resolution of the host's timers
--- a/src/main/java/maplespread/policy/ProbeScheduler.java
+++ b/src/main/java/maplespread/policy/ProbeScheduler.java
@@ -3,14 +3,14 @@
 /**
  * Probes of workers that are not ejected: the synchronous rounds before a choice, and the regular ones. Where other
  * dispatchers send most of the load, own sends do not mirror it, so workers are probed before one is chosen: the three
- * cheapest at once, twice at most, and the costs decide on the answers. Who does not answer in an eighth of the
+ * cheapest at once, twice at most, and the costs decide on the answers. A worker that does not answer in an eighth of the
  * objective backs off, whatever its reason.
  */
 final class ProbeScheduler {
     private static final int PROBES_A_ROUND = 3;
     private static final int MAX_ROUNDS = 2;
 
-    /** From this load of all dispatchers over this one's, own sends tell too little. */
+    /** From this load of all dispatchers over this one's, own sends show too little of the load. */
     private static final double MIN_LOAD_MULTIPLIER = 8;
 
     /** A report is fresh, and an answer in time, for this much of the objective. */
--- a/src/main/java/maplespread/policy/SlotEstimator.java
+++ b/src/main/java/maplespread/policy/SlotEstimator.java
@@ -2,7 +2,7 @@
 
 /** How many requests a worker runs at a time, learnt from its reports and from what was seen running at once. */
 final class SlotEstimator {
-    /** Where neither the worker nor its kind has told. */
+    /** Assumed until the worker or its kind has reported. */
     private static final double DEFAULT_SLOTS = 2;
 
     private static final double STEP = 0.1;
@@ -24,7 +24,7 @@
         return Math.max(1, Math.rint(best));
     }
 
-    /** A report told this number. */
+    /** A report gave this number. */
     void observe(double slots) {
         WorkerKind kind = worker.kind;
         estimate = estimate > 0 ? estimate + STEP * (slots - estimate) : Math.max(1, slots);
--- a/src/main/java/maplespread/policy/SpeedEstimator.java
+++ b/src/main/java/maplespread/policy/SpeedEstimator.java
@@ -64,13 +64,13 @@
         doneWorkMs = doneWorkMs * keep + workMs;
         runTimeMs = runTimeMs * keep + timeMs;
         WorkerKind kind = worker.kind;
-        double pooled = worker.slowStart.isActive() ? 0 : 1; // slow starts tell nothing of the kind
+        double pooled = worker.slowStart.isActive() ? 0 : 1; // slow starts are no measure of the kind
         kind.doneWorkMs = kind.doneWorkMs * (1 - KIND_STEP * pooled) + pooled * workMs;
         kind.runTimeMs = kind.runTimeMs * (1 - KIND_STEP * pooled) + pooled * timeMs;
         kind.speed = (kind.doneWorkMs + arrivals.meanWorkMs()) / (kind.runTimeMs + arrivals.meanWorkMs());
     }
 
-    /** A report told the mean service time of all dispatchers' requests, ms; used where no starts are reported. */
+    /** A report gave the mean service time of all dispatchers' requests, ms; used where no starts are reported. */
     void observeServiceTime(double serviceMs) {
         if (!context.settings.workersReportStart()
                 && serviceMs > 0
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Whether reports tell service times, so that this dispatcher's response times need not. */
+    /** Whether reports give service times, which then count in place of this dispatcher's response times. */
     boolean hasReportedServiceTime() {
         return !Double.isNaN(reportedServiceMs);
     }
--- a/src/main/java/maplespread/policy/WorkerBacklog.java
+++ b/src/main/java/maplespread/policy/WorkerBacklog.java
@@ -78,7 +78,7 @@
         waitMs = (localWorkMs + remoteWorkMs) / worker.capacity + unexpectedWaitMs();
     }
 
-    /** Whether a request would start at once, as far as own sends and reports tell. */
+    /** Whether a request would start at once, as far as own sends and reports show. */
     boolean hasFreeSlot(PendingRequest request) {
         return slotsInUse + remoteWorkMs / arrivals.meanWorkMs() + request.slots - HALF_SLOT
                 < worker.slotEstimator.slots();
@@ -120,7 +120,7 @@
 
     /**
      * An attempt has started. Workers start in the order of arrival, so what was sent well before it must have started
-     * too: that nothing was heard of it tells of its connection, not of a queue. Where a repeat is harmless, it is
+     * too: the missing report points at its connection, not at a queue. Where a repeat is harmless, it is
      * cancelled here and placed anew.
      */
     void cancelOvertakenBy(InFlightAttempt started) {
@@ -163,12 +163,12 @@
         kind.unobservedAtMs = context.nowMs;
     }
 
-    /** A report told the free memory units; NaN: it did not. */
+    /** A report gave the free memory units; NaN: it did not. */
     void observeFreeMemory(double freeUnits) {
         remoteMemory = freeUnits >= 0 ? Math.max(0, worker.slotEstimator.slots() - freeUnits - localMemory) : 0;
     }
 
-    /** The others' requests at the worker by a report, negative where it is older than own sends; NaN: it tells none. */
+    /** The others' requests at the worker by a report, negative where it is older than own sends; NaN: it gives none. */
     double remoteRequestsBy(LoadReport report) {
         if (report.activeRequests() >= 0) {
             return report.activeRequests() - inFlight.size();
@@ -177,7 +177,7 @@
         return slots - report.freeSlots() - Math.min(slotsInUse, slots);
     }
 
-    /** Takes up the others' requests by a report, as told by {@link #remoteRequestsBy} before the slots were learnt. */
+    /** Takes up the others' requests by a report, as {@link #remoteRequestsBy} gave them before the slots were learnt. */
     void observeRemoteRequests(LoadReport report, double reported) {
         if (Double.isNaN(reported)) {
             return;
--- a/src/main/java/maplespread/policy/WorkerDirectory.java
+++ b/src/main/java/maplespread/policy/WorkerDirectory.java
@@ -40,7 +40,7 @@
         return byId.get(id);
     }
 
-    /** A full snapshot has come: who is absent from it has been removed. */
+    /** A full snapshot has come: a worker that is absent from it has been removed. */
     void removeAbsent(List<EndpointEntry> snapshot) {
         Set<String> present = new HashSet<>();
         for (EndpointEntry entry : snapshot) {
--- a/src/main/java/maplespread/policy/WorkerKind.java
+++ b/src/main/java/maplespread/policy/WorkerKind.java
@@ -20,6 +20,6 @@
     /** The usual backlog at one worker that this dispatcher does not see: other dispatchers' requests, as wait in ms. */
     double unobservedWaitMs;
 
-    /** When a late start last told of it. */
+    /** When a late start last changed it. */
     double unobservedAtMs;
 }
