--- a/src/main/java/maplespread/policy/CostModel.java
+++ b/src/main/java/maplespread/policy/CostModel.java
@@ -2,9 +2,9 @@
 
 /**
  * The cost of placing a request at a worker, by rule (25) of "Meeting Soft Deadlines in Single- and Multi-Server
- * Systems": how likely it is late there, and by how much its work raises what later requests lose
- * ({@link ValueFunction}), against a rejection at a cost of one. Some costs only choose among workers and reject
- * nothing: another zone, a new connection, a class that fails there. docs/design.md gives the departures from the paper.
+ * Systems": how likely it is late there, and by how much its work raises what later requests lose ({@link
+ * ValueFunction}), against a rejection at a cost of one. Some costs only choose among workers and reject nothing:
+ * another zone, a new connection, a class that fails there. docs/design.md gives the departures from the paper.
  */
 final class CostModel {
     /** The worker may not take the request at all. */
@@ -98,7 +98,9 @@
         return worker.backlog.hasFreeSlot(request) ? 0 : worker.backlog.waitMs();
     }
 
-    /** A dispatcher that sends nothing learns nothing and would reject for ever: after a while it tries the cheapest. */
+    /**
+     * A dispatcher that sends nothing learns nothing and would reject for ever: after a while it tries the cheapest.
+     */
     private boolean mayTryAnyway() {
         return context.nowMs - lastSentMs > context.memoryMs / 2;
     }
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -8,8 +8,8 @@
  * design is rule (25) of "Meeting Soft Deadlines in Single- and Multi-Server Systems" with the departures that
  * docs/design.md gives.
  *
- * <p>Not thread-safe: the host calls it under one lock. It does no I/O and reads no clock. Given the same settings, seed
- * and events it takes the same actions, whatever the order of a hash map.
+ * <p>Not thread-safe: the host calls it under one lock. It does no I/O and reads no clock. Given the same settings,
+ * seed and events it takes the same actions, whatever the order of a hash map.
  */
 public final class DispatchPolicy implements PolicyEvents {
     private static final double MICROS_PER_MS = 1000.0;
--- a/src/main/java/maplespread/policy/Eligibility.java
+++ b/src/main/java/maplespread/policy/Eligibility.java
@@ -38,7 +38,10 @@
     /** The request has had all attempts that its settings allow ({@link SitePermissions#maxAttempts}). */
     ATTEMPTS_USED,
 
-    /** An earlier attempt may have run, and its class may not be repeated, or not any more ({@link RequestClass#mayRepeatAfter}). */
+    /**
+     * An earlier attempt may have run, and its class may not be repeated, or not any more ({@link
+     * RequestClass#mayRepeatAfter}).
+     */
     MAY_HAVE_RUN,
 
     /** An earlier attempt may have run, and this worker does not drop its repeat ({@link DeduplicationScope}). */
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -2,11 +2,11 @@
 
 /**
  * How far the endpoint list can be relied on, at any time of the process's life. One place holds the state, what moves
- * it, and whether a request may be sent by the list; docs/list-freshness.md weighs the alternatives. Times are ms on the
- * host's clock.
+ * it, and whether a request may be sent by the list; docs/list-freshness.md weighs the alternatives. Times are ms on
+ * the host's clock.
  *
- * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it, whether or
- * not it arrived. What has not been confirmed for that long may name workers that have drained or gone.
+ * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it, whether
+ * or not it arrived. What has not been confirmed for that long may name workers that have drained or gone.
  */
 final class EndpointListFreshness {
     /** Called at every change of the state. */
@@ -108,8 +108,8 @@
     }
 
     /**
-     * An overloaded discovery and one that is down look alike from here. After a watch that discovery itself has ended it is
-     * taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
+     * An overloaded discovery and one that is down look alike from here. After a watch that discovery itself has ended
+     * it is taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
      */
     private void callUnanswered(double nowMs) {
         if (agentPushesList || outageLikely && !connectionRefusedSeen) {
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -6,11 +6,11 @@
  *
  * <ul>
  *   <li>Ejected: a connection to it broke or could not be had. A probe goes out at once, and again at a look at the
- *       fleet ({@link FleetLoadEstimate}) whenever its backoff is over. It ends with a sign of life: an answered probe, a
- *       served attempt, a start or progress report; or when the list says that the worker has started since.
- *   <li>Backing off, ejected or not: after a rejection, a failed connection, a timeout without a later sign of life, or a
- *       probe round without its answer. It ends after one objective, twice as long with each such failure in a row,
- *       32 objectives or half the estimators' memory at most.
+ *       fleet ({@link FleetLoadEstimate}) whenever its backoff is over. It ends with a sign of life: an answered
+ *       probe, a served attempt, a start or progress report; or when the list says that the worker has started since.
+ *   <li>Backing off, ejected or not: after a rejection, a failed connection, a timeout without a later sign of life,
+ *       or a probe round without its answer. It ends after one objective, twice as long with each such failure in a
+ *       row, 32 objectives or half the estimators' memory at most.
  *   <li>Neither: a class that fails there, or has overdue attempts, raises the worker's price for that class alone.
  * </ul>
  *
@@ -67,8 +67,8 @@
     }
 
     /**
-     * How likely a request of the class is to fail at this worker, 0 to 1: all workers' rate, and the worker's own where
-     * it differs by more than chance. It chooses among workers and rejects nothing.
+     * How likely a request of the class is to fail at this worker, 0 to 1: all workers' rate, and the worker's own
+     * where it differs by more than chance. It chooses among workers and rejects nothing.
      */
     double failureRate(int classIndex) {
         double ageMs = context.nowMs - failureRateAtMs.get(classIndex);
@@ -103,7 +103,10 @@
         }
     }
 
-    /** The list says that the worker has started then: connections lost before that are no sign against the new process. */
+    /**
+     * The list says that the worker has started then: connections lost before that are no sign against the new
+     * process.
+     */
     void restarted(double startedAtMs) {
         ejected &= connectionLostAtMs >= startedAtMs;
     }
@@ -114,7 +117,10 @@
         retryNotBeforeMs = context.nowMs + Math.min(context.memoryMs / 2, context.objectiveMs * (1 << doublings));
     }
 
-    /** An attempt timed out. The worker may hang, or that connection alone: only without a later sign of life it counts. */
+    /**
+     * An attempt timed out. The worker may hang, or that connection alone: only without a later sign of life it
+     * counts.
+     */
     void timedOut(InFlightAttempt attempt) {
         if (lastAliveMs < attempt.sentAtMs) {
             backOff();
--- a/src/main/java/maplespread/policy/PolicyEvents.java
+++ b/src/main/java/maplespread/policy/PolicyEvents.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a host reports to its policy; nothing else changes its state. The host calls from one thread at a time, in order. Times are
- * microseconds of the host's own clock, which must never run backwards.
+ * What a host reports to its policy; nothing else changes its state. The host calls from one thread at a time, in
+ * order. Times are microseconds of the host's own clock, which must never run backwards.
  *
  * <p>Every method throws {@link IllegalArgumentException} if time runs backwards.
  */
--- a/src/main/java/maplespread/policy/ProbeScheduler.java
+++ b/src/main/java/maplespread/policy/ProbeScheduler.java
@@ -3,8 +3,8 @@
 /**
  * Probes of workers that are not ejected: the synchronous rounds before a choice, and the regular ones. Where other
  * dispatchers send most of the load, own sends do not mirror it, so workers are probed before one is chosen: the three
- * cheapest at once, twice at most, and the costs decide on the answers. A worker that does not answer in an eighth of the
- * objective backs off, whatever its reason.
+ * cheapest at once, twice at most, and the costs decide on the answers. A worker that does not answer in an eighth of
+ * the objective backs off, whatever its reason.
  */
 final class ProbeScheduler {
     private static final int PROBES_A_ROUND = 3;
--- a/src/main/java/maplespread/policy/RejectionReason.java
+++ b/src/main/java/maplespread/policy/RejectionReason.java
@@ -8,7 +8,9 @@
     /** Some worker may take it, but at each the expected loss of this and later requests is above a rejection's. */
     OVERLOADED,
 
-    /** No worker may be used, by a list that counts: none is active, of the needed kind, or has slow-start budget left. */
+    /**
+     * No worker may be used, by a list that counts: none is active, of the needed kind, or has slow-start budget left.
+     */
     NO_SERVER,
 
     /** Nothing may be sent by the endpoint list, which may be out of date ({@link EndpointListFreshness}). */
--- a/src/main/java/maplespread/policy/WorkerBacklog.java
+++ b/src/main/java/maplespread/policy/WorkerBacklog.java
@@ -168,7 +168,9 @@
         remoteMemory = freeUnits >= 0 ? Math.max(0, worker.slotEstimator.slots() - freeUnits - localMemory) : 0;
     }
 
-    /** The others' requests at the worker by a report, negative where it is older than own sends; NaN: it gives none. */
+    /**
+     * The others' requests at the worker by a report, negative where it is older than own sends; NaN: it gives none.
+     */
     double remoteRequestsBy(LoadReport report) {
         if (report.activeRequests() >= 0) {
             return report.activeRequests() - inFlight.size();
@@ -177,7 +179,9 @@
         return slots - report.freeSlots() - Math.min(slotsInUse, slots);
     }
 
-    /** Takes up the others' requests by a report, as {@link #remoteRequestsBy} gave them before the slots were learnt. */
+    /**
+     * Takes up the others' requests by a report, as {@link #remoteRequestsBy} gave them before the slots were learnt.
+     */
     void observeRemoteRequests(LoadReport report, double reported) {
         if (Double.isNaN(reported)) {
             return;
--- a/src/main/java/maplespread/policy/WorkerKind.java
+++ b/src/main/java/maplespread/policy/WorkerKind.java
@@ -17,7 +17,9 @@
     /** Requests that one worker runs at a time; 0: unknown. */
     double slots;
 
-    /** The usual backlog at one worker that this dispatcher does not see: other dispatchers' requests, as wait in ms. */
+    /**
+     * The usual backlog at one worker that this dispatcher does not see: other dispatchers' requests, as wait in ms.
+     */
     double unobservedWaitMs;
 
     /** When a late start last changed it. */
--- a/src/main/java/maplespread/policy/package-info.java
+++ b/src/main/java/maplespread/policy/package-info.java
@@ -9,10 +9,10 @@
  *   <li>{@code EligibilityFilter}, {@code RetryPolicy}: whether a request may be sent to a worker at all.
  *   <li>{@code CostModel}, {@code ValueFunction}, {@code KeyAffinity}, {@code CandidateCosts}: what that costs.
  *   <li>{@code WorkerSelector}, {@code ProbeScheduler}, {@code AdmissionControl}: which worker is taken, or why none.
- *   <li>{@code Worker} with {@code WorkerBacklog}, {@code SpeedEstimator}, {@code SlotEstimator},
- *       {@code SlowStartBudget}, {@code OutlierDetector}: what is known of one worker.
- *   <li>{@code ArrivalStatistics}, {@code FleetLoadEstimate}, {@code HintCalibration}, {@code FailureStatistics}: what is
- *       known of all together.
+ *   <li>{@code Worker} with {@code WorkerBacklog}, {@code SpeedEstimator}, {@code SlotEstimator}, {@code
+ *       SlowStartBudget}, {@code OutlierDetector}: what is known of one worker.
+ *   <li>{@code ArrivalStatistics}, {@code FleetLoadEstimate}, {@code HintCalibration}, {@code FailureStatistics}: what
+ *       is known of all together.
  *   <li>{@code EndpointListFreshness}, {@code DiscoveryPollSchedule}: the endpoint list.
  * </ul>
  *
--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -18,9 +18,9 @@
 import java.util.function.Predicate;
 
 /**
- * A seeded virtual fleet around one {@link DispatchPolicy}. Its clients, workers and discovery react to the node's actions, and
- * every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an arithmetic
- * order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
+ * A seeded virtual fleet around one {@link DispatchPolicy}. Its clients, workers and discovery react to the node's
+ * actions, and every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an
+ * arithmetic order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
  */
 final class ReplayFleet implements PolicyActions {
     /** Which figures the workers' load reports have. */
