--- a/src/test/java/maplespread/policy/AdmissionControlTest.java
+++ b/src/test/java/maplespread/policy/AdmissionControlTest.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Guards against a node that turns all away because of what it once learnt: who sends nothing learns
-     * nothing. Here no worker ever says a word more, so only the trials go out.
+     * A dispatcher that rejects all because of what it once learnt sends nothing and so learns nothing: it must send a
+     * trial now and then. Here no worker answers, so only the trials go out.
      */
     @Test
     void aDispatcherThatRejectsAllTriesAWorkerNowAndThen() {
@@ -33,7 +33,7 @@
             assertTrue(id < 60, "all are taken");
         }
         int tried = 0;
-        for (int i = 0; i < 110; i++) { // eleven seconds; the memory is ten
+        for (int i = 0; i < 110; i++) { // eleven seconds; the estimators remember ten
             host.advance(100);
             tried += host.accept(++id, 500).attempts.size();
         }
@@ -64,7 +64,7 @@
             host.advance(
                     request.result.isEmpty() && request.attempts.get(request.attempts.size() - 1).ended
                             ? 500
-                            : 0); // all rest
+                            : 0); // all back off
         }
         assertEquals("rejected", request.result);
     }
--- a/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
+++ b/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
@@ -6,7 +6,7 @@
 
 /** What counts as offered load. */
 class ArrivalStatisticsTest {
-    /** How many are taken after a rush of jobs, each served at once, so that no backlog stands. */
+    /** How many requests are accepted after a rush of them, each served at once, so that there is no backlog. */
     private static int acceptedAfterARush(double leftMs) {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         for (int i = 1; i <= 900; i++) {
@@ -22,10 +22,11 @@
         return taken;
     }
 
-    /** What is refused comes again: counted as load, it would keep the prices up that refused it. */
+    /** Rejected requests come again: counted as load, they would keep up the costs that rejected them. */
     @Test
     void laterAttemptsOfClientsDoNotRaiseThePrice() {
-        int rushed = acceptedAfterARush(10_000), calm = acceptedAfterARush(9_000);
+        int rushed = acceptedAfterARush(10_000);
+        int calm = acceptedAfterARush(9_000);
         assertTrue(calm > rushed, calm + " after later tries, " + rushed + " after as many jobs");
     }
 }
--- a/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
@@ -10,7 +10,7 @@
 
 /** When one dispatcher asks discovery for the list. */
 class DiscoveryPollBackoffTest {
-    /** Two workers, by a list held at the start that discovery has said nothing of yet. */
+    /** Two workers, by a cached list that discovery has not confirmed. */
     private static RuleCheckingHost unconfirmed(long seed) {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
@@ -21,7 +21,7 @@
         return host;
     }
 
-    /** Guards discovery against a whole fleet that starts in one instant: the first calls come one after another. */
+    /** A whole fleet that starts in one instant must not overload discovery: the first calls come one after another. */
     @Test
     void firstCallsOfALargeFleetComeInTurnAndThoseOfASmallOneAtOnce() {
         EndpointEntry[] workers = IntStream.range(0, 60)
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Guards the rule on drains at a start: what a list held from before names may have drained long ago, whatever
-     * becomes of the calls, and however long they fail; confirmed, it is trusted at once.
+     * A worker on a cached list may have drained long ago: nothing is sent by it, however the calls end and however
+     * long they fail. Once confirmed, it counts at once.
      */
     @Test
     void nothingIsSentByACachedListUntilDiscoveryHasSpoken() {
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Guards the time in which a change counts as told, whatever failed: after a long outage a call that
-     * began just before discovery came back may last its 2.5 s, and the next one is to be heard in time.
+     * A change counts as notified after six seconds, whatever failed: after a long outage a call that began just
+     * before discovery came back may last 2.5 s, and the next one must still be answered in time.
      */
     @Test
     void noOutageDelaysTheNextCallTooLong() {
@@ -104,12 +104,13 @@
     }
 
     /**
-     * Guards against calls in step that each find the queue of the last ones, dead by then: who has waited in
-     * vain for two seconds comes after 0.8 to 2.4 more, and one whose watch broke at once comes sooner.
+     * Calls in step would each find the queue of the last ones, which were given up by then: a call that waited two
+     * seconds in vain is followed after 0.8 to 2.4 more, and one whose watch broke at once sooner.
      */
     @Test
     void aCallThatWaitedInVainIsFollowedLater() {
-        double soonest = Double.MAX_VALUE, latest = 0;
+        double soonest = Double.MAX_VALUE;
+        double latest = 0;
         for (int i = 0; i < 40; i++) {
             RuleCheckingHost host = unconfirmed(i);
             host.advance(400);
--- a/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
@@ -10,17 +10,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A hundred nodes before one discovery that answers 14 to 18 whole lists a second, one call after another, and cuts a
- * call after 2 s; a call that its caller has given up is worked on all the same, so a queue longer than that keeps
- * discovery busy with dead callers. All are answered within a bound, cold and after an outage, in virtual time.
+ * A hundred dispatchers and one discovery that answers 14 to 18 full snapshots a second, one call after another, and
+ * ends a call after 2 s. It works on for callers that have given up, so a queue longer than that keeps it busy in
+ * vain. All are answered within a bound, after a start and after an outage, in virtual time.
  *
- * <p>The bound on paper: all lists together take at most 100 / 14 = 7.2 s, so by then the first wave of calls is
- * through, the dead ones too. Who was cut comes again in its place in a round of 5.5 s; a place that still falls behind
- * the dead of the first wave is cut once more, and in the round after that fewer call than are answered: 7.2 + 2 x 5.5
+ * <p>The bound: all snapshots together take at most 100 / 14 = 7.2 s, so by then the first wave of calls is done,
+ * those given up too. A caller whose call was ended comes again at its turn in a round of 5.5 s; a turn that still
+ * falls behind the first wave fails once more, and in the round after that fewer call than are answered: 7.2 + 2 x 5.5
  * + 2 s.
  */
 class DiscoveryPollScheduleTest {
-    private static final int NODES = 100;
+    private static final int DISPATCHERS = 100;
     private static final int SERVERS = 90;
     private static final double STEP_MS = 10;
     private static final double CALL_LIMIT_MS = 2000;
@@ -39,9 +39,9 @@
 
     private static final class Fleet {
         private final List<RuleCheckingHost> nodes = new ArrayList<>();
-        private final int[] asked = new int[NODES];
-        private final Call[] out = new Call[NODES];
-        private final boolean[] watching = new boolean[NODES];
+        private final int[] asked = new int[DISPATCHERS];
+        private final Call[] out = new Call[DISPATCHERS];
+        private final boolean[] watching = new boolean[DISPATCHERS];
         private final Deque<Call> queue = new ArrayDeque<>();
         private final double listMs;
         private final EndpointEntry[] entries = IntStream.range(0, SERVERS)
@@ -54,9 +54,12 @@
 
         Fleet(double listsPerSecond, long seed) {
             listMs = 1000 / listsPerSecond;
-            for (int i = 0; i < NODES; i++) {
+            for (int i = 0; i < DISPATCHERS; i++) {
                 RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
-                        RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, NODES, i));
+                        RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL),
+                        false,
+                        DISPATCHERS,
+                        i));
                 h.policy = new DispatchPolicy(h.settings, seed + i, h);
                 h.confirmsCachedList = false;
                 h.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
@@ -67,7 +70,7 @@
         void run(double ms) {
             for (double end = now + ms; now < end; ) {
                 now += STEP_MS;
-                for (int i = 0; i < NODES; i++) {
+                for (int i = 0; i < DISPATCHERS; i++) {
                     step(i);
                 }
                 serve();
@@ -110,7 +113,7 @@
             up = false;
             queue.clear();
             answered = 0;
-            for (int i = 0; i < NODES; i++) {
+            for (int i = 0; i < DISPATCHERS; i++) {
                 if (watching[i]) {
                     watching[i] = false;
                     nodes.get(i).listFailed(EndpointWatchFailure.ENDED);
@@ -126,7 +129,7 @@
         /** How long until all have been answered. */
         double untilAll() {
             double from = now;
-            while (answered < NODES && now - from < 120_000) {
+            while (answered < DISPATCHERS && now - from < 120_000) {
                 run(STEP_MS);
             }
             return now - from;
@@ -161,7 +164,7 @@
         }
     }
 
-    /** A short restart of discovery in the middle of it costs as much again at the most, not a stampede. */
+    /** A short restart of discovery meanwhile costs as much again at most. */
     @Test
     void aRestartInTheMiddleDoesNotBeginItAnew() {
         for (double rate : new double[] {14, 16, 18}) {
--- a/src/test/java/maplespread/policy/DispatchPolicyTest.java
+++ b/src/test/java/maplespread/policy/DispatchPolicyTest.java
@@ -98,7 +98,7 @@
             long next = 1;
             for (int step = 0; step < 1500; step++) {
                 host.advance(random.nextInt(4) == 0 ? random.nextInt(300) : 0);
-                for (var e : host.requests.entrySet()) { // the deadline's own time-out and the client's leaving
+                for (var e : host.requests.entrySet()) { // attempts end at the deadline
                     RuleCheckingHost.TestRequest request = e.getValue();
                     if (!request.ended && host.nowMs >= request.deadlineMs) {
                         host.nowMs = Math.max(host.nowMs, request.deadlineMs);
--- a/src/test/java/maplespread/policy/HintCalibrationTest.java
+++ b/src/test/java/maplespread/policy/HintCalibrationTest.java
@@ -7,7 +7,9 @@
 
 /** How far work hints are believed. */
 class HintCalibrationTest {
-    /** Guards the learned trust in hints: without it the worker given small jobs would look ever slower. */
+    /**
+     * Hints that say nothing must not count: else the worker that is given the small requests would look ever slower.
+     */
     @Test
     void uselessHintsAreShrunkTowardsTheMean() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
@@ -19,7 +21,7 @@
             host.advance(400);
             host.endAttempt(i, AttemptOutcome.SERVED);
         }
-        // Believed as told, 40 s of work could not be done in any aim; shrunk, it is an ordinary job.
+        // Believed in full, 40 s of work would miss every objective; calibrated, it is an ordinary request.
         assertEquals(1, host.accept(300, 6000).attempts.size());
         int taken = 0;
         for (int i = 301; i < 320; i++) {
--- a/src/test/java/maplespread/policy/KeyAffinityTest.java
+++ b/src/test/java/maplespread/policy/KeyAffinityTest.java
@@ -25,13 +25,15 @@
         return host.requests.get(id).attempts.get(0).worker;
     }
 
-    /** Guards the shared store: jobs of a key stay together, and all nodes find the same place for it. */
+    /** Requests of a key stay together, to spare the shared store, and all dispatchers find the same worker for it. */
     @Test
     void requestsOfAKeyStayTogetherAndDispatchersAgree() {
-        RuleCheckingHost one = eight(), other = eight();
+        RuleCheckingHost one = eight();
+        RuleCheckingHost other = eight();
         java.util.Set<String> places = new java.util.HashSet<>();
         for (int i = 1; i <= 40; i++) {
-            String key = "fn:" + i % 10, at = sentTo(one, i, key);
+            String key = "fn:" + i % 10;
+            String at = sentTo(one, i, key);
             one.endAttempt(i, AttemptOutcome.SERVED);
             assertEquals(at, sentTo(other, i, key), "another node, the same home");
             other.endAttempt(i, AttemptOutcome.SERVED);
@@ -40,7 +42,7 @@
         assertEquals(10, places.size(), "one place for each key: " + places);
     }
 
-    /** Guards against a full worker: a key's home that is behind in its work is passed over. */
+    /** A primary worker with a long backlog is passed over. */
     @Test
     void aFullPrimaryWorkerIsPassedOver() {
         RuleCheckingHost host = eight();
@@ -51,10 +53,10 @@
         assertTrue(places.size() > 1, "only " + places);
     }
 
-    /** How many jobs of one key its home is given before another worker gets one. */
+    /** How many requests of one key its primary worker is given before another worker gets one. */
     private static int staysAtPrimary(int jobsBefore) {
         RuleCheckingHost host = eight();
-        PolicySettings s = host.settings; // nothing is told of starts: none comes late
+        PolicySettings s = host.settings; // starts are not reported, so none comes late
         host.changeSettings(new PolicySettings(
                 s.dispatcherCount(),
                 0,
@@ -83,10 +85,13 @@
         return stays;
     }
 
-    /** Guards slots that wait for a data set where all are behind: there a key stays longer at its home. */
+    /**
+     * Where all workers queue, a slot that waits for a data set costs more: a key stays longer at its primary worker.
+     */
     @Test
     void aMissIsDearerWhileRequestsWait() {
-        int calm = staysAtPrimary(0), behind = staysAtPrimary(48);
+        int calm = staysAtPrimary(0);
+        int behind = staysAtPrimary(48);
         assertTrue(behind > calm, behind + " where jobs wait, " + calm + " where none do");
     }
 }
--- a/src/test/java/maplespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/maplespread/policy/OutlierDetectorTest.java
@@ -88,7 +88,9 @@
         assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500, "sent " + sent);
     }
 
-    /** Guards a healthy worker against one connection that breaks: a probe at once shows that it is well. */
+    /**
+     * One connection that breaks must not cost a healthy worker its capacity: a probe at once shows that it is well.
+     */
     @Test
     void oneBrokenConnectionIsNoRestart() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {
@@ -108,8 +110,7 @@
     }
 
     /**
-     * Guards the rest after 'full': attempt after attempt at a full worker. It could harm one that was full
-     * briefly.
+     * A worker that rejects is left alone for a while, and serves again after it.
      */
     @Test
     void aWorkerThatRejectsBacksOff() {
@@ -124,7 +125,7 @@
         assertEquals("a", host.accept(3, 300).attempts.get(0).worker, "and serves again");
     }
 
-    /** Pair: a silent worker while another drains. The second copy goes to the one worker that is left. */
+    /** Further attempts go to the one worker that is neither silent nor draining. */
     @Test
     void aSilentWorkerWhileAnotherDrains() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
@@ -144,7 +145,7 @@
         assertEquals("c", host.accept(2, 300).attempts.get(0).worker, "neither the silent nor the draining one");
     }
 
-    /** Guards slow new connections: while they fail, a worker with an open one goes first, none is 'down'. */
+    /** While new connections fail slowly, workers with an open one go first, and none is ejected. */
     @Test
     void whileNewConnectionsFailSlowlyWorkersWithOpenOnesGoFirst() {
         EndpointEntry[] entries = new EndpointEntry[12];
@@ -164,7 +165,7 @@
         assertEquals(open, host.accept(2, 100).attempts.get(0).worker);
     }
 
-    /** Guards a worker that fails one class and serves the other: judged by class. */
+    /** A worker that fails one class and serves the other is judged by class. */
     @Test
     void aWorkerFailingOneClassKeepsTheOther() {
         RequestClass spec = RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL);
@@ -187,7 +188,8 @@
                 one.rules()));
         host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        int firstAtA = 0, secondAtA = 0;
+        int firstAtA = 0;
+        int secondAtA = 0;
         for (int i = 1; i <= 40; i++) {
             RuleCheckingHost.TestRequest request = host.accept(i, i % 2, 300, 0);
             host.advance(300);
--- a/src/test/java/maplespread/policy/ProbeSchedulerTest.java
+++ b/src/test/java/maplespread/policy/ProbeSchedulerTest.java
@@ -7,7 +7,7 @@
 
 /** Probe rounds before a choice. */
 class ProbeSchedulerTest {
-    /** Guards the look: with many nodes own pushes tell nothing, so workers are asked first. */
+    /** With many dispatchers own sends show little of the load, so workers are probed first. */
     @Test
     void amongManyDispatchersWorkersAreProbedBeforeOneIsChosen() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
@@ -26,7 +26,7 @@
         assertTrue(alone.probes.isEmpty(), "where own pushes are the load there is no look");
     }
 
-    /** Guards the rest of a worker that does not answer a look: hung, cut off, or slow to connect. */
+    /** A worker that does not answer a probe (hung, cut off, slow to connect) backs off. */
     @Test
     void aWorkerThatDoesNotAnswerAProbeIsPassedOver() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
@@ -40,7 +40,7 @@
         assertEquals("b", host.accept(2, 400).attempts.get(0).worker, "it rests");
     }
 
-    /** False alarm: when no worker answers the look, the request is served all the same. */
+    /** When no worker answers the probes, the request is served all the same. */
     @Test
     void whenNoProbeIsAnsweredTheRequestIsServedAllTheSame() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
@@ -52,7 +52,7 @@
         assertEquals(1, request.attempts.size());
     }
 
-    /** Guards an own stall: the look's timer comes before the answers that stand behind it in the queue. */
+    /** After a pause of this process the round's timer comes before the answers that wait behind it. */
     @Test
     void afterAProcessPauseAnswersAreAwaitedATickMore() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
@@ -61,7 +61,7 @@
         host.silentWorkers.add("b");
         host.advance(500);
         RuleCheckingHost.TestRequest request = host.accept(1, 400);
-        host.nowMs += 700; // stands still: timers and answers pile up
+        host.nowMs += 700; // the process pauses: timers and answers pile up
         host.advance(1);
         assertTrue(request.attempts.isEmpty(), "not judged by what it slept through");
         host.policy.probeEnded(host.nowUs(), "a", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(0, 2));
--- a/src/test/java/maplespread/policy/RetryPolicyTest.java
+++ b/src/test/java/maplespread/policy/RetryPolicyTest.java
@@ -36,7 +36,7 @@
         assertEquals("c", request.attempts.get(1).worker);
     }
 
-    /** Pair: a broken connection while the list is stale. New requests go elsewhere, listed or not. */
+    /** New requests go elsewhere, whatever becomes of the list. */
     @Test
     void aBrokenConnectionUnderAStaleList() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
@@ -53,7 +53,7 @@
                 assertEquals("b", attempt.worker);
             }
         }
-        // The keyed request itself has no other legal place: it tries there, within tryLimit, and then ends.
+        // The request with a key may go nowhere else: it is attempted there, within its attempts, and then ends.
         for (int i = 0; i < 4 && !request.ended; i++) {
             host.endAttempt(1, request.attempts.size() - 1, AttemptOutcome.CONNECT_FAILED);
             host.advance(600);
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -12,13 +12,14 @@
     static final class TestAttempt {
         String worker;
         double sentAtMs;
-        boolean ended, neverRan;
+        boolean ended;
+        boolean neverRan;
     }
 
     static final class TestRequest {
         RequestClass requestClass;
         double deadlineMs;
-        int maxAttempts = Integer.MAX_VALUE; // of attempts, as when it was taken
+        int maxAttempts = Integer.MAX_VALUE; // as when it was accepted
         boolean ended;
         String result = "";
         RejectionReason reason;
@@ -34,8 +35,10 @@
     final List<String> probes = new ArrayList<>();
     final Set<String> silentWorkers = new HashSet<>();
     final Map<String, LoadReport> reports = new HashMap<>();
-    int watchCalls, cancellations, answeredProbes;
-    boolean confirmsCachedList = true; // a list held at the start is confirmed at once: nothing has changed
+    int watchCalls;
+    int cancellations;
+    int answeredProbes;
+    boolean confirmsCachedList = true; // a cached list is confirmed at once: nothing has changed
     double nowMs = 1000;
     DispatchPolicy policy;
 
@@ -124,7 +127,7 @@
         return accept(id, cls, work, memory, settings.classes().get(cls).deadlineMs());
     }
 
-    /** With less left than the class's deadline, as a client's later try comes. */
+    /** With less time left than the class's deadline, as in a client's later attempt. */
     TestRequest accept(long id, int cls, double work, double memory, double leftMs) {
         TestRequest request = new TestRequest();
         request.requestClass = settings.classes().get(cls);
@@ -137,7 +140,7 @@
         return request;
     }
 
-    /** Takes one under settings that no longer hold, as one that was read just before they changed. */
+    /** Accepts one under settings that are not in force any more, as one that was read just before they changed. */
     TestRequest acceptUnder(PolicySettings before, long id) {
         TestRequest request = new TestRequest();
         request.requestClass = before.classes().get(0);
@@ -161,7 +164,7 @@
         policy.settingsChanged(nowUs(), next);
     }
 
-    /** Answers the probes sent so far, unless the worker is to stay mute; reports say what is set for it. */
+    /** Answers the probes sent so far, unless the worker is to stay silent, with the report set for it. */
     void answerProbes() {
         while (answeredProbes < probes.size()) {
             String w = probes.get(answeredProbes++);
@@ -190,7 +193,7 @@
         policy.attemptEnded(nowUs(), id, n, attempt.worker, outcome, nowMs - attempt.sentAtMs, request.ended, null);
     }
 
-    /** Lets time pass, firing the node's timers. */
+    /** Lets time pass, firing the policy's timers. */
     void advance(double ms) {
         double end = nowMs + ms;
         while (true) {
--- a/src/test/java/maplespread/policy/SettingsChangeTest.java
+++ b/src/test/java/maplespread/policy/SettingsChangeTest.java
@@ -47,7 +47,7 @@
         return h;
     }
 
-    /** Guards orders: whatever a class becomes, a job in work ends by the rules it was taken under. */
+    /** Whatever a class becomes, a request in flight ends by the settings under which it was accepted. */
     @Property(tries = 300)
     void aRequestKeepsTheRulesItWasTakenUnder(
             @ForAll Idempotency was,
@@ -97,7 +97,7 @@
         return sent;
     }
 
-    /** Guards cold workers in an upgrade: two processes of one node send them no more than the one would. */
+    /** Two processes of one dispatcher, in an upgrade, send a worker in slow start no more than the one would. */
     @Test
     void twoProcessesOfOneNodeSendAColdWorkerWhatOneWould() {
         PolicySettings s = RuleCheckingHost.settings(
@@ -117,12 +117,13 @@
                 s.classes(),
                 List.of(),
                 s.permissions(),
-                new PlatformRules(1000, 10000, 0.3, 9000, 1, 1500, 8)); // falls soon
-        int alone = sentToACold(one), each = sentToACold(one.sharedByTwoProcesses());
+                new PlatformRules(1000, 10000, 0.3, 9000, 1, 1500, 8)); // easily overloaded
+        int alone = sentToACold(one);
+        int each = sentToACold(one.sharedByTwoProcesses());
         assertTrue(alone > 6 && each > 0 && 2 * each <= alone * 1.3, "twice " + each + ", alone " + alone);
     }
 
-    /** Guards what was learnt: a worker that is avoided stays so over a change. */
+    /** What was learnt survives a change: a worker that is avoided stays so. */
     @Test
     void whatIsKnownOfWorkersSurvivesAndClassesOnlyCome() {
         RuleCheckingHost h = host(settings(Idempotency.READ_LIKE, 4));
--- a/src/test/java/maplespread/policy/SlowStartBudgetTest.java
+++ b/src/test/java/maplespread/policy/SlowStartBudgetTest.java
@@ -16,13 +16,12 @@
         for (int i = 1; i < 50; i++) {
             sent += host.accept(i, 100).attempts.size() * 100;
         }
-        // 4 times present capacity (0.3 of at most 2 slots at speed 1) over 1.5 s, by two nodes
+        // 4 times present capacity (0.3 of at most 2 slots at speed 1) over 1.5 s, by two dispatchers
         assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500 / 2, "sent " + sent);
     }
 
     /**
-     * Guards the saved-up cold budget: many nodes, each with a share below one job, must not starve new
-     * workers.
+     * Many dispatchers, each with a share below one request, must not starve new workers.
      */
     @Test
     void aShareBelowOneRequestStillLetsOneThroughInTime() {
@@ -46,7 +45,7 @@
         assertTrue(sent >= 1 && sent <= 12, "sent " + sent);
     }
 
-    /** Guards savings of cold budget: unused they lapse, so that a thousand nodes do not send at once. */
+    /** Unused budget lapses, so that many dispatchers do not send at once. */
     @Test
     void unusedBudgetLapses() {
         int sent = 0;
@@ -59,7 +58,7 @@
             host.advance(6000); // all idle, then all have a request at once
             sent += host.accept(1, 500).attempts.size();
         }
-        // 4 times 0.8 of two slots over a window of 1.5 s is 19 jobs of 500 ms
+        // 4 times 0.8 of two slots over a window of 1.5 s is 19 requests of 500 ms
         assertTrue(sent <= 19, "sent " + sent);
     }
 }
--- a/src/test/java/maplespread/policy/SpeedEstimatorTest.java
+++ b/src/test/java/maplespread/policy/SpeedEstimatorTest.java
@@ -7,14 +7,14 @@
 
 /** How speeds are learnt and forgotten. */
 class SpeedEstimatorTest {
-    /** How many jobs a worker that nobody has tried takes, after another of its kind has run four. */
+    /** How many requests a new worker takes, after another of its kind has run four. */
     private static int acceptedByANewWorker(boolean cold, double runMs) {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
                 Idempotency.READ_LIKE, DeduplicationScope.ALL, RuleCheckingHost.entry("a", 0, cold ? 1000 : 0));
         for (int i = 1; i <= 4; i++) {
             RuleCheckingHost.TestRequest request = host.accept(i, 500);
             while (request.attempts.isEmpty()) {
-                host.advance(100); // its share of the cold budget fills
+                host.advance(100); // its slow-start budget fills
             }
             host.policy.attemptProgressed(host.nowUs(), i, 0, "a", true, 0);
             host.nowMs += runMs;
@@ -28,7 +28,7 @@
         return taken;
     }
 
-    /** After a mass start most runs are cold: taken for their kind's speed, they refuse warm capacity. */
+    /** After a mass start most runs are slow starts: taken for their kind's speed, they would waste warm capacity. */
     @Test
     void runsInSlowStartDoNotSlowTheirKind() {
         int after = acceptedByANewWorker(false, 500);
@@ -36,7 +36,7 @@
         assertEquals(after, acceptedByANewWorker(true, 1500));
     }
 
-    /** Guards the fading of speeds: a worker once slow must be tried again after its trouble has ended. */
+    /** Speeds fade: a worker once slow must be tried again after its trouble has ended. */
     @Test
     void aWorkerOnceSlowIsTriedAgain() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
--- a/src/test/java/maplespread/policy/ValueFunctionTest.java
+++ b/src/test/java/maplespread/policy/ValueFunctionTest.java
@@ -11,7 +11,9 @@
     @Test
     void equalsThePapersFormulaAtFullUtilization() {
         // cost rate that makes (10) and (11) agree
-        double lambda = 1, tau = 2, r = lambda / (2 + lambda * tau);
+        double lambda = 1;
+        double tau = 2;
+        double r = lambda / (2 + lambda * tau);
         for (double u = 0; u <= 6; u += 0.25) {
             double exact = u > tau
                     ? lambda * (1 + lambda * tau) / (2 + lambda * tau) * (u - tau)
@@ -22,7 +24,9 @@
 
     @Test
     void isTheHeavyLoadLineWhereOverloaded() {
-        double s = 2, tau = 3, lambda = 100;
+        double s = 2;
+        double tau = 3;
+        double lambda = 100;
         for (double u = 0; u < 9; u += 0.5) {
             assertEquals((u - tau) / s, ValueFunction.value(lambda, lambda - 1 / s, s, tau, u), 1e-9);
         }
@@ -32,8 +36,12 @@
     void isNonDecreasingAndConvexForAnyCostRate() {
         Random random = new Random(5);
         for (int k = 0; k < 2000; k++) {
-            double lambda = random.nextDouble() * 3, r = lambda * random.nextDouble(), s = 0.1 + random.nextDouble();
-            double tau = 0.1 + random.nextDouble() * 3, step = tau / 10, last = -1e-12;
+            double lambda = random.nextDouble() * 3;
+            double r = lambda * random.nextDouble();
+            double s = 0.1 + random.nextDouble();
+            double tau = 0.1 + random.nextDouble() * 3;
+            double step = tau / 10;
+            double last = -1e-12;
             for (int i = 0; i < 30; i++) {
                 double up = ValueFunction.value(lambda, r, s, tau, (i + 1) * step)
                         - ValueFunction.value(lambda, r, s, tau, i * step);
--- a/src/test/java/maplespread/policy/WorkerBacklogTest.java
+++ b/src/test/java/maplespread/policy/WorkerBacklogTest.java
@@ -20,7 +20,7 @@
         assertEquals("b", host.accept(3, 300).attempts.get(0).worker);
     }
 
-    /** Guards against connections that fall silent: a job that a later one has outrun tells of no queue. */
+    /** An attempt that a later one has overtaken has a dead connection, and is no sign of a queue. */
     @Test
     void anOvertakenAttemptIsPlacedAnew() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
@@ -62,7 +62,7 @@
         assertEquals("b", host.accept(2, 400).attempts.get(0).worker);
     }
 
-    /** Guards the queue of others, which no report shows: a job that starts late tells of it. */
+    /** A request that starts late shows a queue of others that no report has. */
     @Test
     void aLateStartTellsOfWorkThatNoReportShows() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Guards the backlog of wide jobs: one that takes two slots leaves no free one of two. */
+    /** A request that takes two slots leaves no free one of two. */
     @Test
     void aWideRequestFillsItsSlots() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
@@ -92,7 +92,7 @@
         assertNotEquals(wide, host.accept(3, 100).attempts.get(0).worker, "the other has a slot left");
     }
 
-    /** Guards nodes with little traffic, which hear of few starts: a full worker's report hides its queue. */
+    /** A dispatcher with little traffic sees few starts, and a full worker's report hides its queue. */
     @Test
     void aFewLateStartsTellOfTheWholeFleet() {
         EndpointEntry[] entries = new EndpointEntry[20];
@@ -117,7 +117,7 @@
         assertTrue(sent <= 5, "sent as if nobody waited at those not heard of: " + sent);
     }
 
-    /** A worker without room for a job's memory is no place to start it; absurd needs are as if none. */
+    /** A request starts only where its memory is free; absurd needs count as none. */
     @Test
     void memoryDecidesWhereARequestCanStart() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
