--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -7,7 +7,6 @@
 import java.security.DigestOutputStream;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HexFormat;
@@ -49,80 +48,6 @@
         }
     }
 
-    private static final class ModelWorker {
-        final String id;
-        final int zone;
-        final int cell;
-        final int kind;
-        final int slots;
-        final double speed;
-        final ArrayDeque<Job> queue = new ArrayDeque<>();
-        final List<Job> running = new ArrayList<>();
-        EndpointLifecycle health = EndpointLifecycle.ACTIVE;
-        boolean listed = true;
-        boolean up = true;
-        boolean unreachable;
-        boolean hanging;
-        double slowness = 1;
-        int failingClass = -1;
-        double startedAtMs;
-        double lastServiceMs = Double.NaN;
-
-        ModelWorker(String id, int zone, int cell, int kind, int slots, double speed) {
-            this.id = id;
-            this.zone = zone;
-            this.cell = cell;
-            this.kind = kind;
-            this.slots = slots;
-            this.speed = speed;
-        }
-
-        double usedSlots() {
-            double used = 0;
-            for (Job job : running) {
-                used += job.call.slots;
-            }
-            return used;
-        }
-    }
-
-    private static final class Call {
-        final long id;
-        final int cls;
-        final double deadlineMs;
-        final double slots;
-        final double workMs;
-        final RequestClass spec;
-        final List<Job> jobs = new ArrayList<>(2);
-        boolean ended;
-
-        Call(long id, int cls, double deadlineMs, double slots, double workMs, RequestClass spec) {
-            this.id = id;
-            this.cls = cls;
-            this.deadlineMs = deadlineMs;
-            this.slots = slots;
-            this.workMs = workMs;
-            this.spec = spec;
-        }
-    }
-
-    private static final class Job {
-        final Call call;
-        final int attempt;
-        final ModelWorker worker;
-        final double sentAtMs;
-        double startedAtMs;
-        double takesMs;
-        boolean over;
-
-        Job(Call call, int attempt, ModelWorker worker, double sentAtMs) {
-            this.call = call;
-            this.attempt = attempt;
-            this.worker = worker;
-            this.sentAtMs = sentAtMs;
-        }
-    }
-
     private static final long START_US = 1_000_000_000L;
     private static final double MEAN_WORK_MS = 60;
     private final Plan plan;
@@ -131,9 +56,9 @@
     private final DataOutputStream hashed;
     private final DispatchPolicy policy;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final List<ModelWorker> workers = new ArrayList<>();
-    private final Map<String, ModelWorker> byId = new HashMap<>();
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final List<ReplayModel.ModelWorker> workers = new ArrayList<>();
+    private final Map<String, ReplayModel.ModelWorker> byId = new HashMap<>();
+    private final Map<Long, ReplayModel.Call> calls = new HashMap<>();
     private final Map<String, Integer> counts = new java.util.TreeMap<>();
     private PolicySettings settings;
     private PolicySettings before;
@@ -160,11 +85,11 @@
         for (int i = 0; i < plan.workers(); i++) {
             double speed = 0.5 + 1.5 * random.nextDouble();
             int kind = i % 3 == 0 ? 1 : 0;
-            add(new ModelWorker("10.0.0." + i + ":9000", i % 3, i % 5, kind, plan.slots() + i % 2, speed));
+            add(new ReplayModel.ModelWorker("10.0.0." + i + ":9000", i % 3, i % 5, kind, plan.slots() + i % 2, speed));
         }
     }
 
-    private void add(ModelWorker worker) {
+    private void add(ReplayModel.ModelWorker worker) {
         workers.add(worker);
         byId.put(worker.id, worker);
         capacity += worker.speed * worker.slots;
@@ -216,7 +141,7 @@
         double counts = chance(0.8) ? 1 : 4 * random.nextDouble();
         Predicate<String> among = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
         RequestClass spec = (under == null ? settings : under).classes().get(cls);
-        Call call = new Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
+        ReplayModel.Call call = new ReplayModel.Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
         calls.put(call.id, call);
         policy.requestAccepted(
                 nowUs,
@@ -245,7 +170,7 @@
         }
     }
 
-    private void leave(Call call) {
+    private void leave(ReplayModel.Call call) {
         if (!call.ended) {
             call.ended = true;
             policy.requestAbandoned(nowUs, call.id);
@@ -257,8 +182,8 @@
 
     // ------------------------------------------------------------ workers
 
-    private void reach(Job job) {
-        ModelWorker worker = job.worker;
+    private void reach(ReplayModel.Job job) {
+        ReplayModel.ModelWorker worker = job.worker;
         double fate = random.nextDouble();
         if (worker.unreachable) {
             after(settings.permissions().connectTimeoutMs(), () -> end(job, AttemptOutcome.CONNECT_FAILED));
@@ -283,10 +208,10 @@
         }
     }
 
-    private void startNext(ModelWorker worker) {
+    private void startNext(ReplayModel.ModelWorker worker) {
         while (!worker.queue.isEmpty()
                 && (worker.running.isEmpty() || worker.usedSlots() + worker.queue.peek().call.slots <= worker.slots)) {
-            Job job = worker.queue.remove();
+            ReplayModel.Job job = worker.queue.remove();
             if (job.over) {
                 continue;
             }
@@ -316,26 +241,26 @@
         return Math.max(0.1, Math.min(1, warm));
     }
 
-    private void progress(Job job, boolean started, double share) {
+    private void progress(ReplayModel.Job job, boolean started, double share) {
         if (!job.over) {
             policy.attemptProgressed(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
         }
     }
 
-    private void goOn(Job job) {
+    private void goOn(ReplayModel.Job job) {
         if (!job.over) {
             progress(job, false, (ms() - job.startedAtMs) / job.takesMs * (chance(0.02) ? 0.5 : 1));
             after(settings.progressIntervalMs(), () -> goOn(job));
         }
     }
 
-    private void finish(Job job) {
+    private void finish(ReplayModel.Job job) {
         job.worker.lastServiceMs = job.takesMs;
         end(job, AttemptOutcome.SERVED);
     }
 
-    private void end(Job job, AttemptOutcome verdict) {
-        ModelWorker worker = job.worker;
+    private void end(ReplayModel.Job job, AttemptOutcome verdict) {
+        ReplayModel.ModelWorker worker = job.worker;
         worker.running.remove(job);
         worker.queue.remove(job);
         if (job.over) {
@@ -349,7 +274,7 @@
         startNext(worker);
     }
 
-    private LoadReport report(ModelWorker worker) {
+    private LoadReport report(ReplayModel.ModelWorker worker) {
         double nan = Double.NaN;
         if (chance(0.003)) {
             return new LoadReport(1e7, 0, 0, 1, 1e7, 0); // absurd
@@ -366,13 +291,13 @@
         };
     }
 
-    private void crash(ModelWorker worker, double downMs) {
+    private void crash(ReplayModel.ModelWorker worker, double downMs) {
         worker.up = false;
-        List<Job> lost = new ArrayList<>(worker.running);
+        List<ReplayModel.Job> lost = new ArrayList<>(worker.running);
         lost.addAll(worker.queue);
         worker.running.clear();
         worker.queue.clear();
-        for (Job job : lost) {
+        for (ReplayModel.Job job : lost) {
             after(random.nextInt(5), () -> end(job, AttemptOutcome.RESET));
         }
         after(downMs, () -> {
@@ -390,14 +315,14 @@
         return ms() < discoveryBackMs;
     }
 
-    private EndpointEntry entry(ModelWorker worker) {
+    private EndpointEntry entry(ReplayModel.ModelWorker worker) {
         return new EndpointEntry(
                 worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
     }
 
     private void receiveList(EndpointListKind kind) {
         List<EndpointEntry> entries = new ArrayList<>();
-        for (ModelWorker worker : workers) {
+        for (ReplayModel.ModelWorker worker : workers) {
             if (worker.listed) {
                 entries.add(entry(worker));
             }
@@ -405,7 +330,7 @@
         policy.endpointListReceived(nowUs, kind, ++version, entries);
     }
 
-    private void changed(ModelWorker worker) {
+    private void changed(ReplayModel.ModelWorker worker) {
         if (!discoveryDown()) {
             policy.endpointListReceived(nowUs, EndpointListKind.DELTA, ++version, List.of(entry(worker)));
         }
@@ -453,7 +378,7 @@
 
     private void disturb() {
         after(50 + random.nextInt(400), this::disturb);
-        ModelWorker worker = workers.get(random.nextInt(workers.size()));
+        ReplayModel.ModelWorker worker = workers.get(random.nextInt(workers.size()));
         double forMs = 200 + random.nextInt(3000);
         switch (random.nextInt(13)) {
             case 0 -> crash(worker, forMs);
@@ -481,12 +406,12 @@
         }
     }
 
-    private void hang(ModelWorker worker, double forMs) {
+    private void hang(ReplayModel.ModelWorker worker, double forMs) {
         worker.hanging = true;
         after(forMs, () -> worker.hanging = false);
     }
 
-    private void drain(ModelWorker worker, double forMs) {
+    private void drain(ReplayModel.ModelWorker worker, double forMs) {
         worker.health = EndpointLifecycle.DRAINING;
         changed(worker);
         after(forMs, () -> {
@@ -500,7 +425,7 @@
         });
     }
 
-    private void removeByFullList(ModelWorker worker, double forMs) {
+    private void removeByFullList(ReplayModel.ModelWorker worker, double forMs) {
         worker.listed = false;
         if (!discoveryDown()) {
             receiveList(EndpointListKind.FULL_SNAPSHOT);
@@ -515,8 +440,8 @@
     private void join() {
         if (workers.size() < 2 * plan.workers()) {
             int number = workers.size();
-            ModelWorker worker =
-                    new ModelWorker("10.0.1." + number + ":9000", number % 3, number % 5, number % 2, plan.slots(), 1);
+            ReplayModel.ModelWorker worker = new ReplayModel.ModelWorker(
+                    "10.0.1." + number + ":9000", number % 3, number % 5, number % 2, plan.slots(), 1);
             worker.startedAtMs = ms();
             add(worker);
             changed(worker);
@@ -525,7 +450,7 @@
 
     private void restartAll() {
         if (chance(0.2)) {
-            for (ModelWorker worker : workers) {
+            for (ReplayModel.ModelWorker worker : workers) {
                 if (chance(0.7)) {
                     crash(worker, 100 + random.nextInt(400));
                 }
@@ -595,8 +520,8 @@
     public void sendAttempt(long id, String worker) {
         count("send");
         put('S', id, worker.hashCode());
-        Call call = calls.get(id);
-        Job job = new Job(call, call.jobs.size(), byId.get(worker), ms());
+        ReplayModel.Call call = calls.get(id);
+        ReplayModel.Job job = new ReplayModel.Job(call, call.jobs.size(), byId.get(worker), ms());
         call.jobs.add(job);
         after(0.1 + random.nextDouble() * (chance(0.01) ? 200 : 1), () -> reach(job));
     }
@@ -620,7 +545,7 @@
     public void cancelAttempt(long id, int attempt) {
         count("cancel");
         put('C', id, attempt);
-        Job job = calls.get(id).jobs.get(attempt);
+        ReplayModel.Job job = calls.get(id).jobs.get(attempt);
         after(0.5, () -> end(job, AttemptOutcome.CANCELLED));
     }
 
@@ -628,7 +553,7 @@
     public void probe(String worker) {
         count("probe");
         put('P', worker.hashCode(), 0);
-        ModelWorker probed = byId.get(worker);
+        ReplayModel.ModelWorker probed = byId.get(worker);
         if (probed.hanging || chance(0.03)) {
             after(1000, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.TIMED_OUT, 1000, null));
         } else if (!probed.up || probed.unreachable) {
