--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -1,15 +1,7 @@
 package maplespread.policy;
 
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.io.OutputStream;
-import java.io.UncheckedIOException;
-import java.security.DigestOutputStream;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
@@ -52,14 +44,12 @@
     private static final double MEAN_WORK_MS = 60;
     private final Plan plan;
     private final SplittableRandom random;
-    private final MessageDigest digest;
-    private final DataOutputStream hashed;
+    private final ActionDigest digest = new ActionDigest();
     private final DispatchPolicy policy;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private final List<ReplayModel.ModelWorker> workers = new ArrayList<>();
     private final Map<String, ReplayModel.ModelWorker> byId = new HashMap<>();
     private final Map<Long, ReplayModel.Call> calls = new HashMap<>();
-    private final Map<String, Integer> counts = new java.util.TreeMap<>();
     private PolicySettings settings;
     private PolicySettings before;
     private long nowUs = START_US;
@@ -73,12 +63,6 @@
     ReplayFleet(Plan plan, long seed) {
         this.plan = plan;
         random = new SplittableRandom(seed * 1_000_003 + plan.name().hashCode());
-        try {
-            digest = MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
-        hashed = new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
         settings = plan.settings();
         before = settings;
         policy = new DispatchPolicy(settings, seed, this);
@@ -114,12 +98,7 @@
                 put('#', policy.avoidedWorkers(), policy.endpointListUsable(nowUs) ? 1 : 0);
             }
         }
-        StringBuilder line = new StringBuilder("events=" + events);
-        counts.forEach(
-                (what, count) -> line.append(' ').append(what).append('=').append(count));
-        return line.append(" sha256=")
-                .append(HexFormat.of().formatHex(digest.digest()))
-                .toString();
+        return digest.summary(events);
     }
 
     // ------------------------------------------------------------ clients
@@ -605,17 +584,10 @@
     }
 
     private void count(String what) {
-        counts.merge(what, 1, Integer::sum);
+        digest.count(what);
     }
 
     private void put(char kind, long first, long second) {
-        try {
-            hashed.writeByte(kind);
-            hashed.writeLong(nowUs);
-            hashed.writeLong(first);
-            hashed.writeLong(second);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+        digest.put(kind, nowUs, first, second);
     }
 }
