--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -234,12 +234,9 @@
                 threads("transaction", config.limits().requestsInFlight() + 8),
                 this::sizes,
                 figures,
-                lifecycle::serving,
-                routes::notReadyReason,
-                lifecycle::parting,
-                () -> lastUs,
-                parts.requestListener(),
-                parts.requestSequencer());
+                new ServingContext.ServiceState(
+                        lifecycle::serving, routes::notReadyReason, lifecycle::parting, () -> lastUs),
+                new ServingContext.RequestHooks(parts.requestListener(), parts.requestSequencer()));
         listener = new ClientListener(
                 socket, service, queued("leg", config.limits().clientConnections()), threads("spare", SPARE_LEGS));
         thread("listener", listener).start();
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -311,7 +311,7 @@
                 || closesWhenIdle
                 || consecutiveFaults >= MAX_CONSECUTIVE_FAULTS
                 || !head.keepsAlive()
-                || context.closingConnections().getAsBoolean();
+                || context.state().closingConnections().getAsBoolean();
     }
 
     /**
@@ -348,7 +348,7 @@
     }
 
     private long pollMs() {
-        return context.serving().getAsBoolean() ? POLL_MS : DRAINING_POLL_MS;
+        return context.state().serving().getAsBoolean() ? POLL_MS : DRAINING_POLL_MS;
     }
 
     /**
@@ -377,10 +377,10 @@
         }
         if (!head.method().equals("GET")) {
             response.failed(405, "GET only");
-        } else if (!context.serving().getAsBoolean() || !decisions.canServe()) {
+        } else if (!context.state().serving().getAsBoolean() || !decisions.canServe()) {
             response.plain(503, "not ready");
         } else {
-            String why = context.notReadyReason().get();
+            String why = context.state().notReadyReason().get();
             response.plain(why == null ? 200 : 503, why == null ? "ready" : "not ready: " + why);
         }
         return true;
@@ -389,12 +389,12 @@
     /** Admits the request, hands it to a thread of its own and watches the client until it has its response. */
     private void accept(ClientRequest request, ClientResponse response) throws IOException, InterruptedException {
         if (overLimit || !context.requestPermits().tryAcquire()) {
-            response.accepted(request, context.requestListener());
+            response.accepted(request, context.hooks().listener());
             response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
             return;
         }
-        String id = request.message.id();
-        if (!context.recentIds().register(id)) { // the same request may not run twice
+        String requestId = request.message.id();
+        if (!context.recentIds().register(requestId)) { // the same request may not run twice
             context.requestPermits().release();
             rejectFaulty(response, 409, "this X-Txn was used before");
             return;
@@ -403,30 +403,31 @@
         consecutiveFaults = 0;
         if (requestWaited && connection.ended()) { // watching would see it too late
             response.drop();
-            complete(id);
+            complete(requestId);
             return;
         }
         // A forwarded request's wait began at the dispatcher that has its client.
-        response.accepted(request, request.isForwarded() ? null : context.requestListener());
+        response.accepted(
+                request, request.isForwarded() ? null : context.hooks().listener());
         RequestExecution execution = new RequestExecution(context, request, response);
         try {
             context.requestThreads().execute(() -> {
                 try {
                     execution.run();
                 } finally {
-                    complete(id);
+                    complete(requestId);
                 }
             });
         } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is to be had
-            complete(id);
+            complete(requestId);
             response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
             return;
         }
         watchClient(request.inFlight, response);
     }
 
-    private void complete(String id) {
-        context.recentIds().complete(id);
+    private void complete(String requestId) {
+        context.recentIds().complete(requestId);
         context.requestPermits().release();
     }
 
@@ -464,8 +465,8 @@
     }
 
     private void reportClientLeft(InFlightRequest request) {
-        if (context.sequencer() != null) {
-            context.sequencer().clientLeft(request);
+        if (context.hooks().sequencer() != null) {
+            context.hooks().sequencer().clientLeft(request);
         }
         decisions.reportClientLeft(request);
     }
--- a/src/main/java/maplespread/caller/ClientRequest.java
+++ b/src/main/java/maplespread/caller/ClientRequest.java
@@ -46,8 +46,8 @@
         Config config = context.config();
         int classIndex = checkClass(config);
         String requestClass = head.get("X-Lane");
-        String id = required("X-Txn");
-        if (!id.matches("[!-~]{1,128}")) {
+        String requestId = required("X-Txn");
+        if (!requestId.matches("[!-~]{1,128}")) {
             throw new HttpException(400, "malformed X-Txn");
         }
         int tenantIndex = checkTenant(config);
@@ -66,12 +66,12 @@
         }
         addEntity(fields, entity);
         addIdempotencyKey(fields, config.settings().classes().get(classIndex).idempotency());
-        message = new WorkerRequest(head.method(), head.target(), id, requestClass, fields, body);
+        message = new WorkerRequest(head.method(), head.target(), requestId, requestClass, fields, body);
         long deadlineUs = lastByteUs + Math.round(waitMs * 1000) - RESPONSE_TRANSIT_US;
         inFlight = new InFlightRequest(
                 classIndex,
                 tenantIndex,
-                Math.min(deadlineUs, context.shutdownDeadlineUs().getAsLong()),
+                Math.min(deadlineUs, context.state().shutdownDeadlineUs().getAsLong()),
                 workMs,
                 slots,
                 memory,
--- a/src/main/java/maplespread/caller/RequestExecution.java
+++ b/src/main/java/maplespread/caller/RequestExecution.java
@@ -77,10 +77,11 @@
 
     /** Waits for the request's turn; false where it has ended without one. */
     private boolean acquirePermit() throws InterruptedException {
-        if (context.sequencer() == null) {
+        if (context.hooks().sequencer() == null) {
             return true;
         }
-        RequestSequencer.SequencingResult result = context.sequencer().acquire(request.sequenced(decisions.nowUs()));
+        RequestSequencer.SequencingResult result =
+                context.hooks().sequencer().acquire(request.sequenced(decisions.nowUs()));
         if (result instanceof RequestSequencer.FinalResponse finalResponse) {
             respond(finalResponse);
         }
--- a/src/main/java/maplespread/caller/ServingContext.java
+++ b/src/main/java/maplespread/caller/ServingContext.java
@@ -12,11 +12,7 @@
 import maplespread.worker.AttemptRunner;
 
 /**
- * What all client connections share. {@code limits}: how much may be held at present; {@code serving}: false from the start
- * of the shutdown on; {@code notReadyReason}: why the endpoint list is not to be relied on, or null; {@code
- * closingConnections}: whether connections are to end after their present requests; {@code shutdownDeadlineUs}: no request
- * may last beyond it; {@code requestListener}: notified of each request, or null; {@code sequencer}: gives requests their
- * turn, or null.
+ * What all client connections share. {@code limits}: how much may be held at present.
  */
 public record ServingContext(
         Supplier<Config> current,
@@ -28,12 +24,23 @@
         Semaphore largeBodyPermits,
         RecentRequestIds recentIds,
         Metrics metrics,
-        BooleanSupplier serving,
-        Supplier<String> notReadyReason,
-        BooleanSupplier closingConnections,
-        LongSupplier shutdownDeadlineUs,
-        RequestListener requestListener,
-        RequestSequencer sequencer) {
+        ServiceState state,
+        RequestHooks hooks) {
+    /**
+     * The process's state, asked anew each time. {@code serving}: false from the start of the shutdown on; {@code
+     * notReadyReason}: why the endpoint list is not to be relied on, or null; {@code closingConnections}: whether
+     * connections are to end after their present requests; {@code shutdownDeadlineUs}: no request may last beyond it, on
+     * {@code DecisionService.nowUs}.
+     */
+    public record ServiceState(
+            BooleanSupplier serving,
+            Supplier<String> notReadyReason,
+            BooleanSupplier closingConnections,
+            LongSupplier shutdownDeadlineUs) {}
+
+    /** {@code listener}: notified of each request, or null; {@code sequencer}: gives requests their turn, or null. */
+    public record RequestHooks(RequestListener listener, RequestSequencer sequencer) {}
+
     /** Bodies above this length are few at once, so that all fit the heap. */
     static final int LARGE_BODY_BYTES = 8 * 1024;
 
@@ -47,12 +54,8 @@
             ExecutorService requestThreads,
             Supplier<Config.Limits> limits,
             Metrics metrics,
-            BooleanSupplier serving,
-            Supplier<String> notReadyReason,
-            BooleanSupplier closingConnections,
-            LongSupplier shutdownDeadlineUs,
-            RequestListener requestListener,
-            RequestSequencer sequencer) {
+            ServiceState state,
+            RequestHooks hooks) {
         this(
                 current,
                 dispatcher,
@@ -63,12 +66,8 @@
                 new Semaphore(MAX_LARGE_BODIES),
                 new RecentRequestIds(() -> current.get().times().longestDeadlineMs()),
                 metrics,
-                serving,
-                notReadyReason,
-                closingConnections,
-                shutdownDeadlineUs,
-                requestListener,
-                sequencer);
+                state,
+                hooks);
     }
 
     /** The configuration in force; asked once for each request, which keeps to it. */
--- a/src/test/java/maplespread/net/CrossingsTest.java
+++ b/src/test/java/maplespread/net/CrossingsTest.java
@@ -152,12 +152,8 @@
                     counted,
                     config::limits,
                     figures,
-                    () -> true,
-                    () -> null,
-                    () -> false,
-                    () -> Long.MAX_VALUE,
-                    null,
-                    null);
+                    new ServingContext.ServiceState(() -> true, () -> null, () -> false, () -> Long.MAX_VALUE),
+                    new ServingContext.RequestHooks(null, null));
             listener = new ClientListener(door, service, new Starts(legs), new Starts(legs));
             threads.execute(listener);
         }
--- a/src/test/java/maplespread/net/ShutdownTest.java
+++ b/src/test/java/maplespread/net/ShutdownTest.java
@@ -168,12 +168,8 @@
                 threads,
                 () -> sizes,
                 figures,
-                () -> !parting,
-                () -> null,
-                () -> parting,
-                () -> Long.MAX_VALUE,
-                null,
-                null);
+                new ServingContext.ServiceState(() -> !parting, () -> null, () -> parting, () -> Long.MAX_VALUE),
+                new ServingContext.RequestHooks(null, null));
         door = new Door();
         listener = new ClientListener(door, service, threads, threads);
         threads.execute(listener);
