--- a/src/main/java/maplespread/consensus/Outbox.java
+++ b/src/main/java/maplespread/consensus/Outbox.java
@@ -90,7 +90,7 @@
             return true;
         }
         warnOnce(
-                "agreement.electors_differ",
+                "consensus."",
                 "member",
                 message.sender(),
                 "theirs",
--- a/src/main/java/maplespread/consensus/Recovery.java
+++ b/src/main/java/maplespread/consensus/Recovery.java
@@ -93,7 +93,7 @@
         } else if (newest != null
                 && elapsedMs > LOST_AFTER_INTERVALS * state.settings().maxRetryMs()
                 && responses.keySet().containsAll(otherElectors(lists))) {
-            outbox.warnOnce("agreement.lost", "epoch", newest.state().value().epoch(), "electors", lists);
+            outbox.warnOnce("consensus.value_lost", "epoch", newest.state().value().epoch(), "electors", lists);
         }
     }
 
@@ -150,7 +150,7 @@
         state.recover(newest, highestPromise);
         responses.clear();
         Long version = newest == null ? null : newest.state().value().version();
-        outbox.info("agreement.sighted", "by", how, "version", version);
+        outbox.info("consensus.recovered", "by", how, "version", version);
     }
 
     @Override
--- a/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -103,7 +103,7 @@
             reply = received.reply();
             boolean forged = message != null && !message.sender().equals(sender);
             if (!received.readable() || forged) {
-                Event.of("agreement.not_a_word", "member", sender, "bytes", payload.length)
+                Event.of("consensus.malformed_message", "member", sender, "bytes", payload.length)
                         .warn();
                 return;
             }
@@ -129,7 +129,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) { // one bad message must not end the thread
-                Event.of("agreement.fault", "why", e).error();
+                Event.of("consensus."", "why", e).error();
             }
         }
     }
@@ -142,7 +142,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) { // one failing listener must not end the thread
-                Event.of("agreement.fault", "why", e).error();
+                Event.of("consensus."", "why", e).error();
             }
         }
     }
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -97,7 +97,7 @@
                 }
                 replaced = active;
                 active = newest;
-                Event.of("routes.handed_over", "revision", update.version()).info();
+                Event.of("endpoints.source_switched", "revision", update.version()).info();
             }
             listener.endpointsChanged(update);
         }
--- a/src/main/java/maplespread/feature/GroupAdminApi.java
+++ b/src/main/java/maplespread/feature/GroupAdminApi.java
@@ -53,7 +53,7 @@
             return new AdminResponse(503, self + " is not in the group yet: look for group.not_joined in the log");
         }
         List<String> electors = configuredElectors.get();
-        Event.of("group.found_anew", "by", self, "why", why, "electors", electors)
+        Event.of("group.bootstrapped", "by", self, "why", why, "electors", electors)
                 .warn();
         ChangeResult result = group.register().bootstrap(electors, CALL_TIMEOUT_MS);
         return switch (result.outcome()) {
--- a/src/main/java/maplespread/log/Event.java
+++ b/src/main/java/maplespread/log/Event.java
@@ -9,7 +9,7 @@
 /**
  * One thing that happened, under a stable name such as {@code registry.rebuilt}, with its fields in order. As
  * text it is {@code registry.rebuilt revision=17 added=2}; as JSON each field is a member. Fields common to
- * many events are called transaction, worker, revision and endpoint.
+ * many events are called request, worker, revision and endpoint.
  */
 public final class Event {
     private static volatile boolean json;
--- a/src/main/java/maplespread/membership/SwimMembership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -148,7 +148,7 @@
      * nothing about the others: it begins its waits anew and doubts itself.
      */
     private void resumeAfterPause(long now, long pauseMs) {
-        transport.event(true, "membership.stood_still", "ms", pauseMs);
+        transport.event(true, "membership.process_pause", "ms", pauseMs);
         probe = null;
         indirectProbes.clear();
         localHealth.worsenToMax();
--- a/src/main/java/maplespread/starvation/client/StarvationMonitor.java
+++ b/src/main/java/maplespread/starvation/client/StarvationMonitor.java
@@ -212,7 +212,7 @@
                 }
             }
         } catch (MalformedWindowException e) {
-            Event.of("starvation.unread", "from", from, "why", e.getMessage()).warn();
+            Event.of("starvation.malformed_window", "from", from, "why", e.getMessage()).warn();
         }
     }
 
--- a/src/test/java/maplespread/consensus/ConsensusNodeTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusNodeTest.java
@@ -182,7 +182,7 @@
             g.node("n3").append("b", 3000);
             g.run(5000);
             assertEquals(ChangeResult.Outcome.NO_MAJORITY, told(g, "b"), "seed " + seed);
-            assertTrue(g.node("n0").core.recovering() && g.events("agreement.lost") > 0, "seed " + seed);
+            assertTrue(g.node("n0").core.recovering() && g.events("consensus.value_lost") > 0, "seed " + seed);
             List<ChangeResult> founded = new ArrayList<>();
             g.loss = 0.1;
             g.node("n" + (seed % 5)).found(THREE, 10_000, founded::add);
