--- a/src/main/java/maplespread/consensus/ConsensusNode.java
+++ b/src/main/java/maplespread/consensus/ConsensusNode.java
@@ -196,7 +196,7 @@
     }
 
     private void warnNameTakenTwice(long incarnation) {
-        outbox.warnOnce("consensus."", "boot", incarnation);
+        outbox.warnOnce("consensus.name_taken_twice", "boot", incarnation);
     }
 
     /** The state, the round that is open and the recovery, for logs. */
--- a/src/main/java/maplespread/consensus/Learner.java
+++ b/src/main/java/maplespread/consensus/Learner.java
@@ -53,7 +53,7 @@
     private void reportChanges(VersionedValue before, VersionedValue value) {
         if (before.epoch() != value.epoch()) {
             outbox.warn(
-                    "consensus."",
+                    "consensus.epoch",
                     "epoch",
                     value.epoch(),
                     "version",
@@ -64,7 +64,7 @@
                     before.version());
         }
         if (before.electorsVersion() != value.electorsVersion()) {
-            outbox.info("consensus."", "number", value.electorsVersion(), "electors", value.electors());
+            outbox.info("consensus.electors", "number", value.electorsVersion(), "electors", value.electors());
         }
     }
 
--- a/src/main/java/maplespread/consensus/Outbox.java
+++ b/src/main/java/maplespread/consensus/Outbox.java
@@ -90,7 +90,7 @@
             return true;
         }
         warnOnce(
-                "consensus."",
+                "consensus.electors_differ",
                 "member",
                 message.sender(),
                 "theirs",
--- a/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -129,7 +129,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) { // one bad message must not end the thread
-                Event.of("consensus."", "why", e).error();
+                Event.of("consensus.fault", "why", e).error();
             }
         }
     }
@@ -142,7 +142,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) { // one failing listener must not end the thread
-                Event.of("consensus."", "why", e).error();
+                Event.of("consensus.fault", "why", e).error();
             }
         }
     }
