--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -73,27 +73,27 @@
     private final ConfigSource source;
     private final Semaphore reloads = new Semaphore(0);
     private final Lifecycle lifecycle = new Lifecycle();
-    private final DecisionService dispatcher;
-    private final ConnectionPool links;
-    private final AttemptRunner branches;
+    private final DecisionService decisions;
+    private final ConnectionPool connectionPool;
+    private final AttemptRunner attemptRunner;
     private final Prober prober;
-    private final EndpointSourceSwitch routes;
-    private final EndpointListener sink;
-    private final Features parts;
-    private volatile Consumer<EndpointUpdate> tap = news -> {};
+    private final EndpointSourceSwitch endpointSource;
+    private final EndpointListener endpointListener;
+    private final Features features;
+    private volatile Consumer<EndpointUpdate> endpointTap = news -> {};
     private RegistrySettings registry; // null: discovery has the word
-    private final List<Thread> threads;
+    private final List<Thread> daemonThreads;
     private final ExecutorService probes;
     private volatile ServerSocket socket; // null before it is bound
     private volatile ClientListener listener;
-    private volatile long lastUs = Long.MAX_VALUE; // by when all must be answered
-    private long sweptAt = System.nanoTime();
-    private long countedAt = sweptAt;
-    private long drainedAt; // 0: no drain by call
-    private final Metrics figures = new Metrics();
-    private AdminServer console; // null: none is named
-    private final Object turn = new Object(); // of those who give the module settings
-    private final CountDownLatch told = new CountDownLatch(1); // of the route set, since the start
+    private volatile long shutdownDeadlineUs = Long.MAX_VALUE; // by when all must be answered
+    private long sweptNanos = System.nanoTime();
+    private long countsLoggedNanos = sweptNanos;
+    private long quiescedNanos; // 0: no drain by call
+    private final Metrics metrics = new Metrics();
+    private AdminServer adminServer; // null: none is named
+    private final Object settingsLock = new Object(); // of those who give the module settings
+    private final CountDownLatch listReceived = new CountDownLatch(1); // of the route set, since the start
 
     /** {@code source}: asked at each reload. */
     public DispatcherServer(Config config, ConfigSource source) {
@@ -104,41 +104,41 @@
     public DispatcherServer(Config config, OperatorConfig operator, ConfigSource source) {
         this.config = config;
         this.source = source;
-        probes = threads("probe", config.limits().probes());
-        dispatcher = new DecisionService(config.settings(), config.seed(), operator.fair());
-        links = new ConnectionPool(this::config, this::sizes);
-        branches = new AttemptRunner(this::config, links, dispatcher, figures);
-        figures.show(config.names().classes());
-        prober = new Prober(this::config, links, dispatcher);
+        probes = daemonThreads("probe", config.limits().probes());
+        decisions = new DecisionService(config.settings(), config.seed(), operator.fair());
+        connectionPool = new ConnectionPool(this::config, this::presentLimits);
+        attemptRunner = new AttemptRunner(this::config, connectionPool, decisions, metrics);
+        metrics.showClasses(config.names().classes());
+        prober = new Prober(this::config, connectionPool, decisions);
         registry = operator.registry();
         EndpointListener all = new EndpointListener() {
             @Override
             public void endpointsChanged(EndpointUpdate news) {
-                dispatcher.reportEndpoints(news);
+                decisions.reportEndpoints(news);
                 if (news.kind() != EndpointUpdate.Kind.CACHED_SNAPSHOT) { // that one is of before the start
-                    told.countDown();
+                    listReceived.countDown();
                 }
-                tap.accept(news);
+                endpointTap.accept(news);
             }
 
             @Override
             public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-                dispatcher.reportWatchLost(loss, heardAgoMs);
+                decisions.reportWatchLost(loss, heardAgoMs);
             }
 
             @Override
             public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-                dispatcher.reportListUnconfirmed(why, heardAgoMs);
+                decisions.reportListUnconfirmed(why, heardAgoMs);
             }
         };
-        parts = new Features(config, operator, new Own());
-        sink = parts.wrapListener(all);
-        routes = new EndpointSourceSwitch(EndpointSources.create(config, registry), sink);
-        threads = List.of(thread("ticker", this::tick), thread("reloader", this::reloads));
+        features = new Features(config, operator, new ThisDispatcher());
+        endpointListener = features.wrapListener(all);
+        endpointSource = new EndpointSourceSwitch(EndpointSources.create(config, registry), endpointListener);
+        daemonThreads = List.of(daemonThread("ticker", this::tick), daemonThread("reloader", this::reloads));
     }
 
     /** This dispatcher as its parts see it. */
-    private final class Own implements FeatureContext {
+    private final class ThisDispatcher implements FeatureContext {
         @Override
         public Config config() {
             return config;
@@ -146,24 +146,24 @@
 
         @Override
         public Metrics metrics() {
-            return figures;
+            return metrics;
         }
 
         @Override
         public Metrics.HostCounts hostCounts() {
-            return dispatcher.hostCounts();
+            return decisions.hostCounts();
         }
 
         @Override
         public void reapplySettings() {
-            synchronized (turn) {
-                dispatcher.applySettings(parts.adjustSettings(config.settings()));
+            synchronized (settingsLock) {
+                decisions.applySettings(features.adjustSettings(config.settings()));
             }
         }
 
         @Override
         public void setPriorityBoosts(double[] weights) {
-            dispatcher.setPriorityBoosts(weights);
+            decisions.setPriorityBoosts(weights);
         }
 
         @Override
@@ -194,7 +194,7 @@
 
         @Override
         public PeerForwarder peerForwarder() {
-            return new PeerForwarder(links);
+            return new PeerForwarder(connectionPool);
         }
     }
 
@@ -203,17 +203,17 @@
      * whose age nobody knows, nothing is sent, and clients do better elsewhere until then.
      */
     public void start() throws IOException {
-        sink.endpointsChanged(config.cachedEndpoints());
+        endpointListener.endpointsChanged(config.cachedEndpoints());
         if (config.console() != null) {
-            console = new AdminServer(config.console(), Config.MAX_ADMIN_CONNECTIONS, calls());
-            console.start();
+            adminServer = new AdminServer(config.console(), Config.MAX_ADMIN_CONNECTIONS, adminRoutes());
+            adminServer.start();
         }
-        parts.start();
-        threads.forEach(Thread::start);
-        routes.start();
+        features.start();
+        daemonThreads.forEach(Thread::start);
+        endpointSource.start();
         try {
             long limitMs = config.times().firstListMs();
-            if (!told.await(limitMs, TimeUnit.MILLISECONDS)) {
+            if (!listReceived.await(limitMs, TimeUnit.MILLISECONDS)) {
                 Logger.warn("no word of the list within {} ms: refuses until it is confirmed", limitMs);
             }
         } catch (InterruptedException e) {
@@ -229,18 +229,24 @@
         this.socket = socket;
         ServingContext service = new ServingContext(
                 this::config,
-                dispatcher,
-                branches,
-                threads("transaction", config.limits().requestsInFlight() + 8),
-                this::sizes,
-                figures,
+                decisions,
+                attemptRunner,
+                daemonThreads("transaction", config.limits().requestsInFlight() + 8),
+                this::presentLimits,
+                metrics,
                 new ServingContext.ServiceState(
-                        lifecycle::serving, routes::notReadyReason, lifecycle::parting, () -> lastUs),
-                new ServingContext.RequestHooks(parts.requestListener(), parts.requestSequencer()));
+                        lifecycle::serving,
+                        endpointSource::notReadyReason,
+                        lifecycle::closingConnections,
+                        () -> shutdownDeadlineUs),
+                new ServingContext.RequestHooks(features.requestListener(), features.requestSequencer()));
         listener = new ClientListener(
-                socket, service, queued("leg", config.limits().clientConnections()), threads("spare", SPARE_LEGS));
-        thread("listener", listener).start();
-        parts.onServing();
+                socket,
+                service,
+                queuedThreadPool("leg", config.limits().clientConnections()),
+                daemonThreads("spare", SPARE_LEGS));
+        daemonThread("listener", listener).start();
+        features.onServing();
         lifecycle.enter(Lifecycle.Phase.SERVING);
         Logger.info("{} serves on {}", config.name(), socket.getLocalSocketAddress());
     }
@@ -250,23 +256,24 @@
     }
 
     /** How much may be held now: part of it while another process of this dispatcher lives. */
-    private Config.Limits sizes() {
-        return parts.hasPeerProcess() ? config.limits().shared() : config.limits();
+    private Config.Limits presentLimits() {
+        return features.hasPeerProcess() ? config.limits().shared() : config.limits();
     }
 
     /** What the operators are shown. */
-    private String figures() {
-        figures.hosts(parts.adjustHostCounts(dispatcher.hostCounts()));
-        return figures.text();
+    private String metrics() {
+        metrics.setHostCounts(features.adjustHostCounts(decisions.hostCounts()));
+        return metrics.text();
     }
 
-    private AdminRoutes calls() {
-        return parts.adminRoutes(Map.of(
-                "GET /admin/health", AdminRoutes.yes(lifecycle::accepting, "takes clients", 503, "takes no clients"),
-                "GET /admin/stats", ask -> new AdminRoutes.AdminResponse(200, figures()),
+    private AdminRoutes adminRoutes() {
+        return features.adminRoutes(Map.of(
+                "GET /admin/health",
+                        AdminRoutes.yesOrNo(lifecycle::accepting, "takes clients", 503, "takes no clients"),
+                "GET /admin/stats", ask -> new AdminRoutes.AdminResponse(200, metrics()),
                 "POST /admin/quiesce",
-                        AdminRoutes.yes(lifecycle::quiesce, "drains; resume ends it", 409, "not in service"),
-                "POST /admin/resume", AdminRoutes.yes(lifecycle::resume, "at work", 409, "not in service")));
+                        AdminRoutes.yesOrNo(lifecycle::quiesce, "drains; resume ends it", 409, "not in service"),
+                "POST /admin/resume", AdminRoutes.yesOrNo(lifecycle::resume, "at work", 409, "not in service")));
     }
 
     /** Has the configuration read anew; asked several times at once, it is read after the last of them. */
@@ -279,7 +286,7 @@
             while (true) {
                 reloads.acquire();
                 reloads.drainPermits();
-                lifecycle.reload(this::takeUp);
+                lifecycle.reload(this::applyConfiguration);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -287,10 +294,10 @@
     }
 
     /** All of the file is read and checked before any of it counts; a bad one changes nothing. */
-    private void takeUp() {
+    private void applyConfiguration() {
         try {
             Config read = source.read();
-            Config next = read.after(config);
+            Config next = read.mergedInto(config);
             OperatorConfig operator = source.operator();
             operator.check(next);
             RegistrySettings then = operator.registry();
@@ -298,16 +305,16 @@
             if (!later.isEmpty()) {
                 Logger.warn("configuration: changed, but taken up only by a restart: {}", later);
             }
-            figures.show(next.names().live());
-            synchronized (turn) {
-                dispatcher.applySettings(parts.adjustSettings(next.settings()));
+            metrics.showClasses(next.names().live());
+            synchronized (settingsLock) {
+                decisions.applySettings(features.adjustSettings(next.settings()));
                 config = next; // last: the module must know a class first
             }
-            parts.reload(next, operator);
-            figures.reconfigured(true);
+            features.reload(next, operator);
+            metrics.reconfigured(true);
             if (!Objects.equals(registry, then)) {
                 registry = then;
-                routes.switchTo(EndpointSources.create(next, then));
+                endpointSource.switchTo(EndpointSources.create(next, then));
                 Logger.info(
                         "configuration: read anew; routes come from {}",
                         then == null ? "discovery at " + next.discovery() : then.dialect() + " at " + then.endpoints());
@@ -316,19 +323,19 @@
             Logger.info(
                     "configuration: read anew; discovery at {}{}",
                     next.discovery(),
-                    routes.moveTo(next.discovery()) ? ", watched from now on" : " as before");
+                    endpointSource.moveTo(next.discovery()) ? ", watched from now on" : " as before");
         } catch (ConfigException e) {
-            figures.reconfigured(false);
+            metrics.reconfigured(false);
             Logger.error("configuration: {}; the old one stays", e.getMessage());
         } catch (RuntimeException | Error e) { // the next reload must still be heard
-            figures.reconfigured(false);
+            metrics.reconfigured(false);
             Logger.error(e, "a reload failed; the old configuration stays");
         }
     }
 
     /** Has the tools hear what the dispatcher has just learned of the route set. */
-    public void onRoutes(Consumer<EndpointUpdate> listener) {
-        tap = listener;
+    public void onEndpoints(Consumer<EndpointUpdate> listener) {
+        endpointTap = listener;
     }
 
     public Lifecycle lifecycle() {
@@ -341,18 +348,18 @@
     }
 
     /** The operators' address; an IllegalStateException where there is none. */
-    public InetSocketAddress consoleAddress() {
-        if (console == null) {
+    public InetSocketAddress adminAddress() {
+        if (adminServer == null) {
             throw new IllegalStateException("no console");
         }
-        return console.address();
+        return adminServer.address();
     }
 
     /**
      * Among how many dispatchers, processes counted, the module shares out what a cold worker may be sent.
      */
-    public int sharing() {
-        return dispatcher.dispatcherCount();
+    public int dispatcherCount() {
+        return decisions.dispatcherCount();
     }
 
     /** The port that is listened on. */
@@ -378,9 +385,9 @@
             long ms = 1_000_000;
             long start = System.nanoTime();
             long end = start + config.times().shutdownMs() * ms;
-            lastUs = dispatcher.nowUs() + (config.times().shutdownMs() - LAST_MS) * 1000;
-            boolean relieved = parts.hasServingPeerProcess();
-            parts.beginShutdown();
+            shutdownDeadlineUs = decisions.nowUs() + (config.times().shutdownMs() - LAST_MS) * 1000;
+            boolean relieved = features.hasServingPeerProcess();
+            features.beginShutdown();
             if (relieved) { // who serves beside it accepts all
                 Logger.info("another process of this dispatcher has taken over");
                 listener.close();
@@ -409,39 +416,39 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        threads.forEach(Thread::interrupt);
-        routes.close();
-        if (console != null) {
-            console.close();
+        daemonThreads.forEach(Thread::interrupt);
+        endpointSource.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
-        parts.close();
+        features.close();
         lifecycle.enter(Lifecycle.Phase.STOPPED);
     }
 
     private void tick() {
         while (true) {
             try {
-                for (Action chore : dispatcher.tick(lifecycle.quiesced() ? QUIET_MS : SWEEP_MS)) {
+                for (Action chore : decisions.tick(lifecycle.quiesced() ? QUIET_MS : SWEEP_MS)) {
                     if (chore instanceof Action.Probe probe) {
                         probe(probe);
                     } else if (chore instanceof Action.Cancel cancel) {
-                        branches.cancel(cancel.attempt());
+                        attemptRunner.cancel(cancel.attempt());
                     } else {
-                        routes.watch();
+                        endpointSource.watch();
                     }
                 }
-                part();
-                if (System.nanoTime() - sweptAt > SWEEP_MS * 1_000_000) {
-                    sweptAt = System.nanoTime();
-                    Set<String> used = new HashSet<>(dispatcher.endpointAddresses());
-                    used.addAll(parts.peerAddresses());
-                    links.closeExpired(used);
-                    branches.sweep();
+                closeQuietConnections();
+                if (System.nanoTime() - sweptNanos > SWEEP_MS * 1_000_000) {
+                    sweptNanos = System.nanoTime();
+                    Set<String> used = new HashSet<>(decisions.endpointAddresses());
+                    used.addAll(features.peerAddresses());
+                    connectionPool.closeExpired(used);
+                    attemptRunner.sweep();
                     if (listener != null) {
                         listener.sweep();
                     }
-                    parts.maintain();
-                    count();
+                    features.maintain();
+                    logCounts();
                 }
             } catch (InterruptedException e) {
                 return;
@@ -452,20 +459,20 @@
     }
 
     /** During a drain by call: connections that are not in use end, later ones sooner. */
-    private void part() {
+    private void closeQuietConnections() {
         if (!lifecycle.quiesced() || listener == null) {
-            drainedAt = 0;
+            quiescedNanos = 0;
             return;
         }
-        drainedAt = drainedAt == 0 ? System.nanoTime() : drainedAt;
-        boolean late = System.nanoTime() - drainedAt > PART_MS * 1_000_000;
+        quiescedNanos = quiescedNanos == 0 ? System.nanoTime() : quiescedNanos;
+        boolean late = System.nanoTime() - quiescedNanos > PART_MS * 1_000_000;
         listener.endQuiet(late ? LATE_MS : SWIFT_MS);
     }
 
-    private void count() {
-        if (System.nanoTime() - countedAt > COUNT_MS * 1_000_000) {
-            countedAt = System.nanoTime();
-            figures.log(listener == null ? 0 : listener.size());
+    private void logCounts() {
+        if (System.nanoTime() - countsLoggedNanos > COUNT_MS * 1_000_000) {
+            countsLoggedNanos = System.nanoTime();
+            metrics.logCounts(listener == null ? 0 : listener.size());
         }
     }
 
@@ -473,18 +480,18 @@
         try {
             probes.execute(() -> prober.probe(probe));
         } catch (RejectedExecutionException | OutOfMemoryError e) { // a probe without an end stays out
-            dispatcher.reportProbeEnded(probe, Outcome.CANCELLED, 0, null);
+            decisions.reportProbeEnded(probe, Outcome.CANCELLED, 0, null);
         }
     }
 
-    private static Thread thread(String name, Runnable work) {
+    private static Thread daemonThread(String name, Runnable work) {
         Thread t = new Thread(null, work, name, STACK);
         t.setDaemon(true);
         return t;
     }
 
     /** So many threads; work beyond them waits for one, as legs that make room for others are ending. */
-    private static ExecutorService queued(String name, int most) {
+    private static ExecutorService queuedThreadPool(String name, int most) {
         AtomicInteger count = new AtomicInteger();
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
                 most,
@@ -492,12 +499,12 @@
                 10,
                 TimeUnit.SECONDS,
                 new LinkedBlockingQueue<>(ENDING_LEGS),
-                work -> thread(name + '-' + count.incrementAndGet(), work));
+                work -> daemonThread(name + '-' + count.incrementAndGet(), work));
         pool.allowCoreThreadTimeOut(true);
         return pool;
     }
 
-    private static ExecutorService threads(String name, int most) {
+    private static ExecutorService daemonThreads(String name, int most) {
         AtomicInteger count = new AtomicInteger();
         return new ThreadPoolExecutor(
                 0,
@@ -505,6 +512,6 @@
                 10,
                 TimeUnit.SECONDS,
                 new SynchronousQueue<>(),
-                work -> thread(name + '-' + count.incrementAndGet(), work));
+                work -> daemonThread(name + '-' + count.incrementAndGet(), work));
     }
 }
--- a/src/main/java/maplespread/Lifecycle.java
+++ b/src/main/java/maplespread/Lifecycle.java
@@ -47,7 +47,7 @@
     }
 
     /** Whether connections end with their answers: after a drain by call, and when finishing. */
-    public synchronized boolean parting() {
+    public synchronized boolean closingConnections() {
         return settled == Phase.QUIESCED || phase.ordinal() >= Phase.FINISHING.ordinal();
     }
 
--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -88,7 +88,7 @@
      */
     private static void rehearse(DispatcherServer server, Config config) {
         for (String call : new String[] {"GET /admin/health", "GET /admin/stats"}) {
-            try (HttpConnection link = HttpConnection.dial(server.consoleAddress(), 1000)) {
+            try (HttpConnection link = HttpConnection.dial(server.adminAddress(), 1000)) {
                 link.send((call + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
                 link.receive(HttpParser.response(1 << 16, (bytes, at, length) -> {}), 1000);
             } catch (IOException | IllegalStateException e) {
--- a/src/main/java/maplespread/admin/AdminRoutes.java
+++ b/src/main/java/maplespread/admin/AdminRoutes.java
@@ -36,7 +36,7 @@
     }
 
     /** One that can be done or not, and says so. */
-    public static Call yes(BooleanSupplier call, String yes, int status, String no) {
+    public static Call yesOrNo(BooleanSupplier call, String yes, int status, String no) {
         return ask -> call.getAsBoolean() ? new AdminResponse(200, yes) : new AdminResponse(status, no);
     }
 
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -167,7 +167,7 @@
 
     /** Rejects whatever it brings, unread: for when no thread is left that could read it. */
     void rejectUnread() {
-        context.metrics().unread();
+        context.metrics().connectionRejectedUnread();
         new ClientResponse(connection, () -> true, context.metrics()).rejected(OVER_LIMIT_RETRY_AFTER_MS);
         connection.close();
     }
@@ -288,7 +288,7 @@
     /** Answers a request that no worker may see. */
     private void rejectFaulty(ClientResponse response, int status, String why) {
         consecutiveFaults++;
-        context.metrics().faulty();
+        context.metrics().faultyRequest();
         response.failed(status, why);
     }
 
@@ -296,7 +296,7 @@
     private boolean failFraming(ClientResponse response) {
         boolean first = response.framingBroken("one request at a time");
         if (first) {
-            context.metrics().faulty();
+            context.metrics().faultyRequest();
         }
         return first;
     }
--- a/src/main/java/maplespread/caller/ClientListener.java
+++ b/src/main/java/maplespread/caller/ClientListener.java
@@ -164,7 +164,7 @@
             silent = longestSilent(usefulFactor, untriedFactor);
         }
         if (silent != null) {
-            context.metrics().shed();
+            context.metrics().connectionEvicted();
         }
         return silent != null;
     }
--- a/src/main/java/maplespread/caller/ClientResponse.java
+++ b/src/main/java/maplespread/caller/ClientResponse.java
@@ -44,7 +44,7 @@
     void accepted(String requestClass) {
         acceptedNanos = System.nanoTime();
         acceptedClass = requestClass;
-        metrics.taken();
+        metrics.requestAccepted();
     }
 
     /** The same, and {@code notified} is told of it and of its completion; null: nobody is. */
@@ -124,7 +124,7 @@
     /** Ends the matter without a response: the client has left. */
     void drop() {
         if (claimed.compareAndSet(false, true)) {
-            metrics.left();
+            metrics.clientLeft();
             notifyCompleted(RequestListener.Result.CLIENT_LEFT);
             complete();
         }
@@ -158,7 +158,7 @@
         try {
             connection.send((close ? head.field("Connection", "close") : head).body(body));
             if (acceptedClass != null) {
-                metrics.answered(acceptedClass, code, System.nanoTime() - acceptedNanos);
+                metrics.responseWritten(acceptedClass, code, System.nanoTime() - acceptedNanos);
             }
             notifyCompleted(resultOf(code));
             if (close) {
@@ -183,7 +183,7 @@
 
     private void complete() {
         if (acceptedClass != null) {
-            metrics.over();
+            metrics.requestCompleted();
         }
         completed.countDown();
     }
--- a/src/main/java/maplespread/caller/RequestExecution.java
+++ b/src/main/java/maplespread/caller/RequestExecution.java
@@ -145,7 +145,7 @@
 
     /** Rejections under load are only counted; each other reason is worth a line. */
     private void recordUnserved(RejectionReason reason) {
-        context.metrics().unserved(reason);
+        context.metrics().requestUnserved(reason);
         if (reason != RejectionReason.OVERLOADED) {
             UNSERVED_LOG.info(() -> Event.of(
                     "request.unserved", "request", request.message.id(), "why", reason, "list", decisions.listState()));
--- a/src/main/java/maplespread/config/Config.java
+++ b/src/main/java/maplespread/config/Config.java
@@ -37,7 +37,7 @@
      * This one, read while {@code running} holds, as it can be taken up without a restart: classes keep their
      * places, and what needs a restart stays. A ConfigError where it lacks a key that the running one has.
      */
-    public Config after(Config running) throws ConfigException {
+    public Config mergedInto(Config running) throws ConfigException {
         for (String key : running.keys) {
             if (!keys.contains(key)) {
                 throw new ConfigException(key, "is missing; the running configuration has it");
--- a/src/main/java/maplespread/consensus/ConsensusNode.java
+++ b/src/main/java/maplespread/consensus/ConsensusNode.java
@@ -147,7 +147,7 @@
     // ------------------------------------------------------------ messages
 
     /** Takes a message of another member, which is known to have sent it. */
-    public void received(long now, ConsensusMessage message) {
+    public void receive(long now, ConsensusMessage message) {
         if (message.sender().equals(state.self())) {
             warnNameTakenTwice(message.incarnation());
             return;
--- a/src/main/java/maplespread/consensus/Recovery.java
+++ b/src/main/java/maplespread/consensus/Recovery.java
@@ -93,7 +93,8 @@
         } else if (newest != null
                 && elapsedMs > LOST_AFTER_INTERVALS * state.settings().maxRetryMs()
                 && responses.keySet().containsAll(otherElectors(lists))) {
-            outbox.warnOnce("consensus.value_lost", "epoch", newest.state().value().epoch(), "electors", lists);
+            outbox.warnOnce(
+                    "consensus.value_lost", "epoch", newest.state().value().epoch(), "electors", lists);
         }
     }
 
--- a/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -108,7 +108,7 @@
                 return;
             }
             if (message != null && !closed) {
-                node.received(now(), message);
+                node.receive(now(), message);
                 notifyAll();
             }
         }
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -97,7 +97,8 @@
                 }
                 replaced = active;
                 active = newest;
-                Event.of("endpoints.source_switched", "revision", update.version()).info();
+                Event.of("endpoints.source_switched", "revision", update.version())
+                        .info();
             }
             listener.endpointsChanged(update);
         }
--- a/src/main/java/maplespread/lab/RegistryMeasure.java
+++ b/src/main/java/maplespread/lab/RegistryMeasure.java
@@ -338,7 +338,7 @@
             }
             DispatcherServer server = new DispatcherServer(
                     config(), new OperatorConfig(false, settings(dialect, member)), RegistryMeasure::config);
-            server.onRoutes(news -> news.endpoints().forEach(r -> {
+            server.onEndpoints(news -> news.endpoints().forEach(r -> {
                 if (r.state() == Endpoint.State.SERVING) {
                     learned.remove(r.worker());
                 } else {
--- a/src/main/java/maplespread/lab/agreement/ExhaustiveInterleavings.java
+++ b/src/main/java/maplespread/lab/agreement/ExhaustiveInterleavings.java
@@ -146,7 +146,7 @@
             for (ConsensusMessage.Kind kind :
                     List.of(ConsensusMessage.Kind.RECOVERY_RESPONSE, ConsensusMessage.Kind.DECIDED)) {
                 if (!from.equals(name)) {
-                    core.received(
+                    core.receive(
                             0,
                             new ConsensusMessage(
                                     kind,
@@ -173,7 +173,7 @@
             if (done.add(p.hash)) { // one of those that are the same
                 Node n = s.nodes.get(p.to);
                 ConsensusNode core = copy(n.core);
-                core.received(n.time, p.word);
+                core.receive(n.time, p.word);
                 List<Packet> left = new ArrayList<>(s.packets);
                 left.remove(p);
                 String what = p.word.kind() + " " + p.word.sender() + '>' + p.to;
--- a/src/main/java/maplespread/lab/agreement/RandomInterleavings.java
+++ b/src/main/java/maplespread/lab/agreement/RandomInterleavings.java
@@ -82,7 +82,7 @@
                 }
                 while (!packets.isEmpty()) {
                     Packet p = packets.remove(0);
-                    nodes.get(p.to()).received(at, p.word());
+                    nodes.get(p.to()).receive(at, p.word());
                 }
                 begun = nodes.values().stream().allMatch(n -> n.decidedValue() != null);
             }
@@ -121,7 +121,7 @@
                 choices.add(() -> {
                     packets.remove(p);
                     log.append(' ').append(p.word().kind() + p.word().sender() + ">" + p.to());
-                    nodes.get(p.to()).received(times.get(p.to()), p.word());
+                    nodes.get(p.to()).receive(times.get(p.to()), p.word());
                 });
             }
             for (String name : names) {
--- a/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
+++ b/src/main/java/maplespread/lab/agreement/VirtualAgreement.java
@@ -268,7 +268,7 @@
             post(to.name, p.from(), received.reply(), false);
         }
         if (received.message() != null) {
-            to.core.received(now, received.message());
+            to.core.receive(now, received.message());
             to.due = now;
         }
     }
--- a/src/main/java/maplespread/lab/membership/VirtualGroup.java
+++ b/src/main/java/maplespread/lab/membership/VirtualGroup.java
@@ -158,7 +158,7 @@
                     later.add(new Packet(to.pausedUntil, p.order(), p.from(), p.to(), p.message()));
                     continue;
                 }
-                to.core.received(now, p.from(), p.from(), p.message());
+                to.core.receive(now, p.from(), p.from(), p.message());
                 to.due = now;
             }
             packets.addAll(later);
--- a/src/main/java/maplespread/membership/SwimMembership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -218,7 +218,7 @@
     // ------------------------------------------------------------ messages
 
     /** Takes a message of {@code sender}, which is known to have sent it. */
-    public void received(long now, String sender, String senderAddress, SwimMessage message) {
+    public void receive(long now, String sender, String senderAddress, SwimMessage message) {
         boolean own = sender.equals(settings.name()) && senderAddress.equals(settings.address());
         if (left || own) {
             return;
--- a/src/main/java/maplespread/membership/client/ClusterTransport.java
+++ b/src/main/java/maplespread/membership/client/ClusterTransport.java
@@ -238,7 +238,7 @@
         if (opened.message() == null) {
             return Optional.of(opened);
         }
-        membership.received(now(), opened.sender(), opened.address(), opened.message());
+        membership.receive(now(), opened.sender(), opened.address(), opened.message());
         notifyAll();
         return Optional.empty();
     }
--- a/src/main/java/maplespread/metrics/Metrics.java
+++ b/src/main/java/maplespread/metrics/Metrics.java
@@ -29,36 +29,36 @@
 
     private final Map<String, PerClass> classes = new ConcurrentSkipListMap<>();
     private final LongAdder servedNanos = new LongAdder();
-    private final LongAdder taken = new LongAdder();
-    private final LongAdder over = new LongAdder();
+    private final LongAdder requestAccepted = new LongAdder();
+    private final LongAdder requestCompleted = new LongAdder();
     private final LongAdder attempts = new LongAdder();
     private final LongAdder reconfigOk = new LongAdder();
     private final LongAdder reconfigFailed = new LongAdder();
-    private final LongAdder faulty = new LongAdder();
-    private final LongAdder shed = new LongAdder();
-    private final LongAdder left = new LongAdder();
-    private final LongAdder unread = new LongAdder();
-    private volatile HostCounts hosts = new HostCounts(0, 0);
-    private final Map<String, LongAdder> unserved = new ConcurrentSkipListMap<>(); // by reason
+    private final LongAdder faultyRequest = new LongAdder();
+    private final LongAdder connectionEvicted = new LongAdder();
+    private final LongAdder clientLeft = new LongAdder();
+    private final LongAdder connectionRejectedUnread = new LongAdder();
+    private volatile HostCounts setHostCounts = new HostCounts(0, 0);
+    private final Map<String, LongAdder> requestUnserved = new ConcurrentSkipListMap<>(); // by reason
     private long[] logged = new long[7];
 
     /** Has these classes shown, at 0 where nothing has come of them. */
-    public void show(Collection<String> names) {
+    public void showClasses(Collection<String> names) {
         names.forEach(name -> classes.computeIfAbsent(name, n -> new PerClass()));
     }
 
     /** A job has been taken whole: an answer is owed. */
-    public void taken() {
-        taken.increment();
+    public void requestAccepted() {
+        requestAccepted.increment();
     }
 
     /** A taken job is over: answered, or its client has left. */
-    public void over() {
-        over.increment();
+    public void requestCompleted() {
+        requestCompleted.increment();
     }
 
     /** A job's final answer has been written to its client, so long after the job was taken. */
-    public void answered(String cls, ResponseCode code, long tookNanos) {
+    public void responseWritten(String cls, ResponseCode code, long tookNanos) {
         classes.computeIfAbsent(cls, n -> new PerClass()).ended[code.ordinal()].increment();
         if (code == ResponseCode.SUCCESS) {
             servedNanos.add(tookNanos);
@@ -80,48 +80,49 @@
     }
 
     /** The last byte of an attempt has been written to a worker. */
-    public void attempt() {
+    public void attemptSent() {
         attempts.increment();
     }
 
     /** A request that no worker may see was turned down; it is no job. */
-    public void faulty() {
-        faulty.increment();
+    public void faultyRequest() {
+        faultyRequest.increment();
     }
 
     /** A silent connection was closed for a new one. */
-    public void shed() {
-        shed.increment();
+    public void connectionEvicted() {
+        connectionEvicted.increment();
     }
 
     /** A client left before its answer. */
-    public void left() {
-        left.increment();
+    public void clientLeft() {
+        clientLeft.increment();
     }
 
     /** A job was ended unserved for this reason. */
-    public void unserved(Enum<?> why) {
-        unserved.computeIfAbsent(why.name().toLowerCase(Locale.ROOT), n -> new LongAdder())
+    public void requestUnserved(Enum<?> why) {
+        requestUnserved
+                .computeIfAbsent(why.name().toLowerCase(Locale.ROOT), n -> new LongAdder())
                 .increment();
     }
 
     /** A connection was refused unread, as no thread was left for it: what it brought is of no class. */
-    public void unread() {
-        unread.increment();
+    public void connectionRejectedUnread() {
+        connectionRejectedUnread.increment();
     }
 
     public void reconfigured(boolean ok) {
         (ok ? reconfigOk : reconfigFailed).increment();
     }
 
-    public void hosts(HostCounts now) {
-        hosts = now;
+    public void setHostCounts(HostCounts now) {
+        setHostCounts = now;
     }
 
     /** How many jobs are taken and not over. */
     public long inflight() {
-        long ended = over.sum(); // first: else it could come out below 0
-        return Math.max(0, taken.sum() - ended);
+        long ended = requestCompleted.sum(); // first: else it could come out below 0
+        return Math.max(0, requestAccepted.sum() - ended);
     }
 
     /** All figures, a line each, by the operators' names. */
@@ -138,12 +139,12 @@
                         .append('\n');
             }
         });
-        HostCounts now = hosts;
+        HostCounts now = setHostCounts;
         line(all, "backend_calls", attempts.sum());
         line(all, "inflight", inflight());
         line(all, "hosts_listed", now.listed());
         line(all, "hosts_down", now.down());
-        unserved.forEach((why, count) -> line(all, "unserved{why=\"" + why + "\"}", count.sum()));
+        requestUnserved.forEach((why, count) -> line(all, "unserved{why=\"" + why + "\"}", count.sum()));
         line(all, "reconfig_ok", reconfigOk.sum());
         line(all, "reconfig_failed", reconfigFailed.sum());
         return all.toString();
@@ -154,17 +155,17 @@
     }
 
     /** Writes what came since the last line in the log; nothing where nothing did. From one thread. */
-    public void log(int legs) {
+    public void logCounts(int legs) {
         long[] now = new long[7];
         for (PerClass c : classes.values()) {
             for (int i = 0; i < 3; i++) {
                 now[i] += c.ended[i].sum();
             }
         }
-        now[3] = left.sum();
-        now[4] = faulty.sum();
-        now[5] = shed.sum();
-        now[6] = unread.sum();
+        now[3] = clientLeft.sum();
+        now[4] = faultyRequest.sum();
+        now[5] = connectionEvicted.sum();
+        now[6] = connectionRejectedUnread.sum();
         Object[] d = new Object[8];
         boolean any = false;
         for (int i = 0; i < 7; i++) {
@@ -178,9 +179,9 @@
                     "served {}, busy {}, failed {}, clients left {}; faulty requests {}, silent legs "
                             + "closed for others {}, refused unread {}; {} caller legs",
                     d);
-            if (!unserved.isEmpty()) {
+            if (!requestUnserved.isEmpty()) {
                 Event since = Event.of("requests.unserved_since_start");
-                unserved.forEach((why, count) -> since.with(why, count.sum()));
+                requestUnserved.forEach((why, count) -> since.with(why, count.sum()));
                 since.info();
             }
         }
--- a/src/main/java/maplespread/starvation/client/StarvationMonitor.java
+++ b/src/main/java/maplespread/starvation/client/StarvationMonitor.java
@@ -212,7 +212,8 @@
                 }
             }
         } catch (MalformedWindowException e) {
-            Event.of("starvation.malformed_window", "from", from, "why", e.getMessage()).warn();
+            Event.of("starvation.malformed_window", "from", from, "why", e.getMessage())
+                    .warn();
         }
     }
 
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -135,7 +135,7 @@
             pool.recordUse(connection, true);
             return connection.reused ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED;
         }
-        metrics.attempt();
+        metrics.attemptSent();
         EndpointListState list = decisions.listState();
         if (list != EndpointListState.CONFIRMED) {
             unconfirmedLog.info(() -> Event.of(
--- a/src/test/java/maplespread/config/ConfigReaderTest.java
+++ b/src/test/java/maplespread/config/ConfigReaderTest.java
@@ -127,7 +127,7 @@
             ConfigException e = assertThrows(
                     key,
                     ConfigException.class,
-                    () -> ConfigReader.read(root.toString(), Map.of()).after(running));
+                    () -> ConfigReader.read(root.toString(), Map.of()).mergedInto(running));
             String named = key.replace("[]", "");
             String said = e.getMessage().replaceAll("\\.[0-9]", "").replace("[]", "");
             assertTrue(key + " by " + said, said.startsWith(named) || named.startsWith(said.split(":")[0]));
@@ -139,7 +139,7 @@
         JsonObject root = JsonParser.parseString(example()).getAsJsonObject();
         root.remove("seed");
         root.remove("known");
-        ConfigReader.read(root.toString(), Map.of()).after(running);
+        ConfigReader.read(root.toString(), Map.of()).mergedInto(running);
     }
 
     private static void drop(JsonObject in, String key) {
@@ -179,7 +179,7 @@
                 classes.add(one);
             }
             root.getAsJsonObject("settings").add("classes", classes);
-            Config next = ConfigReader.read(root.toString(), Map.of()).after(c);
+            Config next = ConfigReader.read(root.toString(), Map.of()).mergedInto(c);
             assertEquals(
                     c.names().classes(),
                     next.names().classes().subList(0, c.names().classes().size()));
--- a/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -219,7 +219,7 @@
                 packets.add(new Packet(packet.to(), packet.from(), received.reply()));
             }
             if (received.message() != null) {
-                nodes.get(packet.to()).received(now, received.message());
+                nodes.get(packet.to()).receive(now, received.message());
             }
         }
 
--- a/src/test/java/maplespread/consensus/CrashVectorTest.java
+++ b/src/test/java/maplespread/consensus/CrashVectorTest.java
@@ -46,7 +46,7 @@
         for (int i = 0; i < packets.size(); ) {
             if (which.test(packets.get(i))) {
                 Packet p = packets.remove(i);
-                nodes.get(p.to()).received(now, p.message());
+                nodes.get(p.to()).receive(now, p.message());
                 i = 0;
             } else {
                 i++;
--- a/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
+++ b/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
@@ -165,7 +165,7 @@
 
         private void arrive(Packet p) {
             if (nodes.containsKey(p.to)) {
-                nodes.get(p.to).received(times.get(p.to), p.message);
+                nodes.get(p.to).receive(times.get(p.to), p.message);
             }
         }
 
--- a/src/test/java/maplespread/membership/MembershipGoldenTest.java
+++ b/src/test/java/maplespread/membership/MembershipGoldenTest.java
@@ -179,7 +179,7 @@
             }
             PacketAuthenticator.OpenedPacket opened = seal.open(packet.bytes(), packet.bytes().length, WALL_MS);
             if (opened != null) {
-                nodes.get(packet.to()).received(now, opened.sender(), packet.from(), opened.message());
+                nodes.get(packet.to()).receive(now, opened.sender(), packet.from(), opened.message());
             }
         }
 
--- a/src/test/java/maplespread/net/Loopback.java
+++ b/src/test/java/maplespread/net/Loopback.java
@@ -455,7 +455,7 @@
     }
 
     static HttpConnection dialConsole(DispatcherServer server) throws IOException {
-        return HttpConnection.dial(server.consoleAddress(), LIMIT_MS);
+        return HttpConnection.dial(server.adminAddress(), LIMIT_MS);
     }
 
     /** One of the operators' figures. */
--- a/src/test/java/maplespread/net/RegistryStoriesTest.java
+++ b/src/test/java/maplespread/net/RegistryStoriesTest.java
@@ -127,7 +127,7 @@
                     return bad == null ? operator : OperatorReader.text(bad);
                 }
             });
-            server.onRoutes(news -> news.endpoints().forEach(r -> {
+            server.onEndpoints(news -> news.endpoints().forEach(r -> {
                 if (r.state() == Endpoint.State.DELETED) {
                     told.remove(r.worker());
                 } else {
--- a/src/test/java/maplespread/net/SubsetStoryTest.java
+++ b/src/test/java/maplespread/net/SubsetStoryTest.java
@@ -63,7 +63,7 @@
         try (Loopback.Client client = here.new Client()) {
             Set<String> mine = expected().workers();
             assertTrue(mine.size() < workers.length, "a subset: " + mine);
-            assertEquals(sharers(), server.sharing());
+            assertEquals(sharers(), server.dispatcherCount());
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, client.status(Loopback.job("page", "t" + i, 4000)));
@@ -76,9 +76,9 @@
             assertTrue(mine.containsAll(used), used + " of " + mine);
             dispatchers = 3; // fewer: wider, and shared by others
             int wanted = sharers();
-            assertTrue(wanted < server.sharing(), "the case must show a change");
+            assertTrue(wanted < server.dispatcherCount(), "the case must show a change");
             server.reload();
-            Loopback.until("shared by " + wanted, () -> server.sharing() == wanted);
+            Loopback.until("shared by " + wanted, () -> server.dispatcherCount() == wanted);
         } finally {
             here.close();
             for (Loopback.Peer w : workers) {
