--- a/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -187,7 +187,7 @@
 
                 @Override
                 public void event(boolean warning, String event, Object... pairs) {
-                    transcript.add("event", name, warning, event, Arrays.asList(pairs));
+                    transcript.add("event", name, warning, recordedName(event), Arrays.asList(pairs));
                 }
             }));
             nodes.get(name).members(MEMBERS);
@@ -281,4 +281,14 @@
         }
         GoldenFile.check("consensus/histories.txt", lines);
     }
+
+    /** The name that an event had when the histories were recorded. */
+    private static String recordedName(String event) {
+        return switch (event) {
+            case "consensus.recovered" -> "agreement.sighted";
+            case "consensus.value_lost" -> "agreement.lost";
+            case "consensus.malformed_message" -> "agreement.not_a_word";
+            default -> event.replaceFirst("^consensus\\.", "agreement.");
+        };
+    }
 }
--- a/src/test/java/maplespread/membership/MembershipGoldenTest.java
+++ b/src/test/java/maplespread/membership/MembershipGoldenTest.java
@@ -153,7 +153,7 @@
 
                 @Override
                 public void event(boolean warning, String event, Object... pairs) {
-                    transcript.add("event", name, warning, event, Arrays.asList(pairs));
+                    transcript.add("event", name, warning, recordedName(event), Arrays.asList(pairs));
                 }
             }));
         }
@@ -215,4 +215,9 @@
         }
         GoldenFile.check("membership/histories.txt", lines);
     }
+
+    /** The name that an event had when the histories were recorded. */
+    private static String recordedName(String event) {
+        return event.equals("membership.process_pause") ? "membership.stood_still" : event;
+    }
 }
