--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -45,20 +45,34 @@
 import maplespread.worker.Prober;
 import org.tinylog.Logger;
 
-/** One running dispatcher: puts the parts together and takes them through the phases. */
+/**
+ * One running dispatcher: puts the parts together, takes them through the phases, reloads the configuration and shuts down.
+ * The thread {@code ticker} carries out the policy's actions and closes what has expired; {@code reloader} reloads.
+ */
 public final class DispatcherServer {
-    private static final long STACK = 144 * 1024; // times the counts in Config.Sizes
-    private static final int BACKLOG = 2048;
-    private static final int SPARE_LEGS = 16;
-    private static final int ENDING_LEGS = 64;
-    private static final long SWEEP_MS = 1000;
-    private static final long COUNT_MS = 10_000;
-    private static final long SWIFT_MS = 500; // quiet so long, a connection may end
-    private static final long QUIET_MS = 50; // between looks for these
-    private static final long AGAIN_MS = 250; // after clients left new ones may come
-    private static final long PART_MS = 1000; // of a drain, then this is enough:
-    private static final long LATE_MS = 200;
-    private static final long LAST_MS = 100; // for the last answers' way
+    /** Bytes; times the thread counts that follow from Config.Limits. */
+    private static final long THREAD_STACK_BYTES = 144 * 1024;
+
+    private static final int ACCEPT_BACKLOG = 2048;
+    /** Threads for client connections beyond the limit. */
+    private static final int OVER_LIMIT_THREADS = 16;
+    /** Client connections that may wait for the thread of one that is closing. */
+    private static final int MAX_WAITING_CONNECTIONS = 64;
+
+    private static final long SWEEP_INTERVAL_MS = 1000;
+    private static final long COUNTS_LOG_INTERVAL_MS = 10_000;
+    /** A client connection that has been quiet for so long may close during a drain. */
+    private static final long IDLE_CLOSE_MS = 500;
+    /** Between looks for such connections. */
+    private static final long DRAIN_POLL_MS = 50;
+    /** A drain by call that lasts longer than this hurries: */
+    private static final long DRAIN_HURRY_AFTER_MS = 1000;
+    /** then connections close after this. */
+    private static final long HURRIED_IDLE_CLOSE_MS = 200;
+    /** After the last client has left, others may come for so long. */
+    private static final long RECONNECT_GRACE_MS = 250;
+    /** For the last responses' way to their clients. */
+    private static final long RESPONSE_TRANSIT_MS = 100;
 
     /** Where a new configuration comes from; the operators' file is read whole or not at all. */
     public interface ConfigSource {
@@ -81,7 +95,7 @@
     private final EndpointListener endpointListener;
     private final Features features;
     private volatile Consumer<EndpointUpdate> endpointTap = news -> {};
-    private RegistrySettings registry; // null: discovery has the word
+    private RegistrySettings registry; // null: the list comes from discovery
     private final List<Thread> daemonThreads;
     private final ExecutorService probes;
     private volatile ServerSocket socket; // null before it is bound
@@ -92,7 +106,7 @@
     private long quiescedNanos; // 0: no drain by call
     private final Metrics metrics = new Metrics();
     private AdminServer adminServer; // null: none is named
-    private final Object settingsLock = new Object(); // of those who give the module settings
+    private final Object settingsLock = new Object(); // of those who give the policy settings
     private final CountDownLatch listReceived = new CountDownLatch(1); // of the route set, since the start
 
     /** {@code source}: asked at each reload. */
@@ -199,8 +213,8 @@
     }
 
     /**
-     * Opens the listener once discovery has confirmed the list, or after a while: by the list of the configuration,
-     * whose age nobody knows, nothing is sent, and clients do better elsewhere until then.
+     * Opens the listener once the first endpoint list since the start has come, or after {@code firstListMs}: by the cached
+     * list of the configuration, whose age nobody knows, nothing is sent, and clients do better elsewhere until then.
      */
     public void start() throws IOException {
         endpointListener.endpointsChanged(config.cachedEndpoints());
@@ -225,13 +239,13 @@
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
         InetSocketAddress at = config.listen();
-        socket.bind(at, BACKLOG);
+        socket.bind(at, ACCEPT_BACKLOG);
         this.socket = socket;
         ServingContext service = new ServingContext(
                 this::config,
                 decisions,
                 attemptRunner,
-                daemonThreads("transaction", config.limits().requestsInFlight() + 8),
+                daemonThreads("request", config.limits().requestsInFlight() + 8),
                 this::presentLimits,
                 metrics,
                 new ServingContext.ServiceState(
@@ -243,8 +257,8 @@
         listener = new ClientListener(
                 socket,
                 service,
-                queuedThreadPool("leg", config.limits().clientConnections()),
-                daemonThreads("spare", SPARE_LEGS));
+                queuedThreadPool("connection", config.limits().clientConnections()),
+                daemonThreads("over-limit", OVER_LIMIT_THREADS));
         daemonThread("listener", listener).start();
         features.onServing();
         lifecycle.enter(Lifecycle.Phase.SERVING);
@@ -308,7 +322,7 @@
             metrics.showClasses(next.names().live());
             synchronized (settingsLock) {
                 decisions.applySettings(features.adjustSettings(next.settings()));
-                config = next; // last: the module must know a class first
+                config = next; // last: the policy must know a class first
             }
             features.reload(next, operator);
             metrics.reconfigured(true);
@@ -356,7 +370,7 @@
     }
 
     /**
-     * Among how many dispatchers, processes counted, the module shares out what a cold worker may be sent.
+     * Among how many dispatchers, processes counted, the policy shares out what a cold worker may be sent.
      */
     public int dispatcherCount() {
         return decisions.dispatcherCount();
@@ -385,7 +399,7 @@
             long ms = 1_000_000;
             long start = System.nanoTime();
             long end = start + config.times().shutdownMs() * ms;
-            shutdownDeadlineUs = decisions.nowUs() + (config.times().shutdownMs() - LAST_MS) * 1000;
+            shutdownDeadlineUs = decisions.nowUs() + (config.times().shutdownMs() - RESPONSE_TRANSIT_MS) * 1000;
             boolean relieved = features.hasServingPeerProcess();
             features.beginShutdown();
             if (relieved) { // who serves beside it accepts all
@@ -395,10 +409,10 @@
             } else {
                 Thread.sleep(config.times().acceptMs());
             }
-            while (listener.wanted(relieved ? 0 : AGAIN_MS)
+            while (listener.wanted(relieved ? 0 : RECONNECT_GRACE_MS)
                     && System.nanoTime() - start < config.times().drainMs() * ms) {
                 if (relieved) {
-                    listener.endQuiet(SWIFT_MS);
+                    listener.endQuiet(IDLE_CLOSE_MS);
                 }
                 Thread.sleep(10);
             }
@@ -406,7 +420,7 @@
             // of a core it may not run for a tenth of a second between the two.
             listener.close();
             lifecycle.enter(Lifecycle.Phase.FINISHING);
-            while (!listener.over() && System.nanoTime() < end - LAST_MS * ms) {
+            while (!listener.over() && System.nanoTime() < end - RESPONSE_TRANSIT_MS * ms) {
                 Thread.sleep(10);
             }
             listener.failAll();
@@ -428,17 +442,17 @@
     private void tick() {
         while (true) {
             try {
-                for (Action chore : decisions.tick(lifecycle.quiesced() ? QUIET_MS : SWEEP_MS)) {
-                    if (chore instanceof Action.Probe probe) {
+                for (Action action : decisions.tick(lifecycle.quiesced() ? DRAIN_POLL_MS : SWEEP_INTERVAL_MS)) {
+                    if (action instanceof Action.Probe probe) {
                         probe(probe);
-                    } else if (chore instanceof Action.Cancel cancel) {
+                    } else if (action instanceof Action.Cancel cancel) {
                         attemptRunner.cancel(cancel.attempt());
                     } else {
                         endpointSource.watch();
                     }
                 }
                 closeQuietConnections();
-                if (System.nanoTime() - sweptNanos > SWEEP_MS * 1_000_000) {
+                if (System.nanoTime() - sweptNanos > SWEEP_INTERVAL_MS * 1_000_000) {
                     sweptNanos = System.nanoTime();
                     Set<String> used = new HashSet<>(decisions.endpointAddresses());
                     used.addAll(features.peerAddresses());
@@ -453,7 +467,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) { // the timers must go on
-                Logger.error(e, "a chore failed");
+                Logger.error(e, "an action of the policy failed");
             }
         }
     }
@@ -465,12 +479,12 @@
             return;
         }
         quiescedNanos = quiescedNanos == 0 ? System.nanoTime() : quiescedNanos;
-        boolean late = System.nanoTime() - quiescedNanos > PART_MS * 1_000_000;
-        listener.endQuiet(late ? LATE_MS : SWIFT_MS);
+        boolean late = System.nanoTime() - quiescedNanos > DRAIN_HURRY_AFTER_MS * 1_000_000;
+        listener.endQuiet(late ? HURRIED_IDLE_CLOSE_MS : IDLE_CLOSE_MS);
     }
 
     private void logCounts() {
-        if (System.nanoTime() - countsLoggedNanos > COUNT_MS * 1_000_000) {
+        if (System.nanoTime() - countsLoggedNanos > COUNTS_LOG_INTERVAL_MS * 1_000_000) {
             countsLoggedNanos = System.nanoTime();
             metrics.logCounts(listener == null ? 0 : listener.size());
         }
@@ -485,12 +499,12 @@
     }
 
     private static Thread daemonThread(String name, Runnable work) {
-        Thread t = new Thread(null, work, name, STACK);
+        Thread t = new Thread(null, work, name, THREAD_STACK_BYTES);
         t.setDaemon(true);
         return t;
     }
 
-    /** So many threads; work beyond them waits for one, as legs that make room for others are ending. */
+    /** So many threads; work beyond them waits for one, as connections that make room for others are closing. */
     private static ExecutorService queuedThreadPool(String name, int most) {
         AtomicInteger count = new AtomicInteger();
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
@@ -498,7 +512,7 @@
                 most,
                 10,
                 TimeUnit.SECONDS,
-                new LinkedBlockingQueue<>(ENDING_LEGS),
+                new LinkedBlockingQueue<>(MAX_WAITING_CONNECTIONS),
                 work -> daemonThread(name + '-' + count.incrementAndGet(), work));
         pool.allowCoreThreadTimeOut(true);
         return pool;
--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -18,8 +18,9 @@
 import org.tinylog.Logger;
 
 /**
- * What the way in and the command line both start: {@code serve} is one real dispatcher, {@code drill} speaks
- * the simulator's wire on standard input and output, {@code rehearse} serves itself one request and ends.
+ * What {@link Main} and the command line both start: {@code serve} is one real dispatcher; {@code drill} runs {@link
+ * maplespread.simulator.SimulatorAdapter} on standard input and output; {@code rehearse} is a dispatcher that serves itself
+ * one request and ends, so that the build can record an archive of the classes loaded.
  */
 public final class Start {
     private Start() {}
@@ -29,7 +30,7 @@
         serve(operator, (server, config) -> {});
     }
 
-    /** One dispatcher that asks itself, and ends. */
+    /** One dispatcher that sends itself one request, and ends. */
     public static void rehearse() {
         serve(null, Start::rehearse);
     }
--- a/src/main/java/maplespread/admin/AdminRoutes.java
+++ b/src/main/java/maplespread/admin/AdminRoutes.java
@@ -7,68 +7,75 @@
 import java.util.TreeSet;
 import java.util.function.BooleanSupplier;
 
-/** The calls, by method and path such as {@code GET /admin/health}. */
+/**
+ * The admin calls, by method and path such as {@code GET /admin/health}. Immutable; each call is answered on the thread of its
+ * connection.
+ */
 public final class AdminRoutes {
-    /** What a call brings: the query's parts, decoded, and the body. */
+    /** What a call brings: the query's parameters, decoded, and the body. */
     public record AdminRequest(Map<String, String> query, String body) {
-        /** Empty where the query has no such part. */
-        public String query(String key) {
-            return query.getOrDefault(key, "");
+        /** Empty where the query has no such parameter. */
+        public String query(String name) {
+            return query.getOrDefault(name, "");
         }
     }
 
-    /** What is said to a call; {@code allow}: the method that would do, for a 405. */
+    /** The response to a call; {@code allow}: the methods that would do, for a 405, or null. */
     public record AdminResponse(int status, String text, String allow) {
+        /** One that needs no Allow header. */
         public AdminResponse(int status, String text) {
             this(status, text, null);
         }
     }
 
-    /** Answers one call, on a thread of its own; must not wait for longer than 2 s. */
+    /** Answers one call, on a thread of its own; must not block for longer than 2 s. */
     public interface Call {
-        AdminResponse answer(AdminRequest ask);
+        /** The response; an exception ends the call without one. */
+        AdminResponse answer(AdminRequest request);
     }
 
-    private final Map<String, Call> table;
+    private final Map<String, Call> calls;
 
-    public AdminRoutes(Map<String, Call> table) {
-        this.table = Map.copyOf(table);
+    /** {@code calls}: by method, a blank, and path. */
+    public AdminRoutes(Map<String, Call> calls) {
+        this.calls = Map.copyOf(calls);
     }
 
-    /** One that can be done or not, and says so. */
-    public static Call yesOrNo(BooleanSupplier call, String yes, int status, String no) {
-        return ask -> call.getAsBoolean() ? new AdminResponse(200, yes) : new AdminResponse(status, no);
+    /** A call that succeeds with 200 and one text, or fails with {@code status} and another. */
+    public static Call yesOrNo(BooleanSupplier action, String yes, int status, String no) {
+        return request -> action.getAsBoolean() ? new AdminResponse(200, yes) : new AdminResponse(status, no);
     }
 
     /** Answers one call: 404 where there is none at that path, 405 where it wants another method. */
     public AdminResponse answer(String method, String target, String body) {
-        int at = target.indexOf('?');
-        String path = at < 0 ? target : target.substring(0, at);
-        Call call = table.get(method + ' ' + path);
+        int queryAt = target.indexOf('?');
+        String path = queryAt < 0 ? target : target.substring(0, queryAt);
+        Call call = calls.get(method + ' ' + path);
         if (call != null) {
-            return call.answer(new AdminRequest(parts(at < 0 ? "" : target.substring(at + 1)), body));
+            return call.answer(new AdminRequest(parameters(queryAt < 0 ? "" : target.substring(queryAt + 1)), body));
         }
-        TreeSet<String> allow = new TreeSet<>();
-        for (String line : table.keySet()) {
-            if (line.endsWith(' ' + path)) {
-                allow.add(line.substring(0, line.indexOf(' ')));
+        TreeSet<String> allowed = new TreeSet<>();
+        for (String route : calls.keySet()) {
+            if (route.endsWith(' ' + path)) {
+                allowed.add(route.substring(0, route.indexOf(' ')));
             }
         }
-        if (allow.isEmpty()) {
+        if (allowed.isEmpty()) {
             return new AdminResponse(404, "no such call");
         }
-        String words = String.join(", ", allow);
-        return new AdminResponse(405, words + " only", words);
+        String methods = String.join(", ", allowed);
+        return new AdminResponse(405, methods + " only", methods);
     }
 
     /** What cannot be decoded is taken as it stands: the calls say themselves what they cannot use. */
-    private static Map<String, String> parts(String query) {
-        Map<String, String> all = new TreeMap<>();
-        for (String part : query.split("&")) {
-            int is = part.indexOf('=');
-            all.put(decoded(is < 0 ? part : part.substring(0, is)), is < 0 ? "" : decoded(part.substring(is + 1)));
+    private static Map<String, String> parameters(String query) {
+        Map<String, String> values = new TreeMap<>();
+        for (String parameter : query.split("&")) {
+            int equals = parameter.indexOf('=');
+            String name = equals < 0 ? parameter : parameter.substring(0, equals);
+            values.put(decoded(name), equals < 0 ? "" : decoded(parameter.substring(equals + 1)));
         }
-        return all;
+        return values;
     }
 
     private static String decoded(String text) {
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -30,8 +30,11 @@
     private static final long OVER_LIMIT_READ_MS = 200;
     /** For the client's unread bytes before the close: enough to pass over 60 MB. */
     private static final long LINGER_MS = 2000;
-    /** Retry-After of what is rejected for lack of capacity, without asking the policy. */
-    private static final double OVER_LIMIT_RETRY_AFTER_MS = 250;
+    /**
+     * Retry-After of what is rejected for lack of capacity here (connections, requests, threads, large bodies) without
+     * asking the policy; such rejections have no reason in the metrics.
+     */
+    private static final double NO_CAPACITY_RETRY_AFTER_MS = 250;
     /** Unacceptable requests in a row, after which the connection ends. */
     private static final int MAX_CONSECUTIVE_FAULTS = 4;
     /** The pause after an unacceptable request, doubled with each in a row. */
@@ -168,7 +171,7 @@
     /** Rejects whatever it brings, unread: for when no thread is left that could read it. */
     void rejectUnread() {
         context.metrics().connectionRejectedUnread();
-        new ClientResponse(connection, () -> true, context.metrics()).rejected(OVER_LIMIT_RETRY_AFTER_MS);
+        new ClientResponse(connection, () -> true, context.metrics()).rejected(NO_CAPACITY_RETRY_AFTER_MS);
         connection.close();
     }
 
@@ -226,7 +229,7 @@
         boolean largePermit = false;
         try {
             if (!enter(Phase.READING, null)) {
-                response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+                response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
                 return false;
             }
             connection.receiveBy(parser, wholeByNanos, true);
@@ -242,7 +245,7 @@
             }
             connection.receiveBy(parser, wholeByNanos, false);
             if (!enter(Phase.IN_FLIGHT, response)) {
-                response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+                response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
                 return false;
             }
             answerWhole(parser.head(), body, response);
@@ -255,7 +258,7 @@
             if (!closing()) {
                 throw e; // its client has left
             }
-            response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+            response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
         } finally {
             if (largePermit) {
                 context.largeBodyPermits().release();
@@ -270,7 +273,7 @@
         if (context.config().names().place(requestClass) >= 0) {
             response.accepted(requestClass);
         }
-        response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+        response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
         linger();
     }
 
@@ -370,7 +373,10 @@
         return false;
     }
 
-    /** Answers a readiness check; false where the request is none. */
+    /**
+     * Answers a readiness check; false where the request is none. A cached list that discovery has not confirmed counts as
+     * ready, though requests are rejected by it until it is confirmed.
+     */
     private boolean answerReadiness(HttpHead head, ClientResponse response) {
         if (!head.target().equals("/ready")) {
             return false;
@@ -390,7 +396,7 @@
     private void accept(ClientRequest request, ClientResponse response) throws IOException, InterruptedException {
         if (overLimit || !context.requestPermits().tryAcquire()) {
             response.accepted(request, context.hooks().listener());
-            response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+            response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
             return;
         }
         String requestId = request.message.id();
@@ -420,7 +426,7 @@
             });
         } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is to be had
             complete(requestId);
-            response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+            response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
             return;
         }
         watchClient(request.inFlight, response);
--- a/src/main/java/maplespread/config/Config.java
+++ b/src/main/java/maplespread/config/Config.java
@@ -13,8 +13,8 @@
 import maplespread.policy.RequestClass;
 
 /**
- * All that a dispatcher is told, read and checked by {@link ConfigReader}. {@code console}: where the
- * operators call, or null; {@code keys}: those that the file has; {@code tmp}: the directory that processes
+ * The configuration of one dispatcher, read and checked by {@link ConfigReader}. {@code console}: the admin
+ * address, or null; {@code keys}: those that the file has; {@code tmp}: the directory that processes
  * of one dispatcher share, or null.
  */
 public record Config(
@@ -35,7 +35,7 @@
 
     /**
      * This one, read while {@code running} holds, as it can be taken up without a restart: classes keep their
-     * places, and what needs a restart stays. A ConfigError where it lacks a key that the running one has.
+     * places, and what needs a restart stays. A ConfigException where it lacks a key that the running one has.
      */
     public Config mergedInto(Config running) throws ConfigException {
         for (String key : running.keys) {
@@ -106,9 +106,9 @@
     }
 
     /**
-     * How much is held at once. {@code transactions} in work, {@code legs}: client connections, {@code kept}:
-     * of these, beyond how many the longest idle end, {@code links}: worker connections, in use or idle,
-     * {@code idleLinks}: of these, how many may be idle whatever is in use.
+     * How much is held at once. {@code servedClientConnections}: beyond so many useful client connections the longest idle
+     * ends; {@code workerConnections}: in use or idle; {@code idleWorkerConnections}: of these, how many may be idle whatever
+     * is in use.
      */
     public record Limits(
             int requestsInFlight,
@@ -137,11 +137,12 @@
     }
 
     /**
-     * Time limits in milliseconds that are not the module's. {@code firstByteMs}: for a worker to say that it
-     * has taken a job; {@code legReadMs}: for a whole request, the
-     * first one from connecting on; {@code acceptMs} and {@code holdMs}: how long after SIGTERM connections
-     * are still accepted, and open ones still served; {@code endMs}: when all must be answered and over; {@code
-     * firstListMs}: for discovery to confirm the list, before a process serves without.
+     * Time limits in milliseconds that are not the policy's. {@code dialMs}: for a connection to a worker; {@code
+     * firstByteMs}: for a worker to say that it has taken a request; {@code probeMs}: for a probe's answer; {@code
+     * workerIdleMs} and {@code clientIdleMs}: after so long idle, connections close; {@code clientReadMs}: for a whole
+     * request, the first one from connecting on; {@code acceptMs} and {@code drainMs}: how long after SIGTERM connections
+     * are still accepted, and open ones still served; {@code shutdownMs}: when all must be answered and over; {@code
+     * firstListMs}: for the first list since the start, before a process serves without.
      */
     public record Times(
             long dialMs,
--- a/src/main/java/maplespread/config/PartitionSettings.java
+++ b/src/main/java/maplespread/config/PartitionSettings.java
@@ -9,8 +9,8 @@
 
 /**
  * Order over the whole fleet. {@code table}: as JSON, proposed while none is agreed on; {@code address}:
- * where others reach this one's listener for jobs, empty: as it is bound; {@code leaseMs}: how long a
- * majority's word holds; {@code askMs}: how often it is asked for; {@code silentMs}, {@code goneMs}: not
+ * where others reach this one's listener for jobs, empty: as it is bound; {@code leaseMs}: length
+ * of a lease; {@code askMs}: interval at which it is renewed; {@code silentMs}, {@code goneMs}: not
  * heard for so long, a member gets no lease, and its slots go to others; {@code drift}: share by which
  * clocks may be off; {@code slots}: of keys, when the value is first written.
  */
--- a/src/main/java/maplespread/consensus/ChangeResult.java
+++ b/src/main/java/maplespread/consensus/ChangeResult.java
@@ -15,7 +15,10 @@
         DECIDED,
         /** The change threw an exception when it was applied; the value is unchanged. */
         REJECTED,
-        /** No majority answered in time: the change may yet be decided, or not. */
+        /**
+         * Not known to be decided: no majority answered in time, the caller was interrupted, or the change met others for so
+         * long that it cannot be traced. It may have been decided, may yet be, or not.
+         */
         NO_MAJORITY
     }
 }
--- a/src/main/java/maplespread/consensus/OrphanedChangeFinisher.java
+++ b/src/main/java/maplespread/consensus/OrphanedChangeFinisher.java
@@ -16,7 +16,8 @@
     private final NodeState state;
     private final Proposer proposer;
     private final SplittableRandom random;
-    private long undecidedSince = NEVER;
+    /** When the wait begins: a random time ahead, so that not all electors act at once. */
+    private long waitFrom = NEVER;
 
     OrphanedChangeFinisher(NodeState state, Proposer proposer, SplittableRandom random) {
         this.state = state;
@@ -28,11 +29,11 @@
     void tick(long now) {
         long intervalMs = state.settings().maxRetryMs();
         if (!isUndecided() || !proposer.isIdle()) {
-            undecidedSince = NEVER;
-        } else if (undecidedSince == NEVER) {
-            undecidedSince = now + random.nextLong(intervalMs); // not all electors at once
-        } else if (now > undecidedSince + intervalMs) {
-            undecidedSince = NEVER;
+            waitFrom = NEVER;
+        } else if (waitFrom == NEVER) {
+            waitFrom = now + random.nextLong(intervalMs);
+        } else if (now > waitFrom + intervalMs) {
+            waitFrom = NEVER;
             long giveUpAt = now + READ_INTERVALS * intervalMs;
             proposer.submit(PendingChange.ofValue(Mutation.READ, proposer.nextNumber(), giveUpAt, result -> {}));
         }
--- a/src/main/java/maplespread/consensus/Recovery.java
+++ b/src/main/java/maplespread/consensus/Recovery.java
@@ -10,8 +10,8 @@
 
 /**
  * Reads back, at the start of an incarnation, what the incarnations before it may have voted for: diskless recovery by
- * crash vectors (Michael, Ports, Sharma, Szekeres, DISC 2017). It ends once a majority of the electors in force, this
- * member not counted, has reported: whatever was decided is among the reports, and whoever answered tells all others
+ * crash vectors (Michael, Ports, Sharma, Szekeres, DISC 2017). It ends once other members that form a majority of all
+ * electors in force have reported: whatever was decided is among the reports, and whoever answered tells all others
  * that the earlier incarnations have ended.
  */
 final class Recovery {
--- a/src/main/java/maplespread/consensus/StateTransition.java
+++ b/src/main/java/maplespread/consensus/StateTransition.java
@@ -59,6 +59,7 @@
         }
     }
 
+    /** No majority was lost: the change cannot be traced among others, so whether it is decided is not known either. */
     private static ChangeResult untraceable(NodeState state) {
         return new ChangeResult(
                 ChangeResult.Outcome.NO_MAJORITY,
@@ -97,7 +98,7 @@
         return new ChangeResult(
                 ChangeResult.Outcome.REJECTED,
                 state.decidedValue(),
-                new ChangeRejectedException(
+                new ChangeRejectedException( // operators' words: sighted is recovered, founded is bootstrapped
                         "a majority of the electors is sighted",
                         "changes are decided as always",
                         "nothing need be founded; electors are changed by call"));
--- a/src/main/java/maplespread/discovery/WatchTimeouts.java
+++ b/src/main/java/maplespread/discovery/WatchTimeouts.java
@@ -22,8 +22,8 @@
     /** What is left of that for the update to be taken in and obeyed. */
     private static final long SPARE_MS = 200;
 
-    /** Lines may be late by this part of what is left after a line's interval. */
-    private static final int LATE_PART = 5;
+    /** Lines may be late by one part in this many of what is left after a line's interval. */
+    private static final int LATE_DIVISOR = 5;
 
     /** Checks that there is a time for silences and one for calls. */
     public WatchTimeouts {
@@ -34,7 +34,7 @@
 
     /** By the protocol's times. */
     public static WatchTimeouts ofProtocol() {
-        long lateMs = (CHANGE_NOTIFIED_MS - LINE_INTERVAL_MS) / LATE_PART;
+        long lateMs = (CHANGE_NOTIFIED_MS - LINE_INTERVAL_MS) / LATE_DIVISOR;
         long silenceMs = LINE_INTERVAL_MS + lateMs;
         long spreadMs = lateMs / 2;
         return new WatchTimeouts(silenceMs, spreadMs, CHANGE_NOTIFIED_MS - SPARE_MS - silenceMs - spreadMs);
--- a/src/main/java/maplespread/facade/InFlightRequest.java
+++ b/src/main/java/maplespread/facade/InFlightRequest.java
@@ -8,7 +8,7 @@
 import maplespread.policy.PolicySettings;
 
 /**
- * One request of a client, as far as decisions go; it knows no protocol. The network code makes it and asks {@link
+ * One request of a client, from its acceptance to its final response, as far as decisions go; it knows no protocol. The network code makes it and asks {@link
  * DecisionService#decide} about it. Mutable fields are guarded by the service's lock.
  */
 public final class InFlightRequest {
--- a/src/main/java/maplespread/partition/FencingCheck.java
+++ b/src/main/java/maplespread/partition/FencingCheck.java
@@ -32,7 +32,7 @@
     private final Set<String> grantedBy = new HashSet<>();
 
     private SlotAssignment assignment;
-    /** By slot: from when on this member may send for it, leases apart. */
+    /** By slot: from when on this member may send for it, provided that it holds a lease then. */
     private final long[] opensAtMs;
 
     private long round;
--- a/src/main/java/maplespread/partition/HeartbeatTable.java
+++ b/src/main/java/maplespread/partition/HeartbeatTable.java
@@ -23,7 +23,7 @@
      * What one elector knows of a dispatcher. The names in the JSON are older than the code's.
      *
      * @param incarnation the newest that was heard; 0: none
-     * @param sequence the number of the last of its questions
+     * @param sequence the number of its last lease request
      * @param silentForMs for how long it has not been heard
      * @param wantsSlots whether it wants to own slots
      */
@@ -87,7 +87,7 @@
         lastPauseEndedAtMs = nowMs;
     }
 
-    /** This elector has received a dispatcher's question; one that was overtaken on its way changes nothing. */
+    /** This elector has received a dispatcher's lease request, its heartbeat; one that was overtaken on its way changes nothing. */
     public void recordHeartbeat(long nowMs, String name, long incarnation, long sequence, boolean wantsSlots) {
         own.merge(
                 name,
--- a/src/main/java/maplespread/partition/LeaseSettings.java
+++ b/src/main/java/maplespread/partition/LeaseSettings.java
@@ -3,7 +3,7 @@
 /**
  * The times that leases and fencing go by.
  *
- * @param electors how many there are, where they do not change
+ * @param electors how many there are; not used where electors change, as {@code recordGrant} is given the majority test
  * @param leaseMs how long a member acts on a majority's grant, by its own clock from when it asked
  * @param drift by what share a clock may run fast or slow at most
  */
--- a/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
+++ b/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
@@ -39,7 +39,7 @@
     private final HeartbeatTable heartbeats;
     private final ConfiguredTable configured;
 
-    /** The incarnation of the register that has no assignment yet, and since when. On the coordinator's thread. */
+    /** The register's epoch that has no assignment yet, and since when. On the coordinator's thread. */
     private long emptyRegisterEpoch;
 
     private long emptySinceMs;
@@ -98,7 +98,7 @@
 
     /**
      * Nothing is agreed on: all begin, or what was agreed is lost. What was sent before must be over, and whoever
-     * knew of it may have left, so a hold time is waited from when this incarnation of the register was first seen.
+     * knew of it may have left, so a hold time is waited from when this epoch of the register was first seen.
      */
     private void proposeFirst(ClusterHandle handle, VersionedValue value, long nowMs, boolean leads) {
         if (emptyRegisterEpoch != value.epoch()) {
--- a/src/main/java/maplespread/partition/client/OrderReason.java
+++ b/src/main/java/maplespread/partition/client/OrderReason.java
@@ -17,7 +17,7 @@
     STOPPED("stopped"),
     /** The owner of the key's slot is another member, or could not be reached in time. */
     MOVED("moved"),
-    /** The key's slot has no owner that holds a lease. */
+    /** This member has no agreed table or no lease, the slot has no owner, or the owner's address is not known. */
     NO_LEASE("no-lease"),
     /** The partition has no worker that takes requests. */
     NO_WORKER("no-worker"),
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -233,7 +233,7 @@
         }
         worker.probeEnded(outcome, lagMs, report);
         for (PendingRequest request : List.copyOf(requests.probing())) {
-            if (probes.isCompletedBy(worker, request)) {
+            if (probes.recordReply(worker, request)) {
                 endProbeRound(request);
             }
         }
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Whether a request may be sent by the list. */
+    /** Whether a request may be sent by the list. Notes, and reports to the listener, that it has become stale. */
     boolean usable(double nowMs) {
         if (nowMs >= usableUntilMs && state != EndpointListState.UNCONFIRMED) {
             moveTo(EndpointListState.STALE, nowMs);
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -5,8 +5,9 @@
  * request class is to fail at it.
  *
  * <ul>
- *   <li>Ejected: a connection to it broke or could not be had. A probe goes out at once, and again at a look at the
- *       fleet ({@link FleetLoadEstimate}) whenever its backoff is over. It ends with a sign of life: an answered
+ *   <li>Ejected: a connection to it broke or could not be had. Only where probing is allowed, and not on a slow failure
+ *       while a quarter of all connections fails slowly. A probe goes out at once, and again at a look at the fleet
+ *       ({@link FleetLoadEstimate#refresh}, so only while requests come) whenever its backoff is over. It ends with a sign of life: an answered
  *       probe, a served attempt, a start or progress report; or when the list says that the worker has started since.
  *   <li>Backing off, ejected or not: after a rejection, a failed connection, a timeout without a later sign of life,
  *       or a probe round without its answer. It ends after one objective, twice as long with each such failure in a
@@ -14,7 +15,8 @@
  *   <li>Neither: a class that fails there, or has overdue attempts, raises the worker's price for that class alone.
  * </ul>
  *
- * <p>A request for which no ready worker is left may still be sent to an ejected one, as a trial. Times are ms.
+ * <p>A request for which no ready worker is left may still be sent to an ejected one, as a trial ({@link
+ * WorkerSelector#place}). Times are ms.
  */
 final class OutlierDetector {
     /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
@@ -85,7 +87,7 @@
         failures.attemptEnded(classIndex, failed);
     }
 
-    /** A sign of life: no ejection, and the backoff starts anew with the next failure. */
+    /** A sign of life ends the ejection; a backoff that is on goes on, and the next failure begins with the shortest one. */
     void aliveSeen() {
         lastAliveMs = context.nowMs;
         consecutiveFailures = 0;
--- a/src/main/java/maplespread/policy/PlatformRules.java
+++ b/src/main/java/maplespread/policy/PlatformRules.java
@@ -4,7 +4,8 @@
  * Figures of the platform's rules.
  *
  * @param drainGraceMs how long after a drain was notified something new may still reach the worker
- * @param maxListAgeMs how long the endpoint list may be used without a message from discovery
+ * @param maxListAgeMs after how long without a message discovery is polled again; {@link EndpointListFreshness} lets the
+ *     list stand for four times as long, at most until changes count as notified
  * @param slowStartCapacityShare share of its capacity that a worker has when it starts, above 0 and up to 1
  * @param slowStartMs how long it takes to full capacity
  * @param overloadFactor a worker in slow start fails when it is sent this multiple of its present capacity
--- a/src/main/java/maplespread/policy/PolicyActions.java
+++ b/src/main/java/maplespread/policy/PolicyActions.java
@@ -11,7 +11,7 @@
     /** End the request; the client may safely try again, after {@code pauseMs} if above 0. */
     void reject(long id, double pauseMs, RejectionReason why);
 
-    /** End the request with an error: whether it ran is not known. */
+    /** End the request with an error: it may have run, or its deadline has passed. */
     void fail(long id, RejectionReason why);
 
     /** Call off an attempt; it still gets its outcome. */
--- a/src/main/java/maplespread/policy/ProbeScheduler.java
+++ b/src/main/java/maplespread/policy/ProbeScheduler.java
@@ -82,7 +82,7 @@
     }
 
     /** A worker has answered a probe, or failed to; returns whether that was the last answer the request waited for. */
-    boolean isCompletedBy(Worker worker, PendingRequest request) {
+    boolean recordReply(Worker worker, PendingRequest request) {
         return request.awaitingReply.remove(worker) && request.awaitingReply.isEmpty();
     }
 
--- a/src/main/java/maplespread/policy/RejectionReason.java
+++ b/src/main/java/maplespread/policy/RejectionReason.java
@@ -1,15 +1,17 @@
 package maplespread.policy;
 
 /**
- * Why a request is ended unserved; {@link AdmissionControl} decides it. Log lines and metrics print the names. Whether
- * the request is rejected (the client may safely try again) or failed is decided apart, by {@link RetryPolicy}.
+ * Why a request is ended unserved. {@link AdmissionControl} decides it, but for FAULT and for a request that had no decision by
+ * its deadline (OUT_OF_TIME), which the host ends. Log lines and metrics print the names. Whether the request is rejected (the
+ * client may safely try again) or failed is decided apart, by {@link RetryPolicy}.
  */
 public enum RejectionReason {
     /** Some worker may take it, but at each the expected loss of this and later requests is above a rejection's. */
     OVERLOADED,
 
     /**
-     * No worker may be used, by a list that counts: none is active, of the needed kind, or has slow-start budget left.
+     * No worker passed {@link EligibilityFilter}: each one is inactive, of another kind, too small, not among those allowed,
+     * outside the scope or window of a repeat, or without slow-start budget ({@link Eligibility} has the conditions).
      */
     NO_SERVER,
 
--- a/src/main/java/maplespread/policy/package-info.java
+++ b/src/main/java/maplespread/policy/package-info.java
@@ -16,6 +16,9 @@
  *   <li>{@code EndpointListFreshness}, {@code DiscoveryPollSchedule}: the endpoint list.
  * </ul>
  *
+ * <p>Spans that comments count in: the <i>objective</i> is the shortest latency objective of all classes, the estimators'
+ * <i>memory</i> the shortest deadline, a <i>mean request</i> the mean work of the requests offered, all in ms.
+ *
  * <p>Owns no thread, socket or clock, and imports nothing but {@code java.lang} and {@code java.util}: the simulator
  * runs the same code. The host calls it under one lock. Figures are bit-exact from release to release unless a change
  * of behaviour is meant: sums keep their order, and the random source its order of draws.
--- a/src/main/java/maplespread/registry/HistoryGuard.java
+++ b/src/main/java/maplespread/registry/HistoryGuard.java
@@ -18,8 +18,8 @@
     }
 
     private static final long NOT_IN_DOUBT = Long.MIN_VALUE;
-    /** Share of the time until another history is believed for which a doubtful server is left alone. */
-    private static final int STALE_SERVER_PART = 4;
+    /** A doubtful server is left alone for one part in this many of the time until another history is believed. */
+    private static final int STALE_SERVER_DIVISOR = 4;
 
     private final WatchState state;
     private final long restoreAfterMs;
@@ -70,7 +70,7 @@
 
     /** The server's answers are behind: others are called meanwhile. */
     void leaveServerAlone(long nowMs) {
-        state.servers.recordStaleAnswer(nowMs, restoreAfterMs / STALE_SERVER_PART);
+        state.servers.recordStaleAnswer(nowMs, restoreAfterMs / STALE_SERVER_DIVISOR);
     }
 
     /** The answer proves that the registry has another history, whatever its revisions say. */
--- a/src/main/java/maplespread/registry/RegistrySettings.java
+++ b/src/main/java/maplespread/registry/RegistrySettings.java
@@ -67,7 +67,7 @@
     /** With so many servers a long wait leaves time for an attempt at each. */
     private static final int MAX_SERVERS_WITH_LONG_WAIT = 2;
 
-    /** Consul adds up to this part of a wait to it. */
+    /** Consul adds up to one part in this many of a wait to it. */
     static final int CONSUL_EXTRA = 16;
 
     private static final long STALENESS_LIMIT_MS = 6000;
--- a/src/main/java/maplespread/registry/SnapshotPolling.java
+++ b/src/main/java/maplespread/registry/SnapshotPolling.java
@@ -9,8 +9,8 @@
  * answer compared with the view. Not thread-safe.
  */
 final class SnapshotPolling {
-    /** Waits of many dispatchers are shortened by up to this part of them. */
-    private static final int WAIT_SPREAD_PART = 4;
+    /** Waits of many dispatchers are shortened by up to one part in this many. */
+    private static final int WAIT_SPREAD_DIVISOR = 4;
 
     /** A query with an index below this would not block. */
     private static final long MIN_INDEX = 1;
@@ -29,7 +29,7 @@
                 server,
                 state.firstTarget,
                 readAll ? 0 : state.position.reached(0),
-                state.jitter.shortened(state.settings.askedWaitMs(), WAIT_SPREAD_PART),
+                state.jitter.shortened(state.settings.askedWaitMs(), WAIT_SPREAD_DIVISOR),
                 askLeader);
     }
 
--- a/src/main/java/maplespread/release/ConditionTimers.java
+++ b/src/main/java/maplespread/release/ConditionTimers.java
@@ -37,7 +37,7 @@
         heldSinceMs.clear();
     }
 
-    /** Whether the condition has held for this long. */
+    /** Whether the condition has held for this long. The first call starts its timer; a round that does not ask resets it. */
     boolean heldFor(String condition, long durationMs) {
         askedInRound.add(condition);
         return nowMs - heldSinceMs.computeIfAbsent(condition, key -> nowMs) >= durationMs;
--- a/src/main/java/maplespread/release/DrainPermission.java
+++ b/src/main/java/maplespread/release/DrainPermission.java
@@ -20,6 +20,7 @@
                 && (outage.release().isEmpty() || isReleaseAsGranted(state, outage));
     }
 
+    /** The outage's {@code why} holds the name of the phase in which it was granted. */
     private static boolean isReleaseAsGranted(RolloutState state, PlannedOutage outage) {
         return state.halt() == null
                 && state.inProgress()
--- a/src/main/java/maplespread/release/QuorumLossTimer.java
+++ b/src/main/java/maplespread/release/QuorumLossTimer.java
@@ -29,7 +29,7 @@
         return durationMs;
     }
 
-    /** Whoever has reached a majority meanwhile has changed one of these. */
+    /** Whoever has reached a majority meanwhile has changed one of these, as each round there raises the heartbeats. */
     private boolean isUnchangedSinceLoss(RolloutState state) {
         return state.heartbeats() == stateAtLoss.heartbeats()
                 && state.stabilityVersion() == stateAtLoss.stabilityVersion()
--- a/src/main/java/maplespread/release/RolloutController.java
+++ b/src/main/java/maplespread/release/RolloutController.java
@@ -107,6 +107,7 @@
         } else if (isActive() || !state.plannedOutages().isEmpty()) {
             waitingFor = propose(proposals, quorumLossMs);
         }
+        // Also without a majority: before each drain RolloutService asks one whether it is still permitted.
         List<RolloutAction> actions = actions();
         timers.endRound();
         forgetEndedOutages();
@@ -209,6 +210,7 @@
     private boolean isUnavailabilityToReport(String name) {
         boolean isReported = state.unplannedOutages().containsKey(name);
         boolean isPlanned = state.plannedOutages().containsKey(name);
+        // First the detection time, then, on a timer of its own, this instance's turn to report.
         return !isReported
                 && !isPlanned
                 && timers.heldFor("unavailable " + name, settings.detectionMs)
@@ -334,7 +336,7 @@
         return actions;
     }
 
-    /** By a halt, where the member still serves; by another direction of the release, where it drains too. */
+    /** The counterpart of {@link DrainPermission#isPermitted}. By a halt, where the member still serves; by another direction of the release, where it drains too. */
     private boolean isCalledBack(PlannedOutage outage, Member seen) {
         if (outage.release().isEmpty()) {
             return false;
--- a/src/main/java/maplespread/starvation/PriorityBoost.java
+++ b/src/main/java/maplespread/starvation/PriorityBoost.java
@@ -43,8 +43,8 @@
     /** A weight above 1. The member names are those of the admin answer. */
     public record Weight(int tenant, double weight) {}
 
-    /** A boost falls by this part of a step a round. */
-    private static final int FALL_PART = 5;
+    /** A boost falls by one part in this many of a step a round. */
+    private static final int FALL_DIVISOR = 5;
 
     /** Rounds without a verdict after which a boost falls. */
     private static final int MIN_HOLD_ROUNDS = 3;
@@ -200,7 +200,7 @@
                 double room = Math.min(boost.ceiling - boost.extra, limits.maxTotalBoost - sum);
                 boost.extra += Math.max(0, Math.min(limits.step, room));
             } else if (!boost.starved && (!believed || boost.roundsWell > boost.holdRounds)) {
-                boost.extra = Math.max(0, boost.extra - limits.step / FALL_PART);
+                boost.extra = Math.max(0, boost.extra - limits.step / FALL_DIVISOR);
             }
             boost.extra = boost.extra < EPSILON ? 0 : boost.extra;
             sum += boost.extra - before;
