--- a/src/main/java/maplespread/lab/FleetMeasure.java
+++ b/src/main/java/maplespread/lab/FleetMeasure.java
@@ -61,7 +61,7 @@
                     IntStream.range(0, size[1]).mapToObj(i -> "w-" + i).toList();
             for (double perWorker : new double[] {5, 10, 40}) {
                 double width = Math.max(1, perWorker * size[1] / n);
-                double spread = CoverageStatistics.spread(CoverageStatistics.loads(n, width, ws, 1));
+                double spread = CoverageStatistics.maxToMeanRatio(CoverageStatistics.loads(n, width, ws, 1));
                 report.row(
                         n + " dispatchers, " + size[1] + " workers, " + (int) perWorker + " a worker",
                         "width",
@@ -77,15 +77,15 @@
             more.add("new");
             report.aim(
                     "a dispatcher joins " + n + ", share moved less 1/N",
-                    CoverageStatistics.moved(n, ws, n + 1, ws, width, 1) - 1.0 / (n + 1),
+                    CoverageStatistics.movedShare(n, ws, n + 1, ws, width, 1) - 1.0 / (n + 1),
                     0.05);
             report.aim(
                     "a worker joins " + size[1] + " at " + n + ", share moved less 1/N",
-                    CoverageStatistics.moved(n, ws, n, more, width, 1) - 1.0 / n,
+                    CoverageStatistics.movedShare(n, ws, n, more, width, 1) - 1.0 / n,
                     0.05);
             report.aim(
                     "a worker leaves at " + n + ", share moved less 1/N",
-                    CoverageStatistics.moved(n, ws, n, ws.subList(1, ws.size()), width, 1) - 1.0 / n,
+                    CoverageStatistics.movedShare(n, ws, n, ws.subList(1, ws.size()), width, 1) - 1.0 / n,
                     0.05);
         }
     }
--- a/src/main/java/maplespread/subset/CoverageStatistics.java
+++ b/src/main/java/maplespread/subset/CoverageStatistics.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Statistics of a fleet's subsets: how evenly they cover the workers, and how much moves on a change. */
+/** Measures how evenly a fleet's subsets cover the workers, and how much weight a change of the fleet moves. */
 public final class CoverageStatistics {
     private CoverageStatistics() {}
 
@@ -20,15 +20,15 @@
         return loads;
     }
 
-    /** The most loaded worker against the mean; 1 is perfectly even. */
-    public static double spread(Map<String, Double> loads) {
+    /** Ratio of the highest load to the mean load; 1: perfectly even, 0: no load. */
+    public static double maxToMeanRatio(Map<String, Double> loads) {
         double max = loads.values().stream().mapToDouble(x -> x).max().orElse(0);
         double mean = loads.values().stream().mapToDouble(x -> x).average().orElse(0);
         return mean == 0 ? 0 : max / mean;
     }
 
-    /** The share of all weight that differs between two fleets' subsets: what a change moves. */
-    public static double moved(
+    /** The share of all weight, 0 to 1, that moves to other workers when one fleet becomes the other. */
+    public static double movedShare(
             int dispatchersBefore,
             List<String> workersBefore,
             int dispatchersAfter,
@@ -53,7 +53,7 @@
         return total == 0 ? 0 : changed / (2 * total);
     }
 
-    /** A dispatcher's subset; empty where there is no dispatcher of that index. */
+    /** A dispatcher's subset; empty if there is no dispatcher with that index. */
     private static Map<String, Double> subset(int index, int dispatchers, double width, String[] order) {
         return index < dispatchers ? DeterministicAperture.of(index, width, order) : Map.of();
     }
--- a/src/test/java/maplespread/subset/DeterministicApertureTest.java
+++ b/src/test/java/maplespread/subset/DeterministicApertureTest.java
@@ -34,7 +34,7 @@
         // 200 dispatchers, 10,000 workers: the bound of issue 22 (max over mean 1.10) holds from a width of
         // 2,000 workers a dispatcher (40 dispatchers a worker); narrower, the positions' gaps show.
         for (long seed : new long[] {1, 2}) {
-            double wide = CoverageStatistics.spread(
+            double wide = CoverageStatistics.maxToMeanRatio(
                     CoverageStatistics.loads(200, 2000, workers(10_000, "s" + seed + "-"), seed));
             assertTrue(wide <= 1.10, "max over mean " + wide);
         }
@@ -74,7 +74,7 @@
         for (long seed : new long[] {1, 2}) {
             for (Object[] r : rows) {
                 @SuppressWarnings("unchecked")
-                double moved = CoverageStatistics.moved(
+                double moved = CoverageStatistics.movedShare(
                         (int) r[0], (List<String>) r[2], (int) r[1], (List<String>) r[3], 80, seed);
                 assertTrue(moved <= (double) r[4] + 1e-9, r[0] + " to " + r[1] + ": " + moved);
             }
--- a/src/test/java/maplespread/subset/SubsetGoldenTest.java
+++ b/src/test/java/maplespread/subset/SubsetGoldenTest.java
@@ -31,10 +31,10 @@
             }
         }
         line(List.of(DeterministicAperture.ordered(workers(12), 7)));
-        line(CoverageStatistics.spread(CoverageStatistics.loads(30, 8, workers(40), 3)));
+        line(CoverageStatistics.maxToMeanRatio(CoverageStatistics.loads(30, 8, workers(40), 3)));
         line(
-                CoverageStatistics.moved(30, workers(40), 31, workers(40), 8, 3),
-                CoverageStatistics.moved(30, workers(40), 30, workers(41), 8, 3));
+                CoverageStatistics.movedShare(30, workers(40), 31, workers(40), 8, 3),
+                CoverageStatistics.movedShare(30, workers(40), 30, workers(41), 8, 3));
         for (int index : new int[] {0, 3, 11}) {
             SubsetAssignment cut = new SubsetAssignment(index, 12, new SubsetAssignment.SubsetSettings(4, 3), 42);
             for (int i = 0; i < 30; i++) {
