--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -58,7 +58,7 @@
 
     private void apply(PolicySettings settings) {
         context.apply(settings);
-        freshness.settings(!settings.pollsDiscovery(), context.rules.maxListAgeMs());
+        freshness.applySettings(!settings.pollsDiscovery(), context.rules.maxListAgeMs());
     }
 
     // ------------------------------------------------------------ settings and endpoint list
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -52,7 +52,7 @@
      * @param pushed an agent beside this process pushes the list; no other caller competes for it
      * @param maxListAgeMs for so long without a call the settings let a list stand
      */
-    void settings(boolean pushed, double maxListAgeMs) {
+    void applySettings(boolean pushed, double maxListAgeMs) {
         agentPushesList = pushed;
         maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, FAILED_CALL_FACTOR * maxListAgeMs) - MARGIN_MS;
     }
--- a/src/test/java/maplespread/policy/EligibilityTest.java
+++ b/src/test/java/maplespread/policy/EligibilityTest.java
@@ -35,7 +35,7 @@
             directory = new WorkerDirectory(workers, context, arrivals, hints, new FailureStatistics(context));
             directory.update(RuleCheckingHost.entry("a", 0, 0));
             directory.update(RuleCheckingHost.entry("b", 1, 0));
-            freshness.settings(false, 10_000);
+            freshness.applySettings(false, 10_000);
             freshness.confirmed(START_MS);
             filter = new EligibilityFilter(context, freshness, new RetryPolicy(context));
             request = request(1);
--- a/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -307,7 +307,7 @@
     void eachEventMovesTheStateAsItsTableSays(String mode, String events, EndpointListState state, boolean usable) {
         EndpointListState[] now = {EndpointListState.UNCONFIRMED};
         EndpointListFreshness freshness = new EndpointListFreshness((from, to, age) -> now[0] = to);
-        freshness.settings(mode.equals("push"), 10_000);
+        freshness.applySettings(mode.equals("push"), 10_000);
         for (String event : events.split(" ")) {
             double at = Double.parseDouble(event.substring(0, event.indexOf(':')));
             String what = event.substring(event.indexOf(':') + 1);
