--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -409,7 +409,7 @@
             } else {
                 Thread.sleep(config.times().acceptMs());
             }
-            while (listener.wanted(relieved ? 0 : RECONNECT_GRACE_MS)
+            while (listener.hasRecentClients(relieved ? 0 : RECONNECT_GRACE_MS)
                     && System.nanoTime() - start < config.times().drainMs() * ms) {
                 if (relieved) {
                     listener.endQuiet(IDLE_CLOSE_MS);
@@ -420,11 +420,12 @@
             // of a core it may not run for a tenth of a second between the two.
             listener.close();
             lifecycle.enter(Lifecycle.Phase.FINISHING);
-            while (!listener.over() && System.nanoTime() < end - RESPONSE_TRANSIT_MS * ms) {
+            while (!listener.closeIdleConnections() && System.nanoTime() < end - RESPONSE_TRANSIT_MS * ms) {
                 Thread.sleep(10);
             }
             listener.failAll();
-            while (!listener.over() && System.nanoTime() < end) { // an exit over unread bytes would reset
+            while (!listener.closeIdleConnections()
+                    && System.nanoTime() < end) { // an exit over unread bytes would reset
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
--- a/src/main/java/maplespread/caller/ClientListener.java
+++ b/src/main/java/maplespread/caller/ClientListener.java
@@ -207,7 +207,7 @@
     /**
      * Whether a connection is open, or a useful one was within {@code graceMs} milliseconds: others may be on their way.
      */
-    public boolean wanted(long graceMs) {
+    public boolean hasRecentClients(long graceMs) {
         return !connections.isEmpty() || System.nanoTime() - lastUsefulEndNanos < graceMs * NANOS_PER_MS;
     }
 
@@ -215,7 +215,7 @@
      * Has the connections end that wait for a request; whether none is left, and none can come. What is accepted last may
      * come between the two looks, so the one at the listener is the first.
      */
-    public boolean over() {
+    public boolean closeIdleConnections() {
         boolean acceptsNone = closed;
         for (ClientConnection client : connections) {
             if (client.quiet()) {
--- a/src/main/java/maplespread/caller/ClientResponse.java
+++ b/src/main/java/maplespread/caller/ClientResponse.java
@@ -49,7 +49,7 @@
 
     /** The same, and {@code notified} is told of it and of its completion; null: nobody is. */
     void accepted(ClientRequest request, RequestListener notified) {
-        accepted(request.message.lane());
+        accepted(request.message.requestClass());
         listener = notified;
         listenerHandle = notified == null ? 0 : notified.requestAccepted(request.inFlight);
     }
--- a/src/main/java/maplespread/partition/client/PendingRequest.java
+++ b/src/main/java/maplespread/partition/client/PendingRequest.java
@@ -31,7 +31,7 @@
         String target = sequenced.message().target();
         int query = target.indexOf('?');
         attributes = new RequestAttributes(
-                sequenced.message().lane(),
+                sequenced.message().requestClass(),
                 sequenced.tenant(),
                 sequenced.entity(),
                 query < 0 ? target : target.substring(0, query),
--- a/src/main/java/maplespread/worker/WorkerRequest.java
+++ b/src/main/java/maplespread/worker/WorkerRequest.java
@@ -3,7 +3,11 @@
 import java.util.List;
 
 /**
- * What is sent to a worker. {@code id}: the X-Txn; {@code lane}: the class's name; {@code fields}: other headers, each a name
- * and a value.
+ * A request in the form that is sent to a worker.
+ *
+ * @param id the value of the X-Txn header
+ * @param requestClass the name of the request class
+ * @param fields the other header fields, each a name and a value
  */
-public record WorkerRequest(String method, String target, String id, String lane, List<String[]> fields, byte[] body) {}
+public record WorkerRequest(
+        String method, String target, String id, String requestClass, List<String[]> fields, byte[] body) {}
--- a/src/test/java/maplespread/net/ShutdownTest.java
+++ b/src/test/java/maplespread/net/ShutdownTest.java
@@ -256,7 +256,7 @@
                     gate.reached();
                 }
             }
-            listener.over();
+            listener.closeIdleConnections();
             if (gate != null) {
                 if (step == Step.READS) {
                     send(client, first);
@@ -271,7 +271,7 @@
                     status(client) > 0 || bytesRead.get() == before,
                     what + ": lost, with " + (bytesRead.get() - before) + " bytes of it read");
         }
-        until(what + ": its end", () -> listener.over() || listener.size() == 0);
+        until(what + ": its end", () -> listener.closeIdleConnections() || listener.size() == 0);
     }
 
     private void room(int legs, int kept) {
@@ -356,7 +356,7 @@
             assertTrue(status(waiting[i]) > 0, "client " + i);
             waiting[i].close();
         }
-        until("all are over", () -> listener.over() || listener.size() == 0);
+        until("all are over", () -> listener.closeIdleConnections() || listener.size() == 0);
     }
 
     /** A listener with nobody connected is wanted where clients with jobs have just left. */
@@ -366,11 +366,11 @@
             try (HttpConnection client = client()) {
                 send(client, request);
                 until("it is read", () -> bytesRead.get() >= request.length());
-                assertTrue(listener.wanted(0), "one is connected");
+                assertTrue(listener.hasRecentClients(0), "one is connected");
             }
             until("it has left", () -> listener.size() == 0);
-            assertEquals(!request.equals(REQUEST), listener.wanted(Loopback.LIMIT_MS * 1000), request);
-            assertTrue(!listener.wanted(0));
+            assertEquals(!request.equals(REQUEST), listener.hasRecentClients(Loopback.LIMIT_MS * 1000), request);
+            assertTrue(!listener.hasRecentClients(0));
         }
     }
 
