--- a/src/main/java/maplespread/partition/FencingCheck.java
+++ b/src/main/java/maplespread/partition/FencingCheck.java
@@ -11,36 +11,45 @@
 import java.util.function.Predicate;
 
 /**
- * Whether this member may send for a slot at this very moment. It may while a majority of electors has granted, since
- * a moment less than a lease ago, that they know of no later epoch; so once an epoch is agreed on, whoever has not
- * heard of it stops sending within a lease. A slot that has come to this member is open when those who had it have
- * confirmed that nothing is in flight, or when their leases and requests are surely over.
+ * Decides whether this member may send requests for a slot at a given time. It may while it holds a lease: in a renewal
+ * round that started less than a lease duration ago, a majority of electors has confirmed that they know of no later
+ * epoch. So once an epoch is agreed on, a member that has not learned of it stops sending within one lease duration. A
+ * slot that moved to this member opens when its previous owners have confirmed that nothing is in flight, or when their
+ * leases and requests must be over.
  *
- * <p>A dispatcher whose process was paused, or that was cut off, asks here with its clock as it is then, before each
- * send. Electors keep nothing but the agreed value, and no clock; message delays are not bounded. Not thread-safe:
- * the caller holds one lock around all calls. Times are milliseconds of one clock, which is passed in.
+ * <p>A dispatcher calls this check with its current clock before each send, also after a process pause or a network
+ * partition. Electors store only the replicated value and use no clock; message delays are not bounded. Not
+ * thread-safe: the caller holds one lock around all calls. Times are milliseconds of one clock, which is passed in.
  */
 public final class FencingCheck {
-    /** A time that never comes. */
+    /** Time value of an event that never happens. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final LeaseSettings settings;
     private final String self;
-    /** When each silence was learned of, by the epoch at which it began. */
+    /** When this member learned of each silence, in milliseconds, by the epoch at which the silence began. */
     private final Map<Long, Long> silenceLearnedAtMs = new HashMap<>();
-    /** The electors that have granted in the present round. */
+    /** The electors that have granted the lease in the current renewal round. */
     private final Set<String> grantedBy = new HashSet<>();
 
     private SlotAssignment assignment;
-    /** By slot: from when on this member may send for it, provided that it holds a lease then. */
+    /**
+     * By slot: the time in milliseconds from which this member may send for it, provided that it holds a lease then;
+     * {@link #NEVER}: another member owns it.
+     */
     private final long[] opensAtMs;
 
-    private long round;
+    private long currentRound;
     private long roundStartedAtMs;
     private long roundEpoch;
     private long leaseUntilMs = Long.MIN_VALUE;
 
-    /** {@code self}: this member; {@code initial}: an assignment in which it owns nothing. */
+    /**
+     * A check that holds no lease yet.
+     *
+     * @param self this member
+     * @param initial an assignment in which this member owns nothing
+     */
     public FencingCheck(LeaseSettings settings, String self, SlotAssignment initial) {
         this.settings = settings;
         this.self = self;
@@ -55,9 +64,11 @@
     }
 
     /**
-     * Takes up an assignment that was agreed on; false: it is no later than the known one.
+     * Adopts an assignment that was agreed on.
      *
-     * @param maxRunMs the longest that a request under its table or the one before can run
+     * @param maxRunMs the longest time in milliseconds that a request under its routing table or the previous one can
+     *     run
+     * @return false if the assignment is not later than the known one
      */
     public boolean learn(long nowMs, SlotAssignment next, long maxRunMs) {
         if (next.version() <= assignment.version()) {
@@ -95,32 +106,43 @@
 
     // ------------------------------------------------------------ the lease
 
-    /** Begins a round of questions to all electors; returns its number, which goes with questions and answers. */
+    /**
+     * Starts a renewal round, in which all electors are asked to grant a lease.
+     *
+     * @return the number of the round, which its requests and responses carry
+     */
     public long startRenewal(long nowMs) {
         roundStartedAtMs = nowMs;
         roundEpoch = assignment.epoch();
         grantedBy.clear();
-        return ++round;
+        return ++currentRound;
     }
 
-    /** An elector grants, by {@link SlotAssignment#grantsLease}, what was asked in this round. */
-    public void recordGrant(long nowMs, String elector, long askedRound) {
-        recordGrant(elector, askedRound, electors -> electors.size() > settings.electors() / 2);
+    /**
+     * Records a grant by an elector, which follows {@link SlotAssignment#grantsLease}. A grant for an earlier round is
+     * ignored.
+     */
+    public void recordGrant(long nowMs, String elector, long round) {
+        recordGrant(elector, round, electors -> electors.size() > settings.electors() / 2);
     }
 
-    /** The same where electors change; {@code isMajority}: whether these are one of those asked. */
-    public void recordGrant(String elector, long askedRound, Predicate<Set<String>> isMajority) {
-        if (askedRound == round && grantedBy.add(elector) && isMajority.test(grantedBy)) {
+    /**
+     * Records a grant in a cluster whose electors change.
+     *
+     * @param isMajority whether a set of electors is a majority of those asked
+     */
+    public void recordGrant(String elector, long round, Predicate<Set<String>> isMajority) {
+        if (round == currentRound && grantedBy.add(elector) && isMajority.test(grantedBy)) {
             leaseUntilMs = Math.max(leaseUntilMs, roundStartedAtMs + settings.leaseMs());
         }
     }
 
-    /** The epoch that the present round asks about. */
+    /** The epoch that the current renewal round asks the electors to confirm. */
     public long renewalEpoch() {
         return roundEpoch;
     }
 
-    /** Whether the lease that a majority has granted holds at this moment. */
+    /** Whether this member holds a lease, granted by a majority, at the given time. */
     public boolean holdsLease(long nowMs) {
         return nowMs < leaseUntilMs;
     }
@@ -128,10 +150,10 @@
     // ------------------------------------------------------------ slots
 
     /**
-     * From when on this member may send for the slot, as far as is known; {@link #NEVER}: it may not.
+     * The time from which this member may send for the slot, as far as is known; {@link #NEVER}: it may not send.
      *
-     * @param ownedSinceEpoch of the slot when the request was accepted: a slot that went and came back does not open
-     *     for what was accepted before
+     * @param ownedSinceEpoch that of the slot when the request was accepted; once the slot was lost and regained,
+     *     requests that were accepted before are not sent
      */
     public long sendAllowedFrom(long nowMs, int slotNumber, long ownedSinceEpoch) {
         SlotAssignment.Slot slot = assignment.slots().get(slotNumber);
@@ -141,8 +163,8 @@
     }
 
     /**
-     * Slots for which this member has waited its time, and since which epoch it owns each, as {@link
-     * SlotAssignment#forgetPreviousOwners} asks for them.
+     * The slots for which this member has waited out the hold time, each with the epoch since which it owns the slot:
+     * the argument of {@link SlotAssignment#forgetPreviousOwners}.
      */
     public Map<Integer, Long> openedSlots(long nowMs) {
         Map<Integer, Long> opened = new TreeMap<>();
@@ -155,7 +177,11 @@
         return opened;
     }
 
-    /** Slots that were this member's, and of which it may now confirm that nothing is in flight. */
+    /**
+     * The slots that this member has lost and for which it may now confirm that nothing is in flight.
+     *
+     * @param isIdle whether this member has nothing in flight for the slot of that number
+     */
     public Set<Integer> drainedSlots(IntPredicate isIdle) {
         Set<Integer> drained = new TreeSet<>();
         for (int i = 0; i < opensAtMs.length; i++) {
--- a/src/main/java/maplespread/partition/HeartbeatTable.java
+++ b/src/main/java/maplespread/partition/HeartbeatTable.java
@@ -11,21 +11,21 @@
 import java.util.TreeSet;
 
 /**
- * Which elector has heard which dispatcher, and what follows for the members. A dispatcher counts as silent for as
- * long as a majority of the electors has not heard it, so that one elector which is cut off itself takes no slots
- * from members that all others hear.
+ * Records which elector has heard which dispatcher, and derives the members from it. A dispatcher counts as silent
+ * while no majority of the electors hears it, so that a single elector that is cut off itself takes no slots from
+ * members that all others hear.
  *
  * <p>Not thread-safe: the callers hold one monitor around all calls. Times are milliseconds of one clock, which is
  * passed in.
  */
 public final class HeartbeatTable {
     /**
-     * What one elector knows of a dispatcher. The names in the JSON are older than the code's.
+     * What one elector knows of a dispatcher. The names in the JSON predate the names in the code.
      *
-     * @param incarnation the newest that was heard; 0: none
-     * @param sequence the number of its last lease request
-     * @param silentForMs for how long it has not been heard
-     * @param wantsSlots whether it wants to own slots
+     * @param incarnation the latest incarnation heard; 0: none
+     * @param sequence the sequence number of the last lease request of that incarnation
+     * @param silentForMs the time since the dispatcher was last heard, or since the elector started if it never was
+     * @param wantsSlots whether the dispatcher wants to ownHeartbeats slots
      */
     public record Heartbeat(
             @SerializedName("run") long incarnation,
@@ -42,19 +42,20 @@
     }
 
     /**
-     * What one elector reports: for how long it listens, and whom it has heard, by name.
+     * The report of one elector.
      *
-     * @param listeningForMs since it began
+     * @param listeningForMs the time since the elector started to listen
+     * @param heartbeats what it has heard, by the dispatcher's name
      */
     public record Report(
             @SerializedName("listensMs") long listeningForMs,
             @SerializedName("heard") Map<String, Heartbeat> heartbeats) {}
 
     /**
-     * When a member that no majority hears loses what.
+     * Timeouts of a member that no majority of the electors hears.
      *
-     * @param silentMs then it gets no lease
-     * @param goneMs then its slots go to others
+     * @param silentMs the silence after which it gets no lease
+     * @param goneMs the silence after which its slots move to other members
      */
     public record Timeouts(long silentMs, long goneMs) {}
 
@@ -71,50 +72,55 @@
     private record ReceivedReport(Report report, long receivedAtMs) {}
 
     private final long startedAtMs;
-    /** When {@link #isLeader} was last asked, by which a pause of the process is seen. */
+    /** When {@link #isLeader} was last called; a long interval between two calls reveals a process pause. */
     private long leaderAskedAtMs;
 
+    /** When the end of the last process pause was noticed; before any pause, when this elector started. */
     private long lastPauseEndedAtMs;
-    /** What this elector has heard itself, by dispatcher. */
-    private final Map<String, OwnHeartbeat> own = new TreeMap<>();
-    /** The other electors' latest reports. */
-    private final Map<String, ReceivedReport> reports = new HashMap<>();
+    /** What this elector has heard itself, by the dispatcher's name. */
+    private final Map<String, OwnHeartbeat> ownHeartbeats = new TreeMap<>();
+    /** The latest report of each other elector. */
+    private final Map<String, ReceivedReport> reportsByElector = new HashMap<>();
 
-    /** An elector that begins to listen now. */
+    /** The table of an elector that starts to listen now. */
     public HeartbeatTable(long nowMs) {
         startedAtMs = nowMs;
         leaderAskedAtMs = nowMs;
         lastPauseEndedAtMs = nowMs;
     }
 
-    /** This elector has received a dispatcher's lease request, its heartbeat; one that was overtaken on its way changes nothing. */
+    /**
+     * Records that this elector received a dispatcher's lease request, which serves as its heartbeat. A request that
+     * was overtaken by a newer one changes nothing.
+     */
     public void recordHeartbeat(long nowMs, String name, long incarnation, long sequence, boolean wantsSlots) {
-        own.merge(
+        ownHeartbeats.merge(
                 name,
                 new OwnHeartbeat(incarnation, sequence, nowMs, wantsSlots),
                 (known, next) -> next.isNewerThan(known) ? next : known);
     }
 
-    /** Forgets all dispatchers but these. */
+    /** Removes what this elector has heard of all dispatchers except these. */
     public void retain(Collection<String> names) {
-        own.keySet().retainAll(names);
+        ownHeartbeats.keySet().retainAll(names);
     }
 
-    /** What this elector has to report. */
+    /** The report of this elector. */
     public Report report(long nowMs) {
         Map<String, Heartbeat> heartbeats = new TreeMap<>();
-        own.forEach((name, heartbeat) -> heartbeats.put(name, heartbeat.at(nowMs)));
+        ownHeartbeats.forEach((name, heartbeat) -> heartbeats.put(name, heartbeat.at(nowMs)));
         return new Report(nowMs - startedAtMs, heartbeats);
     }
 
-    /** Another elector's report has come. */
+    /** Records the report of another elector. */
     public void recordReport(long nowMs, String elector, Report report) {
-        reports.put(elector, new ReceivedReport(report, nowMs));
+        reportsByElector.put(elector, new ReceivedReport(report, nowMs));
     }
 
     /**
-     * Whether this elector is the first of those that it hears: it alone proposes. Not while it hears no majority,
-     * nor just after its process was paused: then all others look silent to it.
+     * Whether this elector leads, which means that it alone proposes assignments: it is the first in the list among the
+     * electors that it hears. It does not lead while it hears no majority, nor until {@code silentMs} after a process
+     * pause, because all others look silent to it then.
      */
     public boolean isLeader(long nowMs, List<String> electors, String self, long silentMs) {
         lastPauseEndedAtMs = nowMs - leaderAskedAtMs > silentMs ? nowMs : lastPauseEndedAtMs;
@@ -129,25 +135,26 @@
     }
 
     private boolean isHeard(String elector, long nowMs, long silentMs) {
-        ReceivedReport report = reports.get(elector);
+        ReceivedReport report = reportsByElector.get(elector);
         return report != null && nowMs - report.receivedAtMs < silentMs;
     }
 
     /**
-     * The assignment with the members as they are to be. Whoever a majority hears and who wants slots comes in; whoever
-     * no majority hears is silent, and after a while gone; who is heard as another incarnation, or wants none, goes.
+     * The assignment with its members brought up to date. A dispatcher that a majority hears and that wants slots
+     * becomes a member. A member that no majority hears becomes silent, and is removed after {@link Timeouts#goneMs}. A
+     * member that is heard as another incarnation, or that wants no slots, is removed.
      */
     public SlotAssignment nextAssignment(
             long nowMs, List<String> electors, String self, SlotAssignment assignment, Timeouts timeouts) {
         Set<String> members = new TreeSet<>(assignment.members());
         Set<String> silent = new TreeSet<>();
         heartbeatsByName(nowMs, electors, self, assignment)
-                .forEach((name, heartbeats) -> decide(name, heartbeats, timeouts, members, silent));
+                .forEach((name, heartbeats) -> updateMembership(name, heartbeats, timeouts, members, silent));
         return assignment.members(members).silent(silent);
     }
 
-    /** Changes {@code members} and {@code silent} by what all electors know of one dispatcher. */
-    private static void decide(
+    /** Updates {@code members} and {@code silent} by what all electors know of one dispatcher. */
+    private static void updateMembership(
             String name, List<Heartbeat> heartbeats, Timeouts timeouts, Set<String> members, Set<String> silent) {
         Heartbeat newest = heartbeats.stream()
                 .reduce((first, second) -> second.isNewerThan(first) ? second : first)
@@ -166,7 +173,7 @@
         }
     }
 
-    /** The shortest silence that a majority of the electors sees, at least. */
+    /** The time in milliseconds within which a majority of the electors has heard the dispatcher. */
     private static long silentForMajority(List<Heartbeat> heartbeats) {
         return heartbeats.stream()
                 .mapToLong(Heartbeat::silentForMs)
@@ -176,19 +183,23 @@
                 .orElseThrow();
     }
 
-    /** Of each name what every elector knows; an elector that reported nothing counts as silent since the start. */
+    /**
+     * What each elector knows of each dispatcher, by the dispatcher's name. An elector without a report counts as
+     * having heard nobody since this elector started.
+     */
     private Map<String, List<Heartbeat>> heartbeatsByName(
             long nowMs, List<String> electors, String self, SlotAssignment assignment) {
-        Set<String> names = new TreeSet<>(own.keySet());
+        Set<String> names = new TreeSet<>(ownHeartbeats.keySet());
         assignment.members().forEach(member -> names.add(SlotAssignment.dispatcherName(member)));
-        reports.values().forEach(received -> names.addAll(received.report.heartbeats.keySet()));
+        reportsByElector.values().forEach(received -> names.addAll(received.report.heartbeats.keySet()));
         ReceivedReport ownReport = new ReceivedReport(report(nowMs), nowMs);
         ReceivedReport noReport = new ReceivedReport(new Report(0, Map.of()), startedAtMs);
         Map<String, List<Heartbeat>> byName = new TreeMap<>();
         for (String name : names) {
             List<Heartbeat> heartbeats = new ArrayList<>();
             for (String elector : electors) {
-                ReceivedReport received = elector.equals(self) ? ownReport : reports.getOrDefault(elector, noReport);
+                ReceivedReport received =
+                        elector.equals(self) ? ownReport : reportsByElector.getOrDefault(elector, noReport);
                 Heartbeat unheard = new Heartbeat(0, 0, received.report.listeningForMs, false);
                 heartbeats.add(
                         received.report.heartbeats.getOrDefault(name, unheard).laterBy(nowMs - received.receivedAtMs));
--- a/src/main/java/maplespread/partition/PerKeyQueue.java
+++ b/src/main/java/maplespread/partition/PerKeyQueue.java
@@ -13,78 +13,83 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The requests of the keys that this member owns: of each key one in flight at most, the others waiting in the order
- * in which they were accepted. Whether the fencing check lets a request go is asked at each send. Not thread-safe:
- * the caller holds one lock around all calls. Times are milliseconds of one clock, which is passed in.
+ * Queues the requests of the keys that this member owns. At most one request of a key is in flight; the others wait in
+ * the order in which they were accepted. The fencing check is asked before each send. Not thread-safe: the caller holds
+ * one lock around all calls. Times are milliseconds of one clock, which is passed in.
  *
- * <p>A key whose last request has an unknown outcome is held for as long as that request may still run. Requests
- * that can no longer meet their deadline are rejected at once. One key may fill no more of a partition's limits than
- * is left free, so that a hot key leaves capacity to others.
+ * <p>A key whose last request has an unknown outcome is held for as long as that request may still run. Requests that
+ * can no longer meet their deadline are rejected at once. One key may use no more of a partition's limits than it
+ * leaves free, so that a hot key leaves capacity to others.
  */
 public final class PerKeyQueue {
-    /** Why a request is answered without having been sent. All but {@code STOPPED} may be tried again. */
+    /** Why a request is answered without being sent. Unless it is {@code STOPPED}, the request may be retried. */
     public enum Rejection {
-        /** It cannot meet its deadline behind the requests before it. */
+        /** The request cannot meet its deadline behind the requests ahead of it. */
         LATE,
-        /** It has waited for longer than its limits allow. */
+        /** The request has waited longer than its limits allow. */
         AGED,
-        /** The limits of its key or its partition are reached. */
+        /** A limit of its key or its partition is reached. */
         FULL,
-        /** The request before it failed, and the rule says to skip what waited. */
+        /** The request ahead of it failed, and the rule skips the requests that waited behind it. */
         SKIPPED,
         /** Its key is stopped until an operator starts it. */
         STOPPED,
-        /** Its key's slot is not this member's any more. */
+        /** This member no longer owns the slot of its key. */
         MOVED
     }
 
-    /** How a request that was sent has ended, all its attempts together. */
+    /** The outcome of a request that was sent, over all its attempts. */
     public enum ExecutionResult {
-        /** Served, and no attempt of it runs any more. */
+        /** Served, and none of its attempts runs any more. */
         DONE,
         /** Answered as failed. */
         FAILED,
-        /** No attempt of it has run. */
+        /** None of its attempts has run. */
         NEVER_RAN,
-        /** Nobody knows; an attempt of it may still run. */
+        /** The outcome is unknown, and an attempt may still run. */
         UNKNOWN,
-        /** Served, but an earlier attempt of it may still run. */
+        /** Served, but an earlier attempt may still run. */
         DONE_ATTEMPT_MAY_RUN
     }
 
     /**
-     * A request as it is accepted.
+     * An accepted request.
      *
-     * @param id unique among those that wait or are in flight
-     * @param workMs how long it is estimated to run, 0 where nobody knows
+     * @param id unique among the requests that wait or are in flight
+     * @param workMs the estimated run time in milliseconds; 0: unknown
+     * @param deadlineMs the time by which the request has to be finished
+     * @param acceptedAtMs the time at which the request was accepted
      */
     public record QueuedRequest(long id, String key, Rule rule, double workMs, long deadlineMs, long acceptedAtMs) {}
 
-    /** What the queue asks and decides. None of these may call back into the queue, or block. */
+    /** The decisions and actions that the queue delegates. None of these may call back into the queue, or block. */
     public interface Callbacks {
-        /** From when on the request may be sent; {@link FencingCheck#NEVER}: no longer by this member. */
+        /**
+         * The time in milliseconds from which the request may be sent; {@link FencingCheck#NEVER}: this member may no
+         * longer send it.
+         */
         long sendAllowedFrom(QueuedRequest request);
 
-        /** It is the request's turn; {@link PerKeyQueue#complete} must follow. */
+        /** Sends the request; {@link PerKeyQueue#complete} must follow. */
         void send(QueuedRequest request);
 
-        /** The request is answered without having been sent. */
-        void reject(QueuedRequest request, Rejection why);
+        /** Answers the request without sending it. */
+        void reject(QueuedRequest request, Rejection rejection);
     }
 
     private static final long NOT_DUE = Long.MAX_VALUE;
 
-    /** One key that has requests, or is held or stopped. */
+    /** The state of a key that has requests, is held, or is stopped. */
     private static final class KeyState {
-        /** By id, in the order of acceptance. */
+        /** The waiting requests by id, in the order in which they were accepted. */
         final Map<Long, QueuedRequest> waiting = new LinkedHashMap<>();
-        /** Null: none is in flight. */
+        /** The request in flight; null: none. */
         QueuedRequest inFlight;
 
         long sentAtMs;
-        /** An attempt with an unknown outcome may run until then. */
+        /** The time until which an attempt with an unknown outcome may run. */
         long heldUntilMs = Long.MIN_VALUE;
-        /** The key has stopped here, and is not seen among the stored ones yet. */
+        /** Whether the key was stopped here and is not among the stored stopped keys yet. */
         boolean stopUnstored;
 
         long dueAtMs = NOT_DUE;
@@ -96,7 +101,7 @@
 
     private record Wakeup(long atMs, String key) {}
 
-    /** What waits for one partition. */
+    /** The requests that wait for one partition, and their estimated work. */
     private static final class PartitionLoad {
         int requests;
         double workMs;
@@ -104,34 +109,38 @@
 
     private final LeaseSettings settings;
     private final Callbacks callbacks;
-    /** By the partition's name. */
-    private final Map<String, QueueLimits> limits = new HashMap<>();
+    /** Queue limits by the partition's name. */
+    private final Map<String, QueueLimits> limitsByPartition = new HashMap<>();
 
-    private final Map<String, PartitionLoad> loads = new HashMap<>();
-    private final Map<String, KeyState> keys = new HashMap<>();
-    /** The key of each request that waits or is in flight, by its id. */
+    private final Map<String, PartitionLoad> loadsByPartition = new HashMap<>();
+    private final Map<String, KeyState> keyStates = new HashMap<>();
+    /** The key of each request that waits or is in flight, by the request's id. */
     private final Map<Long, String> keyOfRequest = new HashMap<>();
 
     private final PriorityQueue<Wakeup> wakeups =
             new PriorityQueue<>((left, right) -> Long.compare(left.atMs, right.atMs));
     private Set<String> stoppedKeys = Set.of();
 
-    /** {@code settings}: by whose drift the time is reckoned that a key is held. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param settings supplies the clock drift that a key's hold time allows for
+     */
     public PerKeyQueue(LeaseSettings settings, Callbacks callbacks) {
         this.settings = settings;
         this.callbacks = callbacks;
     }
 
-    /** These partitions there are now, with their limits. */
+    /** Sets the limits of these partitions. */
     public void updatePartitions(Collection<Partition> partitions) {
-        partitions.forEach(partition -> limits.put(partition.name(), partition.limits()));
+        partitions.forEach(partition -> limitsByPartition.put(partition.name(), partition.limits()));
     }
 
-    /** The stored keys that are stopped; one that is no longer among them takes requests again. */
+    /** Replaces the stored stopped keys. A key that is no longer among them accepts requests again. */
     public void updateStoppedKeys(Set<String> stored) {
         stoppedKeys = stored;
         for (String key : stored) {
-            KeyState state = keys.get(key);
+            KeyState state = keyStates.get(key);
             if (state != null) {
                 state.stopUnstored = false;
             }
@@ -139,12 +148,12 @@
     }
 
     /**
-     * Keys that have stopped here and are not stored yet ({@link SlotAssignment#stopKey}): to be stored before the
-     * failure that stopped them is answered. The set is the caller's.
+     * Keys that were stopped here and are not stored yet ({@link SlotAssignment#stopKey}). They are to be stored before
+     * the failure that stopped them is answered. The caller owns the returned set.
      */
     public Set<String> unstoredStops() {
         Set<String> unstored = new TreeSet<>();
-        keys.forEach((key, state) -> {
+        keyStates.forEach((key, state) -> {
             if (state.stopUnstored) {
                 unstored.add(key);
             }
@@ -152,31 +161,36 @@
         return unstored;
     }
 
-    /** The stop could not be stored: the failure is answered as in doubt, and the key goes on. */
+    /**
+     * Records that the stop could not be stored: the failure is answered with an unknown outcome, and the key
+     * continues.
+     */
     public void stopNotStored(long nowMs, String key) {
-        KeyState state = keys.get(key);
+        KeyState state = keyStates.get(key);
         if (state != null) {
             state.stopUnstored = false;
             evaluate(nowMs, key, state);
         }
     }
 
-    /** How many requests wait for their turn. */
+    /** The number of requests that wait to be sent. */
     public int waitingCount() {
-        return loads.values().stream().mapToInt(load -> load.requests).sum();
+        return loadsByPartition.values().stream()
+                .mapToInt(load -> load.requests)
+                .sum();
     }
 
-    /** Milliseconds of estimated work that wait for a partition. */
+    /** The estimated work in milliseconds that waits for a partition. */
     public double waitingWorkMs(String partition) {
-        PartitionLoad load = loads.get(partition);
+        PartitionLoad load = loadsByPartition.get(partition);
         return load == null ? 0 : load.workMs;
     }
 
-    // ------------------------------------------------------------ a request comes, ends, or is given up
+    // ------------------------------------------------------------ requests are accepted, completed and cancelled
 
-    /** Accepts a request, whereby its place in its key's line is fixed, or rejects it; may send it at once. */
+    /** Accepts a request, which fixes its place in the order of its key, or rejects it. May send it at once. */
     public void enqueue(long nowMs, QueuedRequest request) {
-        KeyState state = keys.computeIfAbsent(request.key, key -> new KeyState());
+        KeyState state = keyStates.computeIfAbsent(request.key, key -> new KeyState());
         if (stoppedKeys.contains(request.key) || state.stopUnstored) {
             callbacks.reject(request, Rejection.STOPPED);
         } else if (exceedsLimits(state, request)) {
@@ -184,15 +198,16 @@
         } else {
             state.waiting.put(request.id, request);
             keyOfRequest.put(request.id, request.key);
-            count(request, 1);
+            addToLoad(request, 1);
         }
         evaluate(nowMs, request.key, state);
     }
 
     private boolean exceedsLimits(KeyState state, QueuedRequest request) {
-        PartitionLoad load = loads.computeIfAbsent(request.rule.partition(), partition -> new PartitionLoad());
+        PartitionLoad load =
+                loadsByPartition.computeIfAbsent(request.rule.partition(), partition -> new PartitionLoad());
         QueueLimits perKey = request.rule.perKeyLimits();
-        QueueLimits perPartition = limits.get(request.rule.partition());
+        QueueLimits perPartition = limitsByPartition.get(request.rule.partition());
         int requests = state.waiting.size() + 1;
         double workMs = request.workMs
                 + state.waiting.values().stream()
@@ -204,16 +219,16 @@
                 || workMs > perPartition.maxWorkMs() - load.workMs;
     }
 
-    private void count(QueuedRequest request, int sign) {
-        PartitionLoad load = loads.get(request.rule.partition());
+    private void addToLoad(QueuedRequest request, int sign) {
+        PartitionLoad load = loadsByPartition.get(request.rule.partition());
         load.requests += sign;
         load.workMs = load.requests == 0 ? 0 : load.workMs + sign * request.workMs;
     }
 
-    /** The request that was in flight has ended; of any other one nothing changes. */
+    /** Records the end of the request in flight. For any other request nothing changes. */
     public void complete(long nowMs, long id, ExecutionResult result) {
         String key = keyOfRequest.get(id);
-        KeyState state = key == null ? null : keys.get(key);
+        KeyState state = key == null ? null : keyStates.get(key);
         if (state == null || state.inFlight == null || state.inFlight.id != id) {
             return;
         }
@@ -223,7 +238,7 @@
         if (result == ExecutionResult.UNKNOWN || result == ExecutionResult.DONE_ATTEMPT_MAY_RUN) {
             state.heldUntilMs = nowMs + settings.withDriftMs(rule.maxRunMs());
         }
-        // A request of which nobody knows may have failed.
+        // A request with an unknown outcome may have failed.
         if (result == ExecutionResult.FAILED || result == ExecutionResult.UNKNOWN) {
             applyFailure(state, rule.onFailure());
         }
@@ -232,7 +247,7 @@
 
     private void applyFailure(KeyState state, Rule.OnFailure onFailure) {
         switch (onFailure) {
-            case GO_ON -> {} // the next one is sent
+            case GO_ON -> {} // the next request is sent
             case SKIP -> rejectAll(state, Rejection.SKIPPED);
             case STOP -> {
                 state.stopUnstored = true;
@@ -241,27 +256,27 @@
         }
     }
 
-    private void rejectAll(KeyState state, Rejection why) {
+    private void rejectAll(KeyState state, Rejection rejection) {
         for (QueuedRequest request : List.copyOf(state.waiting.values())) {
-            reject(state, request, why);
+            reject(state, request, rejection);
         }
     }
 
-    private void reject(KeyState state, QueuedRequest request, Rejection why) {
+    private void reject(KeyState state, QueuedRequest request, Rejection rejection) {
         removeWaiting(state, request);
         keyOfRequest.remove(request.id);
-        callbacks.reject(request, why);
+        callbacks.reject(request, rejection);
     }
 
     private void removeWaiting(KeyState state, QueuedRequest request) {
         state.waiting.remove(request.id);
-        count(request, -1);
+        addToLoad(request, -1);
     }
 
-    /** Nobody waits for the request any more. One that is in flight still holds its key. */
+    /** Removes a waiting request whose client no longer waits for it. A request in flight still holds its key. */
     public void cancel(long nowMs, long id) {
         String key = keyOfRequest.get(id);
-        KeyState state = key == null ? null : keys.get(key);
+        KeyState state = key == null ? null : keyStates.get(key);
         if (state != null && state.waiting.containsKey(id)) {
             removeWaiting(state, state.waiting.get(id));
             keyOfRequest.remove(id);
@@ -269,13 +284,17 @@
         }
     }
 
-    // ------------------------------------------------------------ what is due
+    // ------------------------------------------------------------ evaluation of keys
 
-    /** Does what is due; returns when to be called again, at the latest. */
+    /**
+     * Evaluates the keys that are due.
+     *
+     * @return the time in milliseconds at which to call this again at the latest
+     */
     public long runDue(long nowMs) {
         while (!wakeups.isEmpty() && wakeups.peek().atMs <= nowMs) {
             Wakeup wakeup = wakeups.remove();
-            KeyState state = keys.get(wakeup.key);
+            KeyState state = keyStates.get(wakeup.key);
             if (state != null && state.dueAtMs == wakeup.atMs) {
                 state.dueAtMs = NOT_DUE;
                 evaluate(nowMs, wakeup.key, state);
@@ -284,17 +303,17 @@
         return wakeups.isEmpty() ? NOT_DUE : wakeups.peek().atMs;
     }
 
-    /** The lease, the assignment or the tables have changed: every key is looked at. */
+    /** Evaluates every key, after a change of the lease, the assignment or the routing tables. */
     public void reevaluateAll(long nowMs) {
-        for (String key : List.copyOf(keys.keySet())) {
-            evaluate(nowMs, key, keys.get(key));
+        for (String key : List.copyOf(keyStates.keySet())) {
+            evaluate(nowMs, key, keyStates.get(key));
         }
     }
 
-    /** Slots of which a request is in flight or may still run, or a stop is to be stored. */
+    /** The slots that have a request in flight, a request that may still run, or a stop that is not stored yet. */
     public Set<Integer> busySlots(long nowMs, ToIntFunction<String> slotOf) {
         Set<Integer> busy = new HashSet<>();
-        keys.forEach((key, state) -> {
+        keyStates.forEach((key, state) -> {
             if (state.inFlight != null || state.heldUntilMs > nowMs || state.stopUnstored) {
                 busy.add(slotOf.applyAsInt(key));
             }
@@ -302,7 +321,10 @@
         return busy;
     }
 
-    /** Rejects what cannot be sent in time, sends the first if it may go, and notes when to look again. */
+    /**
+     * Rejects the requests of a key that cannot be sent in time, sends the first one if it may be sent, and schedules
+     * the next evaluation.
+     */
     private void evaluate(long nowMs, String key, KeyState state) {
         long freeAtMs = Math.max(nowMs, state.heldUntilMs);
         if (state.inFlight != null) {
@@ -323,7 +345,7 @@
                 send(nowMs, state, request);
                 freeAtMs = nowMs + (long) request.workMs;
             } else {
-                // Behind a request that runs for longer than estimated, it is late before its estimated start.
+                // If the request ahead runs longer than estimated, this one becomes late before its estimated start.
                 long lateAtMs = (long) (request.deadlineMs - request.workMs) + 1;
                 dueAtMs = Math.min(dueAtMs, Math.min(agedAtMs, lateAtMs));
                 dueAtMs = state.inFlight == null ? Math.min(dueAtMs, startMs) : dueAtMs;
@@ -331,7 +353,7 @@
             }
         }
         if (state.isIdle(nowMs)) {
-            keys.remove(key);
+            keyStates.remove(key);
         } else if (dueAtMs < NOT_DUE && dueAtMs != state.dueAtMs) {
             state.dueAtMs = dueAtMs;
             wakeups.add(new Wakeup(dueAtMs, key));
@@ -341,7 +363,7 @@
     private long maxAgeMs(QueuedRequest request) {
         return Math.min(
                 request.rule.perKeyLimits().maxAgeMs(),
-                limits.get(request.rule.partition()).maxAgeMs());
+                limitsByPartition.get(request.rule.partition()).maxAgeMs());
     }
 
     private void send(long nowMs, KeyState state, QueuedRequest request) {
--- a/src/main/java/maplespread/partition/SlotAssignment.java
+++ b/src/main/java/maplespread/partition/SlotAssignment.java
@@ -11,20 +11,22 @@
 import maplespread.policy.StableHash;
 
 /**
- * Which member may send for which slot of keys, and by which table: the one value that the fleet agrees on, kept as
- * JSON in a replicated register. Immutable; each command returns a new value, or this one where nothing changes.
- * The names in the JSON are older than the code's, and are kept for members of earlier versions.
+ * Assigns slots of keys to members: which member may send requests for which slot, and under which routing table. It is
+ * the one replicated value that all members agree on, stored as JSON. Immutable; each modifying method returns a new
+ * value, or this one if nothing changes. The names in the JSON predate the names in the code and are kept for members
+ * of earlier versions.
  *
- * <p>A member is one incarnation of one dispatcher, {@code NAME#INCARNATION}, so that a restart is another member.
+ * <p>A member is one incarnation of one dispatcher, {@code NAME#INCARNATION}, so a restarted dispatcher is a different
+ * member.
  *
- * @param version grows with every change
- * @param epoch grows with those changes after which earlier leases end: of members, silence and tables
- * @param members who may own slots
- * @param silent members that get no lease, and since which epoch
- * @param slots by number
- * @param table the table in force, compressed
- * @param previousTable the one before it, compressed
- * @param tableEpoch the epoch at which the table came
+ * @param version incremented by every change
+ * @param epoch incremented by every change that ends earlier leases: of the members, the silent members or the table
+ * @param members the members that may own slots
+ * @param silent members that get no lease, each with the epoch since which it has been silent
+ * @param slots the slots, by number
+ * @param table the routing table in force, compressed
+ * @param previousTable the routing table before that one, compressed
+ * @param tableEpoch the epoch at which the routing table came into force
  * @param stoppedKeys keys that are stopped until an operator starts them
  */
 public record SlotAssignment(
@@ -37,31 +39,31 @@
         @SerializedName("before") String previousTable,
         @SerializedName("tableSince") long tableEpoch,
         @SerializedName("stopped") Set<String> stoppedKeys) {
-    /** More stopped keys than this are not stored. */
+    /** Maximum number of stopped keys that are stored; a stop beyond it is not stored. */
     public static final int MAX_STOPPED_KEYS = 1000;
 
     private static final Gson GSON = new Gson();
-    private static final char INCARNATION_MARK = '#';
+    private static final char INCARNATION_SEPARATOR = '#';
 
     /**
      * One slot of keys.
      *
-     * @param owner a member; empty: nobody
-     * @param ownedSinceEpoch the epoch at which the owner came to own it
-     * @param previousOwners those that may still have requests in flight, and since which epoch each has been silent
-     *     without a break; 0: it was not
+     * @param owner the member that owns the slot; empty: none
+     * @param ownedSinceEpoch the epoch at which the owner came to own the slot
+     * @param previousOwners members that may still have requests in flight, each with the epoch since which it has been
+     *     silent without interruption; 0: it was not silent when it lost the slot
      */
     public record Slot(
             String owner,
             @SerializedName("since") long ownedSinceEpoch,
             @SerializedName("leavers") Map<String, Long> previousOwners) {
-        /** Copies what it is given. */
+        /** Makes a defensive copy of the map. */
         public Slot {
             previousOwners = Map.copyOf(previousOwners);
         }
     }
 
-    /** Copies what it is given. */
+    /** Makes defensive copies of the collections. */
     public SlotAssignment {
         members = Set.copyOf(members);
         silent = Map.copyOf(silent);
@@ -69,37 +71,43 @@
         stoppedKeys = Set.copyOf(stoppedKeys);
     }
 
-    /** Before anything was agreed on: nobody owns anything. */
+    /** The assignment before anything was agreed on: no slot has an owner. */
     public static SlotAssignment initial(int slots, String table) {
         return initial(slots, table, 1);
     }
 
-    /** The same, counting from a number beyond those of any value that was lost. */
-    public static SlotAssignment initial(int slots, String table, long number) {
+    /**
+     * The initial assignment, with numbers beyond those of any value that was lost.
+     *
+     * @param startNumber the version and the epoch to start at
+     */
+    public static SlotAssignment initial(int slots, String table, long startNumber) {
         List<Slot> ownerless = new ArrayList<>();
         for (int i = 0; i < slots; i++) {
-            ownerless.add(new Slot("", number, Map.of()));
+            ownerless.add(new Slot("", startNumber, Map.of()));
         }
-        return new SlotAssignment(number, number, Set.of(), Map.of(), ownerless, table, table, number, Set.of());
+        return new SlotAssignment(
+                startNumber, startNumber, Set.of(), Map.of(), ownerless, table, table, startNumber, Set.of());
     }
 
     /**
-     * The same tables and stopped keys, and no owners: for a value of which newer ones may be lost. To be written
-     * once all that was sent before is over.
+     * The same tables and stopped keys without owners, for a recovery from a value that may be older than lost ones.
+     * May be written only once all requests sent under earlier values are over.
      *
-     * @param number beyond the versions and epochs that there were
+     * @param startNumber the version and the epoch to start at, beyond all earlier ones
      */
-    public SlotAssignment reinitialized(long number) {
-        SlotAssignment bare = initial(slots.size(), table, number);
-        return new SlotAssignment(number, number, Set.of(), Map.of(), bare.slots, table, table, number, stoppedKeys);
+    public SlotAssignment reinitialized(long startNumber) {
+        SlotAssignment ownerless = initial(slots.size(), table, startNumber);
+        return new SlotAssignment(
+                startNumber, startNumber, Set.of(), Map.of(), ownerless.slots, table, table, startNumber, stoppedKeys);
     }
 
-    /** Throws Gson's exceptions for a text that {@link #toJson} has not made. */
+    /** Parses the stored JSON. Throws Gson's exceptions for a text that {@link #toJson} did not produce. */
     public static SlotAssignment fromJson(String json) {
         return GSON.fromJson(json, SlotAssignment.class);
     }
 
-    /** As it is stored. */
+    /** The JSON in which the assignment is stored. */
     public String toJson() {
         return GSON.toJson(this);
     }
@@ -109,28 +117,28 @@
         return (int) Math.floorMod(StableHash.hash(key), (long) slots.size());
     }
 
-    /** The dispatcher whose incarnation the member is. */
+    /** The name of the dispatcher that the member is an incarnation of. */
     public static String dispatcherName(String member) {
-        return member.substring(0, member.lastIndexOf(INCARNATION_MARK));
+        return member.substring(0, member.lastIndexOf(INCARNATION_SEPARATOR));
     }
 
     // ------------------------------------------------------------ members and their slots
 
     /**
-     * These are the members now. Each slot goes to the one of them with the highest hash of name and slot, so that
-     * only slots of those that come or go move. Throws an IllegalArgumentException where two are incarnations of one
-     * dispatcher.
+     * Replaces the set of members. The owner of each slot is the member with the highest hash of name and slot number,
+     * so only slots of joining or leaving members move. Throws an IllegalArgumentException if two members are
+     * incarnations of one dispatcher.
      */
     public SlotAssignment members(Set<String> next) {
         if (next.stream().map(SlotAssignment::dispatcherName).distinct().count() < next.size()) {
-            throw new IllegalArgumentException("two runs of one dispatcher: " + next);
+            throw new IllegalArgumentException("two incarnations of one dispatcher: " + next);
         }
         if (next.equals(members)) {
             return this;
         }
         List<Slot> nextSlots = new ArrayList<>();
         for (int i = 0; i < slots.size(); i++) {
-            nextSlots.add(moved(slots.get(i), rendezvousOwner(i, next)));
+            nextSlots.add(withOwner(slots.get(i), rendezvousOwner(i, next)));
         }
         Map<String, Long> stillSilent = new TreeMap<>(silent);
         stillSilent.keySet().retainAll(next);
@@ -138,7 +146,7 @@
                 version + 1, epoch + 1, next, stillSilent, nextSlots, table, previousTable, tableEpoch, stoppedKeys);
     }
 
-    private Slot moved(Slot slot, String nextOwner) {
+    private Slot withOwner(Slot slot, String nextOwner) {
         if (slot.owner.equals(nextOwner)) {
             return slot;
         }
@@ -146,7 +154,7 @@
         if (!slot.owner.isEmpty()) {
             previousOwners.put(slot.owner, silent.getOrDefault(slot.owner, 0L));
         }
-        previousOwners.remove(nextOwner); // it knows by itself what it has in flight
+        previousOwners.remove(nextOwner); // the new owner knows its own requests in flight
         return new Slot(nextOwner, epoch + 1, previousOwners);
     }
 
@@ -164,8 +172,8 @@
     }
 
     /**
-     * These members have not been heard: they get no lease until they are. No slot moves by this, but the time that
-     * a successor has to wait begins to run.
+     * Replaces the set of silent members, which get no lease until they are heard again. No slot moves, but the hold
+     * time that a later owner has to wait starts to run.
      */
     public SlotAssignment silent(Set<String> unheard) {
         Map<String, Long> next = new TreeMap<>();
@@ -178,7 +186,9 @@
                         version + 1, epoch + 1, members, next, slots, table, previousTable, tableEpoch, stoppedKeys);
     }
 
-    /** The member has nothing in flight for these slots, which it has lost, and will not have. */
+    /**
+     * Records that the member has no request in flight for these slots, which it has lost, and that it will send none.
+     */
     public SlotAssignment confirmDrained(String member, Set<Integer> drained) {
         List<Slot> next = new ArrayList<>(slots);
         for (int number : drained) {
@@ -191,11 +201,11 @@
     }
 
     /**
-     * The member has waited until all that its slots' earlier owners had in flight is surely over: they are
-     * forgotten, or the next owner would wait again for those that never confirm.
+     * Removes the previous owners of slots for which the member has waited out the hold time, so that all their
+     * requests are over. Otherwise the next owner would wait again for previous owners that never confirm.
      *
-     * @param opened the slots, and since which epoch it owns each; one that went and came back meanwhile is passed
-     *     over
+     * @param opened the slots, each with the epoch since which the member owns it; a slot that was lost and regained in
+     *     the meantime is skipped
      */
     public SlotAssignment forgetPreviousOwners(String member, Map<Integer, Long> opened) {
         List<Slot> next = new ArrayList<>(slots);
@@ -218,11 +228,11 @@
     // ------------------------------------------------------------ tables and stopped keys
 
     /**
-     * Another table is in force. Nothing changes where yet another one has come meanwhile.
+     * Puts another routing table in force. Changes nothing if yet another table has come into force in the meantime.
      *
-     * @param next compressed
-     * @param knownTableEpoch {@link #tableEpoch} as the caller knows it, and has known for as long as {@link
-     *     RoutingTableTransition#mayChange} asks
+     * @param next the routing table, compressed
+     * @param knownTableEpoch the {@link #tableEpoch} known to the caller, which has known it for as long as
+     *     {@link RoutingTableTransition#mayChange} requires
      */
     public SlotAssignment table(String next, long knownTableEpoch) {
         return knownTableEpoch != tableEpoch || next.equals(table)
@@ -232,8 +242,9 @@
     }
 
     /**
-     * A request of the key has failed at this member, under a rule that stops it. Counts only while the member owns
-     * the key's slot: a successor that has waited long enough does not look here again.
+     * Stops the key after a request of it failed at this member, under a rule that stops the key. Has an effect only
+     * while the member owns the key's slot, because a later owner that has waited out the hold time no longer takes
+     * stops by this member into account.
      */
     public SlotAssignment stopKey(String member, String key) {
         boolean stored = stoppedKeys.contains(key);
@@ -241,7 +252,7 @@
         return stored || stoppedKeys.size() >= MAX_STOPPED_KEYS || !owned ? this : withStopped(key, true);
     }
 
-    /** The key takes requests again. */
+    /** Makes a stopped key accept requests again. */
     public SlotAssignment startKey(String key) {
         return stoppedKeys.contains(key) ? withStopped(key, false) : this;
     }
@@ -256,7 +267,10 @@
         return new SlotAssignment(version + 1, epoch, members, silent, slots, table, previousTable, tableEpoch, next);
     }
 
-    /** Whether an elector that holds this value may tell the member that the epoch it knows is the latest. */
+    /**
+     * Whether an elector that holds this value may grant the member a lease, by confirming that the epoch the member
+     * knows is the latest.
+     */
     public boolean grantsLease(String member, long knownEpoch) {
         return knownEpoch >= epoch && members.contains(member) && !silent.containsKey(member);
     }
