--- a/src/main/java/maplespread/partition/AttributeMatcher.java
+++ b/src/main/java/maplespread/partition/AttributeMatcher.java
@@ -3,12 +3,16 @@
 import java.util.Set;
 import maplespread.policy.StableHash;
 
-/** What a rule asks of one attribute's value. */
+/** A condition on the value of one attribute. */
 sealed interface AttributeMatcher {
-    /** {@code value}: a string, a Double for a label, or null, which nothing matches. */
+    /**
+     * Whether the value matches.
+     *
+     * @param value a string, a Double for a label, or null, which never matches
+     */
     boolean matches(Object value);
 
-    /** Equal to one of these: strings, or Doubles for a label. */
+    /** Matches values that are equal to one of these: strings, or Doubles for a label. */
     record OneOf(Set<Object> values) implements AttributeMatcher {
         @Override
         public boolean matches(Object value) {
@@ -16,7 +20,7 @@
         }
     }
 
-    /** A string that begins so. */
+    /** Matches strings that start with the prefix. */
     record Prefix(String prefix) implements AttributeMatcher {
         @Override
         public boolean matches(Object value) {
@@ -24,7 +28,7 @@
         }
     }
 
-    /** A label's number, {@code from} included, {@code below} not. */
+    /** Matches numbers of a label, from {@code from} inclusive to {@code below} exclusive. */
     record Range(double from, double below) implements AttributeMatcher {
         @Override
         public boolean matches(Object value) {
@@ -32,7 +36,7 @@
         }
     }
 
-    /** A part of all strings, by their hash in 0..1; {@code from} included, {@code below} not. */
+    /** Matches strings whose hash in 0..1 lies from {@code from} inclusive to {@code below} exclusive. */
     record Share(double from, double below) implements AttributeMatcher {
         private static final long HASH_FACTOR = 0x9E3779B97F4A7C15L;
 
@@ -46,8 +50,8 @@
         }
 
         /**
-         * A string's hash in 0..1. The factor makes it independent of the places of slots and workers, which come
-         * from the same hash.
+         * A string's hash in 0..1. The factor makes it independent of the positions of slots and workers, which are
+         * computed from the same hash.
          */
         static double unitHash(String text) {
             return ((StableHash.hash(text) * HASH_FACTOR) >>> 11) / (double) (1L << 53);
--- a/src/main/java/maplespread/partition/HeartbeatTable.java
+++ b/src/main/java/maplespread/partition/HeartbeatTable.java
@@ -25,7 +25,7 @@
      * @param incarnation the latest incarnation heard; 0: none
      * @param sequence the sequence number of the last lease request of that incarnation
      * @param silentForMs the time since the dispatcher was last heard, or since the elector started if it never was
-     * @param wantsSlots whether the dispatcher wants to ownHeartbeats slots
+     * @param wantsSlots whether the dispatcher wants to own slots
      */
     public record Heartbeat(
             @SerializedName("run") long incarnation,
@@ -119,8 +119,8 @@
 
     /**
      * Whether this elector leads, which means that it alone proposes assignments: it is the first in the list among the
-     * electors that it hears. It does not lead while it hears no majority, nor until {@code silentMs} after a process
-     * pause, because all others look silent to it then.
+     * electors that it hears. It does not lead while it hears no majority, nor for {@code silentMs} after its start or
+     * a process pause, because all others look silent to it then.
      */
     public boolean isLeader(long nowMs, List<String> electors, String self, long silentMs) {
         lastPauseEndedAtMs = nowMs - leaderAskedAtMs > silentMs ? nowMs : lastPauseEndedAtMs;
--- a/src/main/java/maplespread/partition/JsonSection.java
+++ b/src/main/java/maplespread/partition/JsonSection.java
@@ -11,20 +11,20 @@
 import maplespread.partition.RoutingTableException.Kind;
 
 /**
- * One object of a routing table's text. Each value is asked for by its key and checked; a key that nobody has asked
- * for is an error at the {@link #end}.
+ * One object in the JSON of a routing table. Each value is read by its key and checked; {@link #rejectUnknownKeys}
+ * throws for a key that was never read.
  */
 final class JsonSection {
     private static final double MS_PER_S = 1000;
 
-    /** Two numbers, {@code from} included, {@code below} not. */
+    /** Two numbers that bound an interval, {@code from} inclusive and {@code below} exclusive. */
     record Interval(double from, double below) {}
 
-    /** Where errors are, as {@code rule NAME}; empty: the table as a whole. */
+    /** The location for errors, as {@code rule NAME}; empty: the table as a whole. */
     final String where;
 
     private final JsonObject object;
-    private final Set<String> askedKeys = new TreeSet<>();
+    private final Set<String> readKeys = new TreeSet<>();
 
     JsonSection(String where, JsonElement element) throws RoutingTableException {
         this.where = where;
@@ -34,20 +34,20 @@
         object = element.getAsJsonObject();
     }
 
-    /** An object within the table; where the key is missing, an empty one. */
+    /** A nested object; an empty one if the key is missing. */
     JsonSection section(String key, String sectionWhere) throws RoutingTableException {
         JsonElement element = get(key);
         return new JsonSection(sectionWhere, element == null ? new JsonObject() : element);
     }
 
-    /** Null where the key is missing or null. */
+    /** Reads a value; null: the key is missing or its value is null. */
     JsonElement get(String key) {
-        askedKeys.add(key);
+        readKeys.add(key);
         JsonElement element = object.get(key);
         return element == null || element.isJsonNull() ? null : element;
     }
 
-    /** Whether the key is written, null or not; this does not count as asking for it. */
+    /** Whether the key is present, also with the value null. Does not count as reading the key. */
     boolean has(String key) {
         return object.has(key);
     }
@@ -60,11 +60,15 @@
         return new RoutingTableException(Kind.MALFORMED, where, key + " " + problem, "correct " + key);
     }
 
-    /** {@code defaultText}: where the key is missing; null: it must be there. */
-    String text(String key, String defaultText) throws RoutingTableException {
+    /**
+     * Reads a string that is not blank.
+     *
+     * @param defaultString used if the key is missing; null: the key is required
+     */
+    String string(String key, String defaultString) throws RoutingTableException {
         JsonElement element = get(key);
-        if (element == null && defaultText != null) {
-            return defaultText;
+        if (element == null && defaultString != null) {
+            return defaultString;
         }
         if (element == null || !isString(element) || element.getAsString().isBlank()) {
             throw malformed(key, element == null ? "is missing" : "must be a string that is not empty");
@@ -72,32 +76,32 @@
         return element.getAsString();
     }
 
-    /** One of an enum's constants, in lower case. */
-    <E extends Enum<E>> E word(String key, E defaultWord, Class<E> words) throws RoutingTableException {
-        String word = text(key, defaultWord.name().toLowerCase(Locale.ROOT));
-        for (E candidate : words.getEnumConstants()) {
-            if (candidate.name().toLowerCase(Locale.ROOT).equals(word)) {
+    /** Reads one of an enum's constants, which is in lower case. */
+    <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type) throws RoutingTableException {
+        String name = string(key, defaultValue.name().toLowerCase(Locale.ROOT));
+        for (E candidate : type.getEnumConstants()) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(name)) {
                 return candidate;
             }
         }
         throw new RoutingTableException(
                 Kind.UNKNOWN_NAME,
                 where,
-                key + " " + word + " is not known",
-                "use one of " + List.of(words.getEnumConstants()).toString().toLowerCase(Locale.ROOT));
+                key + " " + name + " is not known",
+                "use one of " + List.of(type.getEnumConstants()).toString().toLowerCase(Locale.ROOT));
     }
 
     double number(String key, double defaultNumber, double min, double max) throws RoutingTableException {
         JsonElement element = get(key);
         double number = element == null ? defaultNumber : numberOf(element);
-        if (!(number >= min && number <= max)) { // not a number fails too
+        if (!(number >= min && number <= max)) { // NaN fails too
             throw malformed(key, "must be a number from " + min + " to " + max);
         }
         return number;
     }
 
-    /** Strings, each once; empty where the key is missing. */
-    Set<String> texts(String key) throws RoutingTableException {
+    /** Reads a list of distinct strings; empty if the key is missing. */
+    Set<String> strings(String key) throws RoutingTableException {
         Set<String> all = new LinkedHashSet<>();
         JsonElement element = get(key);
         if (element != null && !isFilledArray(element)) {
@@ -111,7 +115,7 @@
         return all;
     }
 
-    /** An interval within these limits; where the key is missing, all of it. */
+    /** Reads an interval within these bounds; the whole of it if the key is missing. */
     Interval interval(String key, double min, double max) throws RoutingTableException {
         JsonElement element = get(key);
         if (element == null) {
@@ -127,7 +131,11 @@
         throw malformed(key, "must be [from, below] within " + min + " to " + max);
     }
 
-    /** The limits of a queue; what is not written comes from the defaults, {@code workS} in seconds. */
+    /**
+     * Reads the limits of a queue. Missing values come from the defaults.
+     *
+     * @param defaultWorkS the default for the estimated work, in seconds
+     */
     QueueLimits limits(String key, double defaultRequests, double defaultWorkS, double defaultAgeMs)
             throws RoutingTableException {
         JsonSection section = section(key, where);
@@ -135,16 +143,16 @@
                 (int) section.number("jobs", defaultRequests, 1, 1e6),
                 section.number("work_s", defaultWorkS, 0.001, 1e6) * MS_PER_S,
                 (long) section.number("age_ms", defaultAgeMs, 1, 3.6e6));
-        section.end();
+        section.rejectUnknownKeys();
         return limits;
     }
 
-    /** All keys that mean something have been asked for: any other one is an error. */
-    void end() throws RoutingTableException {
+    /** Throws for a key that was never read. To be called once every valid key has been read. */
+    void rejectUnknownKeys() throws RoutingTableException {
         for (String key : object.keySet()) {
-            if (!askedKeys.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw new RoutingTableException(
-                        Kind.UNKNOWN_NAME, where, "key " + key + " is not known", "use one of " + askedKeys);
+                        Kind.UNKNOWN_NAME, where, "key " + key + " is not known", "use one of " + readKeys);
             }
         }
     }
@@ -157,7 +165,7 @@
         return element.isJsonArray() && !element.getAsJsonArray().isEmpty();
     }
 
-    /** Not a number where the element is none; zero is never negative. */
+    /** The element's number, or NaN if it is not a number. Negative zero becomes zero. */
     static double numberOf(JsonElement element) {
         boolean isNumber =
                 element.isJsonPrimitive() && element.getAsJsonPrimitive().isNumber();
--- a/src/main/java/maplespread/partition/Partition.java
+++ b/src/main/java/maplespread/partition/Partition.java
@@ -5,15 +5,15 @@
 import maplespread.policy.StableHash;
 
 /**
- * A part of the workers: those of the zones, kinds and cells whose ids' hashes lie in a part of the unit ring.
+ * A subset of the workers: those of the given zones, kinds and cells whose id's hash lies in a part of the unit ring.
  *
- * @param zones names; empty: any
- * @param kinds names; empty: any
- * @param cells numbers; empty: any
- * @param ringFrom where the part of the ring begins, in 0..1
- * @param ringBelow where it ends, itself not included
- * @param exclusive no other partition but that of all workers may have one of its workers
- * @param limits on what waits for it, over all keys at one dispatcher
+ * @param zones names of zones; empty: any
+ * @param kinds names of kinds; empty: any
+ * @param cells numbers of cells; empty: any
+ * @param ringFrom the start of the part of the ring, in 0..1, inclusive
+ * @param ringBelow its end, exclusive
+ * @param exclusive whether no other partition, except that of all workers, may have one of its workers
+ * @param limits limits on the requests that wait for this partition, over all keys at one dispatcher
  */
 public record Partition(
         String name,
@@ -27,17 +27,17 @@
     /** A worker as the endpoint list shows it. */
     public record Worker(String id, String zone, String kind, int cell) {}
 
-    /** Whether the worker is one of these. */
+    /** Whether the worker belongs to this partition. */
     public boolean contains(Worker worker) {
-        double place = (StableHash.hash(worker.id()) >>> 11) / (double) (1L << 53);
+        double ringPosition = (StableHash.hash(worker.id()) >>> 11) / (double) (1L << 53);
         return (zones.isEmpty() || zones.contains(worker.zone()))
                 && (kinds.isEmpty() || kinds.contains(worker.kind()))
                 && (cells.isEmpty() || cells.contains(worker.cell()))
-                && ringFrom <= place
-                && place < ringBelow;
+                && ringFrom <= ringPosition
+                && ringPosition < ringBelow;
     }
 
-    /** Whether there could be a worker in both, whichever workers there are now. */
+    /** Whether any worker, listed now or later, could belong to both partitions. */
     boolean mayOverlap(Partition other) {
         return mayOverlap(zones, other.zones)
                 && mayOverlap(kinds, other.kinds)
--- a/src/main/java/maplespread/partition/PartitionParser.java
+++ b/src/main/java/maplespread/partition/PartitionParser.java
@@ -7,9 +7,9 @@
 import maplespread.partition.RoutingTableException.Kind;
 import maplespread.partition.RoutingTableParser.SiteNames;
 
-/** Reads the partitions of a routing table, and checks them against the site and each other. */
+/** Parses the partitions of a routing table, and checks them against the site and against each other. */
 final class PartitionParser {
-    /** The partition of all workers, which is always there. */
+    /** Name of the partition of all workers, which always exists. */
     static final String ALL = "all";
 
     private static final int DEFAULT_MAX_REQUESTS = 100_000;
@@ -34,14 +34,14 @@
         boolean exclusive = exclusive(section);
         Partition partition = new Partition(
                 name,
-                SiteNameCheck.known(section, "zones", section.texts("zones"), site.zones()),
-                SiteNameCheck.known(section, "kinds", section.texts("kinds"), site.kinds()),
+                SiteNameCheck.requireKnown(section, "zones", section.strings("zones"), site.zones()),
+                SiteNameCheck.requireKnown(section, "kinds", section.strings("kinds"), site.kinds()),
                 cells,
                 ring.from(),
                 ring.below(),
                 exclusive,
                 section.limits("bounds", DEFAULT_MAX_REQUESTS, DEFAULT_MAX_WORK_S, DEFAULT_MAX_AGE_MS));
-        section.end();
+        section.rejectUnknownKeys();
         if (!site.workers().isEmpty() && site.workers().stream().noneMatch(partition::contains)) {
             throw new RoutingTableException(
                     Kind.EMPTY,
@@ -63,7 +63,7 @@
         }
         for (JsonElement entry : list.getAsJsonArray()) {
             double cell = JsonSection.numberOf(entry);
-            if (cell != Math.rint(cell)) { // not a number fails too
+            if (cell != Math.rint(cell)) { // NaN fails too
                 throw section.malformed("cells", "must be a list of whole numbers");
             }
             cells.add((int) cell);
@@ -72,23 +72,26 @@
     }
 
     private static boolean exclusive(JsonSection section) throws RoutingTableException {
-        JsonElement apart = section.get("apart");
-        if (apart == null) {
+        JsonElement value = section.get("apart");
+        if (value == null) {
             return false;
         }
-        if (!apart.isJsonPrimitive() || !apart.getAsJsonPrimitive().isBoolean()) {
+        if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
             throw section.malformed("apart", "must be true or false");
         }
-        return apart.getAsBoolean();
+        return value.getAsBoolean();
     }
 
-    /** The partition of all workers overlaps with each, and is not counted. */
+    /**
+     * Checks that no exclusive partition may share workers with another. The partition of all workers overlaps with
+     * every other one and is exempt.
+     */
     static void checkExclusive(Collection<Partition> partitions) throws RoutingTableException {
         for (Partition partition : partitions) {
             for (Partition other : partitions) {
-                boolean counts =
+                boolean mustBeDisjoint =
                         !other.name().equals(partition.name()) && !other.name().equals(ALL);
-                if (partition.exclusive() && counts && partition.mayOverlap(other)) {
+                if (partition.exclusive() && mustBeDisjoint && partition.mayOverlap(other)) {
                     throw new RoutingTableException(
                             Kind.OVERLAP,
                             "partition " + partition.name(),
--- a/src/main/java/maplespread/partition/QueueLimits.java
+++ b/src/main/java/maplespread/partition/QueueLimits.java
@@ -1,10 +1,10 @@
 package maplespread.partition;
 
 /**
- * Limits on what waits in a queue.
+ * Limits on the requests that wait in a queue.
  *
- * @param maxRequests at once
- * @param maxWorkMs of all of them together, as it is estimated
- * @param maxAgeMs that one may wait
+ * @param maxRequests the number of requests
+ * @param maxWorkMs the estimated work of all of them together, in milliseconds
+ * @param maxAgeMs the time in milliseconds that one request may wait
  */
 public record QueueLimits(int maxRequests, double maxWorkMs, long maxAgeMs) {}
--- a/src/main/java/maplespread/partition/RequestAttributes.java
+++ b/src/main/java/maplespread/partition/RequestAttributes.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * What rules may ask of a request. Attributes go by the names {@code class}, {@code tenant}, {@code entity}, {@code
- * path} and {@code label.NAME}.
+ * The attributes of a request that rules may have conditions on. Rules call them {@code class}, {@code tenant},
+ * {@code entity}, {@code path} and {@code label.NAME}.
  *
- * @param tenant null where it has none
- * @param entity null where it has none
- * @param path without the query
- * @param labels numbers, by name
+ * @param tenant null: the request has none
+ * @param entity null: the request has none
+ * @param path the path without the query
+ * @param labels numbers by the label's name
  */
 public record RequestAttributes(
         String requestClass, String tenant, String entity, String path, Map<String, Double> labels) {
     static final String LABEL_PREFIX = "label.";
 
-    /** A string, a Double for a label, or null where the request has no such attribute. */
+    /** The attribute's value: a string, a Double for a label, or null if the request has no such attribute. */
     Object get(String attribute) {
         return switch (attribute) {
             case "class" -> requestClass;
--- a/src/main/java/maplespread/partition/RoutingTable.java
+++ b/src/main/java/maplespread/partition/RoutingTable.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * An ordered table of rules: the first that matches decides. Made by {@link RoutingTableParser}, which has checked
- * that the last one matches every request. Immutable. For each attribute and kind of matcher, a {@link RuleIndex}
- * finds the set of rules that the request's value passes; the first rule in all of the sets is the one.
+ * An ordered table of rules, of which the first that matches a request decides. {@link RoutingTableParser} creates it
+ * and has checked that the last rule matches every request. Immutable. For each attribute and kind of matcher, a
+ * {@link RuleIndex} finds the rules whose matchers accept the request's value; the first rule that all indexes find
+ * decides.
  */
 public final class RoutingTable {
     private final List<Rule> rules;
@@ -24,17 +25,19 @@
                 .forEach(attribute -> indexes.addAll(RuleIndex.of(attribute, this.rules)));
     }
 
-    /** In the order of the table. */
+    /** The rules, in the order of the table. */
     public List<Rule> rules() {
         return rules;
     }
 
-    /** By name. */
+    /** The partitions, by name. */
     public Map<String, Partition> partitions() {
         return partitions;
     }
 
-    /** How long after it was sent an ordered request can still run at most, under any rule; 0: none is ordered. */
+    /**
+     * The longest time that an ordered request can still run after it was sent, under any rule; 0: no rule is ordered.
+     */
     public long maxRunMs() {
         return rules.stream()
                 .filter(Rule::isOrdered)
@@ -43,7 +46,7 @@
                 .orElse(0);
     }
 
-    /** The first rule that matches. */
+    /** The first rule that matches the request. */
     public Rule decide(RequestAttributes request) {
         int words = (rules.size() + Long.SIZE - 1) / Long.SIZE;
         long[][] matching = new long[indexes.size()][];
@@ -59,6 +62,6 @@
                 return rules.get(word * Long.SIZE + Long.numberOfTrailingZeros(inAll));
             }
         }
-        throw new IllegalStateException("no rule matches"); // the parser lets no such table through
+        throw new IllegalStateException("no rule matches"); // the parser rejects such a table
     }
 }
--- a/src/main/java/maplespread/partition/RoutingTableException.java
+++ b/src/main/java/maplespread/partition/RoutingTableException.java
@@ -2,17 +2,17 @@
 
 import maplespread.errors.FleetException;
 
-/** A routing table that cannot be used. Names the rule or the partition; nothing of the table is taken up. */
+/** An invalid routing table. Names the rule or the partition; no part of the table is applied. */
 public final class RoutingTableException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong with it, for those who sort errors by more than their words. */
+    /** The kind of error, for code that has to distinguish errors by more than their messages. */
     public enum Kind {
-        /** Not JSON, a value out of its range, or a name that stands twice. */
+        /** Not JSON, a value out of its range, or a duplicate name. */
         MALFORMED,
-        /** A name that neither the table nor the site has. */
+        /** A name that neither the table nor the site defines. */
         UNKNOWN_NAME,
-        /** A rule that no request can come to. */
+        /** A rule that no request can reach. */
         NEVER_MATCHES,
         /** The last rule has conditions. */
         NO_DEFAULT,
@@ -20,7 +20,7 @@
         EMPTY,
         /** An exclusive partition that may share workers with another one. */
         OVERLAP,
-        /** An ordered rule that spills, or spills that lead back. */
+        /** An ordered rule that spills, or spills that form a cycle. */
         SPILL,
         /** Too many rules or values. */
         TOO_LARGE
@@ -38,7 +38,7 @@
         this.where = where;
     }
 
-    /** What is wrong with it. */
+    /** The kind of error. */
     public Kind kind() {
         return kind;
     }
--- a/src/main/java/maplespread/partition/RoutingTableParser.java
+++ b/src/main/java/maplespread/partition/RoutingTableParser.java
@@ -15,19 +15,19 @@
 import maplespread.partition.RoutingTableException.Kind;
 
 /**
- * The one place where a routing table is read. It is checked whole, or it is rejected with the first fault that is
- * found; docs/operators/partition.md has every key and error.
+ * Parses and checks routing tables; no other class parses them. A table is accepted as a whole, or rejected with the
+ * first error that is found; docs/operators/partition.md lists every key and error.
  */
 public final class RoutingTableParser {
     private static final int MAX_RULES = 4096;
-    /** So many of the rules that leave another one nothing are named in its error. */
-    private static final int MAX_NAMED_RULES = 5;
+    /** Maximum number of earlier rules that the error about an unreachable rule names. */
+    private static final int MAX_NAMED_RULES_IN_ERROR = 5;
 
     /**
-     * What a table may name.
+     * The names that a table may use.
      *
-     * @param tenants empty: there are none
-     * @param workers empty: not known yet, so it is not checked whether partitions have any
+     * @param tenants the tenants; empty: the site has none
+     * @param workers the listed workers; empty: not known yet, so whether a partition has a worker is not checked
      */
     public record SiteNames(
             List<String> classes, List<String> tenants, List<String> zones, List<String> kinds, List<Worker> workers) {}
@@ -38,7 +38,7 @@
         this.site = site;
     }
 
-    /** The table in a JSON text. Throws with the first fault that is found. */
+    /** Parses a table from JSON. Throws with the first error that is found. */
     public static RoutingTable parse(String json, SiteNames site) throws RoutingTableException {
         JsonElement element;
         try {
@@ -52,7 +52,7 @@
     private RoutingTable table(JsonSection root) throws RoutingTableException {
         Map<String, Partition> partitions = partitions(root);
         List<JsonElement> rows = rows(root);
-        root.end();
+        root.rejectUnknownKeys();
         List<Rule> rules = rules(rows, partitions);
         checkDefault(rules);
         checkReachable(rules);
@@ -113,27 +113,30 @@
         }
     }
 
-    /** All but the last one, which no request may be left for. */
+    /** Checks all rules but the last one, which may be unreachable. */
     private void checkReachable(List<Rule> rules) throws RoutingTableException {
         UnreachableRuleFinder finder = new UnreachableRuleFinder(rules, site.classes, site.tenants);
         for (int i = 0; i < rules.size() - 1; i++) {
-            Optional<List<Rule>> takenBy = finder.takenBy(i);
-            if (takenBy.isPresent()) {
-                throw unreachable(rules.get(i), takenBy.get());
+            Optional<List<Rule>> shadowingRules = finder.shadowingRules(i);
+            if (shadowingRules.isPresent()) {
+                throw unreachable(rules.get(i), shadowingRules.get());
             }
         }
     }
 
-    private static RoutingTableException unreachable(Rule rule, List<Rule> takenBy) {
+    private static RoutingTableException unreachable(Rule rule, List<Rule> shadowingRules) {
         String where = "rule " + rule.name();
-        if (takenBy.isEmpty()) {
+        if (shadowingRules.isEmpty()) {
             return new RoutingTableException(
                     Kind.NEVER_MATCHES,
                     where,
                     "can never match: its conditions exclude one another",
                     "correct its when");
         }
-        String names = takenBy.stream().limit(MAX_NAMED_RULES).map(Rule::name).collect(Collectors.joining(", "));
+        String names = shadowingRules.stream()
+                .limit(MAX_NAMED_RULES_IN_ERROR)
+                .map(Rule::name)
+                .collect(Collectors.joining(", "));
         return new RoutingTableException(
                 Kind.NEVER_MATCHES,
                 where,
--- a/src/main/java/maplespread/partition/RuleIndex.java
+++ b/src/main/java/maplespread/partition/RuleIndex.java
@@ -9,17 +9,18 @@
 import java.util.function.Predicate;
 
 /**
- * For one attribute and one kind of matcher: which rules a request's value passes, as a set of bits, those rules
- * among them that have no such matcher. Values that differ in nothing have one set between them. Immutable.
+ * Finds, for one attribute and one kind of matcher, the rules that accept a request's value, as a bit set. A rule
+ * without such a matcher accepts every value. Equal sets are stored once. Immutable.
  */
 abstract class RuleIndex {
     private final String attribute;
     /** By rule: its matchers of this kind. */
     private final List<List<AttributeMatcher>> matchers;
-    /** Equal sets are kept once. */
+    /** Each distinct set of rules, by its text. */
     private final Map<String, long[]> sharedSets = new HashMap<>();
 
-    private final long[] rulesWithout;
+    /** The rules without a matcher of this kind. */
+    private final long[] rulesWithoutMatcher;
 
     private RuleIndex(String attribute, List<Rule> rules, Class<? extends AttributeMatcher> kind) {
         this.attribute = attribute;
@@ -30,10 +31,10 @@
                         .filter(kind::isInstance)
                         .toList())
                 .toList();
-        rulesWithout = passed(matcher -> false);
+        rulesWithoutMatcher = passed(matcher -> false);
     }
 
-    /** An index for each kind of matcher that some rule has for the attribute. */
+    /** Creates an index for each kind of matcher that some rule has for the attribute. */
     static List<RuleIndex> of(String attribute, List<Rule> rules) {
         List<AttributeMatcher> used = rules.stream()
                 .flatMap(rule -> rule.when().stream())
@@ -56,15 +57,15 @@
         return indexes;
     }
 
-    /** The rules whose matchers of this kind the request passes; not to be changed. */
+    /** The rules whose matchers of this kind accept the request. The caller must not change the array. */
     final long[] matching(RequestAttributes request) {
         Object value = request.get(attribute);
-        return value == null ? rulesWithout : matching(value);
+        return value == null ? rulesWithoutMatcher : matching(value);
     }
 
     abstract long[] matching(Object value);
 
-    /** The rules all of whose matchers pass, a bit each. */
+    /** The rules all of whose matchers pass, one bit each. */
     final long[] passed(Predicate<AttributeMatcher> passes) {
         long[] set = new long[(matchers.size() + Long.SIZE - 1) / Long.SIZE];
         for (int rule = 0; rule < matchers.size(); rule++) {
@@ -101,10 +102,10 @@
         }
     }
 
-    /** Prefixes in order, each with the longest other one that it begins with. */
+    /** Prefixes in sorted order, each with the longest other prefix that it starts with. */
     private static final class PrefixIndex extends RuleIndex {
         private final String[] prefixes;
-        /** By prefix: the place of the longest other one that it begins with; below 0: there is none. */
+        /** By prefix: the index of the longest other prefix that it starts with; negative: none. */
         private final int[] enclosing;
 
         private final long[][] sets;
@@ -129,9 +130,14 @@
             unlisted = passed(matcher -> false);
         }
 
-        /** The search goes from {@code place} along the enclosing prefixes: a value begins with those of its own. */
-        private int longestPrefixOf(String value, int place) {
-            int candidate = place;
+        /**
+         * The index of the longest prefix that the value starts with; negative: none.
+         *
+         * @param start the index of the last prefix that does not sort after the value: every indexed prefix of the
+         *     value is that one or encloses it, so the search follows the enclosing prefixes from there
+         */
+        private int longestPrefixOf(String value, int start) {
+            int candidate = start;
             while (candidate >= 0 && !value.startsWith(prefixes[candidate])) {
                 candidate = enclosing[candidate];
             }
@@ -148,11 +154,11 @@
         }
     }
 
-    /** Parts of the number line: ranges of labels, shares of the unit circle. */
+    /** Intervals of numbers: ranges of a label, or shares of the hashes in 0..1. */
     private static final class IntervalIndex extends RuleIndex {
         private final boolean share;
         private final double[] bounds;
-        /** From each bound on; the first: below all bounds. */
+        /** The rules for each interval: the first lies below all bounds, and each other one starts at a bound. */
         private final long[][] sets;
 
         IntervalIndex(
@@ -179,7 +185,7 @@
         }
     }
 
-    /** Where ranges or shares begin and end, in order. */
+    /** The starts and ends of all ranges and shares, sorted. */
     static double[] bounds(List<AttributeMatcher> matchers) {
         TreeSet<Double> bounds = new TreeSet<>();
         for (AttributeMatcher matcher : matchers) {
--- a/src/main/java/maplespread/partition/RuleParser.java
+++ b/src/main/java/maplespread/partition/RuleParser.java
@@ -12,50 +12,61 @@
 import maplespread.partition.Rule.OnFailure;
 import maplespread.partition.Rule.Order;
 
-/** Reads the rules of one routing table; counts their values over all of them. */
+/** Parses the rules of one routing table and counts the values in all of them. */
 final class RuleParser {
+    /** Maximum number of values, prefixes and shares in all rules of a table. */
     private static final int MAX_VALUES = 50_000;
+
     private static final String DEFAULT_KEY = "entity";
     private static final double DEFAULT_MAX_RUN_MS = 1000;
-    private static final double LONGEST_RUN_MS = 3.6e6;
+    private static final double MAX_RUN_MS = 3.6e6;
     private static final double DEFAULT_MAX_REQUESTS_PER_KEY = 100;
     private static final double DEFAULT_MAX_WORK_S_PER_KEY = 600;
     private static final double DEFAULT_MAX_AGE_MS_PER_KEY = 600_000;
 
     private final SiteNames site;
     private final Set<String> partitions;
-    private int values;
+    private int valueCount;
 
-    /** {@code partitions}: the names of those that rules may use. */
+    /**
+     * A parser for the rules of one table.
+     *
+     * @param partitions the names of the partitions that rules may use
+     */
     RuleParser(SiteNames site, Set<String> partitions) {
         this.site = site;
         this.partitions = partitions;
     }
 
-    /** {@code number}: the rule's place in the table, from 1, which names it where it has no name. */
+    /**
+     * Parses one rule.
+     *
+     * @param number the rule's position in the table, from 1, which is its name if it has none
+     */
     Rule parse(int number, JsonElement row) throws RoutingTableException {
-        String name = new JsonSection("rule " + number, row).text("name", String.valueOf(number));
+        String name = new JsonSection("rule " + number, row).string("name", String.valueOf(number));
         JsonSection section = new JsonSection("rule " + name, row);
         section.get("name");
-        String partition = section.text("to", PartitionParser.ALL);
-        SiteNameCheck.known(section, "to", Set.of(partition), partitions);
-        Order order = section.word("order", Order.NONE, Order.class);
-        String key = SiteNameCheck.attribute(section, section.text("key", DEFAULT_KEY));
+        String partition = section.string("to", PartitionParser.ALL);
+        SiteNameCheck.requireKnown(section, "to", Set.of(partition), partitions);
+        Order order = section.enumValue("order", Order.NONE, Order.class);
+        String key = SiteNameCheck.requireAttribute(section, section.string("key", DEFAULT_KEY));
         OnFailure onFailure = onFailure(section, order);
-        long maxRunMs = (long) section.number("runs_ms", DEFAULT_MAX_RUN_MS, 1, LONGEST_RUN_MS);
+        long maxRunMs = (long) section.number("runs_ms", DEFAULT_MAX_RUN_MS, 1, MAX_RUN_MS);
         QueueLimits perKeyLimits = section.limits(
                 "each_key", DEFAULT_MAX_REQUESTS_PER_KEY, DEFAULT_MAX_WORK_S_PER_KEY, DEFAULT_MAX_AGE_MS_PER_KEY);
-        List<String> spill = List.copyOf(SiteNameCheck.known(section, "spill", section.texts("spill"), partitions));
+        List<String> spill =
+                List.copyOf(SiteNameCheck.requireKnown(section, "spill", section.strings("spill"), partitions));
         checkOrder(section, order, partition, spill);
         Rule rule =
                 new Rule(name, conditions(section), partition, order, key, onFailure, maxRunMs, perKeyLimits, spill);
-        section.end();
+        section.rejectUnknownKeys();
         return rule;
     }
 
     private static OnFailure onFailure(JsonSection section, Order order) throws RoutingTableException {
         boolean stops = order == Order.BY_KEY_STOP;
-        OnFailure onFailure = section.word("failed", stops ? OnFailure.STOP : OnFailure.GO_ON, OnFailure.class);
+        OnFailure onFailure = section.enumValue("failed", stops ? OnFailure.STOP : OnFailure.GO_ON, OnFailure.class);
         if ((onFailure == OnFailure.STOP) != stops) {
             throw section.malformed("failed", "is stop if and only if order is by_key_stop");
         }
@@ -82,7 +93,7 @@
         List<Condition> conditions = new ArrayList<>();
         JsonSection when = rule.section("when", rule.where);
         for (String attribute : when.keys()) {
-            SiteNameCheck.attribute(when, attribute);
+            SiteNameCheck.requireAttribute(when, attribute);
             JsonElement element = when.get(attribute);
             if (element != null && !element.isJsonObject()) {
                 conditions.add(new Condition(attribute, oneOf(when, attribute, element)));
@@ -93,7 +104,7 @@
                 }
             }
         }
-        if (values > MAX_VALUES) {
+        if (valueCount > MAX_VALUES) {
             throw new RoutingTableException(
                     Kind.TOO_LARGE,
                     rule.where,
@@ -115,7 +126,7 @@
             addPrefix(section, attribute, matchers);
             addShare(section, matchers);
         }
-        section.end();
+        section.rejectUnknownKeys();
         if (section.keys().isEmpty()) {
             throw section.malformed(attribute, "asks for nothing");
         }
@@ -128,7 +139,7 @@
 
     private static void addRange(JsonSection section, List<AttributeMatcher> matchers) throws RoutingTableException {
         boolean hasFrom = section.get("from") != null;
-        boolean hasBelow = section.get("below") != null; // both are asked for, so that neither is an unknown key
+        boolean hasBelow = section.get("below") != null; // both keys are read, so that neither counts as unknown
         if (hasFrom || hasBelow) {
             matchers.add(new AttributeMatcher.Range(
                     section.number("from", -Double.MAX_VALUE, -Double.MAX_VALUE, Double.MAX_VALUE),
@@ -146,27 +157,28 @@
             throw section.malformed(attribute + ".prefix", "must be a string");
         }
         matchers.add(new AttributeMatcher.Prefix(prefix.getAsString()));
-        values++;
+        valueCount++;
     }
 
     private void addShare(JsonSection section, List<AttributeMatcher> matchers) throws RoutingTableException {
         if (section.get("share") != null) {
             JsonSection.Interval share = section.interval("share", 0, 1);
             matchers.add(new AttributeMatcher.Share(share.from(), share.below()));
-            values++;
+            valueCount++;
         }
     }
 
-    /** One value or a list of them: numbers of a label, else strings. */
+    /** Parses one value or a list of them, which are numbers for a label and strings otherwise. */
     private AttributeMatcher oneOf(JsonSection section, String attribute, JsonElement element)
             throws RoutingTableException {
         List<JsonElement> list =
                 element.isJsonArray() ? element.getAsJsonArray().asList() : List.of(element);
-        Set<Object> accepted = isLabel(attribute) ? numbers(section, attribute, list) : texts(section, attribute, list);
+        Set<Object> accepted =
+                isLabel(attribute) ? numbers(section, attribute, list) : strings(section, attribute, list);
         if (accepted.isEmpty()) {
             throw section.malformed(attribute, "is a list without an entry");
         }
-        values += accepted.size();
+        valueCount += accepted.size();
         if (attribute.equals("class")) {
             checkNames(section, attribute, accepted, site.classes());
         } else if (attribute.equals("tenant")) {
@@ -188,23 +200,23 @@
         return numbers;
     }
 
-    private static Set<Object> texts(JsonSection section, String attribute, List<JsonElement> list)
+    private static Set<Object> strings(JsonSection section, String attribute, List<JsonElement> list)
             throws RoutingTableException {
-        Set<Object> texts = new LinkedHashSet<>();
+        Set<Object> strings = new LinkedHashSet<>();
         for (JsonElement entry : list) {
             if (!JsonSection.isString(entry)) {
                 throw section.malformed(attribute, "must be a string");
             }
-            texts.add(entry.getAsString());
+            strings.add(entry.getAsString());
         }
-        return texts;
+        return strings;
     }
 
     private static void checkNames(
             JsonSection section, String attribute, Set<Object> accepted, Collection<String> knownNames)
             throws RoutingTableException {
         for (Object name : accepted) {
-            SiteNameCheck.known(section, attribute, Set.of((String) name), knownNames);
+            SiteNameCheck.requireKnown(section, attribute, Set.of((String) name), knownNames);
         }
     }
 }
--- a/src/main/java/maplespread/partition/SiteNameCheck.java
+++ b/src/main/java/maplespread/partition/SiteNameCheck.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 import maplespread.partition.RoutingTableException.Kind;
 
-/** Checks names in a routing table against those that it may use. */
+/** Checks names in a routing table against the names that it may use. */
 final class SiteNameCheck {
-    /** So many of the known names are listed in an error. */
+    /** Maximum number of known names that an error lists. */
     private static final int MAX_LISTED_NAMES = 20;
 
     private static final List<String> ATTRIBUTES = List.of("class", "tenant", "entity", "path");
 
     private SiteNameCheck() {}
 
-    /** The names as they are, or an error at the first that is not among the known ones. */
-    static Set<String> known(JsonSection section, String key, Set<String> names, Collection<String> knownNames)
+    /** Returns the names unchanged, or throws at the first one that is not among the known names. */
+    static Set<String> requireKnown(JsonSection section, String key, Set<String> names, Collection<String> knownNames)
             throws RoutingTableException {
         for (String name : names) {
             if (!knownNames.contains(name)) {
@@ -31,8 +31,8 @@
         return names;
     }
 
-    /** The name of a request's attribute as it is, or an error where there is none of that name. */
-    static String attribute(JsonSection section, String name) throws RoutingTableException {
+    /** Returns the name of a request attribute unchanged, or throws if no attribute has that name. */
+    static String requireAttribute(JsonSection section, String name) throws RoutingTableException {
         boolean label = name.startsWith(RequestAttributes.LABEL_PREFIX)
                 && name.length() > RequestAttributes.LABEL_PREFIX.length();
         if (!label && !ATTRIBUTES.contains(name)) {
--- a/src/main/java/maplespread/partition/SlotAssignment.java
+++ b/src/main/java/maplespread/partition/SlotAssignment.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * The same tables and stopped keys without owners, for a recovery from a value that may be older than lost ones.
-     * May be written only once all requests sent under earlier values are over.
+     * The same tables and stopped keys without owners, for recovery when newer values may be lost. May be written only
+     * once all requests sent under earlier values are over.
      *
      * @param startNumber the version and the epoch to start at, beyond all earlier ones
      */
--- a/src/main/java/maplespread/partition/SpillCycleChecker.java
+++ b/src/main/java/maplespread/partition/SpillCycleChecker.java
@@ -8,9 +8,12 @@
 import java.util.Set;
 import maplespread.partition.RoutingTableException.Kind;
 
-/** Rejects rules that spill requests from one partition over others back to it: they would go to and fro. */
+/**
+ * Rejects rules whose spills lead from a partition, directly or over others, back to it: requests would circulate
+ * between the partitions.
+ */
 final class SpillCycleChecker {
-    /** By the partition that spills. */
+    /** Partitions that requests spill to, by the partition that they spill from. */
     private final Map<String, Set<String>> targets = new LinkedHashMap<>();
 
     private SpillCycleChecker() {}
@@ -36,11 +39,11 @@
         }
     }
 
-    private boolean reaches(String from, String end, Set<String> seen) {
-        if (from.equals(end)) {
+    private boolean reaches(String from, String destination, Set<String> visited) {
+        if (from.equals(destination)) {
             return true;
         }
-        return seen.add(from)
-                && targets.getOrDefault(from, Set.of()).stream().anyMatch(next -> reaches(next, end, seen));
+        return visited.add(from)
+                && targets.getOrDefault(from, Set.of()).stream().anyMatch(next -> reaches(next, destination, visited));
     }
 }
--- a/src/main/java/maplespread/partition/UnreachableRuleFinder.java
+++ b/src/main/java/maplespread/partition/UnreachableRuleFinder.java
@@ -11,20 +11,20 @@
 import java.util.TreeSet;
 
 /**
- * Finds rules that can never match, by themselves or because the rules before them take all that they could match,
- * several of them together too. Each attribute's values fall into finitely many classes that no rule of the table
- * tells apart; a rule is a box of classes, and what earlier rules take is cut off from it until a piece is left that
- * none of them takes.
+ * Finds rules that can never match, either by themselves or because earlier rules, alone or several of them together,
+ * match everything that they could match. The values of each attribute fall into finitely many classes that no rule of
+ * the table distinguishes, and a rule is a box of such classes. The boxes of the earlier rules are subtracted from the
+ * rule's box until a piece is left that none of them covers.
  *
- * <p>Errs in the rule's favour: a value's share counts as independent of the value, and beyond {@link #MAX_CUTS} cuts
- * the question is left open.
+ * <p>Errs on the side of reachable: the share that a value falls into counts as independent of the value, and after
+ * {@link #MAX_SUBTRACTIONS} subtractions the rule counts as reachable.
  */
 final class UnreachableRuleFinder {
-    private static final int MAX_CUTS = 50_000;
+    private static final int MAX_SUBTRACTIONS = 50_000;
 
     /**
-     * Values that no rule tells apart: one value; or, where that is null, all other strings whose longest known prefix
-     * this is; or, where both are null, no value.
+     * Values that no rule distinguishes: one value; or, if {@code value} is null, all other strings whose longest known
+     * prefix is {@code prefix}; or, if both are null, the absence of a value.
      */
     private record ValueClass(Object value, String prefix) {
         boolean passes(AttributeMatcher matcher) {
@@ -38,14 +38,21 @@
         }
     }
 
-    /** Part of a rule's box, and the first of the earlier rules that has not been cut off from it. */
+    /** Part of a rule's box, and the first of the earlier rules that has not been subtracted from it. */
     private record Piece(BitSet[] box, int nextRule) {}
 
     private final List<Rule> rules;
-    /** By rule: for each attribute the classes of values that it takes, and after these the shares. */
+    /**
+     * By rule: for each attribute the classes of values that it accepts, each followed by the shares that it accepts.
+     */
     private final List<BitSet[]> boxes = new ArrayList<>();
 
-    /** {@code classes}, {@code tenants}: all that there are; no tenants: requests have none. */
+    /**
+     * Computes the boxes of all rules.
+     *
+     * @param classes all request classes
+     * @param tenants all tenants; empty: requests have none
+     */
     UnreachableRuleFinder(List<Rule> rules, Collection<String> classes, Collection<String> tenants) {
         this.rules = rules;
         List<String> attributes = rules.stream()
@@ -96,7 +103,7 @@
                 values.stream().map(value -> new ValueClass(value, null)).toList());
     }
 
-    /** Of an attribute whose values are not known beforehand. */
+    /** The classes of an attribute whose values are not known in advance. */
     private static List<ValueClass> openClasses(String attribute, List<AttributeMatcher> used) {
         Set<Object> values = new TreeSet<>();
         Set<String> prefixes = new TreeSet<>(Set.of(""));
@@ -113,7 +120,7 @@
         }
         List<ValueClass> all = listed(values);
         if (!attribute.equals("path")) {
-            all.add(new ValueClass(null, null)); // the request has none
+            all.add(new ValueClass(null, null)); // a request without the attribute
         }
         if (!label) {
             prefixes.forEach(prefix -> all.add(new ValueClass(null, prefix)));
@@ -121,7 +128,7 @@
         return all;
     }
 
-    /** A number that is not listed stands for all others of its interval. */
+    /** Adds one unlisted number of each interval, which represents all other numbers of the interval. */
     private static void addNumberOfEachInterval(double[] bounds, Set<Object> values) {
         for (int i = 0; i <= bounds.length; i++) {
             double number = i == 0 ? -Double.MAX_VALUE : bounds[i - 1];
@@ -131,12 +138,12 @@
         }
     }
 
-    private static BitSet passedClasses(List<ValueClass> classes, List<AttributeMatcher> matchers) {
+    private static BitSet passedClasses(List<ValueClass> valueClasses, List<AttributeMatcher> matchers) {
         BitSet passed = new BitSet();
-        passed.set(0, classes.size());
+        passed.set(0, valueClasses.size());
         for (AttributeMatcher matcher : matchers) {
-            for (int i = 0; i < classes.size(); i++) {
-                if (!classes.get(i).passes(matcher)) {
+            for (int i = 0; i < valueClasses.size(); i++) {
+                if (!valueClasses.get(i).passes(matcher)) {
                     passed.clear(i);
                 }
             }
@@ -162,53 +169,54 @@
     // ------------------------------------------------------------ boxes
 
     /**
-     * Empty: requests can come to this rule. Else the earlier rules that take all it could match; none: its
-     * conditions exclude one another.
+     * The earlier rules that together match everything that this rule could match.
+     *
+     * @return empty: requests can reach this rule; an empty list: the rule's own conditions exclude one another
      */
-    Optional<List<Rule>> takenBy(int rule) {
-        for (BitSet side : boxes.get(rule)) {
-            if (side.isEmpty()) {
+    Optional<List<Rule>> shadowingRules(int rule) {
+        for (BitSet dimension : boxes.get(rule)) {
+            if (dimension.isEmpty()) {
                 return Optional.of(List.of());
             }
         }
-        Set<Integer> takers = new TreeSet<>();
-        Deque<Piece> left = new ArrayDeque<>(List.of(new Piece(boxes.get(rule), 0)));
-        for (int cuts = 0; !left.isEmpty(); cuts++) {
-            Piece piece = left.pop();
+        Set<Integer> covering = new TreeSet<>();
+        Deque<Piece> remaining = new ArrayDeque<>(List.of(new Piece(boxes.get(rule), 0)));
+        for (int subtractions = 0; !remaining.isEmpty(); subtractions++) {
+            Piece piece = remaining.pop();
             int earlier = piece.nextRule;
             while (earlier < rule && !intersect(piece.box, boxes.get(earlier))) {
                 earlier++;
             }
-            if (earlier == rule || cuts > MAX_CUTS) {
+            if (earlier == rule || subtractions > MAX_SUBTRACTIONS) {
                 return Optional.empty();
             }
-            takers.add(earlier);
-            cut(piece.box, boxes.get(earlier), earlier + 1, left);
+            covering.add(earlier);
+            subtract(piece.box, boxes.get(earlier), earlier + 1, remaining);
         }
-        return Optional.of(takers.stream().map(rules::get).toList());
+        return Optional.of(covering.stream().map(rules::get).toList());
     }
 
     private static boolean intersect(BitSet[] first, BitSet[] second) {
-        for (int side = 0; side < first.length; side++) {
-            if (!first[side].intersects(second[side])) {
+        for (int dimension = 0; dimension < first.length; dimension++) {
+            if (!first[dimension].intersects(second[dimension])) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Adds what of the box lies outside of the other one, in pieces that do not intersect. */
-    private static void cut(BitSet[] box, BitSet[] other, int nextRule, Deque<Piece> pieces) {
+    /** Adds the parts of the box that lie outside of the other one, as pieces that do not intersect. */
+    private static void subtract(BitSet[] box, BitSet[] other, int nextRule, Deque<Piece> pieces) {
         BitSet[] rest = box.clone();
-        for (int side = 0; side < box.length; side++) {
-            BitSet outside = (BitSet) rest[side].clone();
-            outside.andNot(other[side]);
+        for (int dimension = 0; dimension < box.length; dimension++) {
+            BitSet outside = (BitSet) rest[dimension].clone();
+            outside.andNot(other[dimension]);
             if (!outside.isEmpty()) {
                 BitSet[] piece = rest.clone();
-                piece[side] = outside;
+                piece[dimension] = outside;
                 pieces.push(new Piece(piece, nextRule));
-                rest[side] = (BitSet) rest[side].clone();
-                rest[side].and(other[side]);
+                rest[dimension] = (BitSet) rest[dimension].clone();
+                rest[dimension].and(other[dimension]);
             }
         }
     }
