--- a/src/test/java/maplespread/partition/Golden.java
+++ b/src/test/java/maplespread/partition/Golden.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 
 /**
- * Compares what a test has seen with what was recorded. What was seen is also written to {@code
- * target/golden/partition}, to be compared file by file where it differs.
+ * Compares the text that a test produced with the recorded file. The produced text is also written to
+ * {@code target/golden/partition}, so that differing files can be compared.
  */
 public final class Golden {
     private static final String FOLDER = "golden/partition";
@@ -19,11 +19,11 @@
     private Golden() {}
 
     /** Fails unless the recorded file of this name holds exactly this text. */
-    public static void assertGolden(String name, String seen) throws IOException {
-        Files.writeString(Files.createDirectories(Path.of("target", FOLDER)).resolve(name), seen);
+    public static void assertGolden(String name, String actual) throws IOException {
+        Files.writeString(Files.createDirectories(Path.of("target", FOLDER)).resolve(name), actual);
         try (InputStream recorded = Golden.class.getResourceAsStream("/" + FOLDER + "/" + name)) {
             assertNotNull(recorded, "recorded: " + name);
-            assertEquals(new String(recorded.readAllBytes(), StandardCharsets.UTF_8), seen, name);
+            assertEquals(new String(recorded.readAllBytes(), StandardCharsets.UTF_8), actual, name);
         }
     }
 }
--- a/src/test/java/maplespread/partition/PerKeyQueueTest.java
+++ b/src/test/java/maplespread/partition/PerKeyQueueTest.java
@@ -11,7 +11,7 @@
 import maplespread.partition.Rule.OnFailure;
 import org.junit.jupiter.api.Test;
 
-/** Requests by hand: what is sent, what is rejected and when, each noted as words on a line. */
+/** Records what the queue sends and rejects, as one line of words, and compares it with the expected line. */
 class PerKeyQueueTest {
     private static final LeaseSettings SETTINGS = new LeaseSettings(3, 300, 0);
     private final StringBuilder events = new StringBuilder();
@@ -40,8 +40,8 @@
                 Set.of(new Partition("p", Set.of(), Set.of(), Set.of(), 0, 1, false, new QueueLimits(20, 1e6, 5000))));
     }
 
-    /** Runs 100 ms at most; 12 jobs, 1 s of work and 700 ms of waiting a key. */
-    private void enqueue(long now, String key, double workMs, long deadline) {
+    /** Enqueues a request that runs 100 ms at most, with limits per key of 12 requests, 1 s of work and 700 ms of age. */
+    private void enqueue(long nowMs, String key, double workMs, long deadlineMs) {
         Rule rule = new Rule(
                 "r",
                 List.of(),
@@ -52,7 +52,7 @@
                 100,
                 new QueueLimits(12, 1000, 700),
                 List.of());
-        queue.enqueue(now, new PerKeyQueue.QueuedRequest(++lastId, key, rule, workMs, deadline, now));
+        queue.enqueue(nowMs, new PerKeyQueue.QueuedRequest(++lastId, key, rule, workMs, deadlineMs, nowMs));
     }
 
     private void expect(String expected) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void oneRequestOfAKeyIsInFlightInOrderAndAnUnknownOutcomeHoldsTheKey() {
+    void requestsOfAKeyAreSentOneAtATimeAndAnUnknownOutcomeHoldsTheKey() {
         enqueue(0, "k", 10, 9999);
         enqueue(0, "k", 10, 9999);
         enqueue(0, "m", 10, 9999);
@@ -69,7 +69,7 @@
         expect("k1 m3");
         queue.complete(5, 1, ExecutionResult.NEVER_RAN);
         expect("k2");
-        queue.complete(20, 2, ExecutionResult.UNKNOWN); // held to 121: the last one is too late
+        queue.complete(20, 2, ExecutionResult.UNKNOWN); // the key is held until 121, after the deadline of request 4
         expect("LATE4");
         enqueue(30, "k", 10, 9999);
         queue.runDue(120);
@@ -84,14 +84,14 @@
     }
 
     @Test
-    void lateRequestsAreRejectedAtOnceAndOldOnesByTheirAge() {
+    void requestsAreRejectedAtOnceIfLateAndOnceTheyExceedTheirAgeLimit() {
         enqueue(0, "k", 200, 9999);
-        enqueue(0, "k", 100, 299); // 200 + 100 is one too many
+        enqueue(0, "k", 100, 299); // 200 + 100 is 1 ms after the deadline
         expect("k1 LATE2");
         enqueue(0, "k", 10, 250);
         enqueue(0, "k", 10, 9999);
         assertEquals(241, queue.runDue(200));
-        queue.runDue(241); // the head runs over
+        queue.runDue(241); // the request in flight runs longer than estimated
         expect("LATE3");
         assertEquals(700, queue.runDue(699));
         queue.runDue(700);
@@ -109,7 +109,7 @@
         for (int i = 0; i < 40; i++) {
             enqueue(0, "hot", 1, 9999);
         }
-        assertEquals(10, queue.waitingCount(), "half of the partition's 20");
+        assertEquals(10, queue.waitingCount(), "half of the partition's limit of 20");
         assertEquals(10, queue.waitingWorkMs("p"));
         events.setLength(0);
         enqueue(0, "a", 1, 9999);
@@ -122,12 +122,12 @@
 
     @Test
     void afterAFailureTheRuleDecidesWhatFollowsForTheKey() {
-        for (OnFailure policy : OnFailure.values()) {
-            onFailure = policy;
-            enqueue(0, policy.name(), 1, 9999);
-            enqueue(0, policy.name(), 1, 9999);
+        for (OnFailure failurePolicy : OnFailure.values()) {
+            onFailure = failurePolicy;
+            enqueue(0, failurePolicy.name(), 1, 9999);
+            enqueue(0, failurePolicy.name(), 1, 9999);
             queue.complete(1, lastId - 1, ExecutionResult.FAILED);
-            enqueue(2, policy.name(), 1, 9999);
+            enqueue(2, failurePolicy.name(), 1, 9999);
         }
         expect("GO_ON1 GO_ON2 SKIP4 SKIPPED5 SKIP6 STOP7 STOPPED8 STOPPED9");
         assertEquals(Set.of("STOP"), queue.unstoredStops());
@@ -160,6 +160,6 @@
         expect("MOVED3");
         enqueue(301, "k", 10, 9999);
         expect("MOVED4");
-        assertTrue(queue.busySlots(301, k -> 7).contains(7), "its head is still out");
+        assertTrue(queue.busySlots(301, k -> 7).contains(7), "its first request is still in flight");
     }
 }
--- a/src/test/java/maplespread/partition/RoutingTableTest.java
+++ b/src/test/java/maplespread/partition/RoutingTableTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Random tables against a plain reading of their text, and each error from the text that causes it. */
+/** Compares random tables with a direct evaluation of their JSON, and checks each error with a table that causes it. */
 class RoutingTableTest {
     private static final SiteNames SITE = new SiteNames(
             List.of("stock", "price"),
@@ -35,7 +35,7 @@
             List.of(new Partition.Worker("w1", "z1", "big", 1)));
     private static final List<String> TEXTS = List.of("", "a", "ab", "abc", "b", "ba", "c");
 
-    /** Whether a rule's conditions hold for a request, read from their text without any index. */
+    /** Whether a rule's conditions hold for a request, evaluated on the JSON without an index. */
     private static boolean matchesByText(JsonObject when, RequestAttributes request) {
         return when.keySet().stream().allMatch(name -> matchesByText(when.get(name), request.get(name)));
     }
@@ -72,17 +72,17 @@
             String text = TEXTS.get(random.nextInt(TEXTS.size()));
             int from = random.nextInt(4);
             boolean label = name.equals("label.x");
-            boolean closed = name.equals("class") || name.equals("tenant");
-            String one = label
+            boolean hasKnownValues = name.equals("class") || name.equals("tenant");
+            String valueJson = label
                     ? "" + random.nextInt(4)
-                    : closed
+                    : hasKnownValues
                             ? "\"" + (name.equals("class") ? SITE.classes() : SITE.tenants()).get(random.nextInt(2))
                                     + "\""
                             : "\"" + text + "\"";
-            String asks =
-                    switch (random.nextInt(label ? 4 : closed ? 2 : 6)) {
-                        case 0 -> one;
-                        case 1 -> label ? "{\"in\":[1,2],\"from\":" + from + "}" : "[" + one + "]";
+            String conditionJson =
+                    switch (random.nextInt(label ? 4 : hasKnownValues ? 2 : 6)) {
+                        case 0 -> valueJson;
+                        case 1 -> label ? "{\"in\":[1,2],\"from\":" + from + "}" : "[" + valueJson + "]";
                         case 2 -> label ? "{\"from\":" + from + "}" : "{\"prefix\":\"" + text + "\"}";
                         case 3 ->
                             label
@@ -92,7 +92,7 @@
                         default -> "{\"prefix\":\"a\",\"in\":[\"ab\",\"" + text + "\"]}";
                     };
             if (random.nextInt(3) == 0) {
-                all.add("\"" + name + "\":" + asks);
+                all.add("\"" + name + "\":" + conditionJson);
             }
         }
         return "{" + String.join(",", all) + "}";
@@ -100,7 +100,7 @@
 
     private static List<RequestAttributes> requests() {
         List<RequestAttributes> all = new ArrayList<>();
-        for (String cls : SITE.classes()) {
+        for (String requestClass : SITE.classes()) {
             for (String tenant : SITE.tenants()) {
                 for (String entity : new String[] {
                     null, "", "a", "a1", "a2", "ab", "ab1", "ab2", "abc", "abc1", "abc2", "b", "b1", "b2", "ba", "ba1",
@@ -110,7 +110,7 @@
                             "", "a", "a1", "ab", "ab1", "abc", "abc1", "b", "b1", "ba", "ba1", "c", "c1", "d")) {
                         for (double x = -0.5; x < 6; x += 0.5) {
                             Map<String, Double> labels = x < 0 ? Map.of() : Map.of("x", x);
-                            all.add(new RequestAttributes(cls, tenant, entity, path, labels));
+                            all.add(new RequestAttributes(requestClass, tenant, entity, path, labels));
                         }
                     }
                 }
@@ -121,9 +121,12 @@
 
     private static final List<RequestAttributes> REQUESTS = requests();
 
-    /** The first that matches, read rule by rule; a rule is refused as dead only if no job comes to it. */
+    /**
+     * The table decides as an evaluation of the JSON rule by rule does. A rule is rejected as unreachable only if no
+     * request reaches it.
+     */
     @Property(tries = 60, seed = "27")
-    void decidesAsTheTextReadRuleByRuleDoes(@ForAll long seed) throws RoutingTableException {
+    void decidesAsAnEvaluationOfTheJsonRuleByRule(@ForAll long seed) throws RoutingTableException {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> whens = new ArrayList<>();
         for (int i = 0, n = 1 + random.nextInt(80); i < n; i++) {
@@ -131,22 +134,22 @@
         }
         whens.removeIf(w -> w.equals("{}"));
         whens.add("{}");
-        List<RequestAttributes> some =
+        List<RequestAttributes> decidedRequests =
                 random.ints(500, 0, REQUESTS.size()).mapToObj(REQUESTS::get).toList();
-        List<RequestAttributes> most =
+        List<RequestAttributes> checkedRequests =
                 random.ints(3000, 0, REQUESTS.size()).mapToObj(REQUESTS::get).toList();
         while (true) {
-            List<JsonObject> read = whens.stream()
+            List<JsonObject> conditions = whens.stream()
                     .map(w -> JsonParser.parseString(w).getAsJsonObject())
                     .toList();
-            String rows = IntStream.range(0, read.size())
+            String rows = IntStream.range(0, conditions.size())
                     .mapToObj(i -> "{\"name\":\"" + i + "\",\"when\":" + whens.get(i) + "}")
                     .collect(Collectors.joining(","));
             try {
                 RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "]}", SITE);
-                for (RequestAttributes request : some) {
-                    int expected = IntStream.range(0, read.size())
-                            .filter(i -> matchesByText(read.get(i), request))
+                for (RequestAttributes request : decidedRequests) {
+                    int expected = IntStream.range(0, conditions.size())
+                            .filter(i -> matchesByText(conditions.get(i), request))
                             .findFirst()
                             .getAsInt();
                     assertEquals("" + expected, table.decide(request).name(), whens + " " + request);
@@ -154,20 +157,21 @@
                 return;
             } catch (RoutingTableException e) {
                 assertEquals(RoutingTableException.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
-                int dead = Integer.parseInt(e.where().substring(5));
+                int unreachable = Integer.parseInt(e.where().substring(5));
                 assertTrue(
-                        most.stream()
-                                .filter(j -> matchesByText(read.get(dead), j))
-                                .allMatch(j -> read.subList(0, dead).stream().anyMatch(w -> matchesByText(w, j))),
+                        checkedRequests.stream()
+                                .filter(j -> matchesByText(conditions.get(unreachable), j))
+                                .allMatch(j -> conditions.subList(0, unreachable).stream()
+                                        .anyMatch(w -> matchesByText(w, j))),
                         e.getMessage() + whens);
-                whens.remove(dead);
+                whens.remove(unreachable);
             }
         }
     }
 
-    /** Without shares every kind of value is among the jobs, so a rule that is let through meets one. */
+    /** Without shares, the requests cover every class of values, so each accepted rule decides one of them. */
     @Property(tries = 60, seed = "27")
-    void everyAcceptedRuleIsReachedByARequest(@ForAll long seed) throws RoutingTableException {
+    void everyAcceptedRuleDecidesSomeRequest(@ForAll long seed) throws RoutingTableException {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> whens = Stream.generate(() -> when(random))
                 .filter(w -> !w.equals("{}") && !w.contains("share"))
@@ -176,10 +180,10 @@
         String rows = whens.stream().map(w -> "{\"when\":" + w + "},").collect(Collectors.joining());
         try {
             RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "{}]}", SITE);
-            Set<String> came =
+            Set<String> reachedRules =
                     REQUESTS.stream().map(j -> table.decide(j).name()).collect(Collectors.toSet());
-            came.add("" + (whens.size() + 1));
-            assertEquals(whens.size() + 1, came.size(), whens + " " + came);
+            reachedRules.add("" + (whens.size() + 1));
+            assertEquals(whens.size() + 1, reachedRules.size(), whens + " " + reachedRules);
         } catch (RoutingTableException e) {
             assertEquals(RoutingTableException.Kind.NEVER_MATCHES, e.kind(), e.getMessage());
         }
@@ -218,7 +222,7 @@
                 "SPILL         | rule 2         | {'partitions':{'p':{},'q':{}},'rules':[{'when':{'class':'stock'},"
                         + "'to':'p','spill':['q']},{'to':'q','spill':['p']}]}"
             })
-    void eachErrorNamesItsPlaceAndWhatToDo(RoutingTableException.Kind kind, String where, String text) {
+    void eachErrorNamesItsLocationAndRemedy(RoutingTableException.Kind kind, String where, String text) {
         RoutingTableException e = assertThrows(
                 RoutingTableException.class, () -> RoutingTableParser.parse(text.replace('\'', '"'), SITE));
         assertEquals(kind + where, e.kind() + (e.where().isEmpty() ? null : e.where()), e.getMessage());
@@ -234,7 +238,7 @@
         RoutingTable next = RoutingTableParser.parse(text.replace("KEY", "tenant"), SITE);
         RoutingTableTransition tables = new RoutingTableTransition();
         tables.learn(0, 5, next, old, 300);
-        tables.learn(200, 5, next, old, 300); // the same again
+        tables.learn(200, 5, next, old, 300); // learning the same tables again does not restart the transition
         RequestAttributes stock = new RequestAttributes("stock", "a", "e", "/", Map.of());
         RequestAttributes price = new RequestAttributes("price", "a", "e", "/", Map.of());
         assertEquals(
@@ -247,9 +251,9 @@
         assertEquals(1000, RoutingTableTransition.maxRunMs(next, old));
     }
 
-    /** The operators' page shows a table that can be read. */
+    /** The operators' page shows a valid table and lists every kind of error. */
     @Test
-    void theExampleOfThePageIsRead() throws Exception {
+    void theExampleOnTheOperatorsPageIsValid() throws Exception {
         String page = Files.readString(Path.of("docs/operators/partition.md"));
         String example = page.substring(page.indexOf("    {\n"), page.indexOf("\n    }\n") + 7);
         SiteNames site = new SiteNames(SITE.classes(), SITE.tenants(), SITE.zones(), SITE.kinds(), List.of());
@@ -259,11 +263,14 @@
                         .decide(new RequestAttributes("stock", "a", "e", "/", Map.of()))
                         .name());
         for (RoutingTableException.Kind kind : RoutingTableException.Kind.values()) {
-            assertTrue(page.contains("| `" + kind + "` |"), kind + " stands on no page");
+            assertTrue(page.contains("| `" + kind + "` |"), kind + " is missing on the page");
         }
     }
 
-    /** 1,000 rules of all kinds, the worst of five rounds' best: jobs that fall through to the last rules. */
+    /**
+     * Measures the fastest of at least 100 rounds with 1,000 rules of all kinds. Many requests fall through to the last
+     * rules.
+     */
     @Test
     void aThousandRulesAreDecidedInUnderTwoMicroseconds() throws RoutingTableException {
         StringBuilder rows = new StringBuilder();
@@ -280,20 +287,21 @@
                     .append("}},");
         }
         RoutingTable table = RoutingTableParser.parse("{\"rules\":[" + rows + "{}]}", SITE);
-        List<RequestAttributes> jobs = new ArrayList<>();
-        Map<String, Integer> came = new TreeMap<>();
+        List<RequestAttributes> requests = new ArrayList<>();
+        Map<String, Integer> reachedRules = new TreeMap<>();
         for (int i = 0; i < 4096; i++) {
-            jobs.add(new RequestAttributes(
+            requests.add(new RequestAttributes(
                     "stock", i % 3 == 0 ? "a" : "b", "e" + i, "/p/" + i % 1500 + "/x", Map.of("x", (i % 2000) + 0.5)));
-            came.merge(table.decide(jobs.get(i)).name(), 1, Integer::sum);
+            reachedRules.merge(table.decide(requests.get(i)).name(), 1, Integer::sum);
         }
-        assertTrue(came.size() > 600, "rules met: " + came.size());
+        assertTrue(reachedRules.size() > 600, "rules reached: " + reachedRules.size());
         double best = Double.MAX_VALUE;
-        long end = System.nanoTime() + 60_000_000_000L; // the machine may be busy for a while
+        // The machine may be busy with other processes for a while.
+        long end = System.nanoTime() + 60_000_000_000L;
         for (int round = 0; round < 100 || best >= 2000 && System.nanoTime() < end; round++) {
             long from = System.nanoTime();
             long sum = 0;
-            for (RequestAttributes request : jobs) {
+            for (RequestAttributes request : requests) {
                 sum += table.decide(request).maxRunMs();
             }
             best = Math.min(best, (System.nanoTime() - from) / 4096.0 + sum * 0);
--- a/src/test/java/maplespread/partition/SlotAssignmentTest.java
+++ b/src/test/java/maplespread/partition/SlotAssignmentTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The map of slots: what moves, what is remembered, and what it says of leases. */
+/** Which slots move, which previous owners are recorded, and which leases are granted. */
 class SlotAssignmentTest {
     private static Set<String> memberNames(int count) {
         Set<String> members = new TreeSet<>();
@@ -46,7 +46,7 @@
         }
         Set<String> restarted = memberNames(10);
         restarted.remove("n3#1");
-        restarted.add("n3#2"); // the earlier incarnation is a previous owner
+        restarted.add("n3#2"); // the earlier incarnation becomes a previous owner
         SlotAssignment afterRestart = ten.members(restarted);
         for (int i = 0; i < 1024; i++) {
             boolean wasItsSlot = ten.slots().get(i).owner().equals("n3#1");
@@ -58,7 +58,7 @@
         assertThrows(IllegalArgumentException.class, () -> ten.members(restarted));
     }
 
-    /** A reinitialized value keeps tables and stopped keys, and its numbers come after all that there were. */
+    /** A reinitialized assignment keeps the table and the stopped keys, and its numbers are beyond all earlier ones. */
     @Test
     void aReinitializedAssignmentHasNoOwners() {
         SlotAssignment assignment =
@@ -87,25 +87,28 @@
                 && !assignment.grantsLease("n2#1", 99));
         SlotAssignment silent = assignment.silent(Set.of("n0#1"));
         assertTrue(!silent.grantsLease("n0#1", 99) && silent.grantsLease("n1#1", silent.epoch()));
-        assertEquals(assignment.slots(), silent.slots(), "nothing moves by silence");
+        assertEquals(assignment.slots(), silent.slots(), "silence moves no slot");
         assertEquals(
                 silent.silent(),
                 silent.silent(Set.of("n0#1", "n1#1")).silent().entrySet().stream()
                         .filter(entry -> entry.getKey().equals("n0#1"))
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
-                "silence goes on unbroken");
+                "a member that stays silent keeps its epoch");
         assertNotEquals(
                 silent.silent(), silent.silent(Set.of()).silent(Set.of("n0#1")).silent());
         SlotAssignment changed = assignment.table("u", assignment.tableEpoch());
         assertTrue(!changed.grantsLease("n0#1", assignment.epoch()), "a new table ends earlier leases");
-        assertEquals(changed, changed.table("t", assignment.tableEpoch()), "who has not heard of it changes nothing");
+        assertEquals(
+                changed,
+                changed.table("t", assignment.tableEpoch()),
+                "a change based on an earlier table has no effect");
         String owner =
                 "n0#1".equals(assignment.slots().get(assignment.slotOf("k")).owner()) ? "n0#1" : "n1#1";
         assertEquals(Set.of("k"), assignment.stopKey(owner, "k").stoppedKeys());
         assertEquals(
                 assignment,
                 assignment.stopKey(owner.equals("n0#1") ? "n1#1" : "n0#1", "k"),
-                "only its owner stops a key");
+                "only the owner of its slot stops a key");
         assertEquals(Set.of(), assignment.stopKey(owner, "k").startKey("k").stoppedKeys());
     }
 }
