--- a/src/main/java/maplespread/policy/AdmissionControl.java
+++ b/src/main/java/maplespread/policy/AdmissionControl.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Why a request for which there is no worker is ended, and how: the one exit of all that this dispatcher ends. */
+/**
+ * Decides why and how a request without a worker is ended. Every request that the policy itself ends passes through
+ * {@link #end}.
+ */
 final class AdmissionControl {
     private final PolicyContext context;
     private final PendingRequests requests;
@@ -24,9 +27,10 @@
     }
 
     /**
-     * Why no attempt is made for a request for which no worker was chosen; empty: it may wait for one.
+     * Decides whether a request for which no worker was chosen is ended.
      *
-     * @param anyEligible some worker may take it, at a cost above that of a rejection
+     * @param anyEligible whether some worker may take the request, at a cost above that of a rejection
+     * @return the reason to end the request, or empty if it may wait for a worker
      */
     Optional<RejectionReason> rejectionReason(PendingRequest request, boolean anyEligible) {
         if (anyEligible) {
@@ -39,20 +43,20 @@
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT && mayHaveRun) {
             return Optional.of(RejectionReason.MAY_HAVE_RUN);
         }
-        // The next tick may come two periods from now, and is the last that may still answer in time.
-        boolean timeLeft = context.nowMs < request.deadlineMs - 2 * context.tickPeriodMs;
+        // The next tick may be two periods away, and a parked request must still be in time at that tick.
+        boolean hasTimeLeft = context.nowMs < request.deadlineMs - 2 * context.tickPeriodMs;
         boolean withinObjective = context.nowMs - request.acceptedAtMs < request.requestClass.latencyObjectiveMs();
-        if (timeLeft && withinObjective) {
+        if (hasTimeLeft && withinObjective) {
             return Optional.empty();
         }
-        if (!timeLeft) {
+        if (!hasTimeLeft) {
             return Optional.of(RejectionReason.OUT_OF_TIME);
         }
         return Optional.of(
                 freshness.usable(context.nowMs) ? RejectionReason.NO_SERVER : RejectionReason.LIST_NOT_CONFIRMED);
     }
 
-    /** Ends the request: rejected where the client may safely try again, else failed. */
+    /** Ends the request: rejects it where the client may safely try again, else fails it. */
     void end(PendingRequest request, RejectionReason reason) {
         if (retries.mayReject(request) && context.nowMs < request.deadlineMs) {
             context.actions.reject(request.id(), retryAfterMs(), reason);
@@ -62,7 +66,10 @@
         requests.end(request);
     }
 
-    /** The pause advised to the client: the shortest wait in the fleet, at least half the objective. */
+    /**
+     * The retry delay advised to the client, ms: the shortest wait in the fleet, at least half the objective and at
+     * most the site's limit.
+     */
     private double retryAfterMs() {
         double waitMs = Math.max(fleetLoad.shortestWaitMs(), context.objectiveMs / 2);
         return Math.min(waitMs, context.permissions.maxRetryAfterMs());
--- a/src/main/java/maplespread/policy/ArrivalStatistics.java
+++ b/src/main/java/maplespread/policy/ArrivalStatistics.java
@@ -1,22 +1,23 @@
 package maplespread.policy;
 
 /**
- * What is offered to this dispatcher, before any rejection: sizes by class, the rate, the mean priority weight, and the
- * share that the basic rule would lose. A client's later attempt counts as size but not as load, or what was rejected
- * would keep up the prices that rejected it. Work is ms on a standard core.
+ * Statistics of the requests offered to this dispatcher, before any rejection: their mean work by class, their rate,
+ * their mean priority weight, and the share that the basic admission rule would lose. A client's later attempt counts
+ * in the mean work but not in the rate: otherwise rejected requests that are sent again would keep up the costs that
+ * caused their rejection. Work is in ms on a standard core.
  */
 final class ArrivalStatistics {
-    /** A class's mean size forgets over this many requests. */
+    /** Number of requests over which a class's mean work is averaged. */
     private static final double MAX_CLASS_SAMPLES = 200;
 
-    /** Weight of a request in the means over all classes once there are a hundred. */
+    /** Weight of a request in the means over all classes, from the hundredth request on. */
     private static final double MIN_STEP = 0.01;
 
     private static final double MIN_MEAN_WEIGHT = 1e-9;
     private static final double MIN_RELATIVE_WEIGHT = 0.05;
     private static final double MAX_RELATIVE_WEIGHT = 50;
 
-    /** Weight of a request in the fleet's lost share. */
+    /** Weight of a request in the share of lost requests over the fleet. */
     private static final double LOST_SHARE_STEP = 0.02;
 
     private final PolicyContext context;
@@ -29,7 +30,7 @@
     private double meanWorkMs = Double.NaN;
     private double meanWeight = Double.NaN;
     private double ratePerMs;
-    private double rateAtMs = Double.NaN;
+    private double rateUpdatedAtMs = Double.NaN;
     private double lostShare;
 
     ArrivalStatistics(PolicyContext context, WorkerTable workers, HintCalibration hints, FleetLoadEstimate fleetLoad) {
@@ -44,25 +45,25 @@
         return requests > 0 ? meanWorkMs : context.objectiveMs;
     }
 
-    /** Mean work of a class's requests, or of all where it has had no hint. */
+    /** Mean work of a class's requests, or of all requests where the class has had no hint. */
     double meanWorkMs(int classIndex) {
         double classMeanMs = meanWorkByClass.get(classIndex);
         return classMeanMs > 0 ? classMeanMs : meanWorkMs();
     }
 
-    /** Offered requests a ms, by the last one's time. */
+    /** Offered requests per ms, as of the last one. */
     double ratePerMs() {
         return ratePerMs;
     }
 
-    /** Share of the offered requests that the basic rule would lose. */
+    /** Share of the offered requests that the basic admission rule would lose. */
     double lostShare() {
         return lostShare;
     }
 
     /**
-     * The wait up to which a request of the class is on time: its objective and (stretch - 1) typical run times, at
-     * least a quarter of the objective and at most its deadline.
+     * The wait up to which a request is on time: the objective of its class plus (stretch - 1) times the class's mean
+     * work, at least a quarter of the objective and at most the class's deadline.
      */
     double waitObjectiveMs(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
@@ -75,19 +76,21 @@
 
     /** Counts a new request, and sets its expected work and its weight relative to the mean one. */
     void requestOffered(PendingRequest request) {
-        expectWork(request);
-        weigh(request);
+        assignExpectedWork(request);
+        assignWeight(request);
         boolean firstAttempt = context.settings.isFirstAttempt(request.classIndex, request.deadlineMs - context.nowMs);
         if (requests > 1 && !firstAttempt) {
             return;
         }
-        double kept = Double.isNaN(rateAtMs) ? 0 : ratePerMs * Math.exp((rateAtMs - context.nowMs) / context.memoryMs);
+        double kept = Double.isNaN(rateUpdatedAtMs)
+                ? 0
+                : ratePerMs * Math.exp((rateUpdatedAtMs - context.nowMs) / context.memoryMs);
         ratePerMs = kept + 1 / context.memoryMs;
-        rateAtMs = context.nowMs;
+        rateUpdatedAtMs = context.nowMs;
         offerToShadowQueue(request);
     }
 
-    private void expectWork(PendingRequest request) {
+    private void assignExpectedWork(PendingRequest request) {
         if (request.workMs > 0) {
             request.logHint = Math.log(request.workMs);
             request.workMs = hints.expectedWorkMs(request.logHint);
@@ -100,9 +103,9 @@
         }
     }
 
-    private void weigh(PendingRequest request) {
+    private void assignWeight(PendingRequest request) {
         double weight = request.requestClass.priorityWeight() * (context.settings.weightPerWork() ? request.workMs : 1);
-        double step = Math.max(MIN_STEP, 1 / ++requests); // a plain mean at first, forgetting later
+        double step = Math.max(MIN_STEP, 1 / ++requests); // an arithmetic mean at first, an exponential one later
         meanWorkMs = requests == 1 ? request.workMs : meanWorkMs + step * (request.workMs - meanWorkMs);
         meanWeight = requests == 1 ? weight : meanWeight + step * (weight - meanWeight);
         double relative = weight / Math.max(meanWeight, MIN_MEAN_WEIGHT);
@@ -110,11 +113,14 @@
                 PolicyMath.clamp(relative, MIN_RELATIVE_WEIGHT, MAX_RELATIVE_WEIGHT) * request.accepted.weightFactor();
     }
 
-    /** The paper's load-balanced random split: a worker is drawn by its share of the capacity. */
+    /**
+     * Offers the request to the shadow queue of a worker drawn by its share of the capacity: the paper's load-balanced
+     * random split.
+     */
     private void offerToShadowQueue(PendingRequest request) {
-        double rest = context.random.nextDouble() * workers.totalCapacity();
+        double remaining = context.random.nextDouble() * workers.totalCapacity();
         int index = 0;
-        while (index < workers.size() - 1 && (rest -= workers.capacity(index)) >= 0) {
+        while (index < workers.size() - 1 && (remaining -= workers.capacity(index)) >= 0) {
             index++;
         }
         if (index < workers.size()) {
--- a/src/main/java/maplespread/policy/CachedKeys.java
+++ b/src/main/java/maplespread/policy/CachedKeys.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The affinity keys that this dispatcher last sent to a worker, whose data sets it is likely to have cached. */
+/** The affinity keys last sent to a worker by this dispatcher; the worker has probably cached their data sets. */
 final class CachedKeys {
-    /** Data sets that a worker keeps for each of its slots. */
+    /** Number of data sets that a worker caches for each of its slots. */
     private static final double KEYS_PER_SLOT = 1.4;
 
     private final Map<Long, Boolean> byLastUse = new LinkedHashMap<>(16, 0.75f, true);
@@ -14,7 +14,7 @@
         return byLastUse.containsKey(keyHash);
     }
 
-    /** A request with this key (0: none) was sent to the worker, which has so many slots. */
+    /** Records that a request with this key (0: none) was sent to the worker, which has this number of slots. */
     void add(long keyHash, double slots) {
         if (keyHash != 0) {
             byLastUse.put(keyHash, true);
--- a/src/main/java/maplespread/policy/CandidateCosts.java
+++ b/src/main/java/maplespread/policy/CandidateCosts.java
@@ -1,14 +1,14 @@
 package maplespread.policy;
 
 /**
- * The costs of one request at all workers, kept in the worker table from its pricing to its sending. A probe round
- * keeps them and prices only the workers that were probed anew.
+ * The costs of one request at all workers, kept in the worker table from their computation until the request is sent.
+ * A probe round keeps them and recomputes only those of the probed workers.
  */
 final class CandidateCosts {
     private final WorkerTable workers;
     private final CostModel costModel;
     private final KeyAffinity affinity;
-    private PendingRequest priced;
+    private PendingRequest pricedRequest;
     private boolean anyEligible;
 
     CandidateCosts(WorkerTable workers, CostModel costModel, KeyAffinity affinity) {
@@ -17,9 +17,9 @@
         this.affinity = affinity;
     }
 
-    /** Whether the costs are those of this request. */
-    boolean areOf(PendingRequest request) {
-        return priced == request;
+    /** Whether the current costs are those of this request. */
+    boolean belongTo(PendingRequest request) {
+        return pricedRequest == request;
     }
 
     /** Whether any worker may take the request, at whatever cost. */
@@ -27,43 +27,50 @@
         return anyEligible;
     }
 
-    /** Prices the request at all workers; {@code anyState}: also those ejected or backing off. */
-    void priceAll(PendingRequest request, boolean anyState) {
-        priced = request;
+    /**
+     * Computes the request's costs at all workers.
+     *
+     * @param includeUnready whether workers that are ejected or back off may be chosen as well
+     */
+    void priceAll(PendingRequest request, boolean includeUnready) {
+        pricedRequest = request;
         anyEligible = false;
         affinity.rank(request);
         for (Worker worker : workers.all()) {
-            double cost = costModel.cost(request, worker, anyState);
+            double cost = costModel.cost(request, worker, includeUnready);
             workers.setCost(worker, cost);
             anyEligible |= cost < CostModel.INELIGIBLE;
         }
     }
 
-    /** Prices the request anew at the workers probed for it; forgets all costs if none of all is cheap enough. */
+    /**
+     * Recomputes the request's costs at the workers probed for it. Discards all costs if no worker's cost is below that
+     * of a rejection.
+     */
     void repriceProbed(PendingRequest request) {
         for (Worker worker : request.probed) {
             workers.setCost(worker, costModel.cost(request, worker, false));
         }
-        priced = cheapest() == null ? null : request;
+        pricedRequest = cheapest() == null ? null : request;
     }
 
-    /** The costs hold no longer. */
+    /** Marks the costs as out of date. */
     void invalidate() {
-        priced = null;
+        pricedRequest = null;
     }
 
-    /** Leaves a worker out until it is priced again. */
+    /** Excludes a worker until its cost is computed again. */
     void exclude(Worker worker) {
-        workers.setCost(worker, CostModel.DEARER_THAN_REJECTION);
+        workers.setCost(worker, CostModel.ABOVE_REJECTION_COST);
     }
 
-    /** The first worker of the least cost below a rejection's; null: there is none. */
+    /** The first worker with the lowest cost below that of a rejection; null: there is none. */
     Worker cheapest() {
-        return workers.cheapest(CostModel.DEARER_THAN_REJECTION);
+        return workers.cheapest(CostModel.ABOVE_REJECTION_COST);
     }
 
-    /** The same among the workers probed for the request. */
+    /** The first worker with the lowest such cost among those probed for the request; null: there is none. */
     Worker cheapestProbed(PendingRequest request) {
-        return workers.cheapest(request.probed, CostModel.DEARER_THAN_REJECTION);
+        return workers.cheapest(request.probed, CostModel.ABOVE_REJECTION_COST);
     }
 }
--- a/src/main/java/maplespread/policy/DeduplicationScope.java
+++ b/src/main/java/maplespread/policy/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package maplespread.policy;
 
-/** Which workers know of a request with an idempotency key that ran at one of them, and drop its repeat. */
+/** Which workers know that a request with an idempotency key ran at one of them, and drop its repeat. */
 public enum DeduplicationScope {
     /** All workers. */
     ALL,
--- a/src/main/java/maplespread/policy/DiscoveryPollSchedule.java
+++ b/src/main/java/maplespread/policy/DiscoveryPollSchedule.java
@@ -1,42 +1,44 @@
 package maplespread.policy;
 
 /**
- * When this dispatcher subscribes to the endpoint list, where it has to ask for it. Discovery answers one call after
- * another and works on for callers that have given up, so the calls of a large fleet are spread over time by the
- * dispatchers' indices; those of a small one are jittered and back off. docs/list-freshness.md has the figures.
- * Times are ms.
+ * Decides when this dispatcher subscribes to the endpoint list, where it has to ask for the list. Discovery answers one
+ * call after another and continues to work on calls that their callers have given up. The calls of a large fleet are
+ * therefore spread over time by the dispatchers' indices; those of a small fleet have jitter and backoff.
+ * docs/list-freshness.md has the figures. Times are ms.
  */
 final class DiscoveryPollSchedule {
-    /** A change counts as notified this long after discovery had it, delivered or not. */
+    /** Time after which a change that discovery has counts as notified, delivered or not. */
     private static final double CHANGE_NOTIFIED_MS = EndpointListFreshness.NOTIFIED_WITHIN_MS;
 
-    /** The round in which each dispatcher of a large fleet has its turn: below the time in which changes must come. */
-    private static final double FLEET_ROUND_MS = 5500;
+    /**
+     * Longest round in which each dispatcher of a large fleet calls once: below the time until changes are notified.
+     */
+    private static final double MAX_FLEET_ROUND_MS = 5500;
 
-    /** What discovery takes for one line of a full snapshot, with a margin. */
+    /** Time that discovery takes for one line of a full snapshot, with a margin. */
     private static final double LINE_COST_MS = 0.7;
 
-    /** The first calls of a fleet are spread over at most this long. */
+    /** Longest time over which the first calls of a fleet are spread. */
     private static final double MAX_FIRST_SPREAD_MS = CHANGE_NOTIFIED_MS * 2 / 3;
 
-    /** Taken off the first spread, as a call is due at the tick after its time. */
+    /** Part deducted from the first spread, as a call is made at the first tick after its scheduled time. */
     private static final double FIRST_SPREAD_MARGIN_MS = CHANGE_NOTIFIED_MS / 30;
 
-    /** Longest backoff after a failed call, before the jitter. */
+    /** Longest backoff after a failed call, before jitter. */
     private static final double MAX_BACKOFF_MS = CHANGE_NOTIFIED_MS / 5;
 
-    /** A call that waited in vain counts with at most this in the backoff. */
+    /** Longest duration of an unanswered call that counts in the backoff. */
     private static final double MAX_COUNTED_WAIT_MS = CHANGE_NOTIFIED_MS / 3;
 
-    /** A fleet is large when all its full snapshots together take discovery longer than this. */
-    private static final double LARGE_FLEET_MS = CHANGE_NOTIFIED_MS / 2;
+    /** A fleet is large when its full snapshots together take discovery longer than this. */
+    private static final double MIN_LARGE_FLEET_MS = CHANGE_NOTIFIED_MS / 2;
 
-    /** A call that took longer than this has waited in vain; a shorter one was refused. */
-    private static final double WAITED_IN_VAIN_MS = CHANGE_NOTIFIED_MS / 6;
+    /** A failed call that took longer than this was not answered; a shorter one was refused. */
+    private static final double MAX_REFUSED_CALL_MS = CHANGE_NOTIFIED_MS / 6;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-    /** No call is due: a list came, or none was ever lost. Any real time lies below. */
+    /** Poll time while no call is due: a list has arrived, or none was ever lost. Later than any real time. */
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private final PolicyContext context;
@@ -48,11 +50,11 @@
         this.context = context;
     }
 
-    /** This dispatcher has started from a cached list: its first call has a place by its index. */
+    /** This dispatcher has started from a cached list: schedules its first call by its index. */
     void cachedSnapshotReceived(int endpoints) {
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        double spreadMs = Math.min(MAX_FIRST_SPREAD_MS, fleetMs) - FIRST_SPREAD_MARGIN_MS;
-        pollAtMs = context.nowMs + ownShareOf(Math.max(0, spreadMs));
+        double fleetSnapshotsMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
+        double spreadMs = Math.min(MAX_FIRST_SPREAD_MS, fleetSnapshotsMs) - FIRST_SPREAD_MARGIN_MS;
+        pollAtMs = context.nowMs + ownOffsetIn(Math.max(0, spreadMs));
     }
 
     /** Discovery has answered: no call is due until the watch fails. */
@@ -64,23 +66,23 @@
     /** A call failed or the watch broke: schedules the next call, jittered, later with each failure in a row. */
     void watchFailed(int endpoints) {
         double maxBackoffMs = Math.min(context.rules.maxListAgeMs() / 4, MAX_BACKOFF_MS);
-        double callTookMs = pollAtMs < NEVER ? context.nowMs - polledAtMs : 0;
+        double callDurationMs = pollAtMs < NEVER ? context.nowMs - polledAtMs : 0;
         int doublings = Math.min(++failedCalls, MAX_BACKOFF_DOUBLINGS);
         double backoffMs = Math.min(maxBackoffMs, context.memoryMs / 20 * (1L << doublings));
-        // At least as long as this call waited, since discovery works on for calls that have given up.
-        double atLeastMs = Math.min(callTookMs, MAX_COUNTED_WAIT_MS);
+        // At least as long as this call waited, since discovery continues to work on calls that were given up.
+        double minBackoffMs = Math.min(callDurationMs, MAX_COUNTED_WAIT_MS);
         double jitter = 0.4 + 0.8 * context.random.nextDouble();
-        pollAtMs = context.nowMs + Math.max(backoffMs, atLeastMs) * jitter;
-        double fleetMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
-        if (fleetMs > LARGE_FLEET_MS) {
+        pollAtMs = context.nowMs + Math.max(backoffMs, minBackoffMs) * jitter;
+        double fleetSnapshotsMs = LINE_COST_MS * context.settings.dispatcherCount() * endpoints;
+        if (fleetSnapshotsMs > MIN_LARGE_FLEET_MS) {
             double nextTickMs = context.nowMs + context.tickPeriodMs;
-            pollAtMs = callTookMs > WAITED_IN_VAIN_MS
-                    ? nextTurnAfter(nextTickMs, Math.min(FLEET_ROUND_MS, fleetMs))
-                    : nextTickMs + ownShareOf(LARGE_FLEET_MS);
+            pollAtMs = callDurationMs > MAX_REFUSED_CALL_MS
+                    ? nextTurnAfter(nextTickMs, Math.min(MAX_FLEET_ROUND_MS, fleetSnapshotsMs))
+                    : nextTickMs + ownOffsetIn(MIN_LARGE_FLEET_MS);
         }
     }
 
-    /** Subscribes if a call is due; without an answer by half the list's greatest age it is due again. */
+    /** Subscribes if a call is due. Without an answer the next call is due after half the maximum list age. */
     void pollIfDue() {
         if (context.nowMs >= pollAtMs && context.settings.pollsDiscovery()) {
             context.actions.watchEndpointList();
@@ -89,13 +91,13 @@
         }
     }
 
-    /** This dispatcher's next turn in the fleet's round of calls, by the clock that all machines read. */
+    /** This dispatcher's next turn in the fleet's round of calls, by the clock that all machines share. */
     private double nextTurnAfter(double fromMs, double roundMs) {
-        return fromMs + Math.floorMod(Math.round(ownShareOf(roundMs) - fromMs), Math.round(roundMs));
+        return fromMs + Math.floorMod(Math.round(ownOffsetIn(roundMs) - fromMs), Math.round(roundMs));
     }
 
-    /** This dispatcher's place, by its index, in a time that all share. */
-    private double ownShareOf(double sharedMs) {
+    /** This dispatcher's offset, by its index, in a time that all dispatchers share. */
+    private double ownOffsetIn(double sharedMs) {
         int dispatchers = context.settings.dispatcherCount();
         return sharedMs * (context.settings.dispatcherIndex() % dispatchers) / dispatchers;
     }
--- a/src/main/java/maplespread/policy/DispatchPolicy.java
+++ b/src/main/java/maplespread/policy/DispatchPolicy.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * All decisions of one dispatcher: which worker gets a request, whether an attempt is repeated, what is rejected. This
- * class takes the host's events, sets the time and calls the modules in order; the rules are in the modules. The
- * design is rule (25) of "Meeting Soft Deadlines in Single- and Multi-Server Systems" with the departures that
- * docs/design.md gives.
+ * Makes all decisions of one dispatcher: which worker gets a request, whether a request is attempted again and whether
+ * it is rejected. This class receives the host's events, sets the time and calls the modules in order; the modules hold
+ * the rules. The design follows rule (25) of "Meeting Soft Deadlines in Single- and Multi-Server Systems", with the
+ * departures listed in docs/design.md.
  *
  * <p>Not thread-safe: the host calls it under one lock. It does no I/O and reads no clock. Given the same settings,
  * seed and events it takes the same actions, whatever the order of a hash map.
@@ -16,8 +16,8 @@
 
     private final PolicyContext context;
     private final EndpointListFreshness freshness;
-    private final DiscoveryPollSchedule polls;
-    private final ProcessPauseDetector pauses;
+    private final DiscoveryPollSchedule pollSchedule;
+    private final ProcessPauseDetector pauseDetector;
     private final PendingRequests requests = new PendingRequests();
     private final WorkerTable workers = new WorkerTable();
     private final WorkerDirectory directory;
@@ -28,17 +28,17 @@
     private final WorkerSelector selector;
 
     /**
-     * A policy that knows no worker yet.
+     * Creates a policy without workers.
      *
-     * @param seed of its random source
+     * @param seed seed of the policy's random source
      * @throws IllegalArgumentException if settings or actions are missing
      */
     public DispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         Preconditions.require(settings != null && actions != null, "settings and actions are needed");
         context = new PolicyContext(seed, actions);
         freshness = new EndpointListFreshness(actions::listStateChanged);
-        polls = new DiscoveryPollSchedule(context);
-        pauses = new ProcessPauseDetector(context);
+        pollSchedule = new DiscoveryPollSchedule(context);
+        pauseDetector = new ProcessPauseDetector(context);
         HintCalibration hints = new HintCalibration(context);
         FailureStatistics failures = new FailureStatistics(context);
         fleetLoad = new FleetLoadEstimate(context, workers);
@@ -50,7 +50,7 @@
         KeyAffinity affinity = new KeyAffinity(workers, arrivals, fleetLoad);
         CostModel costModel = new CostModel(context, workers, arrivals, fleetLoad, failures, affinity, eligibility);
         costs = new CandidateCosts(workers, costModel, affinity);
-        probes = new ProbeScheduler(context, requests, workers, fleetLoad, costs, pauses);
+        probes = new ProbeScheduler(context, requests, workers, fleetLoad, costs, pauseDetector);
         AdmissionControl admission = new AdmissionControl(context, requests, retries, freshness, fleetLoad);
         selector = new WorkerSelector(context, directory, requests, costs, costModel, affinity, probes, admission);
         apply(settings);
@@ -67,7 +67,7 @@
     public void settingsChanged(long nowUs, PolicySettings next) {
         advanceTo(nowUs);
         Preconditions.require(
-                next.classes().size() >= context.settings.classes().size(), "classes keep their places");
+                next.classes().size() >= context.settings.classes().size(), "request classes must not be removed");
         apply(next);
         fleetLoad.invalidate();
     }
@@ -84,17 +84,17 @@
         costs.invalidate();
         requests.probing().forEach(request -> request.probed.clear());
         if (kind == EndpointListKind.CACHED_SNAPSHOT) {
-            polls.cachedSnapshotReceived(entries.size());
-            startTicking();
+            pollSchedule.cachedSnapshotReceived(entries.size());
+            scheduleFirstTick();
         } else {
-            polls.listReceived();
+            pollSchedule.listReceived();
         }
     }
 
-    /** Dispatchers that start together must not tick in step. */
-    private void startTicking() {
+    /** Schedules the first tick at a random time: dispatchers that start together must not tick in step. */
+    private void scheduleFirstTick() {
         double firstMs = context.tickPeriodMs * (0.5 + context.random.nextDouble() / 2);
-        pauses.expectTick(firstMs);
+        pauseDetector.expectTick(firstMs);
         context.actions.scheduleTimer(firstMs, TimerLabel.TICK);
     }
 
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double lastMessageAgoMs) {
+    public void endpointListUnconfirmed(long nowUs, EndpointListDoubt doubt, double lastMessageAgoMs) {
         advanceTo(nowUs);
-        if (why == EndpointListDoubt.MOVED) {
+        if (doubt == EndpointListDoubt.MOVED) {
             freshness.moved(context.nowMs);
         } else {
             freshness.silent(context.nowMs, lastMessageAgoMs);
@@ -119,13 +119,16 @@
     }
 
     @Override
-    public void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double lastMessageAgoMs) {
+    public void endpointWatchFailed(long nowUs, EndpointWatchFailure failure, double lastMessageAgoMs) {
         advanceTo(nowUs);
-        freshness.failed(context.nowMs, loss, lastMessageAgoMs);
-        polls.watchFailed(workers.size());
+        freshness.failed(context.nowMs, failure, lastMessageAgoMs);
+        pollSchedule.watchFailed(workers.size());
     }
 
-    /** Whether a request may be sent by the list at this moment, which may be later than its choice. */
+    /**
+     * Whether the endpoint list may be used to send a request now. The host checks this again when it sends, which may
+     * be after the policy chose the worker.
+     */
     public boolean endpointListUsable(long nowUs) {
         return freshness.usable(nowUs / MICROS_PER_MS);
     }
@@ -151,7 +154,7 @@
 
     @Override
     public void attemptProgressed(long nowUs, long id, int number, String worker, boolean started, double share) {
-        InFlightAttempt attempt = signOfLife(nowUs, id, number);
+        InFlightAttempt attempt = recordActivity(nowUs, id, number);
         if (attempt != null) {
             attempt.worker.attemptProgressed(attempt, started ? 0 : PolicyMath.clamp(share, 0, 1));
         }
@@ -159,17 +162,17 @@
 
     @Override
     public void responseStarted(long nowUs, long id, int number, String worker) {
-        InFlightAttempt attempt = signOfLife(nowUs, id, number);
+        InFlightAttempt attempt = recordActivity(nowUs, id, number);
         if (attempt != null) {
             attempt.request.responseStarted = true;
         }
     }
 
-    private InFlightAttempt signOfLife(long nowUs, long id, int number) {
+    private InFlightAttempt recordActivity(long nowUs, long id, int number) {
         advanceTo(nowUs);
         InFlightAttempt attempt = requests.findAttempt(id, number);
         if (attempt != null) {
-            attempt.worker.outliers.aliveSeen();
+            attempt.worker.outliers.recordAlive();
         }
         return attempt;
     }
@@ -181,7 +184,7 @@
             int number,
             String workerId,
             AttemptOutcome outcome,
-            double lagMs,
+            double elapsedMs,
             boolean requestEnded,
             LoadReport report) {
         advanceTo(nowUs);
@@ -194,13 +197,13 @@
             return;
         }
         PendingRequest request = attempt.request;
-        attempt.worker.attemptEnded(attempt, outcome, lagMs);
+        attempt.worker.attemptEnded(attempt, outcome, elapsedMs);
         directory.attemptEnded(attempt.worker);
         if (requestEnded) {
             requests.end(request);
         } else if (!request.ended && !request.responseStarted && request.attemptsInFlight == 0) {
             fleetLoad.refresh();
-            selector.place(request); // another attempt, or the end
+            selector.place(request); // sends another attempt or ends the request
         }
         requests.forgetIfOver(request);
     }
@@ -222,16 +225,16 @@
         }
     }
 
-    // ------------------------------------------------------------ probes, upkeep and time
+    // ------------------------------------------------------------ probes and timers
 
     @Override
-    public void probeEnded(long nowUs, String workerId, AttemptOutcome outcome, double lagMs, LoadReport report) {
+    public void probeEnded(long nowUs, String workerId, AttemptOutcome outcome, double elapsedMs, LoadReport report) {
         advanceTo(nowUs);
         Worker worker = directory.find(workerId);
         if (worker == null) {
             return;
         }
-        worker.probeEnded(outcome, lagMs, report);
+        worker.probeEnded(outcome, elapsedMs, report);
         for (PendingRequest request : List.copyOf(requests.probing())) {
             if (probes.recordReply(worker, request)) {
                 endProbeRound(request);
@@ -259,13 +262,13 @@
     }
 
     private void tick() {
-        freshness.usable(context.nowMs); // so that the state change is reported in time
-        polls.pollIfDue();
+        freshness.usable(context.nowMs); // reports a list that became stale, even without requests
+        pollSchedule.pollIfDue();
         for (Worker worker : directory.busy()) {
-            worker.outliers.countOverdue(pauses.pauseEndedMs());
+            worker.outliers.countOverdue(pauseDetector.pauseEndedMs());
         }
         placeParked();
-        pauses.expectTick(context.tickPeriodMs);
+        pauseDetector.expectTick(context.tickPeriodMs);
         context.actions.scheduleTimer(context.tickPeriodMs, TimerLabel.TICK);
     }
 
@@ -273,10 +276,10 @@
         double nowMs = nowUs / MICROS_PER_MS;
         Preconditions.require(nowMs >= context.nowMs, "time ran backwards");
         context.nowMs = nowMs;
-        pauses.eventReceived();
+        pauseDetector.eventReceived();
     }
 
-    /** How many listed workers get no new requests at present: draining, ejected or backing off. */
+    /** Number of listed workers that get no new requests at present: draining, ejected or backing off. */
     public int avoidedWorkers() {
         int avoided = 0;
         for (Worker worker : workers.all()) {
--- a/src/main/java/maplespread/policy/DoublesByIndex.java
+++ b/src/main/java/maplespread/policy/DoublesByIndex.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Figures by a small index, such as a request class's; 0 where none was set. Grows as needed. */
+/** Values by a small index, such as a request class's; 0 where none was set. Grows as needed. */
 final class DoublesByIndex {
     private double[] values = {};
 
--- a/src/main/java/maplespread/policy/Eligibility.java
+++ b/src/main/java/maplespread/policy/Eligibility.java
@@ -1,19 +1,19 @@
 package maplespread.policy;
 
 /**
- * Whether a request may be sent to a worker at this moment: the first of the conditions that fails, in the order in
- * which {@link EligibilityFilter} and {@link RetryPolicy} ask. Each condition is asked again at every send.
+ * Whether a request may be sent to a worker at this moment, or the first condition that fails, in the order in which
+ * {@link EligibilityFilter} and {@link RetryPolicy} check them. Every send checks all conditions again.
  */
 enum Eligibility {
     /** All conditions hold. */
     ELIGIBLE,
 
-    /** The list shows the worker as draining or removed. Only active workers get requests. */
+    /** The endpoint list shows the worker as draining or removed. Only active workers get requests. */
     WORKER_NOT_ACTIVE,
 
     /**
-     * The list may be out of date (see {@link EndpointListFreshness}): it may name workers whose removal counts as
-     * notified.
+     * The endpoint list may be out of date (see {@link EndpointListFreshness}): it may still name workers whose removal
+     * counts as notified.
      */
     LIST_NOT_CONFIRMED,
 
@@ -26,20 +26,20 @@
     /** The request is restricted to other workers ({@link PolicyRequest#eligibleWorkers}). */
     NOT_AMONG_ALLOWED_WORKERS,
 
-    /** The request has ended, or its response has started: a request gets one final answer. */
+    /** The request has ended, or its response has started: a request gets exactly one response. */
     REQUEST_ENDED,
 
-    /** The request's deadline has passed: its client does not wait any longer. */
+    /** The request's deadline has passed: its client no longer waits. */
     DEADLINE_PASSED,
 
-    /** Another attempt of the request is in flight: a request has one at a time. */
+    /** Another attempt of the request is in flight: a request has at most one at a time. */
     ATTEMPT_IN_FLIGHT,
 
-    /** The request has had all attempts that its settings allow ({@link SitePermissions#maxAttempts}). */
+    /** The request has used all attempts that its settings allow ({@link SitePermissions#maxAttempts}). */
     ATTEMPTS_USED,
 
     /**
-     * An earlier attempt may have run, and its class may not be repeated, or not any more ({@link
+     * An earlier attempt may have run, and requests of its class must not be repeated, or no longer ({@link
      * RequestClass#mayRepeatAfter}).
      */
     MAY_HAVE_RUN,
@@ -48,7 +48,8 @@
     OUTSIDE_DEDUPLICATION_SCOPE,
 
     /**
-     * The worker is in slow start, and this dispatcher's share of what it may be sent is used ({@link
-     * SlowStartBudget}). */
+     * The worker is in slow start, and this dispatcher has used its share of the work that the worker may be sent
+     * ({@link SlowStartBudget}).
+     */
     SLOW_START_BUDGET_USED
 }
--- a/src/main/java/maplespread/policy/EligibilityFilter.java
+++ b/src/main/java/maplespread/policy/EligibilityFilter.java
@@ -1,6 +1,6 @@
 package maplespread.policy;
 
-/** Every condition of a send, one a line. Nothing is sent that has not passed here at that moment. */
+/** Checks every condition of a send. An attempt is sent only if it passes this check at that moment. */
 final class EligibilityFilter {
     private final PolicyContext context;
     private final EndpointListFreshness freshness;
@@ -12,7 +12,11 @@
         this.retries = retries;
     }
 
-    /** Whether the request may be sent to the worker now, or the first condition that fails. */
+    /**
+     * Checks whether the request may be sent to the worker now.
+     *
+     * @return {@link Eligibility#ELIGIBLE} or the first condition that fails
+     */
     Eligibility check(PendingRequest request, Worker worker) {
         if (worker.lifecycle != EndpointLifecycle.ACTIVE) {
             return Eligibility.WORKER_NOT_ACTIVE;
@@ -30,9 +34,9 @@
         if (!request.accepted.mayGoTo(worker.id)) {
             return Eligibility.NOT_AMONG_ALLOWED_WORKERS;
         }
-        Eligibility retry = retries.check(request, worker);
-        if (retry != Eligibility.ELIGIBLE) {
-            return retry;
+        Eligibility retryEligibility = retries.check(request, worker);
+        if (retryEligibility != Eligibility.ELIGIBLE) {
+            return retryEligibility;
         }
         if (!worker.slowStart.allows(request.workMs)) {
             return Eligibility.SLOW_START_BUDGET_USED;
--- a/src/main/java/maplespread/policy/EndpointEntry.java
+++ b/src/main/java/maplespread/policy/EndpointEntry.java
@@ -3,13 +3,13 @@
 /**
  * A worker as the endpoint list shows it.
  *
- * @param worker its id
+ * @param worker the worker's id
  * @param lifecycle whether it takes requests
- * @param weight as the list rates it; the policy learns speeds instead
- * @param workerKind the kind of worker, a small number
+ * @param weight the weight given by the list; the policy learns speeds instead
+ * @param workerKind the kind of the worker, a small number
  * @param cell its deduplication cell
  * @param zone its zone
- * @param startedAtMs when it last started, on the host's clock; 0: long ago
+ * @param startedAtMs time of its last start on the host's clock; 0: long ago
  */
 public record EndpointEntry(
         String worker,
--- a/src/main/java/maplespread/policy/EndpointLifecycle.java
+++ b/src/main/java/maplespread/policy/EndpointLifecycle.java
@@ -5,9 +5,9 @@
     /** It takes requests. */
     ACTIVE,
 
-    /** It finishes what it has and takes nothing new. */
+    /** It finishes its requests and takes no new ones. */
     DRAINING,
 
-    /** It is not on the list any more. */
+    /** It is no longer on the list. */
     REMOVED
 }
--- a/src/main/java/maplespread/policy/EndpointListDoubt.java
+++ b/src/main/java/maplespread/policy/EndpointListDoubt.java
@@ -1,10 +1,10 @@
 package maplespread.policy;
 
-/** Why a confirmed endpoint list is in doubt while no call has failed. */
+/** Why a confirmed endpoint list may be out of date although no call to discovery has failed. */
 public enum EndpointListDoubt {
-    /** Its watch says nothing any more. */
+    /** Its watch is silent. */
     SILENT,
 
-    /** Another address of discovery counts from now on, which has said nothing yet. */
+    /** Discovery has a new address from now on, which has sent nothing yet. */
     MOVED
 }
--- a/src/main/java/maplespread/policy/EndpointListFreshness.java
+++ b/src/main/java/maplespread/policy/EndpointListFreshness.java
@@ -1,31 +1,35 @@
 package maplespread.policy;
 
 /**
- * How far the endpoint list can be relied on, at any time of the process's life. One place holds the state, what moves
- * it, and whether a request may be sent by the list; docs/list-freshness.md weighs the alternatives. Times are ms on
- * the host's clock.
+ * Decides whether the endpoint list may be used to send requests. This class holds the list's {@link
+ * EndpointListState}, its transitions and that decision; docs/list-freshness.md weighs the alternatives. Times are ms
+ * on the host's clock.
  *
- * <p>The reason for all of it: a change counts as notified at the latest six seconds after discovery had it, whether
- * or not it arrived. What has not been confirmed for that long may name workers that have drained or gone.
+ * <p>A change counts as notified at the latest six seconds after discovery had it, whether or not it arrived. A list
+ * that has not been confirmed for that long may name workers that have drained or been removed.
  */
 final class EndpointListFreshness {
-    /** Called at every change of the state. */
+    /** Receives every change of the state. */
     interface Listener {
-        /** The state has changed, so long after the list was last confirmed. */
+        /**
+         * The state has changed.
+         *
+         * @param ageMs time since the list was last confirmed
+         */
         void changed(EndpointListState from, EndpointListState to, double ageMs);
     }
 
-    /** From a change until it counts as notified, by the protocol, whether or not it arrived. */
+    /** Time after which a change counts as notified by the protocol, whether or not it arrived. */
     static final double NOTIFIED_WITHIN_MS = 6000;
 
-    /** The same for what another address of discovery has, from the moment when that address counts. */
-    private static final double NOTIFIED_AFTER_MOVE_MS = 4000;
+    /** The same for changes known at a new address of discovery, from the moment when that address takes effect. */
+    private static final double NOTIFIED_AFTER_ADDRESS_CHANGE_MS = 4000;
 
-    /** Left of these for an attempt to leave the process, and for messages that were late on their way. */
-    private static final double MARGIN_MS = 500;
+    /** Part of these times reserved for an attempt to leave the process and for messages delayed in transit. */
+    private static final double SAFETY_MARGIN_MS = 500;
 
-    /** After a failed call the list stands this many times as long as the settings let it stand without one. */
-    private static final double FAILED_CALL_FACTOR = 4;
+    /** After a failed call the list stays usable for this multiple of the maximum list age of the settings. */
+    private static final double UNCONFIRMED_AGE_FACTOR = 4;
 
     private final Listener listener;
     private boolean agentPushesList;
@@ -34,11 +38,11 @@
     private double confirmedAtMs = Double.NEGATIVE_INFINITY;
     private double usableUntilMs = Double.NEGATIVE_INFINITY;
 
-    /** Discovery ended the watch by itself, as it does when it goes down. */
+    /** Whether discovery itself ended the watch, as it does when it goes down. */
     private boolean outageLikely;
 
-    /** Since the list was confirmed this process has missed no moment in which discovery could have had a change. */
-    private boolean gapless;
+    /** Whether there was no moment since the list was confirmed in which this process could have missed a change. */
+    private boolean noChangeMissed;
 
     private boolean connectionRefusedSeen;
 
@@ -47,102 +51,109 @@
     }
 
     /**
-     * Puts settings into force.
+     * Applies new settings.
      *
-     * @param pushed an agent beside this process pushes the list; no other caller competes for it
-     * @param maxListAgeMs for so long without a call the settings let a list stand
+     * @param pushed whether a local agent pushes the list, so that no other subscriber competes for it
+     * @param maxListAgeMs how long the settings allow a list to be used without a call to discovery
      */
     void applySettings(boolean pushed, double maxListAgeMs) {
         agentPushesList = pushed;
-        maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, FAILED_CALL_FACTOR * maxListAgeMs) - MARGIN_MS;
+        maxUnconfirmedMs = Math.min(NOTIFIED_WITHIN_MS, UNCONFIRMED_AGE_FACTOR * maxListAgeMs) - SAFETY_MARGIN_MS;
     }
 
-    /** Discovery has said everything that it has, as of now, and goes on telling. */
+    /** Discovery has sent its full state as of now, and the watch reports further changes. */
     void confirmed(double nowMs) {
         confirmedAtMs = nowMs;
         usableUntilMs = Double.POSITIVE_INFINITY;
-        moveTo(EndpointListState.CONFIRMED, nowMs);
+        transitionTo(EndpointListState.CONFIRMED, nowMs);
     }
 
-    /** The watch is silent, its last message so long ago. */
+    /** The watch is silent; its last message came {@code lastMessageAgoMs} ago. */
     void silent(double nowMs, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED) {
             startRenewing(nowMs, nowMs - lastMessageAgoMs, false, false);
         }
     }
 
-    /** Another address of discovery counts from now on; the list is as good as it was, for a shorter time. */
+    /** Discovery has a new address from now on: a usable list stays usable, but for a shorter time. */
     void moved(double nowMs) {
         if (usable(nowMs)) {
-            double untilMs = Math.min(usableUntilMs, nowMs + NOTIFIED_AFTER_MOVE_MS - MARGIN_MS);
+            double untilMs = Math.min(usableUntilMs, nowMs + NOTIFIED_AFTER_ADDRESS_CHANGE_MS - SAFETY_MARGIN_MS);
             startRenewing(nowMs, state == EndpointListState.CONFIRMED ? nowMs : confirmedAtMs, false, true);
             usableUntilMs = untilMs;
         }
     }
 
-    /** The watch ended or a call for one failed, the last message so long ago. */
+    /** The watch ended or a call for one failed; the last message came {@code lastMessageAgoMs} ago. */
     void failed(double nowMs, EndpointWatchFailure failure, double lastMessageAgoMs) {
         if (state == EndpointListState.CONFIRMED && failure == EndpointWatchFailure.ENDED) {
-            // Watches end when discovery goes down, and what came before came whole.
+            // Discovery ends its watches when it goes down, and all that it sent before has arrived.
             startRenewing(nowMs, nowMs, true, true);
             return;
         }
         silent(nowMs, lastMessageAgoMs);
         if (!usable(nowMs)) {
-            return; // discovery may have been there meanwhile, with changes that are due by now
+            return; // discovery may have been reachable meanwhile, with changes that count as notified by now
         }
         switch (failure) {
             case REFUSED -> callRefused(nowMs);
             case ENDED, NO_ANSWER -> callUnanswered(nowMs);
-            case NOT_ASKED -> {} // a local fault, no sign of discovery's state
+            case NOT_ASKED -> {} // a local fault, which says nothing about discovery
         }
     }
 
-    private void startRenewing(double nowMs, double lastMessageMs, boolean outage, boolean withoutGap) {
+    private void startRenewing(double nowMs, double lastMessageMs, boolean watchEndedByDiscovery, boolean withoutGap) {
         confirmedAtMs = lastMessageMs;
         usableUntilMs = lastMessageMs + maxUnconfirmedMs;
-        outageLikely = outage;
-        gapless = withoutGap;
+        outageLikely = watchEndedByDiscovery;
+        noChangeMissed = withoutGap;
         connectionRefusedSeen = false;
-        moveTo(EndpointListState.RENEWING, nowMs);
+        transitionTo(EndpointListState.RENEWING, nowMs);
     }
 
     /**
-     * An overloaded discovery and one that is down look alike from here. After a watch that discovery itself has ended
-     * it is taken for an outage, in which no change can be had; where refusals had shown the outage, it is over.
+     * Handles a call without an answer. This process cannot tell whether discovery is overloaded or down. After a watch
+     * that discovery itself ended, it is assumed to be down and thus to have no changes. If connections were refused
+     * since then, they showed the outage, and an unanswered call means that the outage is over.
      */
     private void callUnanswered(double nowMs) {
         if (agentPushesList || outageLikely && !connectionRefusedSeen) {
             usableUntilMs = Double.POSITIVE_INFINITY;
-            moveTo(EndpointListState.UNREACHABLE, nowMs);
+            transitionTo(EndpointListState.UNREACHABLE, nowMs);
         } else {
-            gapless = false;
-            moveTo(EndpointListState.RENEWING, nowMs);
+            noChangeMissed = false;
+            transitionTo(EndpointListState.RENEWING, nowMs);
         }
     }
 
-    /** Nothing listens at discovery: there is no change to know of, and was none since the list was confirmed. */
+    /**
+     * Handles a refused connection: nothing listens at discovery's address, so there is no change to learn of, and
+     * there was none since the list was confirmed.
+     */
     private void callRefused(double nowMs) {
-        if (agentPushesList || gapless) {
+        if (agentPushesList || noChangeMissed) {
             connectionRefusedSeen = true;
             usableUntilMs = nowMs + maxUnconfirmedMs;
-            moveTo(EndpointListState.UNREACHABLE, nowMs);
+            transitionTo(EndpointListState.UNREACHABLE, nowMs);
         }
     }
 
-    /** Whether a request may be sent by the list. Notes, and reports to the listener, that it has become stale. */
+    /**
+     * Whether the list may be used to send requests. When it may no longer be used, the state becomes stale and the
+     * listener is called.
+     */
     boolean usable(double nowMs) {
         if (nowMs >= usableUntilMs && state != EndpointListState.UNCONFIRMED) {
-            moveTo(EndpointListState.STALE, nowMs);
+            transitionTo(EndpointListState.STALE, nowMs);
         }
         return nowMs < usableUntilMs;
     }
 
-    private void moveTo(EndpointListState next, double nowMs) {
+    private void transitionTo(EndpointListState next, double nowMs) {
         if (next != state) {
-            EndpointListState before = state;
+            EndpointListState previous = state;
             state = next;
-            listener.changed(before, next, nowMs - confirmedAtMs);
+            listener.changed(previous, next, nowMs - confirmedAtMs);
         }
     }
 }
--- a/src/main/java/maplespread/policy/EndpointListState.java
+++ b/src/main/java/maplespread/policy/EndpointListState.java
@@ -1,19 +1,19 @@
 package maplespread.policy;
 
-/** How far the endpoint list can be relied on. Log lines and admin answers print the names. */
+/** Whether the endpoint list can be relied on. Log lines and admin responses print the names. */
 public enum EndpointListState {
-    /** Discovery has said nothing since this process started: nothing is sent by the list. */
+    /** Discovery has sent nothing since this process started: the list is not used to send requests. */
     UNCONFIRMED,
 
     /** A watch reports all changes. */
     CONFIRMED,
 
-    /** There is no watch since a short while: the list still counts. */
+    /** There has been no watch for a short while: the list is still used. */
     RENEWING,
 
-    /** There is no watch, and discovery is down, so that there is no change to know of: the list still counts. */
+    /** There is no watch, and discovery is down, so there are no changes to learn of: the list is still used. */
     UNREACHABLE,
 
-    /** Changes may have been missed that this dispatcher is held to: nothing is sent by the list. */
+    /** Changes that count as notified may have been missed: the list is not used to send requests. */
     STALE
 }
--- a/src/main/java/maplespread/policy/EndpointWatchFailure.java
+++ b/src/main/java/maplespread/policy/EndpointWatchFailure.java
@@ -2,15 +2,15 @@
 
 /** How a watch of the endpoint list, or a call for one, ended. */
 public enum EndpointWatchFailure {
-    /** Discovery ended it, after it had answered. */
+    /** Discovery ended it after it had answered. */
     ENDED,
 
-    /** Nobody listened at its address. */
+    /** Nothing listened at discovery's address. */
     REFUSED,
 
-    /** The call was made, and no first line came. */
+    /** The call was made, but no first line arrived. */
     NO_ANSWER,
 
-    /** The call never left this machine: no sign of discovery's state. */
+    /** The call never left this machine, which says nothing about discovery. */
     NOT_ASKED
 }
--- a/src/main/java/maplespread/policy/FleetLoadEstimate.java
+++ b/src/main/java/maplespread/policy/FleetLoadEstimate.java
@@ -1,18 +1,18 @@
 package maplespread.policy;
 
 /**
- * The load of the fleet as a whole, from one look at all workers: how much of it is this dispatcher's, how long ready
- * workers keep a request waiting, and the shortest such wait. A look also brings every worker up to date and probes
- * the ejected ones whose backoff is over. Times are ms.
+ * The load of the whole fleet, from a scan of all workers: how much of it is this dispatcher's, the mean wait at ready
+ * workers, and the shortest such wait. A scan also updates the estimates of every worker and probes the ejected workers
+ * whose backoff is over. Times are ms.
  */
 final class FleetLoadEstimate {
-    /** A look is fresh for this much of the objective: single events bring their own workers up to date. */
+    /** Age up to which a scan is fresh, in objectives. Between scans, events update the workers that they concern. */
     private static final double FRESH_OBJECTIVES = 1.0 / 8;
 
     private final PolicyContext context;
     private final WorkerTable workers;
     private ArrivalStatistics arrivals;
-    private double lookedAtMs;
+    private double scannedAtMs;
     private double averagedAtMs = Double.NaN;
     private double localLoadMs;
     private double unobservedLoadMs;
@@ -25,12 +25,12 @@
         this.workers = workers;
     }
 
-    /** To be called once: the two modules read each other's estimates. */
+    /** Sets the arrival statistics, once: the two classes read each other's estimates. */
     void use(ArrivalStatistics statistics) {
         arrivals = statistics;
     }
 
-    /** The load of all dispatchers over this one's, 1 up to the number of dispatchers. */
+    /** The load of all dispatchers relative to this one's, from 1 to the number of dispatchers. */
     double loadMultiplier() {
         return loadMultiplier;
     }
@@ -40,25 +40,25 @@
         return queueingFactor;
     }
 
-    /** Shortest wait at a ready worker, as of the last look; the longest advised pause where none is ready. */
+    /** Shortest wait at a ready worker, as of the last scan; the longest advised retry delay where none is ready. */
     double shortestWaitMs() {
         return shortestWaitMs;
     }
 
-    /** The fleet or the settings have changed: the next look is taken whatever the last one's age. */
+    /** The fleet or the settings have changed: the next refresh scans regardless of the last scan's age. */
     void invalidate() {
-        lookedAtMs = Double.NEGATIVE_INFINITY;
+        scannedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Takes a look unless the last one is fresh enough. */
+    /** Scans the fleet unless the last scan is fresh enough. */
     void refresh() {
-        if (context.nowMs - lookedAtMs < context.objectiveMs * FRESH_OBJECTIVES) {
+        if (context.nowMs - scannedAtMs < context.objectiveMs * FRESH_OBJECTIVES) {
             return;
         }
-        double localMs = 0;
-        double unobservedMs = 0;
+        double localWorkMs = 0;
+        double remoteWorkMs = 0;
         double waitsMs = 0;
-        double ready = 0;
+        double readyWorkers = 0;
         shortestWaitMs = context.permissions.maxRetryAfterMs();
         for (Worker worker : workers.all()) {
             worker.refresh();
@@ -69,31 +69,31 @@
             if (worker.outliers.isReady()) {
                 shortestWaitMs = Math.min(shortestWaitMs, worker.backlog.waitMs());
                 waitsMs += worker.backlog.waitMs();
-                ready++;
+                readyWorkers++;
             }
             if (!worker.outliers.isEjected()) {
-                localMs += worker.backlog.localWorkMs();
-                unobservedMs += worker.backlog.remoteWorkMs();
+                localWorkMs += worker.backlog.localWorkMs();
+                remoteWorkMs += worker.backlog.remoteWorkMs();
             } else if (!worker.outliers.isBackingOff()) {
                 worker.outliers.backOff();
                 worker.probe();
             }
         }
         workers.recomputeTotalCapacity();
-        average(localMs, unobservedMs, waitsMs / Math.max(1, ready));
+        updateAverages(localWorkMs, remoteWorkMs, waitsMs / Math.max(1, readyWorkers));
     }
 
-    private void average(double localMs, double unobservedMs, double meanWaitMs) {
+    private void updateAverages(double localWorkMs, double remoteWorkMs, double meanWaitMs) {
         double meanWorkMs = arrivals.meanWorkMs();
         double step = PolicyMath.clamp((context.nowMs - averagedAtMs) / context.memoryMs, 0, 1);
-        if (Double.isNaN(averagedAtMs)) { // the first look: dispatchers of the same size are assumed
+        if (Double.isNaN(averagedAtMs)) { // the first scan assumes dispatchers of the same size
             unobservedLoadMs = (context.settings.dispatcherCount() - 1) * meanWorkMs / 2;
         }
-        lookedAtMs = context.nowMs;
+        scannedAtMs = context.nowMs;
         averagedAtMs = context.nowMs;
         queueingFactor += step * (meanWaitMs / meanWorkMs - queueingFactor);
-        localLoadMs += step * (localMs - localLoadMs);
-        unobservedLoadMs += step * (unobservedMs - unobservedLoadMs);
+        localLoadMs += step * (localWorkMs - localLoadMs);
+        unobservedLoadMs += step * (remoteWorkMs - unobservedLoadMs);
         loadMultiplier = PolicyMath.clamp(
                 1 + unobservedLoadMs / Math.max(localLoadMs, meanWorkMs / 2), 1, context.settings.dispatcherCount());
     }
--- a/src/main/java/maplespread/policy/HintCalibration.java
+++ b/src/main/java/maplespread/policy/HintCalibration.java
@@ -1,9 +1,9 @@
 package maplespread.policy;
 
 /**
- * How far the work hints of requests are to be believed. Small requests tend to run longer than hinted and large ones
- * shorter; believed in full, slow workers, which are given the small ones, would look ever slower. The slope of
- * log run time on log hint, within each worker, says how much of a hint's distance from the middle is real.
+ * Corrects the work hints of requests. Small requests tend to run longer than hinted and large ones shorter. If hints
+ * were used as they are, slow workers, which get the small requests, would appear ever slower. The slope of log run
+ * time over log hint, within each worker, estimates how much of a hint's distance from the mean is real.
  */
 final class HintCalibration {
     /** One worker's recent means of log hint and log run time, over at most {@link #MAX_RUNS} runs. */
@@ -16,13 +16,13 @@
     private static final double MAX_RUNS = 20;
     private static final double MAX_HINTS = 200;
 
-    /** The slope starts at one, as if this much variance had been seen: about ten requests. */
+    /** Variance assumed as already observed, about that of ten requests, so that the slope starts at one. */
     private static final double PRIOR_VARIANCE = 10;
 
     private static final double VARIANCE_KEPT = 0.995;
     private static final double MIN_SLOPE = 0.2;
 
-    /** A run longer than this many estimator memories is a measuring error. */
+    /** A run longer than this many estimator memories is a measurement error. */
     private static final double MAX_RUN_MEMORIES = 1e3;
 
     private final PolicyContext context;
@@ -42,7 +42,12 @@
         return Math.exp(meanLogHint + slope * (logHint - meanLogHint));
     }
 
-    /** A request with this hint (NaN: it had none) ran so long at the worker with these means. */
+    /**
+     * Learns from a run.
+     *
+     * @param means the means of the worker at which the request ran
+     * @param logHint logarithm of the request's hint; NaN: it had none
+     */
     void observeRun(WorkerMeans means, double logHint, double runMs) {
         if (Double.isNaN(logHint) || !(runMs > 0 && runMs < MAX_RUN_MEMORIES * context.memoryMs)) {
             return;
--- a/src/main/java/maplespread/policy/InFlightAttempt.java
+++ b/src/main/java/maplespread/policy/InFlightAttempt.java
@@ -8,10 +8,10 @@
     /** The request's expected work when it was sent, ms on a standard core. */
     final double workMs;
 
-    /** The time that fetching the request's data set was expected to take. */
+    /** Time that fetching the request's data set was expected to take. */
     final double fetchMs;
 
-    /** Work that it keeps from others: its own and the fetch, times its slots. */
+    /** Work reserved at the worker, ms on a standard core: the request's and the fetch's, times the slots. */
     final double reservedWorkMs;
 
     final double sentAtMs;
@@ -19,33 +19,33 @@
     /** Expected wait in the worker's queue. */
     final double expectedWaitMs;
 
-    /** When it was expected to be done. */
+    /** Time at which the attempt was expected to end. */
     final double expectedEndMs;
 
-    /** A slot was free when it was sent. */
+    /** Whether a slot was free when the attempt was sent. */
     final boolean hadFreeSlot;
 
-    /** No idle connection was open to the worker. */
+    /** Whether the attempt needed a new connection, as none to the worker was idle. */
     final boolean openedConnection;
 
-    /** When the worker reported that it runs; NaN before that. */
+    /** Time at which the worker reported the start; NaN before that. */
     double startedAtMs = Double.NaN;
 
-    /** When the worker last reported its progress. */
+    /** Time of the worker's last report on the attempt; 0 before the first one. */
     double progressedAtMs;
 
-    /** Share of the work that is done, as the worker reported. */
+    /** Share of the work that is done, as reported by the worker. */
     double doneShare;
 
     boolean ended;
 
-    /** Its end proved that it never ran. */
+    /** Whether the attempt's end proved that it never ran. */
     boolean neverRan;
 
-    /** It was overdue and has been counted as a failure. */
+    /** Whether the attempt was overdue and has been counted as a failure. */
     boolean countedAsFailure;
 
-    /** A request sent well after it has started: its connection is taken for dead. */
+    /** Whether an attempt sent well after this one has started: the connection of this one is taken for dead. */
     boolean overtaken;
 
     InFlightAttempt(PendingRequest request, Worker worker, double nowMs, double fetchMs) {
@@ -66,9 +66,9 @@
         return !Double.isNaN(startedAtMs);
     }
 
-    /** Time since the last report on it, less what the fetch is likely to have taken of that. */
+    /** Run time since the last report, less the part that the fetch has probably taken. */
     double runTimeMs(double nowMs) {
-        double tookMs = nowMs - progressedAtMs;
-        return doneShare > 0 ? tookMs : Math.max(tookMs / 2, tookMs - fetchMs);
+        double sinceReportMs = nowMs - progressedAtMs;
+        return doneShare > 0 ? sinceReportMs : Math.max(sinceReportMs / 2, sinceReportMs - fetchMs);
     }
 }
--- a/src/main/java/maplespread/policy/KeyAffinity.java
+++ b/src/main/java/maplespread/policy/KeyAffinity.java
@@ -1,28 +1,31 @@
 package maplespread.policy;
 
 /**
- * Which workers are likely to have a request's data set cached, and what a miss costs. A data set is kept by a few
- * workers and fetched elsewhere from a store that all share. The primary worker of a key is found by rendezvous hashing
- * (highest random weight), the same at all dispatchers without a message between them.
+ * Estimates which workers have a request's data set cached, and what a miss costs. A few workers have a data set
+ * cached; others fetch it from a shared store. The primary worker of a key is found by rendezvous hashing (highest
+ * random weight), so that all dispatchers find the same one without exchanging messages.
  */
 final class KeyAffinity {
     /**
-     * A miss is priced as this many mean requests. The wait for the fetch is under one, but it also takes of the shared
-     * store's capacity and drives out a set that others will miss.
+     * Cost of a miss, in mean requests. The wait for the fetch is under one, but the fetch also takes capacity of the
+     * shared store and evicts a data set that other requests will miss.
      */
     private static final double MISS_COST_REQUESTS = 3;
 
-    /** Added where workers queue: no slot is free then, and those held by a fetch are missed. */
+    /**
+     * Additional cost of a miss where requests queue at workers, in mean requests: no slot is free then, and a fetch
+     * holds slots that other requests need.
+     */
     private static final double QUEUEING_MISS_COST_REQUESTS = 3;
 
-    /** How likely a miss is at the key's primary worker. */
-    private static final double PRIMARY_MISS = 0.1;
+    /** Probability of a miss at the key's primary worker. */
+    private static final double PRIMARY_MISS_PROBABILITY = 0.1;
 
-    /** How likely a miss is where this dispatcher sent the key lately. */
-    private static final double RECENT_MISS = 0.2;
+    /** Probability of a miss at a worker to which this dispatcher recently sent the key. */
+    private static final double RECENT_MISS_PROBABILITY = 0.2;
 
-    /** How likely a miss is at the key's secondary worker. */
-    private static final double SECONDARY_MISS = 0.5;
+    /** Probability of a miss at the key's secondary worker. */
+    private static final double SECONDARY_MISS_PROBABILITY = 0.5;
 
     private final WorkerTable workers;
     private final ArrivalStatistics arrivals;
@@ -62,7 +65,7 @@
         }
     }
 
-    /** The price, as time in ms, of the data set that a request may have to wait for at the worker. */
+    /** The expected cost, as time in ms, of fetching the request's data set at the worker. */
     double fetchCostMs(PendingRequest request, Worker worker) {
         if (request.keyHash == 0) {
             return 0;
@@ -74,15 +77,15 @@
 
     private static double missProbability(PendingRequest request, Worker worker) {
         if (worker == request.primary) {
-            return PRIMARY_MISS;
+            return PRIMARY_MISS_PROBABILITY;
         }
         if (worker.cachedKeys.contains(request.keyHash)) {
-            return RECENT_MISS;
+            return RECENT_MISS_PROBABILITY;
         }
-        return worker == request.secondary ? SECONDARY_MISS : 1;
+        return worker == request.secondary ? SECONDARY_MISS_PROBABILITY : 1;
     }
 
-    /** 63 bits, never negative. */
+    /** The worker's rank for the key: 63 bits, never negative. */
     private static long rendezvousRank(long keyHash, Worker worker) {
         return StableHash.mix(keyHash ^ worker.idHash) >>> 1;
     }
--- a/src/main/java/maplespread/policy/OutlierDetector.java
+++ b/src/main/java/maplespread/policy/OutlierDetector.java
@@ -1,38 +1,39 @@
 package maplespread.policy;
 
 /**
- * When a worker gets no new requests because of what was seen of it, when it is tried again, and how likely each
- * request class is to fail at it.
+ * Decides when a worker gets no new requests because of its failures and when it is tried again, and estimates how
+ * likely each request class is to fail at it.
  *
  * <ul>
- *   <li>Ejected: a connection to it broke or could not be had. Only where probing is allowed, and not on a slow failure
- *       while a quarter of all connections fails slowly. A probe goes out at once, and again at a look at the fleet
- *       ({@link FleetLoadEstimate#refresh}, so only while requests come) whenever its backoff is over. It ends with a sign of life: an answered
- *       probe, a served attempt, a start or progress report; or when the list says that the worker has started since.
+ *   <li>Ejected: a connection to the worker broke or could not be opened. This applies only where probing is allowed,
+ *       and not to a slow connection failure while a quarter of all connections fails slowly. A probe is sent at once,
+ *       and again at each scan of the fleet ({@link FleetLoadEstimate#refresh}, so only while requests arrive) at which
+ *       the worker's backoff is over. The ejection ends with a sign of life (an answered probe, a served attempt, a
+ *       start or progress report) or when the endpoint list shows that the worker has started since.
  *   <li>Backing off, ejected or not: after a rejection, a failed connection, a timeout without a later sign of life,
- *       or a probe round without its answer. It ends after one objective, twice as long with each such failure in a
- *       row, 32 objectives or half the estimators' memory at most.
- *   <li>Neither: a class that fails there, or has overdue attempts, raises the worker's price for that class alone.
+ *       or a probe round without the worker's answer. The backoff takes one objective, doubles with each such failure
+ *       in a row, and is limited to 32 objectives and to half the estimators' memory.
+ *   <li>Neither: a class that fails at the worker, or has overdue attempts, raises its cost for that class alone.
  * </ul>
  *
  * <p>A request for which no ready worker is left may still be sent to an ejected one, as a trial ({@link
  * WorkerSelector#place}). Times are ms.
  */
 final class OutlierDetector {
-    /** A connection that took this share of the connect timeout to fail was not refused: nobody answered. */
+    /** Share of the connect timeout after which a failed connection counts as unanswered, not as refused. */
     private static final double SLOW_CONNECT_SHARE = 0.5;
 
-    /** When this share of new connections fails slowly, the network is at fault, and no worker is ejected. */
+    /** Share of new connections that fail slowly from which the network is at fault and no worker is ejected. */
     private static final double NETWORK_FAULT_SHARE = 0.25;
 
-    /** Weight of an attempt in the worker's own rate: a memory of about two. */
-    private static final double CLASS_STEP = 0.5;
+    /** Weight of an attempt in the worker's own failure rate, which thus remembers about two attempts. */
+    private static final double CLASS_RATE_STEP = 0.5;
 
-    /** The worker's own rate fades over this many estimator memories. */
-    private static final double CLASS_MEMORIES = 4;
+    /** Time constant with which the worker's own failure rate fades, in estimator memories. */
+    private static final double CLASS_RATE_MEMORIES = 4;
 
-    /** A difference from the other workers' rate that is no more than chance. */
-    private static final double MIN_DIFFERENCE = 0.1;
+    /** A difference from the failure rate of all workers is taken for chance unless it exceeds this. */
+    private static final double MIN_RATE_DIFFERENCE = 0.1;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
@@ -41,7 +42,7 @@
     private final FailureStatistics failures;
     private final Worker worker;
     private final DoublesByIndex failureRateByClass = new DoublesByIndex();
-    private final DoublesByIndex failureRateAtMs = new DoublesByIndex();
+    private final DoublesByIndex failureRateUpdatedAtMs = new DoublesByIndex();
     private int consecutiveFailures;
     private boolean ejected;
     private double retryNotBeforeMs;
@@ -69,35 +70,38 @@
     }
 
     /**
-     * How likely a request of the class is to fail at this worker, 0 to 1: all workers' rate, and the worker's own
-     * where it differs by more than chance. It chooses among workers and rejects nothing.
+     * How likely a request of the class is to fail at this worker, 0 to 1: the rate of all workers, or the worker's own
+     * where that differs by more than chance. It affects only the choice among workers and never causes a rejection.
      */
     double failureRate(int classIndex) {
-        double ageMs = context.nowMs - failureRateAtMs.get(classIndex);
+        double ageMs = context.nowMs - failureRateUpdatedAtMs.get(classIndex);
         double difference = (failureRateByClass.get(classIndex) - failures.failureRate(classIndex))
-                * PolicyMath.decay(ageMs / (CLASS_MEMORIES * context.memoryMs));
-        return failures.failureRate(classIndex) + (Math.abs(difference) > MIN_DIFFERENCE ? difference : 0);
+                * PolicyMath.decay(ageMs / (CLASS_RATE_MEMORIES * context.memoryMs));
+        return failures.failureRate(classIndex) + (Math.abs(difference) > MIN_RATE_DIFFERENCE ? difference : 0);
     }
 
     /** An attempt of the class ended here, or is overdue. */
     void attemptEnded(int classIndex, boolean failed) {
-        double rate = CLASS_STEP * failureRate(classIndex) + CLASS_STEP * (failed ? 1 : 0);
+        double rate = CLASS_RATE_STEP * failureRate(classIndex) + CLASS_RATE_STEP * (failed ? 1 : 0);
         failureRateByClass.set(classIndex, rate);
-        failureRateAtMs.set(classIndex, context.nowMs);
+        failureRateUpdatedAtMs.set(classIndex, context.nowMs);
         failures.attemptEnded(classIndex, failed);
     }
 
-    /** A sign of life ends the ejection; a backoff that is on goes on, and the next failure begins with the shortest one. */
-    void aliveSeen() {
+    /**
+     * Records a sign of life, which ends the ejection. A current backoff continues; the next failure starts with the
+     * shortest backoff.
+     */
+    void recordAlive() {
         lastAliveMs = context.nowMs;
         consecutiveFailures = 0;
         ejected = false;
     }
 
-    /** A probe of an ejected worker was answered: it takes requests again, in slow start if it may be a new process. */
+    /** A probe was answered. An ejected worker gets requests again, in slow start if it may be a new process. */
     void probeAnswered() {
         if (ejected) {
-            aliveSeen();
+            recordAlive();
             retryNotBeforeMs = context.nowMs;
             if (context.nowMs - connectionLostAtMs > context.objectiveMs) {
                 worker.slowStart.restart(context.nowMs);
@@ -106,22 +110,22 @@
     }
 
     /**
-     * The list says that the worker has started then: connections lost before that are no sign against the new
-     * process.
+     * The endpoint list shows that the worker started at this time: connections lost before that do not count against
+     * the new process.
      */
     void restarted(double startedAtMs) {
         ejected &= connectionLostAtMs >= startedAtMs;
     }
 
-    /** Not to be tried again before a while that doubles from one objective with each failure in a row. */
+    /** Starts a backoff of one objective, doubled with each failure in a row. */
     void backOff() {
         int doublings = Math.min(consecutiveFailures++, MAX_BACKOFF_DOUBLINGS);
         retryNotBeforeMs = context.nowMs + Math.min(context.memoryMs / 2, context.objectiveMs * (1 << doublings));
     }
 
     /**
-     * An attempt timed out. The worker may hang, or that connection alone: only without a later sign of life it
-     * counts.
+     * An attempt timed out. Either the worker hangs or only that connection does, so the timeout counts only without a
+     * later sign of life.
      */
     void timedOut(InFlightAttempt attempt) {
         if (lastAliveMs < attempt.sentAtMs) {
@@ -130,12 +134,12 @@
     }
 
     /**
-     * No connection could be had after this time, or one broke (0 ms). One connection that breaks proves no restart:
-     * taken for one, it would cost a healthy worker's capacity; a second one without a sign of life in between does. A
-     * slow failure counts against this worker only where others can be connected to.
+     * A connection failed to open after this time, or an open one broke (0 ms). One broken connection does not prove a
+     * restart, and treating it as one would cost a healthy worker's capacity. A second one without a sign of life in
+     * between counts as a restart. A slow failure counts against this worker only while others can be connected to.
      */
-    void connectionFailed(double lagMs) {
-        boolean slow = lagMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
+    void connectionFailed(double elapsedMs) {
+        boolean slow = elapsedMs > context.permissions.connectTimeoutMs() * SLOW_CONNECT_SHARE;
         if (!slow || failures.slowConnectShare() < NETWORK_FAULT_SHARE) {
             if (ejected || !context.permissions.probing()) {
                 worker.slowStart.restart(context.nowMs);
@@ -150,9 +154,9 @@
     }
 
     /**
-     * Counts every attempt in flight that is overdue as failed, once.
+     * Counts every overdue attempt in flight as failed, once.
      *
-     * @param pauseEndedMs when this process last stood still: what it slept through itself does not count
+     * @param pauseEndedMs end of this process's last pause; time up to then does not make an attempt overdue
      */
     void countOverdue(double pauseEndedMs) {
         for (InFlightAttempt attempt : worker.backlog.inFlight()) {
@@ -164,19 +168,19 @@
     }
 
     /**
-     * Whether a start, progress or a response is overdue by as long again as it should have taken. That notices
-     * hangs, cut links, stopped processes and a harsh slowing.
+     * Whether a start, a progress report or a response is overdue by as long again as it should have taken. This
+     * detects hangs, cut connections, stopped processes and severe slowdowns.
      */
     private boolean isOverdue(InFlightAttempt attempt, double pauseEndedMs) {
         double graceMs = attempt.expectedEndMs - attempt.sentAtMs;
         double progressMs = context.settings.progressIntervalMs();
-        double signDueMs = attempt.expectedEndMs + graceMs;
+        double reportDueMs = attempt.expectedEndMs + graceMs;
         if (context.settings.workersReportStart() && !attempt.hasStarted()) {
-            signDueMs = attempt.expectedEndMs + Math.max(progressMs, graceMs);
+            reportDueMs = attempt.expectedEndMs + Math.max(progressMs, graceMs);
         } else if (context.settings.workersReportStart() && progressMs > 0) {
-            signDueMs = Math.min(signDueMs, attempt.progressedAtMs + progressMs);
+            reportDueMs = Math.min(reportDueMs, attempt.progressedAtMs + progressMs);
         }
         double meanRunMs = arrivals.meanWorkMs() / worker.speedEstimator.speed();
-        return context.nowMs - context.objectiveMs - meanRunMs > Math.max(signDueMs, pauseEndedMs);
+        return context.nowMs - context.objectiveMs - meanRunMs > Math.max(reportDueMs, pauseEndedMs);
     }
 }
--- a/src/main/java/maplespread/policy/PendingRequest.java
+++ b/src/main/java/maplespread/policy/PendingRequest.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A request from its acceptance until it has ended and all its attempts are over. Its class and its limit of attempts
- * are those of the settings under which it was accepted, whatever holds later. Times are ms on the host's clock.
+ * A request from its acceptance until it and all its attempts have ended. Its class and its maximum number of attempts
+ * are those of the settings under which it was accepted, even if the settings change later. Times are ms on the host's
+ * clock.
  */
 final class PendingRequest {
     /** Hints below this share of the shortest objective are ignored. */
@@ -14,11 +15,11 @@
     /** Hints above this many deadlines are ignored. */
     private static final double MAX_HINT_DEADLINES = 1e3;
 
-    /** Memory units and slots from here on are taken for errors. */
+    /** Memory units or slots from this number on are errors and count as absent. */
     private static final double MAX_UNITS = 1000;
 
-    /** Most workers that are probed for it in one round. */
-    private static final int EXPECTED_PROBES = 3;
+    /** Maximum number of workers that are probed for a request in one round. */
+    private static final int MAX_PROBES_PER_ROUND = 3;
 
     final PolicyRequest accepted;
     final RequestClass requestClass;
@@ -29,38 +30,39 @@
     final double slots;
     final double memoryUnits;
 
-    /** Hash of its affinity key; 0: it has none. */
+    /** Hash of the affinity key; 0: the request has none. */
     final long keyHash;
 
     final List<InFlightAttempt> attempts = new ArrayList<>(2);
 
-    /** Workers probed for it since it was last placed. */
-    final List<Worker> probed = new ArrayList<>(EXPECTED_PROBES);
+    /** Workers probed for the request since it was last placed. */
+    final List<Worker> probed = new ArrayList<>(MAX_PROBES_PER_ROUND);
 
-    /** Those of them that have not answered. */
-    final List<Worker> awaitingReply = new ArrayList<>(EXPECTED_PROBES);
+    /** Probed workers that have not answered. */
+    final List<Worker> awaitingReply = new ArrayList<>(MAX_PROBES_PER_ROUND);
 
-    /** Probe rounds taken for it. */
+    /** Number of probe rounds started for the request. */
     int probeRounds;
 
-    /** Expected work, ms on a standard core; NaN until it is counted, where it has no hint. */
+    /** Expected work, ms on a standard core; without a hint NaN until {@link ArrivalStatistics} sets it. */
     double workMs;
 
-    /** Logarithm of its hint; NaN: it has none. */
+    /** Logarithm of the work hint; NaN: the request has none. */
     double logHint = Double.NaN;
 
-    /** Its priority weight over the mean one. */
+    /** Priority weight relative to the mean one. */
     double weight;
 
-    /** First and second worker of its key by rendezvous hashing; null: no key, or no such worker. */
+    /** First worker of the key by rendezvous hashing; null: no key, or no such worker. */
     Worker primary;
 
+    /** Second worker of the key by rendezvous hashing; null: no key, or no such worker. */
     Worker secondary;
 
     int attemptsInFlight;
     boolean ended;
 
-    /** Its response has started: no further attempt. */
+    /** Whether the response has started, which rules out further attempts. */
     boolean responseStarted;
 
     PendingRequest(PolicyRequest request, PolicyContext context) {
@@ -72,9 +74,9 @@
         acceptedAtMs = context.nowMs;
         deadlineMs = request.deadlineUs() / 1000.0;
         double hintMs = request.workHintMs();
-        boolean hinted = hintMs > MIN_HINT_SHARE * context.objectiveMs
+        boolean hasHint = hintMs > MIN_HINT_SHARE * context.objectiveMs
                 && hintMs < MAX_HINT_DEADLINES * requestClass.deadlineMs();
-        workMs = hinted ? hintMs : Double.NaN;
+        workMs = hasHint ? hintMs : Double.NaN;
         memoryUnits = request.memoryUnits() > 0 && request.memoryUnits() < MAX_UNITS ? request.memoryUnits() : 0;
         slots = request.slots() > 0 && request.slots() < MAX_UNITS ? request.slots() : 1;
         String key = request.affinityKey();
--- a/src/main/java/maplespread/policy/PendingRequests.java
+++ b/src/main/java/maplespread/policy/PendingRequests.java
@@ -26,13 +26,13 @@
     }
 
     /**
-     * To be asked before a request is added.
+     * Checks that no request with this id is known, before one is added.
      *
      * @throws IllegalStateException if the id is in use
      */
     void requireUnknown(long id) {
         if (byId.containsKey(id)) {
-            throw new IllegalStateException("request " + id + " was taken before");
+            throw new IllegalStateException("request " + id + " was accepted before");
         }
     }
 
@@ -40,12 +40,12 @@
         byId.put(request.id(), request);
     }
 
-    /** It waits for a worker that may take it. */
+    /** Parks a request until a worker may take it. */
     void park(PendingRequest request) {
         parked.add(request);
     }
 
-    /** Takes out all parked requests, in the order in which they were parked. */
+    /** Removes and returns all parked requests, in the order in which they were parked. */
     List<PendingRequest> takeParked() {
         List<PendingRequest> all = List.copyOf(parked);
         parked.clear();
@@ -56,17 +56,17 @@
         return !parked.isEmpty();
     }
 
-    /** It waits for the answers of a probe round. */
+    /** Lets a request wait for the answers of a probe round. */
     void startProbing(PendingRequest request) {
         probing.add(request);
     }
 
-    /** Its probe round is over; returns false if it was in none. */
+    /** Ends a request's probe round; returns false if it was in none. */
     boolean stopProbing(PendingRequest request) {
         return probing.remove(request);
     }
 
-    /** Those that wait for answers to probes. */
+    /** The requests that wait for the answers of a probe round. */
     List<PendingRequest> probing() {
         return probing;
     }
--- a/src/main/java/maplespread/policy/PolicyActions.java
+++ b/src/main/java/maplespread/policy/PolicyActions.java
@@ -1,34 +1,34 @@
 package maplespread.policy;
 
 /**
- * What a policy asks of its host, called while it handles an event. None of these calls may call back into the
- * policy, nor block.
+ * Actions that a policy requests of its host while it handles an event. The implementations must neither call back into
+ * the policy nor block.
  */
 public interface PolicyActions {
-    /** Send the request to the worker: its next attempt, counted from 0. */
+    /** Sends the request to the worker as its next attempt; attempts are counted from 0. */
     void sendAttempt(long id, String worker);
 
-    /** End the request; the client may safely try again, after {@code pauseMs} if above 0. */
-    void reject(long id, double pauseMs, RejectionReason why);
+    /** Rejects the request; the client may safely try again, after {@code retryAfterMs} if that is above 0. */
+    void reject(long id, double retryAfterMs, RejectionReason reason);
 
-    /** End the request with an error: it may have run, or its deadline has passed. */
-    void fail(long id, RejectionReason why);
+    /** Ends the request with an error: it may have run, or its deadline has passed. */
+    void fail(long id, RejectionReason reason);
 
-    /** Call off an attempt; it still gets its outcome. */
+    /** Cancels an attempt; its outcome is still reported. */
     void cancelAttempt(long id, int attempt);
 
-    /** Probe a worker. */
+    /** Probes a worker. */
     void probe(String worker);
 
-    /** Subscribe to the endpoint list. */
+    /** Subscribes to the endpoint list. */
     void watchEndpointList();
 
-    /** Call {@link PolicyEvents#timerExpired} with this label after this long. */
+    /** Calls {@link PolicyEvents#timerExpired} with this label after this delay. */
     void scheduleTimer(double delayMs, long label);
 
-    /** How far the endpoint list can be relied on has changed, so long after it was last confirmed. */
+    /** Reports a change of the endpoint list's state, {@code ageMs} after the list was last confirmed. */
     void listStateChanged(EndpointListState from, EndpointListState to, double ageMs);
 
-    /** A line for the operators. */
+    /** Logs a line for the operators. */
     void log(String line);
 }
--- a/src/main/java/maplespread/policy/PolicyContext.java
+++ b/src/main/java/maplespread/policy/PolicyContext.java
@@ -3,13 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * What all modules of one {@link DispatchPolicy} share: the time of the event being handled, the settings in force, the
- * random source and the host's actions. Written by {@link DispatchPolicy} alone, before any module handles the event.
- * Times are ms of the host's clock.
+ * State shared by all modules of one {@link DispatchPolicy}: the time of the event being handled, the settings in
+ * force, the random source and the host's actions. Only {@link DispatchPolicy} writes it, before any module handles the
+ * event. Times are ms on the host's clock.
  */
 final class PolicyContext {
     final PolicyActions actions;
-    /** Every draw moves it, so the order of draws is part of the behaviour: the simulator's figures depend on it. */
+
+    /** Random source. The order of its draws is part of the behaviour: the simulator's figures depend on it. */
     final SplittableRandom random;
 
     /** Time of the event being handled. */
@@ -22,10 +23,10 @@
     /** Shortest latency objective of all classes: the time scale of probes, backoff and staleness. */
     double objectiveMs;
 
-    /** Shortest deadline of all classes: how long the estimators remember. */
+    /** Shortest deadline of all classes: the time constant of the estimators. */
     double memoryMs;
 
-    /** Time between two rounds of upkeep: half the objective, which is a few looks at the fleet a request. */
+    /** Time between two ticks: half the objective, which gives a few scans of the fleet per request. */
     double tickPeriodMs;
 
     PolicyContext(long seed, PolicyActions actions) {
@@ -33,7 +34,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Puts settings into force. */
+    /** Applies new settings. */
     void apply(PolicySettings next) {
         settings = next;
         rules = next.rules();
--- a/src/main/java/maplespread/policy/PolicyEvents.java
+++ b/src/main/java/maplespread/policy/PolicyEvents.java
@@ -3,30 +3,39 @@
 import java.util.List;
 
 /**
- * What a host reports to its policy; nothing else changes its state. The host calls from one thread at a time, in
- * order. Times are microseconds of the host's own clock, which must never run backwards.
+ * Events that a host reports to its policy; nothing else changes the policy's state. The host calls from one thread at
+ * a time, in order. Times are microseconds on the host's own clock, which must never run backwards.
  *
  * <p>Every method throws {@link IllegalArgumentException} if time runs backwards.
  */
 public interface PolicyEvents {
     /**
-     * Other settings are in force, for requests accepted from now on; what was learnt stays.
+     * New settings apply to requests accepted from now on; what the estimators have learned is kept.
      *
-     * @throws IllegalArgumentException if a class is missing: classes keep their index, and new ones come behind them
+     * @throws IllegalArgumentException if a class is missing: classes keep their index, and new ones are added at
+     *     the end
      */
     void settingsChanged(long nowUs, PolicySettings next);
 
-    /** A message of the endpoint list has come. {@code version} only grows. */
+    /** A message of the endpoint list has arrived. {@code version} only increases. */
     void endpointListReceived(long nowUs, EndpointListKind kind, long version, List<EndpointEntry> entries);
 
-    /** Discovery has sent all that it has, and a watch reports changes from now on. */
+    /** Discovery has sent its full state, and a watch reports changes from now on. */
     void endpointListConfirmed(long nowUs);
 
-    /** The list is in doubt, the last message so long ago. The host subscribes again without being asked. */
-    void endpointListUnconfirmed(long nowUs, EndpointListDoubt why, double lastMessageAgoMs);
+    /**
+     * A confirmed list may be out of date. The host subscribes again without being asked.
+     *
+     * @param lastMessageAgoMs time since discovery's last message
+     */
+    void endpointListUnconfirmed(long nowUs, EndpointListDoubt doubt, double lastMessageAgoMs);
 
-    /** A watch or a call for one failed, or the watch broke, the last message so long ago. */
-    void endpointWatchFailed(long nowUs, EndpointWatchFailure loss, double lastMessageAgoMs);
+    /**
+     * A watch ended or broke, or a call for one failed.
+     *
+     * @param lastMessageAgoMs time since discovery's last message
+     */
+    void endpointWatchFailed(long nowUs, EndpointWatchFailure failure, double lastMessageAgoMs);
 
     /**
      * A request was accepted.
@@ -45,8 +54,8 @@
     /**
      * An attempt is over.
      *
-     * @param lagMs from its sending to its end
-     * @param ended the request has ended, by this attempt or earlier
+     * @param elapsedMs time from its sending to its end
+     * @param ended whether the request has ended, by this attempt or earlier
      * @param report the load report that came with it; may be null
      */
     void attemptEnded(
@@ -55,16 +64,16 @@
             int attempt,
             String worker,
             AttemptOutcome outcome,
-            double lagMs,
+            double elapsedMs,
             boolean ended,
             LoadReport report);
 
-    /** Nobody waits for the request any more. */
+    /** The client no longer waits for the request. */
     void requestAbandoned(long nowUs, long id);
 
-    /** A timer set by {@link PolicyActions#scheduleTimer} is due. */
+    /** A timer set by {@link PolicyActions#scheduleTimer} has expired. */
     void timerExpired(long nowUs, long label);
 
     /** A probe ended. {@code report} may be null. */
-    void probeEnded(long nowUs, String worker, AttemptOutcome outcome, double lagMs, LoadReport report);
+    void probeEnded(long nowUs, String worker, AttemptOutcome outcome, double elapsedMs, LoadReport report);
 }
--- a/src/main/java/maplespread/policy/PolicyMath.java
+++ b/src/main/java/maplespread/policy/PolicyMath.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Small arithmetic that several modules of the policy share. Stateless. */
+/** Arithmetic shared by several modules of the policy. Stateless. */
 final class PolicyMath {
     private static final int QUANTILE_COUNT = 256;
     private static final double[] EXPONENTIAL_QUANTILES = new double[QUANTILE_COUNT];
@@ -16,7 +16,7 @@
     private PolicyMath() {}
 
     /**
-     * The weight of an observation of this age, from 1 down to 0: close to exp(-age), and cheaper.
+     * Returns the weight of an observation of this age, from 1 down to 0: close to exp(-age), but cheaper to compute.
      *
      * @param age in time constants, 0 or more
      */
@@ -24,12 +24,12 @@
         return 1 / (1 + age + age * age / 2);
     }
 
-    /** A draw from the exponential distribution with mean one, from 256 quantiles; takes one number of the source. */
+    /** Draws from the exponential distribution with mean one, by 256 quantiles; takes one number from the source. */
     static double drawExponential(SplittableRandom random) {
         return EXPONENTIAL_QUANTILES[random.nextInt(QUANTILE_COUNT)];
     }
 
-    /** The value within the bounds; NaN becomes {@code low}. */
+    /** Limits the value to the bounds; NaN becomes {@code low}. */
     static double clamp(double value, double low, double high) {
         return value > low ? Math.min(value, high) : low;
     }
--- a/src/main/java/maplespread/policy/ProbeScheduler.java
+++ b/src/main/java/maplespread/policy/ProbeScheduler.java
@@ -1,19 +1,19 @@
 package maplespread.policy;
 
 /**
- * Probes of workers that are not ejected: the synchronous rounds before a choice, and the regular ones. Where other
- * dispatchers send most of the load, own sends do not mirror it, so workers are probed before one is chosen: the three
- * cheapest at once, twice at most, and the costs decide on the answers. A worker that does not answer in an eighth of
- * the objective backs off, whatever its reason.
+ * Schedules probes of workers that are not ejected: rounds of probes before a choice, and regular probes. Where other
+ * dispatchers send most of the load, this dispatcher's own attempts do not show it, so workers are probed before one is
+ * chosen: the three cheapest at once, in at most two rounds, and their answers enter the costs. A worker that does not
+ * answer within an eighth of the objective backs off, for whatever reason it did not answer.
  */
 final class ProbeScheduler {
-    private static final int PROBES_A_ROUND = 3;
+    private static final int MAX_PROBES_PER_ROUND = 3;
     private static final int MAX_ROUNDS = 2;
 
-    /** From this load of all dispatchers over this one's, own sends show too little of the load. */
+    /** Load of all dispatchers relative to this one's from which own attempts show too little of the load. */
     private static final double MIN_LOAD_MULTIPLIER = 8;
 
-    /** A report is fresh, and an answer in time, for this much of the objective. */
+    /** Time for which a report is fresh and up to which an answer is in time, in objectives. */
     private static final double FRESH_OBJECTIVES = 1.0 / 8;
 
     private final PolicyContext context;
@@ -56,7 +56,12 @@
         }
     }
 
-    /** Starts a round for a request whose cheapest worker is given; false: none is needed or allowed. */
+    /**
+     * Starts a probe round for a request.
+     *
+     * @param cheapest the cheapest worker for the request
+     * @return false if no round is needed or allowed
+     */
     boolean startRound(PendingRequest request, Worker cheapest) {
         double freshMs = context.objectiveMs * FRESH_OBJECTIVES;
         if (!context.permissions.probing()
@@ -67,7 +72,7 @@
         }
         request.probeRounds++;
         Worker next = cheapest;
-        for (int i = 0; i < PROBES_A_ROUND && next != null; i++) {
+        for (int i = 0; i < MAX_PROBES_PER_ROUND && next != null; i++) {
             if (context.nowMs - next.reportedAtMs >= freshMs) {
                 next.probe();
                 request.probed.add(next);
@@ -81,15 +86,20 @@
         return true;
     }
 
-    /** A worker has answered a probe, or failed to; returns whether that was the last answer the request waited for. */
+    /**
+     * Records that a worker answered a probe or failed to.
+     *
+     * @return whether that was the last answer for which the request waited
+     */
     boolean recordReply(Worker worker, PendingRequest request) {
         return request.awaitingReply.remove(worker) && request.awaitingReply.isEmpty();
     }
 
     /**
-     * A request's round ends, with all answers or at its timer; returns whether the request is to be placed now.
+     * Ends a request's round, with all answers or at its timer. If this process was suspended meanwhile, answers may be
+     * queued behind the timer, so the round continues for a tick of the host's timers.
      *
-     * <p>If this process stood still meanwhile, the answers may stand behind the timer: the round goes on for a moment.
+     * @return whether the request is to be placed now
      */
     boolean endRound(PendingRequest request) {
         boolean answersMissing = !request.awaitingReply.isEmpty();
@@ -101,11 +111,11 @@
         if (!requests.stopProbing(request)) {
             return false;
         }
-        for (Worker silent : request.awaitingReply) {
-            silent.outliers.backOff();
+        for (Worker unanswered : request.awaitingReply) {
+            unanswered.outliers.backOff();
         }
         request.awaitingReply.clear();
-        if (costs.areOf(request)) {
+        if (costs.belongTo(request)) {
             costs.repriceProbed(request);
         }
         return true;
--- a/src/main/java/maplespread/policy/ProcessPauseDetector.java
+++ b/src/main/java/maplespread/policy/ProcessPauseDetector.java
@@ -1,8 +1,8 @@
 package maplespread.policy;
 
 /**
- * Notices that this process stood still (a collection, a stopped container, a busy machine): a tick then comes more
- * than a period late. What a worker seemed to leave unanswered in that time is no sign against it.
+ * Detects pauses of this process (garbage collection, a stopped container, a busy machine) by a tick that comes more
+ * than a period late. A worker that seemed not to answer during a pause is not at fault.
  */
 final class ProcessPauseDetector {
     private final PolicyContext context;
@@ -21,17 +21,17 @@
         }
     }
 
-    /** The next tick is due so long from now. */
+    /** Records that the next tick is due after this delay. */
     void expectTick(double delayMs) {
         tickExpectedMs = context.nowMs + delayMs;
     }
 
-    /** When the last pause ended; negative infinity while none was seen. */
+    /** End of the last pause; negative infinity: none was detected. */
     double pauseEndedMs() {
         return pauseEndedMs;
     }
 
-    /** The last pause has been allowed for. */
+    /** Forgets the last pause, which has been taken into account. */
     void forgetPause() {
         pauseEndedMs = Double.NEGATIVE_INFINITY;
     }
--- a/src/main/java/maplespread/policy/RetryPolicy.java
+++ b/src/main/java/maplespread/policy/RetryPolicy.java
@@ -1,9 +1,9 @@
 package maplespread.policy;
 
 /**
- * Whether a request may be attempted, again or at all, and whether it may be rejected. Both hang on what an earlier
- * attempt may have done: a request that may have run is repeated only where that is harmless, by its class's
- * {@link Idempotency}, and rejected (which invites the client to repeat it) only where any worker may get the repeat.
+ * Decides whether a request may be attempted, for the first time or again, and whether it may be rejected. Both depend
+ * on whether an earlier attempt may have run. Such a request is repeated only where its class's {@link Idempotency}
+ * makes that harmless, and rejected (which invites the client to repeat it) only where any worker may get the repeat.
  */
 final class RetryPolicy {
     private final PolicyContext context;
@@ -12,7 +12,11 @@
         this.context = context;
     }
 
-    /** Whether the request may be sent to the worker, as far as it and its earlier attempts go. */
+    /**
+     * Checks the conditions of a send that depend on the request and its earlier attempts.
+     *
+     * @return {@link Eligibility#ELIGIBLE} or the first condition that fails
+     */
     Eligibility check(PendingRequest request, Worker worker) {
         if (request.ended || request.responseStarted) {
             return Eligibility.REQUEST_ENDED;
@@ -34,7 +38,7 @@
             if (!requestClass.mayRepeatAfter(context.nowMs - earlier.sentAtMs)) {
                 return Eligibility.MAY_HAVE_RUN;
             }
-            if (!dropsRepeatOf(earlier, worker, requestClass)) {
+            if (!isRepeatSafe(earlier, worker, requestClass)) {
                 return Eligibility.OUTSIDE_DEDUPLICATION_SCOPE;
             }
         }
@@ -59,8 +63,8 @@
         return true;
     }
 
-    /** Whether the worker drops a repeat of the earlier attempt, or running twice does no harm. */
-    private static boolean dropsRepeatOf(InFlightAttempt earlier, Worker worker, RequestClass requestClass) {
+    /** Whether the worker drops a repeat of the earlier attempt, or running the request twice does no harm. */
+    private static boolean isRepeatSafe(InFlightAttempt earlier, Worker worker, RequestClass requestClass) {
         if (requestClass.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
--- a/src/main/java/maplespread/policy/SitePermissions.java
+++ b/src/main/java/maplespread/policy/SitePermissions.java
@@ -1,15 +1,15 @@
 package maplespread.policy;
 
 /**
- * What the site allows dispatchers to do.
+ * What the site permits dispatchers to do.
  *
- * @param cancellation attempts may be called off
- * @param probing workers may be probed
- * @param hedging a second copy may be sent while the first is in flight; the policy does not use it
- * @param maxAttempts attempts of a request
- * @param connectTimeoutMs after which a connection that does not come up is given up
- * @param maxRetryAfterMs longest pause advised to a rejected client; 0: no advice is given
- * @param idleConnectionMs an idle connection to a worker closes after this long
+ * @param cancellation whether attempts may be cancelled
+ * @param probing whether workers may be probed
+ * @param hedging whether a second attempt may be sent while the first is in flight; the policy does not use it
+ * @param maxAttempts maximum number of attempts of a request
+ * @param connectTimeoutMs time after which opening a connection is given up
+ * @param maxRetryAfterMs longest retry delay advised to a rejected client; 0: none is advised
+ * @param idleConnectionMs time after which an idle connection to a worker is closed
  */
 public record SitePermissions(
         boolean cancellation,
@@ -20,13 +20,15 @@
         double maxRetryAfterMs,
         double idleConnectionMs) {
     /**
-     * Checks the figures.
+     * Checks the values.
      *
      * @throws IllegalArgumentException if one is out of range
      */
     public SitePermissions {
         Preconditions.require(maxAttempts >= 1, "tryLimit must be at least 1");
-        Preconditions.require(connectTimeoutMs >= 0 && maxRetryAfterMs >= 0, "times must not be negative");
+        Preconditions.require(
+                connectTimeoutMs >= 0 && maxRetryAfterMs >= 0,
+                "dialTimeoutMs and maxRetryAfterMs must not be negative");
         Preconditions.require(idleConnectionMs >= 0, "connIdleMs must not be negative");
     }
 }
--- a/src/main/java/maplespread/policy/SlotEstimator.java
+++ b/src/main/java/maplespread/policy/SlotEstimator.java
@@ -1,15 +1,17 @@
 package maplespread.policy;
 
-/** How many requests a worker runs at a time, learnt from its reports and from what was seen running at once. */
+/** Estimates how many requests a worker runs at a time, from its reports and from requests seen running at once. */
 final class SlotEstimator {
-    /** Assumed until the worker or its kind has reported. */
+    /** Number of slots assumed until the worker or its kind has reported. */
     private static final double DEFAULT_SLOTS = 2;
 
     private static final double STEP = 0.1;
     private static final double KIND_STEP = 0.05;
 
     private final Worker worker;
-    private double estimate; // 0: unknown
+
+    /** Estimated slots; 0: unknown. */
+    private double estimate;
 
     SlotEstimator(Worker worker) {
         this.worker = worker;
@@ -24,14 +26,14 @@
         return Math.max(1, Math.rint(best));
     }
 
-    /** A report gave this number. */
+    /** Learns from a report of this number of slots. */
     void observe(double slots) {
         WorkerKind kind = worker.kind;
         estimate = estimate > 0 ? estimate + STEP * (slots - estimate) : Math.max(1, slots);
         kind.slots = kind.slots > 0 ? kind.slots + KIND_STEP * (slots - kind.slots) : Math.max(1, slots);
     }
 
-    /** So many slots of this dispatcher's requests are seen running at once: there are at least as many. */
+    /** Learns from this number of slots taken by requests that run at once: the worker has at least as many. */
     void observeRunning(double slots) {
         if (slots > slots()) {
             estimate = slots;
--- a/src/main/java/maplespread/policy/SlowStartBudget.java
+++ b/src/main/java/maplespread/policy/SlowStartBudget.java
@@ -1,16 +1,19 @@
 package maplespread.policy;
 
 /**
- * The slow start of a worker: how warm it is, and how much work this dispatcher may still send it. A worker that has
- * just started serves only a share of its capacity, which rises over {@link PlatformRules#slowStartMs}, and fails when
- * all dispatchers together send it more than a multiple of that within a window ({@link PlatformRules#overloadFactor},
- * {@link PlatformRules#overloadWindowMs}). The budget is a token bucket: filled by half of this dispatcher's share of
- * that limit a window, the rest being kept for estimates that are off, and holding half of a window's filling, or one
- * mean request where many dispatchers share. It starts below that, at a random level for each dispatcher, and what is
- * not used within a window is lost: savings must not pile up over dispatchers, a pause or a restart. Work is ms.
+ * The slow start of a worker: the share of its capacity that is available, and how much work this dispatcher may still
+ * send it. A worker that has just started serves only a share of its capacity, which rises over {@link
+ * PlatformRules#slowStartMs}. It fails when all dispatchers together send it more than a multiple of that share within
+ * a window ({@link PlatformRules#overloadFactor}, {@link PlatformRules#overloadWindowMs}).
+ *
+ * <p>The budget is a token bucket. Each window adds half of this dispatcher's share of that limit; the other half
+ * covers estimation errors. The bucket holds half of what a window adds, or one mean request where many dispatchers
+ * share the worker. In the latter case its first level is random for each dispatcher and below that maximum. A bucket
+ * that stays full for a window is emptied. Unused budget must not accumulate over dispatchers, a process pause or a
+ * restart. Work is in ms.
  */
 final class SlowStartBudget {
-    /** Share of the limit that is handed out. */
+    /** Share of the overload limit that the dispatchers use. */
     private static final double SAFETY_SHARE = 0.5;
 
     private final PolicyContext context;
@@ -37,45 +40,46 @@
         if (!isActive()) {
             return 1;
         }
-        double initial = context.rules.slowStartCapacityShare();
-        return initial + (1 - initial) * Math.max(0, context.nowMs - startedAtMs) / context.rules.slowStartMs();
+        double initialShare = context.rules.slowStartCapacityShare();
+        return initialShare
+                + (1 - initialShare) * Math.max(0, context.nowMs - startedAtMs) / context.rules.slowStartMs();
     }
 
-    /** The worker has started at this time, or may have. */
+    /** Starts the slow start anew: the worker started at this time, or may have. */
     void restart(double sinceMs) {
         startedAtMs = Math.max(startedAtMs, sinceMs);
-        availableMs = Math.max(context.random.nextDouble() * arrivals.meanWorkMs(), perWindowMs() / 2);
+        availableMs = Math.max(context.random.nextDouble() * arrivals.meanWorkMs(), windowBudgetMs() / 2);
         refilledAtMs = context.nowMs;
         lastNotFullMs = context.nowMs;
     }
 
-    /** Brings the bucket up to date. */
+    /** Adds the budget for the time since the last refill. */
     void refill() {
         if (!isActive()) {
             return;
         }
-        double addedMs = perWindowMs() * (context.nowMs - refilledAtMs) / context.rules.overloadWindowMs();
-        availableMs = Math.min(availableMs + addedMs, maxMs());
-        lastNotFullMs = availableMs < maxMs() ? context.nowMs : lastNotFullMs;
+        double addedMs = windowBudgetMs() * (context.nowMs - refilledAtMs) / context.rules.overloadWindowMs();
+        availableMs = Math.min(availableMs + addedMs, maxBudgetMs());
+        lastNotFullMs = availableMs < maxBudgetMs() ? context.nowMs : lastNotFullMs;
         availableMs = context.nowMs - lastNotFullMs > context.rules.overloadWindowMs() ? 0 : availableMs;
         refilledAtMs = context.nowMs;
     }
 
-    /** Whether a request of this work may be sent now. Every attempt counts as a mean request at least. */
+    /** Whether a request of this work may be sent now. Every attempt counts as at least a mean request. */
     boolean allows(double workMs) {
-        double countedMs = Math.max(workMs, arrivals.meanWorkMs());
+        double chargedMs = Math.max(workMs, arrivals.meanWorkMs());
         return !isActive()
-                || availableMs >= Math.min(countedMs, maxMs())
-                        && countedMs <= perWindowMs() * context.settings.dispatcherCount() / 2;
+                || availableMs >= Math.min(chargedMs, maxBudgetMs())
+                        && chargedMs <= windowBudgetMs() * context.settings.dispatcherCount() / 2;
     }
 
-    /** A request of this work was sent; a rejected one counts as well. */
+    /** Deducts a sent attempt of this work; an attempt that the worker rejects counts as well. */
     void spend(double workMs) {
         availableMs -= Math.max(workMs, arrivals.meanWorkMs());
     }
 
     /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
-    private double perWindowMs() {
+    private double windowBudgetMs() {
         double speed = Math.min(worker.kind.speed, worker.speedEstimator.speed());
         double capacity = speed * worker.slotEstimator.slots() * capacityShare();
         return SAFETY_SHARE
@@ -85,7 +89,7 @@
                 / context.settings.dispatcherCount();
     }
 
-    private double maxMs() {
-        return Math.max(perWindowMs() / 2, arrivals.meanWorkMs());
+    private double maxBudgetMs() {
+        return Math.max(windowBudgetMs() / 2, arrivals.meanWorkMs());
     }
 }
--- a/src/main/java/maplespread/policy/SpeedEstimator.java
+++ b/src/main/java/maplespread/policy/SpeedEstimator.java
@@ -1,24 +1,24 @@
 package maplespread.policy;
 
 /**
- * How fast one slot of a worker runs, learnt from the requests that it finished: hinted work over run time, with its
- * kind's speed as the prior. An estimate that is not renewed returns to the kind's, or a worker once thought slow
- * would never be tried again. Speed 1 is a standard core.
+ * Estimates the speed of one slot of a worker from the requests that it finished: hinted work over run time, with the
+ * speed of its kind as the prior. Without new observations the estimate returns to the kind's speed: otherwise a worker
+ * once considered slow would never be tried again. Speed 1 is a standard core.
  */
 final class SpeedEstimator {
     private static final double MIN_SPEED = 0.02;
     private static final double MAX_SPEED = 50;
 
-    /** The kind's speed counts as this many mean requests. */
+    /** Weight of the kind's speed in the estimate, in mean requests. */
     private static final double PRIOR_REQUESTS = 2;
 
-    /** A run counts as at most so many times off: a pause, a hang or a wild hint is not a speed. */
+    /** Factor to which a run's deviation from the estimate is limited: a pause, a hang or a wrong hint is no speed. */
     private static final double MAX_DEVIATION = 4;
 
-    /** The worker's memory, in mean requests; its time constant is that of the estimators times two. */
-    private static final double REMEMBERED_REQUESTS = 4;
+    /** Memory of the estimate, in mean requests. It also fades with twice the estimators' memory as time constant. */
+    private static final double MEMORY_REQUESTS = 4;
 
-    /** Weight of a run in the kind's speed: a memory of about fifty. */
+    /** Weight of a run in the kind's speed, which thus remembers about fifty runs. */
     private static final double KIND_STEP = 0.02;
 
     private final PolicyContext context;
@@ -36,12 +36,12 @@
         this.worker = worker;
     }
 
-    /** Work done a ms in one slot, as of the last refresh. */
+    /** Work per ms in one slot, as of the last refresh. */
     double speed() {
         return speed;
     }
 
-    /** Brings the estimate up to date: what was learnt fades in favour of the kind's speed. */
+    /** Updates the estimate: what was learned fades in favour of the kind's speed. */
     void refresh() {
         double priorMs = PRIOR_REQUESTS * arrivals.meanWorkMs();
         double keep = remainingMemory();
@@ -49,35 +49,36 @@
                 (doneWorkMs * keep + priorMs) / (runTimeMs * keep + priorMs / worker.kind.speed), MIN_SPEED, MAX_SPEED);
     }
 
-    /** So much work took so long in one slot. */
-    void learn(double workMs, double tookMs) {
-        if (!(workMs > 0 && tookMs > 0)) {
+    /** Learns from work and the time that it took in one slot. */
+    void learn(double workMs, double elapsedMs) {
+        if (!(workMs > 0 && elapsedMs > 0)) {
             return;
         }
-        // Of the time of a worker in slow start only its present capacity counts, as its warmth is applied elsewhere.
+        // Scaled by the slow-start capacity share, as the worker's capacity is the speed times that share.
         double timeMs = PolicyMath.clamp(
-                tookMs * worker.slowStart.capacityShare(),
+                elapsedMs * worker.slowStart.capacityShare(),
                 workMs / (MAX_DEVIATION * speed),
                 MAX_DEVIATION * workMs / speed);
-        double keep = remainingMemory() * Math.exp(-timeMs * speed / (REMEMBERED_REQUESTS * arrivals.meanWorkMs()));
+        double keep = remainingMemory() * Math.exp(-timeMs * speed / (MEMORY_REQUESTS * arrivals.meanWorkMs()));
         learnedAtMs = context.nowMs;
         doneWorkMs = doneWorkMs * keep + workMs;
         runTimeMs = runTimeMs * keep + timeMs;
         WorkerKind kind = worker.kind;
-        double pooled = worker.slowStart.isActive() ? 0 : 1; // slow starts are no measure of the kind
+        double pooled = worker.slowStart.isActive() ? 0 : 1; // a worker in slow start is not typical of its kind
         kind.doneWorkMs = kind.doneWorkMs * (1 - KIND_STEP * pooled) + pooled * workMs;
         kind.runTimeMs = kind.runTimeMs * (1 - KIND_STEP * pooled) + pooled * timeMs;
         kind.speed = (kind.doneWorkMs + arrivals.meanWorkMs()) / (kind.runTimeMs + arrivals.meanWorkMs());
     }
 
-    /** A report gave the mean service time of all dispatchers' requests, ms; used where no starts are reported. */
+    /** Learns from a reported mean service time of all dispatchers' requests, ms, where starts are not reported. */
     void observeServiceTime(double serviceMs) {
         if (!context.settings.workersReportStart()
                 && serviceMs > 0
                 && serviceMs < context.memoryMs
                 && serviceMs != reportedServiceMs) {
             reportedServiceMs = serviceMs;
-            learn(arrivals.meanWorkMs() / 2, reportedServiceMs / 2); // a mean over many requests counts as half a one
+            // A mean over many requests counts as half a request.
+            learn(arrivals.meanWorkMs() / 2, reportedServiceMs / 2);
         }
     }
 
--- a/src/main/java/maplespread/policy/StableHash.java
+++ b/src/main/java/maplespread/policy/StableHash.java
@@ -1,8 +1,8 @@
 package maplespread.policy;
 
 /**
- * A hash of texts that is the same in every process and release, so that all dispatchers agree on a key's primary
- * worker, on subsets and on slots without a message between them. Stateless.
+ * A hash of strings that is the same in every process and release, so that all dispatchers agree on a key's primary
+ * worker, on subsets and on slots without exchanging messages. Stateless.
  */
 public final class StableHash {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -11,7 +11,7 @@
 
     private StableHash() {}
 
-    /** FNV-1a over the text's UTF-16 units, with the bits spread. */
+    /** FNV-1a over the string's UTF-16 code units, followed by {@link #mix}. */
     public static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -20,7 +20,7 @@
         return mix(hash);
     }
 
-    /** Spreads the bits of a hash, so that each depends on all. */
+    /** Mixes the bits of a hash, so that each bit depends on all of them. */
     static long mix(long hash) {
         long mixed = (hash ^ hash >>> 32) * MIX_MULTIPLIER;
         mixed = (mixed ^ mixed >>> 32) * MIX_MULTIPLIER;
--- a/src/main/java/maplespread/policy/Tenant.java
+++ b/src/main/java/maplespread/policy/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param quotaPerSecond its requests a second, over all dispatchers together, that count in full; 0: no limit
+ * @param quotaPerSecond requests per second over all dispatchers that have their full weight; 0: no limit
  */
 public record Tenant(double quotaPerSecond) {
     /**
@@ -12,6 +12,6 @@
      * @throws IllegalArgumentException if it is negative
      */
     public Tenant {
-        Preconditions.require(quotaPerSecond >= 0, "an allowance must not be negative");
+        Preconditions.require(quotaPerSecond >= 0, "allowancePerS must not be negative");
     }
 }
--- a/src/main/java/maplespread/policy/TimerLabel.java
+++ b/src/main/java/maplespread/policy/TimerLabel.java
@@ -1,6 +1,6 @@
 package maplespread.policy;
 
-/** The labels of the policy's timers: one for upkeep, and one for each request with a probe round. */
+/** The labels of the policy's timers: one for the tick, and one for each request with a probe round. */
 final class TimerLabel {
     static final long TICK = 1;
 
--- a/src/main/java/maplespread/policy/ValueFunction.java
+++ b/src/main/java/maplespread/policy/ValueFunction.java
@@ -1,21 +1,22 @@
 package maplespread.policy;
 
 /**
- * The value function of "Meeting Soft Deadlines in Single- and Multi-Server Systems": what a worker's backlog costs the
- * requests to come, in requests lost. Its increase by one request's work is the price of placing the request there.
- * Stateless; all times are in the same unit (ms here).
+ * The value function of "Meeting Soft Deadlines in Single- and Multi-Server Systems": the expected number of later
+ * requests that are lost due to a worker's backlog. Its increase by one request's work is the cost of sending the
+ * request there. Stateless; all times are in the same unit (ms here).
  */
 final class ValueFunction {
     private ValueFunction() {}
 
     /**
-     * v(backlog) - v(waitObjective), never decreasing and convex. Quadratic up to the objective and linear beyond it.
+     * Returns v(backlog) - v(waitObjective), which is non-decreasing and convex in the backlog: quadratic up to the
+     * objective and linear beyond it.
      *
-     * @param arrivalRate requests a ms that come to the worker
-     * @param costRate requests a ms of these that the basic rule loses, at most the arrival rate
+     * @param arrivalRate requests per ms that arrive at the worker
+     * @param costRate requests per ms that the basic admission rule loses of these, at most the arrival rate
      * @param serviceMs mean service time
      * @param waitObjectiveMs the wait up to which a request is on time
-     * @param backlogMs the backlog whose value is wanted
+     * @param backlogMs the backlog to evaluate
      */
     static double value(
             double arrivalRate, double costRate, double serviceMs, double waitObjectiveMs, double backlogMs) {
@@ -26,10 +27,11 @@
         }
         double utilization = arrivalRate * serviceMs;
         double overload = PolicyMath.clamp(utilization - 1, 0, 1);
-        // Formula (A2) with a noisy cost rate may turn negative or outgrow the tail: it is bounded by the tail's slope.
+        // With a noisy cost rate, formula (A2) may become negative or exceed the slope of the linear part, which
+        // therefore bounds it.
         double slopeAtObjective =
                 PolicyMath.clamp((1 + utilization) * slope - arrivalRate, slope * Math.min(1, utilization) / 10, slope);
-        // Above a utilization of 1 the quadratic gives way to the heavy-load line (13), wholly so from 2 on.
+        // Above a utilization of 1 the quadratic blends into the heavy-load line (13), which alone applies from 2 on.
         return overload * slope * (backlogMs - waitObjectiveMs)
                 + (1 - overload)
                         * slopeAtObjective
--- a/src/main/java/maplespread/policy/Worker.java
+++ b/src/main/java/maplespread/policy/Worker.java
@@ -1,17 +1,17 @@
 package maplespread.policy;
 
 /**
- * One worker as this dispatcher knows it: what the endpoint list says of it, and the estimates, each of which has a
- * module of its own. It hands the events of its attempts to them. Times are ms on the host's clock.
+ * One worker as this dispatcher knows it: its entry on the endpoint list and the estimates, each in a class of its own,
+ * to which this class passes the events of the worker's attempts. Times are ms on the host's clock.
  */
 final class Worker {
-    /** The place of a worker that is not on the endpoint list. */
+    /** Table index of a worker that is not on the endpoint list. */
     static final int NOT_LISTED = -1;
 
-    /** A report with more active requests or free slots than this is wrong, and no part of it is believed. */
+    /** A report with more active requests or free slots than this is wrong and is ignored as a whole. */
     private static final double MAX_REPORTED = 1e4;
 
-    /** Free slots of a report above this: a slot is free. */
+    /** A report with more free slots than this shows that a slot is free. */
     private static final double MIN_FREE_SLOT = 0.5;
 
     final String id;
@@ -31,14 +31,14 @@
     int zone;
     EndpointLifecycle lifecycle;
 
-    /** Work done a ms by all slots: speed, slots and warmth together, as of the last refresh. */
+    /** Work per ms of all slots as of the last refresh: the product of speed, slots and slow-start share. */
     double capacity = 1;
 
-    /** When the last load report came. */
+    /** Time of the last load report. */
     double reportedAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Its place in the {@link WorkerTable}, which alone writes it. */
-    int tablePlace = NOT_LISTED;
+    /** Index in the {@link WorkerTable}, which alone writes it; {@link #NOT_LISTED} outside the table. */
+    int tableIndex = NOT_LISTED;
 
     private final PolicyContext context;
     private final HintCalibration hints;
@@ -64,13 +64,13 @@
         connections = new IdleConnections(context, failures, this);
     }
 
-    /** Whether the endpoint list names it. */
+    /** Whether the worker is on the endpoint list. */
     boolean isListed() {
-        return tablePlace != NOT_LISTED;
+        return tableIndex != NOT_LISTED;
     }
 
-    /** Takes up what the list says, but for the lifecycle. */
-    void listed(EndpointEntry entry, WorkerKind entryKind) {
+    /** Applies an entry of the endpoint list, except for its lifecycle. */
+    void applyEntry(EndpointEntry entry, WorkerKind entryKind) {
         kindNumber = entry.workerKind();
         kind = entryKind;
         cell = entry.cell();
@@ -83,7 +83,7 @@
         refresh();
     }
 
-    /** Brings the estimates up to date: when the worker is looked at, and at its events. */
+    /** Updates the estimates: at each scan of the fleet and at the worker's events. */
     void refresh() {
         speedEstimator.refresh();
         capacity = speedEstimator.speed() * slotEstimator.slots() * slowStart.capacityShare();
@@ -91,12 +91,12 @@
         slowStart.refill();
     }
 
-    /** What of its capacity may be used. */
+    /** The capacity that may be used: 0 unless the worker is active and not ejected. */
     double usableCapacity() {
         return lifecycle == EndpointLifecycle.ACTIVE && !outliers.isEjected() ? capacity : 0;
     }
 
-    /** Probes the worker, unless a probe is out. */
+    /** Probes the worker, unless a probe is pending. */
     void probe() {
         if (!probePending) {
             context.actions.probe(id);
@@ -104,11 +104,11 @@
         probePending = true;
     }
 
-    /** Its probe ended. */
-    void probeEnded(AttemptOutcome outcome, double lagMs, LoadReport report) {
+    /** A probe of the worker ended. */
+    void probeEnded(AttemptOutcome outcome, double elapsedMs, LoadReport report) {
         probePending = false;
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
-            outliers.connectionFailed(lagMs);
+            outliers.connectionFailed(elapsedMs);
         } else if (outcome == AttemptOutcome.SERVED) {
             reportReceived(report);
             connections.used(!connections.hasIdle());
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Takes up a load report; null: there was none. */
+    /** Applies a load report; null: there was none. */
     void reportReceived(LoadReport report) {
         if (report == null || report.activeRequests() > MAX_REPORTED || report.freeSlots() > MAX_REPORTED) {
             return;
@@ -136,7 +136,7 @@
         backlog.observeRemoteRequests(report, remoteRequests);
     }
 
-    /** An attempt is sent to it. */
+    /** An attempt is sent to the worker. */
     void attemptSent(InFlightAttempt attempt) {
         backlog.add(attempt);
         cachedKeys.add(attempt.request.keyHash, slotEstimator.slots());
@@ -159,8 +159,8 @@
         backlog.progressed(attempt, doneShare);
     }
 
-    /** The one end of every attempt. */
-    void attemptEnded(InFlightAttempt attempt, AttemptOutcome outcome, double lagMs) {
+    /** An attempt ended; called exactly once for each. */
+    void attemptEnded(InFlightAttempt attempt, AttemptOutcome outcome, double elapsedMs) {
         attempt.ended = true;
         attempt.request.attemptsInFlight--;
         attempt.neverRan = outcome.provesNeverRan();
@@ -172,8 +172,8 @@
             outliers.attemptEnded(attempt.request.classIndex, outcome != AttemptOutcome.SERVED);
         }
         switch (outcome) {
-            case SERVED -> attemptServed(attempt, lagMs);
-            case CONNECT_FAILED -> outliers.connectionFailed(lagMs);
+            case SERVED -> attemptServed(attempt, elapsedMs);
+            case CONNECT_FAILED -> outliers.connectionFailed(elapsedMs);
             case RESET -> outliers.connectionFailed(0);
             case REJECTED -> outliers.backOff();
             case TIMED_OUT -> outliers.timedOut(attempt);
@@ -182,19 +182,19 @@
         refresh();
     }
 
-    private void attemptServed(InFlightAttempt attempt, double lagMs) {
+    private void attemptServed(InFlightAttempt attempt, double elapsedMs) {
         boolean started = attempt.hasStarted();
         if (started || attempt.hadFreeSlot) {
-            double runMs = started ? context.nowMs - attempt.startedAtMs : lagMs;
+            double runMs = started ? context.nowMs - attempt.startedAtMs : elapsedMs;
             hints.observeRun(hintMeans, attempt.request.logHint, runMs);
         }
         if (started) {
             double workMs = attempt.workMs * (1 - attempt.doneShare);
             speedEstimator.learn(workMs, attempt.runTimeMs(context.nowMs));
         } else if (attempt.hadFreeSlot && !speedEstimator.hasReportedServiceTime()) {
-            speedEstimator.learn(attempt.workMs, lagMs);
+            speedEstimator.learn(attempt.workMs, elapsedMs);
         }
-        outliers.aliveSeen();
+        outliers.recordAlive();
         connections.used(attempt.openedConnection);
     }
 }
--- a/src/main/java/maplespread/policy/WorkerBacklog.java
+++ b/src/main/java/maplespread/policy/WorkerBacklog.java
@@ -4,33 +4,33 @@
 import java.util.List;
 
 /**
- * The work that waits or runs at a worker: this dispatcher's own, exactly, and that of the other dispatchers, which is
- * estimated from load reports and from starts that come late, and drawn at random where nothing recent is known.
- * Memory units are counted the same way. Work is ms on a standard core.
+ * The work that waits or runs at a worker. This dispatcher's own work is known exactly. The work of other dispatchers
+ * is estimated from load reports and late starts, and drawn at random where nothing recent is known. Memory units are
+ * counted in the same way. Work is in ms on a standard core.
  */
 final class WorkerBacklog {
-    /** A start, a wait or a report this much of the objective off is no sign of a queue. */
+    /** A start or a wait this much later than expected, in objectives, does not indicate a queue. */
     private static final double TOLERATED_OBJECTIVES = 1.0 / 8;
 
-    /** An attempt is overtaken when one that was sent this much of the objective later has started. */
+    /** An attempt is overtaken when one that was sent this much later, in objectives, has started. */
     private static final double OVERTAKEN_OBJECTIVES = 1.0 / 2;
 
-    /** What is known of others' work fades over this many mean requests. */
+    /** Time constant with which the estimate of other dispatchers' work fades, in mean requests. */
     private static final double REMOTE_MEMORY_REQUESTS = 2;
 
-    /** Weight of the earlier estimate against a report of the same moment. */
-    private static final double REMOTE_KEPT = 0.5;
+    /** Weight of the previous estimate against a report of the same moment. */
+    private static final double REMOTE_KEPT_SHARE = 0.5;
 
-    /** Share of a late start's excess that is booked as others' work. */
+    /** Share of a late start's excess that is counted as other dispatchers' work. */
     private static final double LATE_START_SHARE = 0.5;
 
-    /** Least weight of a late start in the kind's usual unobserved wait. */
+    /** Minimum weight of a late start in the kind's usual unobserved wait. */
     private static final double MIN_LATE_START_STEP = 0.05;
 
     /** Weight of a report in the kind's usual unobserved wait, where workers report no starts. */
     private static final double REPORT_STEP = 0.05;
 
-    /** Half a slot: slots are compared by it, as the remote requests are an estimate. */
+    /** Tolerance in comparisons of slots, as the number of remote requests is an estimate. */
     private static final double HALF_SLOT = 0.5;
 
     private final PolicyContext context;
@@ -39,10 +39,10 @@
     private final List<InFlightAttempt> inFlight = new ArrayList<>();
     private double localWorkMs;
     private double slotsInUse;
-    private double localMemory;
+    private double localMemoryUnits;
     private double remoteRequests;
-    private double remoteAtMs = Double.NEGATIVE_INFINITY;
-    private double remoteMemory;
+    private double remoteUpdatedAtMs = Double.NEGATIVE_INFINITY;
+    private double remoteMemoryUnits;
     private double remoteWorkMs;
     private double waitMs;
 
@@ -52,12 +52,12 @@
         this.worker = worker;
     }
 
-    /** This dispatcher's attempts at the worker, by the order of their sending. */
+    /** This dispatcher's attempts in flight at the worker, in the order in which they were sent. */
     List<InFlightAttempt> inFlight() {
         return inFlight;
     }
 
-    /** This dispatcher's work that is sent and not finished. */
+    /** This dispatcher's work that was sent and has not finished. */
     double localWorkMs() {
         return localWorkMs;
     }
@@ -67,29 +67,29 @@
         return remoteWorkMs;
     }
 
-    /** How long a request sent now is expected to wait where no slot is free, as of the last refresh, ms. */
+    /** Expected wait of a request sent now if no slot is free, as of the last refresh, ms. */
     double waitMs() {
         return waitMs;
     }
 
-    /** Brings the estimates up to date. Takes a random number where other dispatchers share the worker. */
+    /** Updates the estimates. Draws a random number where other dispatchers share the worker. */
     void refresh() {
         remoteWorkMs = estimateRemoteWorkMs();
         waitMs = (localWorkMs + remoteWorkMs) / worker.capacity + unexpectedWaitMs();
     }
 
-    /** Whether a request would start at once, as far as own sends and reports show. */
+    /** Whether a request would start at once, by this dispatcher's attempts and the worker's reports. */
     boolean hasFreeSlot(PendingRequest request) {
         return slotsInUse + remoteWorkMs / arrivals.meanWorkMs() + request.slots - HALF_SLOT
                 < worker.slotEstimator.slots();
     }
 
-    /** Whether the worker has memory for a request now, by own sends and its last report. */
+    /** Whether the worker has memory for a request now, by this dispatcher's attempts and the last report. */
     boolean hasMemoryFor(PendingRequest request) {
         return request.memoryUnits == 0
                 || request.memoryUnits
-                                + localMemory
-                                + remoteMemory
+                                + localMemoryUnits
+                                + remoteMemoryUnits
                                         * PolicyMath.decay(
                                                 (context.nowMs - worker.reportedAtMs) / arrivals.meanWorkMs())
                         <= worker.slotEstimator.slots();
@@ -99,29 +99,30 @@
         inFlight.add(attempt);
         localWorkMs += attempt.reservedWorkMs;
         slotsInUse += attempt.request.slots;
-        localMemory += attempt.request.memoryUnits;
+        localMemoryUnits += attempt.request.memoryUnits;
     }
 
-    /** The one end of every attempt: what is left of its work leaves the backlog. */
+    /** Removes an attempt that ended, with what is left of its work. */
     void remove(InFlightAttempt attempt) {
         inFlight.remove(attempt);
-        boolean idle = inFlight.isEmpty(); // then sums are exactly zero, whatever rounding has left
-        localMemory = idle ? 0 : localMemory - attempt.request.memoryUnits;
+        boolean idle = inFlight.isEmpty(); // the sums are then exactly zero, without rounding errors
+        localMemoryUnits = idle ? 0 : localMemoryUnits - attempt.request.memoryUnits;
         double remainingMs = attempt.reservedWorkMs * (1 - attempt.doneShare);
         slotsInUse = idle ? 0 : slotsInUse - attempt.request.slots;
         localWorkMs = idle ? 0 : Math.max(0, localWorkMs - remainingMs);
     }
 
-    /** So much of an attempt is done: that share leaves the backlog, never by time alone. */
+    /** Removes the finished share of an attempt's work; the passing of time alone removes nothing. */
     void progressed(InFlightAttempt attempt, double doneShare) {
         localWorkMs -= attempt.reservedWorkMs * Math.max(0, doneShare - attempt.doneShare);
         attempt.doneShare = Math.max(doneShare, attempt.doneShare);
     }
 
     /**
-     * An attempt has started. Workers start in the order of arrival, so what was sent well before it must have started
-     * too: the missing report points at its connection, not at a queue. Where a repeat is harmless, it is
-     * cancelled here and placed anew.
+     * Marks the attempts that the started one has overtaken. Workers start requests in the order of arrival, so an
+     * attempt sent well before the started one must have started too: its missing report indicates a fault of its
+     * connection, not a queue. Where a repeat is harmless, the overtaken attempt is cancelled, and its request is
+     * placed again.
      */
     void cancelOvertakenBy(InFlightAttempt started) {
         if (!context.settings.fifoWorkers()) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Slots of this dispatcher's attempts that are known to run. */
+    /** Slots taken by this dispatcher's attempts that are known to run. */
     double runningSlots() {
         return inFlight.stream()
                 .filter(InFlightAttempt::hasStarted)
@@ -150,26 +151,30 @@
                 .sum();
     }
 
-    /** An attempt started later than estimated: there was a queue that no report showed, of the others' work. */
+    /**
+     * Learns from a start. A later one than expected shows a queue of other dispatchers' work that was not reported.
+     */
     void learnFromStart(InFlightAttempt attempt) {
         double excessMs = context.nowMs - attempt.sentAtMs - attempt.expectedWaitMs;
         double lateMs = excessMs - PolicyMath.clamp(excessMs, 0, context.objectiveMs * TOLERATED_OBJECTIVES);
         double meanWorkMs = arrivals.meanWorkMs();
         remoteRequests = Math.max(0, remoteRequests + LATE_START_SHARE * lateMs * worker.capacity / meanWorkMs);
-        remoteAtMs = context.nowMs;
+        remoteUpdatedAtMs = context.nowMs;
         WorkerKind kind = worker.kind;
         double step = Math.max(MIN_LATE_START_STEP, 1 - PolicyMath.decay(ageInRequests(kind.unobservedAtMs)));
         kind.unobservedWaitMs += step * (remoteRequests * meanWorkMs / worker.capacity - kind.unobservedWaitMs);
         kind.unobservedAtMs = context.nowMs;
     }
 
-    /** A report gave the free memory units; NaN: it did not. */
+    /** Applies the free memory units of a report; NaN: it has none. */
     void observeFreeMemory(double freeUnits) {
-        remoteMemory = freeUnits >= 0 ? Math.max(0, worker.slotEstimator.slots() - freeUnits - localMemory) : 0;
+        remoteMemoryUnits =
+                freeUnits >= 0 ? Math.max(0, worker.slotEstimator.slots() - freeUnits - localMemoryUnits) : 0;
     }
 
     /**
-     * The others' requests at the worker by a report, negative where it is older than own sends; NaN: it gives none.
+     * The number of other dispatchers' requests at the worker by a report. It is negative where the report is older
+     * than this dispatcher's last attempts, and NaN where the report does not give it.
      */
     double remoteRequestsBy(LoadReport report) {
         if (report.activeRequests() >= 0) {
@@ -180,7 +185,9 @@
     }
 
     /**
-     * Takes up the others' requests by a report, as {@link #remoteRequestsBy} gave them before the slots were learnt.
+     * Updates the estimate of other dispatchers' requests by a report.
+     *
+     * @param reported what {@link #remoteRequestsBy} returned before the slot estimate learned from the report
      */
     void observeRemoteRequests(LoadReport report, double reported) {
         if (Double.isNaN(reported)) {
@@ -189,14 +196,14 @@
         double meanWorkMs = arrivals.meanWorkMs();
         WorkerKind kind = worker.kind;
         if (report.activeRequests() >= 0 || report.freeSlots() > HALF_SLOT) {
-            double keep = REMOTE_KEPT * PolicyMath.decay(ageInRequests(remoteAtMs));
+            double keep = REMOTE_KEPT_SHARE * PolicyMath.decay(ageInRequests(remoteUpdatedAtMs));
             remoteRequests = keep * remoteRequests + (1 - keep) * Math.max(0, reported);
         } else {
-            // A full worker's free slots say nothing of its queue: it is taken for its kind's usual one.
-            double usual = kind.unobservedWaitMs * worker.capacity / meanWorkMs;
-            remoteRequests = Math.max(Math.max(remoteRequests, reported), usual);
+            // The free slots of a full worker do not show its queue, so the usual queue of its kind is assumed.
+            double usualRequests = kind.unobservedWaitMs * worker.capacity / meanWorkMs;
+            remoteRequests = Math.max(Math.max(remoteRequests, reported), usualRequests);
         }
-        remoteAtMs = context.nowMs;
+        remoteUpdatedAtMs = context.nowMs;
         if (!context.settings.workersReportStart()) {
             double reportedWaitMs = remoteRequests * meanWorkMs / worker.capacity;
             kind.unobservedWaitMs += REPORT_STEP * (reportedWaitMs - kind.unobservedWaitMs);
@@ -204,19 +211,22 @@
     }
 
     /**
-     * Others' work by the reports, fading. What is too old to know is drawn anew, from half the kind's mean on: with
-     * the mean itself all dispatchers would rush the same fast workers, and from zero on the least of many draws is
-     * none.
+     * Other dispatchers' work: the estimate from reports, fading with its age into a random draw. The draw is at least
+     * half the kind's mean. If it were the mean itself, all dispatchers would choose the same fast workers; if it
+     * started from zero, the lowest of many draws would be almost none.
      */
     private double estimateRemoteWorkMs() {
-        double keep = PolicyMath.decay(ageInRequests(remoteAtMs));
+        double keep = PolicyMath.decay(ageInRequests(remoteUpdatedAtMs));
         double drawnMs = context.settings.dispatcherCount() == 1
                 ? 0
                 : worker.kind.unobservedWaitMs * worker.capacity * (1 + PolicyMath.drawExponential(context.random)) / 2;
         return keep * remoteRequests * arrivals.meanWorkMs() + (1 - keep) * drawnMs;
     }
 
-    /** By how much the longest waiting own attempt outwaits its estimate: a queue that no report shows, ms. */
+    /**
+     * The most by which an attempt of this dispatcher has waited longer than expected, ms: it shows a queue that was
+     * not reported.
+     */
     private double unexpectedWaitMs() {
         if (!context.settings.workersReportStart()) {
             return 0;
@@ -232,7 +242,7 @@
         return longestMs;
     }
 
-    /** Time since then at the worker's speed, in time constants of two mean requests. */
+    /** Time since {@code sinceMs} at the worker's speed, in time constants of two mean requests. */
     private double ageInRequests(double sinceMs) {
         return (context.nowMs - sinceMs)
                 * worker.speedEstimator.speed()
--- a/src/main/java/maplespread/policy/WorkerDirectory.java
+++ b/src/main/java/maplespread/policy/WorkerDirectory.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The workers by id and by kind, and which of them are on the endpoint list. What is known of workers that have left
- * is kept, as they may come back, until they outnumber the listed ones.
+ * The workers by id and by kind, and which of them are on the endpoint list. Workers that have left the list are kept
+ * with their estimates, as they may come back, until they outnumber the listed ones.
  */
 final class WorkerDirectory {
     private static final int MAX_UNLISTED = 100;
@@ -40,7 +40,7 @@
         return byId.get(id);
     }
 
-    /** A full snapshot has come: a worker that is absent from it has been removed. */
+    /** Removes the workers that are absent from a full snapshot. */
     void removeAbsent(List<EndpointEntry> snapshot) {
         Set<String> present = new HashSet<>();
         for (EndpointEntry entry : snapshot) {
@@ -53,18 +53,18 @@
         }
     }
 
-    /** Takes up an entry of the list. A change costs that worker and no other. */
+    /** Applies an entry of the endpoint list. A change takes work for that worker and no other. */
     void update(EndpointEntry entry) {
         Worker worker = byId.get(entry.worker());
         if (worker == null) {
             worker = new Worker(entry.worker(), context, arrivals, hints, failures);
             byId.put(worker.id, worker);
         }
-        worker.listed(entry, kinds.computeIfAbsent(entry.workerKind(), number -> new WorkerKind()));
+        worker.applyEntry(entry, kinds.computeIfAbsent(entry.workerKind(), number -> new WorkerKind()));
         setLifecycle(worker, entry.lifecycle());
     }
 
-    /** Forgets workers that have left, once they are many. */
+    /** Forgets workers that have left the list, once they are many. */
     void forgetUnlisted() {
         if (byId.size() > 2 * listed.size() + MAX_UNLISTED) {
             byId.values()
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The workers with attempts of this dispatcher in flight, in the order in which they got the first one. */
+    /** The workers with attempts of this dispatcher in flight, in the order of their first such attempt. */
     List<Worker> busy() {
         return busy;
     }
--- a/src/main/java/maplespread/policy/WorkerKind.java
+++ b/src/main/java/maplespread/policy/WorkerKind.java
@@ -1,27 +1,27 @@
 package maplespread.policy;
 
 /**
- * What workers of one kind have in common: the prior of each of them, pooled from all. Fields are written by the
- * estimators of single workers, {@link SpeedEstimator}, {@link SlotEstimator} and {@link WorkerBacklog}.
+ * The estimates for workers of one kind, pooled from all of them and used as the prior of each. The estimators of
+ * single workers, {@link SpeedEstimator}, {@link SlotEstimator} and {@link WorkerBacklog}, write the fields.
  */
 final class WorkerKind {
-    /** Recent work done by warm workers of the kind, ms on a standard core. */
+    /** Recent work done by workers of the kind that are not in slow start, ms on a standard core. */
     double doneWorkMs;
 
-    /** The time that work took, ms. */
+    /** Time that {@link #doneWorkMs} took, ms. */
     double runTimeMs;
 
-    /** Work done a ms in one slot; 1: a standard core. */
+    /** Work per ms in one slot; 1: a standard core. */
     double speed = 1;
 
     /** Requests that one worker runs at a time; 0: unknown. */
     double slots;
 
     /**
-     * The usual backlog at one worker that this dispatcher does not see: other dispatchers' requests, as wait in ms.
+     * Usual wait at one worker due to other dispatchers' requests, which this dispatcher does not see, ms.
      */
     double unobservedWaitMs;
 
-    /** When a late start last changed it. */
+    /** Time at which a start last changed {@link #unobservedWaitMs}, ms on the host's clock. */
     double unobservedAtMs;
 }
--- a/src/main/java/maplespread/policy/WorkerSelector.java
+++ b/src/main/java/maplespread/policy/WorkerSelector.java
@@ -3,12 +3,13 @@
 import java.util.Optional;
 
 /**
- * Places a request: at the worker of the least cost among the ready ones, or among all eligible ones where none is
- * ready; without a worker below a rejection's cost it is parked or ended. Probes come first where too little is known.
+ * Chooses a worker for a request: the ready worker with the lowest cost, or the cheapest eligible worker where no ready
+ * one may take the request. A request without a worker below the cost of a rejection is parked or ended. Where too
+ * little is known about the workers, they are probed first.
  */
 final class WorkerSelector {
-    /** Below this lateness a probed worker with a free slot is certain enough. */
-    private static final double MAX_CERTAIN_LATENESS = 0.5;
+    /** Lateness below which a probed worker with a free slot is chosen without another probe round. */
+    private static final double MAX_ON_TIME_LATENESS = 0.5;
 
     private final PolicyContext context;
     private final WorkerDirectory directory;
@@ -38,14 +39,14 @@
         this.admission = admission;
     }
 
-    /** Sends, parks or ends the request, or has workers probed for it first. */
+    /** Sends, parks or ends the request, or starts a probe round for it first. */
     void place(PendingRequest request) {
-        if (!costs.areOf(request)) {
+        if (!costs.belongTo(request)) {
             costs.priceAll(request, false);
         }
         Worker cheapest = costs.cheapest();
         Worker probed = costs.cheapestProbed(request);
-        if (cheapest != null && !isCertain(request, probed) && probes.startRound(request, cheapest)) {
+        if (cheapest != null && !isExpectedOnTime(request, probed) && probes.startRound(request, cheapest)) {
             return;
         }
         if (!costs.anyEligible()) {
@@ -61,11 +62,11 @@
         }
     }
 
-    /** Whether a worker that was probed for the request serves it in time without a wait. */
-    private boolean isCertain(PendingRequest request, Worker probed) {
+    /** Whether a worker that was probed for the request is expected to serve it on time and without a wait. */
+    private boolean isExpectedOnTime(PendingRequest request, Worker probed) {
         return probed != null
                 && probed.backlog.hasFreeSlot(request)
-                && costModel.lateness(request, probed, 0) < MAX_CERTAIN_LATENESS;
+                && costModel.lateness(request, probed, 0) < MAX_ON_TIME_LATENESS;
     }
 
     private void parkOrEnd(PendingRequest request) {
--- a/src/main/java/maplespread/policy/WorkerTable.java
+++ b/src/main/java/maplespread/policy/WorkerTable.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The listed workers in places without gaps, with a capacity and a cost by place. A change of the list costs one worker
- * and no other, whatever their number: the last worker takes the place of one that goes. Decides nothing.
+ * The listed workers by consecutive indices, with a capacity and a cost for each. A change of the endpoint list takes
+ * constant time, whatever the number of workers: the last worker takes the index of a removed one. Decides nothing.
  */
 final class WorkerTable {
-    private static final int EXTRA_PLACES = 8;
+    private static final int EXTRA_CAPACITY = 8;
 
     private final List<Worker> workers = new ArrayList<>();
     private double[] capacities = {};
@@ -20,94 +20,94 @@
         return workers.size();
     }
 
-    Worker get(int place) {
-        return workers.get(place);
+    Worker get(int index) {
+        return workers.get(index);
     }
 
-    /** All listed workers, by place. */
+    /** All listed workers, by index. */
     List<Worker> all() {
         return workers;
     }
 
-    /** Takes a worker in, unless it is in. */
+    /** Adds a worker, unless it is in the table. */
     void add(Worker worker) {
         if (worker.isListed()) {
             return;
         }
-        worker.tablePlace = workers.size();
+        worker.tableIndex = workers.size();
         workers.add(worker);
-        if (worker.tablePlace >= capacities.length) {
-            capacities = Arrays.copyOf(capacities, 2 * worker.tablePlace + EXTRA_PLACES);
+        if (worker.tableIndex >= capacities.length) {
+            capacities = Arrays.copyOf(capacities, 2 * worker.tableIndex + EXTRA_CAPACITY);
             costs = Arrays.copyOf(costs, capacities.length);
         }
     }
 
-    /** Takes a worker out, if it is in. */
+    /** Removes a worker, if it is in the table. */
     void remove(Worker worker) {
         if (!worker.isListed()) {
             return;
         }
         setCapacity(worker, 0);
-        int place = worker.tablePlace;
+        int index = worker.tableIndex;
         Worker last = workers.remove(workers.size() - 1);
         if (last != worker) {
-            workers.set(place, last);
-            capacities[place] = capacities[last.tablePlace];
-            costs[place] = costs[last.tablePlace];
-            capacities[last.tablePlace] = 0;
-            last.tablePlace = place;
+            workers.set(index, last);
+            capacities[index] = capacities[last.tableIndex];
+            costs[index] = costs[last.tableIndex];
+            capacities[last.tableIndex] = 0;
+            last.tableIndex = index;
         }
-        worker.tablePlace = Worker.NOT_LISTED;
+        worker.tableIndex = Worker.NOT_LISTED;
     }
 
-    /** Sets the worker's part of the total; nothing for one that is not in. */
+    /** Sets the worker's capacity and updates the total; does nothing for a worker that is not in the table. */
     void setCapacity(Worker worker, double capacity) {
         if (worker.isListed()) {
-            totalCapacity += capacity - capacities[worker.tablePlace];
-            capacities[worker.tablePlace] = capacity;
+            totalCapacity += capacity - capacities[worker.tableIndex];
+            capacities[worker.tableIndex] = capacity;
         }
     }
 
-    double capacity(int place) {
-        return capacities[place];
+    double capacity(int index) {
+        return capacities[index];
     }
 
-    /** The sum of all capacities, kept up with each change. */
+    /** The sum of all capacities, updated with each change. */
     double totalCapacity() {
         return totalCapacity;
     }
 
-    /** Makes the sum anew: without that, roundings add up. */
+    /** Recomputes the sum of all capacities, as rounding errors would otherwise accumulate. */
     void recomputeTotalCapacity() {
         totalCapacity = 0;
-        for (int place = 0; place < workers.size(); place++) {
-            totalCapacity += capacities[place];
+        for (int index = 0; index < workers.size(); index++) {
+            totalCapacity += capacities[index];
         }
     }
 
     /** The cost last set for a listed worker. */
     double cost(Worker worker) {
-        return costs[worker.tablePlace];
+        return costs[worker.tableIndex];
     }
 
     void setCost(Worker worker, double cost) {
-        costs[worker.tablePlace] = cost;
+        costs[worker.tableIndex] = cost;
     }
 
-    /** The first worker of the least cost, if any costs less than the limit; else null. */
+    /** The first worker with the lowest cost, if that is below the limit; otherwise null. */
     Worker cheapest(double limit) {
         Worker best = null;
         double bestCost = limit;
-        for (int place = 0; place < workers.size(); place++) {
-            if (costs[place] < bestCost) {
-                best = workers.get(place);
-                bestCost = costs[place];
+        for (int index = 0; index < workers.size(); index++) {
+            if (costs[index] < bestCost) {
+                best = workers.get(index);
+                bestCost = costs[index];
             }
         }
         return best;
     }
 
-    /** The same among these workers, all of them listed. */
+    /** The first of these workers, all of them listed, with the lowest cost, if that is below the limit; else null. */
     Worker cheapest(List<Worker> among, double limit) {
         Worker best = null;
         double bestCost = limit;
