--- a/src/main/java/maplespread/facade/Action.java
+++ b/src/main/java/maplespread/facade/Action.java
@@ -1,13 +1,13 @@
 package maplespread.facade;
 
-/** What the policy wants done that is no decision about a request: the results of {@link DecisionService#tick}. */
+/** An action that the policy requests beside its decisions on requests: a result of {@link DecisionService#tick}. */
 public sealed interface Action {
-    /** Ask the worker for its load report. */
+    /** Requests the worker's load report. */
     record Probe(String worker, String address) implements Action {}
 
-    /** Watch the endpoint list, or watch it anew. */
+    /** Starts a watch of the endpoint list, or restarts it. */
     record Watch() implements Action {}
 
-    /** Give the attempt up; it still reports an outcome. */
+    /** Cancels the attempt, whose outcome is still reported. */
     record Cancel(Attempt attempt) implements Action {}
 }
--- a/src/main/java/maplespread/facade/Decision.java
+++ b/src/main/java/maplespread/facade/Decision.java
@@ -2,14 +2,14 @@
 
 import maplespread.policy.RejectionReason;
 
-/** What the policy has decided about a request: the results of {@link DecisionService#decide}. */
+/** The policy's decision on a request: the result of {@link DecisionService#decide}. */
 public sealed interface Decision permits Attempt, Decision.Rejected, Decision.Failed, Decision.ClientLeft {
-    /** No worker has run it: a retry is safe, after {@code retryAfterMs} milliseconds where that is above 0. */
+    /** No worker has run the request: a retry is safe, after {@code retryAfterMs} milliseconds if above 0. */
     record Rejected(double retryAfterMs, RejectionReason reason) implements Decision {}
 
-    /** It ends without a result. It may have run: a retry is not known to be safe. */
+    /** The request ends without a result. It may have run, so a retry may not be safe. */
     record Failed(RejectionReason reason) implements Decision {}
 
-    /** Its client has left, so nobody waits for a result. */
+    /** The client has left, so no response is sent. */
     record ClientLeft() implements Decision {}
 }
--- a/src/main/java/maplespread/facade/DecisionService.java
+++ b/src/main/java/maplespread/facade/DecisionService.java
@@ -27,16 +27,16 @@
 import org.tinylog.Logger;
 
 /**
- * The policy behind blocking calls: {@link #decide} for requests, {@code report...} for what happened, {@link #tick} for
- * timers and actions. It alone calls {@link DispatchPolicy}, under one lock and on one clock, and does no input or output
- * under that lock. Any thread may call it. It knows no protocol.
+ * A blocking, thread-safe interface to the policy: {@link #decide} for requests, {@code report...} for events, {@link
+ * #tick} for timers and actions. Only this class calls {@link DispatchPolicy}, under one lock and on one clock, and it
+ * does no input or output under that lock. It is independent of the protocol.
  */
 public final class DecisionService {
-    /** The age, in microseconds, up to which {@link #hostCounts} may be out of date. */
-    private static final long HOST_COUNTS_AGE_US = 100_000;
+    /** Age in microseconds beyond which a tick updates {@link #hostCounts}. */
+    private static final long MAX_HOST_COUNTS_AGE_US = 100_000;
 
     private final ReentrantLock lock = new ReentrantLock();
-    /** Signalled when an action is added or a timer that may be the first one. */
+    /** Signalled when an action is added, or a timer, which may be the first one due. */
     private final Condition tickNeeded = lock.newCondition();
 
     private final long startUs = System.currentTimeMillis() * 1000;
@@ -50,16 +50,26 @@
     private volatile PolicySettings settings;
     private volatile EndpointListState listState = EndpointListState.UNCONFIRMED;
     private volatile Metrics.HostCounts hostCounts = new Metrics.HostCounts(0, 0);
-    private long hostCountsUs;
+    private long hostCountsUpdatedUs;
     private long listVersion;
-    private long lastId;
+    private long lastRequestId;
 
-    /** All requests count alike, whatever their tenants' quotas. {@code seed}: of the policy's random draws. */
+    /**
+     * Creates a service that does not enforce the tenants' quotas.
+     *
+     * @param seed of the policy's random draws
+     */
     public DecisionService(PolicySettings settings, long seed) {
         this(settings, seed, false);
     }
 
-    /** {@code quotaEnforced}: requests beyond their tenant's quota count for less while others are rejected. */
+    /**
+     * Creates a service.
+     *
+     * @param seed of the policy's random draws
+     * @param quotaEnforced whether requests beyond their tenant's quota have less weight while requests within a quota
+     *     are rejected
+     */
     public DecisionService(PolicySettings settings, long seed, boolean quotaEnforced) {
         this.settings = settings;
         weights = new RequestWeights(quotaEnforced, settings.tenants());
@@ -67,8 +77,8 @@
     }
 
     /**
-     * Microseconds of the one clock: Unix time at the start, moved on by the monotonic clock alone, so that a
-     * worker's start can be placed on it and no correction of the system's clock turns it back.
+     * The time in microseconds on the clock of this service: Unix time at its start, advanced by the monotonic clock
+     * alone. Workers' start times can be compared with it, and a correction of the system clock does not turn it back.
      */
     public long nowUs() {
         return startUs + (System.nanoTime() - startNanos) / 1000;
@@ -77,8 +87,8 @@
     // ------------------------------------------------------------ requests and attempts
 
     /**
-     * The policy's decision about the request: at first when it is new, then after each attempt that ended unserved.
-     * Blocks while the policy holds it back, but never past its deadline.
+     * Returns the policy's decision on the request: the first time for a new request, then after each attempt that
+     * ended without a result. Blocks while the policy keeps the request parked, but never past its deadline.
      */
     public Decision decide(InFlightRequest request) throws InterruptedException {
         lock.lockInterruptibly();
@@ -104,11 +114,11 @@
 
     private void submit(InFlightRequest request) {
         request.submitted = true;
-        request.id = ++lastId;
+        request.id = ++lastRequestId;
         request.decisionAvailable = lock.newCondition();
         inFlight.put(request.id, request);
-        boolean taken = guarded("requestAccepted", () -> policy.requestAccepted(nowUs(), policyRequest(request)));
-        if (!taken && request.decision == null) {
+        boolean accepted = guarded("requestAccepted", () -> policy.requestAccepted(nowUs(), policyRequest(request)));
+        if (!accepted && request.decision == null) {
             end(request, new Decision.Failed(RejectionReason.FAULT));
         }
     }
@@ -128,14 +138,18 @@
                 request.eligibleWorkers);
     }
 
-    /** Ends a request that the policy has left without a decision: its client must have an answer in time. */
+    /** Ends a request on which the policy has not decided: the client must receive a response by the deadline. */
     private void endUndecided(InFlightRequest request) {
         Logger.warn("request {} had no decision by its deadline", request.id);
         end(request, new Decision.Failed(RejectionReason.OUT_OF_TIME));
         guarded("requestAbandoned", () -> policy.requestAbandoned(nowUs(), request.id));
     }
 
-    /** The attempt has started at its worker ({@code share} 0) or has done this share of its work, 0 to 1. */
+    /**
+     * Reports that the worker has started the attempt or made progress on it.
+     *
+     * @param share the completed share of its work, 0 to 1; 0 at the start
+     */
     public void reportProgress(Attempt attempt, boolean started, double share) {
         locked(() -> guarded(
                 "attemptProgressed",
@@ -144,8 +158,10 @@
     }
 
     /**
-     * An attempt is over. Unless it served, {@link #decide} has the next decision. {@code load}: the worker's report,
-     * or null.
+     * Reports that an attempt has ended. Unless its outcome is {@link Outcome#SERVED}, {@link #decide} returns the next
+     * decision.
+     *
+     * @param load the worker's load report, or null
      */
     public void reportAttemptEnded(Attempt attempt, Outcome outcome, WorkerLoad load) {
         locked(() -> {
@@ -160,7 +176,7 @@
                 weights.requestCompleted(request, false);
             }
             LoadReport report = PolicyMapping.load(load);
-            boolean taken = guarded("attemptEnded", () -> {
+            boolean accepted = guarded("attemptEnded", () -> {
                 long nowUs = nowUs();
                 policy.attemptEnded(
                         nowUs,
@@ -172,20 +188,20 @@
                         request.ended,
                         report);
             });
-            if (!taken && request.decision == null) {
+            if (!accepted && request.decision == null) {
                 end(request, new Decision.Failed(RejectionReason.FAULT));
             }
             forget(request);
         });
     }
 
-    /** The client left: no response is owed. Attempts in flight still get their outcome. */
+    /** Reports that the client has left, so no response is sent. Outcomes of attempts in flight are still reported. */
     public void reportClientLeft(InFlightRequest request) {
         locked(() -> {
             if (request.ended) {
                 return;
             }
-            if (!request.submitted) { // its own thread has not asked for a decision yet
+            if (!request.submitted) { // the request's thread has not called decide() yet
                 request.ended = true;
                 request.decision = new Decision.ClientLeft();
                 return;
@@ -194,21 +210,21 @@
             weights.clientLeft(request);
             end(request, new Decision.ClientLeft());
             guarded("requestAbandoned", () -> policy.requestAbandoned(nowUs(), request.id));
-            if (unread instanceof Attempt attempt) { // decided on, and nobody will send it now
+            if (unread instanceof Attempt attempt) { // decided, but no thread will send it
                 reportAttemptEnded(attempt, Outcome.NEVER_SENT, null);
             }
         });
     }
 
     /**
-     * Whether the attempt may be sent now: to be asked again just before its first byte. While its connection came up,
-     * the worker may have begun to drain, the client may have left, or the time may have run out in which workers
-     * recognize a repeat.
+     * Whether the attempt may be sent now; to be called just before its first byte. While its connection was
+     * established, the worker may have begun to drain, the client may have left, or the time in which workers recognize
+     * a repeat may have passed.
      */
     public SendCheck checkSend(Attempt attempt) {
         InFlightRequest request = attempt.request();
         BooleanSupplier permitted = request.sendPermitted;
-        if (permitted != null && !permitted.getAsBoolean()) { // not under the lock: it may have its own
+        if (permitted != null && !permitted.getAsBoolean()) { // called without the lock: it may take its own
             return SendCheck.ORDERING_PERMIT_LOST;
         }
         lock.lock();
@@ -243,7 +259,7 @@
         return requestClass(request).mayRepeatAfter(sinceMs);
     }
 
-    /** Whether it would be harmless to run the attempt's request twice, however late. */
+    /** Whether the attempt's request may safely run twice at any time. */
     public boolean isIdempotent(Attempt attempt) {
         return requestClass(attempt.request()).idempotency() == Idempotency.READ_LIKE;
     }
@@ -258,15 +274,23 @@
 
     // ------------------------------------------------------------ probes, endpoints, settings
 
-    /** A probe ended after {@code tookMs}. {@code load}: the worker's report, or null. */
-    public void reportProbeEnded(Action.Probe probe, Outcome outcome, double tookMs, WorkerLoad load) {
+    /**
+     * Reports that a probe ended after {@code durationMs} milliseconds.
+     *
+     * @param load the worker's load report, or null
+     */
+    public void reportProbeEnded(Action.Probe probe, Outcome outcome, double durationMs, WorkerLoad load) {
         locked(() -> guarded(
                 "probeEnded",
                 () -> policy.probeEnded(
-                        nowUs(), probe.worker(), PolicyMapping.outcome(outcome), tookMs, PolicyMapping.load(load))));
+                        nowUs(),
+                        probe.worker(),
+                        PolicyMapping.outcome(outcome),
+                        durationMs,
+                        PolicyMapping.load(load))));
     }
 
-    /** The endpoint list, or changes of it, have come. */
+    /** Reports that the endpoint list, or a change of it, was received. */
     public void reportEndpoints(EndpointUpdate update) {
         locked(() -> {
             applyEndpoints(update);
@@ -296,23 +320,26 @@
     }
 
     /**
-     * A watch on the endpoint list could not be had, or broke. {@code heardAgoMs}: milliseconds since its last line, or
-     * since the call.
+     * Reports that a watch of the endpoint list could not be opened, or ended.
+     *
+     * @param lastMessageAgoMs milliseconds since its last line, or since the call if there was none
      */
-    public void reportWatchLost(EndpointWatchFailure failure, double heardAgoMs) {
-        locked(() -> guarded("endpointWatchFailed", () -> policy.endpointWatchFailed(nowUs(), failure, heardAgoMs)));
+    public void reportWatchLost(EndpointWatchFailure failure, double lastMessageAgoMs) {
+        locked(() ->
+                guarded("endpointWatchFailed", () -> policy.endpointWatchFailed(nowUs(), failure, lastMessageAgoMs)));
     }
 
     /**
-     * What discovery has may differ from the list until it is confirmed anew. {@code heardAgoMs}: milliseconds since
-     * discovery was last heard of.
+     * Reports that discovery's list may differ from the received one until that is confirmed again.
+     *
+     * @param lastMessageAgoMs milliseconds since the last message of discovery
      */
-    public void reportListUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-        locked(() ->
-                guarded("endpointListUnconfirmed", () -> policy.endpointListUnconfirmed(nowUs(), why, heardAgoMs)));
+    public void reportListUnconfirmed(EndpointListDoubt doubt, double lastMessageAgoMs) {
+        locked(() -> guarded(
+                "endpointListUnconfirmed", () -> policy.endpointListUnconfirmed(nowUs(), doubt, lastMessageAgoMs)));
     }
 
-    /** Other settings for requests to come; their classes keep their numbers. */
+    /** Applies settings to future requests; the request classes of the old settings must keep their indexes. */
     public void applySettings(PolicySettings next) {
         locked(() -> {
             if (guarded("settingsChanged", () -> policy.settingsChanged(nowUs(), next))) {
@@ -322,7 +349,7 @@
         });
     }
 
-    /** Weights of requests to come by tenant, 1 or more each; tenants beyond the array's end are not boosted. */
+    /** Sets the weights of future requests by tenant, 1 or more; tenants beyond the array's end are not boosted. */
     public void setPriorityBoosts(double[] weightsByTenant) {
         weights.setBoosts(weightsByTenant);
     }
@@ -330,8 +357,8 @@
     // ------------------------------------------------------------ timers and actions
 
     /**
-     * Runs the timers that are due and returns the actions to be carried out, blocking for {@code waitMs} at most for
-     * either.
+     * Runs the timers that are due and returns the pending actions. Blocks until there is an action, for {@code waitMs}
+     * milliseconds at most.
      */
     public List<Action> tick(long waitMs) throws InterruptedException {
         lock.lockInterruptibly();
@@ -340,8 +367,8 @@
             while (true) {
                 long nowUs = nowUs();
                 runTimers(nowUs);
-                countHosts(nowUs);
-                long wakeUs = timers.firstDueUs(endUs);
+                updateHostCounts(nowUs);
+                long wakeUs = timers.nextDueUs(endUs);
                 if (!pendingActions.isEmpty() || nowUs >= endUs) {
                     List<Action> actions = List.copyOf(pendingActions);
                     pendingActions.clear();
@@ -361,31 +388,31 @@
         }
     }
 
-    private void countHosts(long nowUs) {
-        if (nowUs - hostCountsUs > HOST_COUNTS_AGE_US) {
-            hostCountsUs = nowUs;
+    private void updateHostCounts(long nowUs) {
+        if (nowUs - hostCountsUpdatedUs > MAX_HOST_COUNTS_AGE_US) {
+            hostCountsUpdatedUs = nowUs;
             hostCounts = new Metrics.HostCounts(endpoints.size(), policy.avoidedWorkers());
         }
     }
 
-    // ------------------------------------------------------------ what is shown
+    // ------------------------------------------------------------ status
 
-    /** How far the endpoint list can be relied on, as of the policy's last look; waits for nobody. */
+    /** The endpoint list's state at the policy's last event; does not block. */
     public EndpointListState listState() {
         return listState;
     }
 
-    /** The workers on the list and those avoided, as of the last ticks; waits for nobody. */
+    /** The numbers of listed and of avoided workers, updated by {@link #tick}; does not block. */
     public Metrics.HostCounts hostCounts() {
         return hostCounts;
     }
 
-    /** Among how many dispatchers the policy shares out what a worker in slow start may be sent. */
+    /** The number of dispatchers among which the policy divides the slow-start budget of a worker. */
     public int dispatcherCount() {
         return settings.dispatcherCount();
     }
 
-    /** Whether any worker is known that takes requests. */
+    /** Whether any listed worker accepts requests. */
     public boolean canServe() {
         lock.lock();
         try {
@@ -395,7 +422,7 @@
         }
     }
 
-    /** The addresses of all workers that are on the list. */
+    /** The addresses of all listed workers. */
     public List<String> endpointAddresses() {
         lock.lock();
         try {
@@ -407,7 +434,7 @@
 
     // ------------------------------------------------------------ under the lock
 
-    /** What the request counts for by its tenant's quota and boost; see {@link RequestWeights}. */
+    /** The request's weight by its tenant's quota and boost; see {@link RequestWeights}. */
     double priorityWeight(InFlightRequest request) {
         return weights.of(request, settingsOf(request), nowUs());
     }
@@ -421,7 +448,7 @@
         }
     }
 
-    /** Whether the policy took the event. One that it rejects costs that event and a line in the log. */
+    /** Returns whether the policy accepted the event. A rejected event is logged and otherwise ignored. */
     private boolean guarded(String event, Runnable call) {
         try {
             call.run();
@@ -446,7 +473,7 @@
         }
     }
 
-    /** Takes what the policy wants done. Called by the policy, under the lock. */
+    /** Receives the policy's actions. Called by the policy, under the lock. */
     private final class Actions implements PolicyActions {
         @Override
         public void sendAttempt(long id, String worker) {
--- a/src/main/java/maplespread/facade/Endpoint.java
+++ b/src/main/java/maplespread/facade/Endpoint.java
@@ -1,16 +1,19 @@
 package maplespread.facade;
 
 /**
- * A worker on the endpoint list. {@code kind} and {@code zone} are indexes in the settings' lists, -1 where they are not
- * named there; {@code startedAtMs} is Unix time in milliseconds, 0 where it started long ago.
+ * A worker's entry on the endpoint list.
+ *
+ * @param kind index in the settings' list of worker kinds; -1: not on that list
+ * @param zone index in the settings' list of zones; -1: not on that list
+ * @param startedAtMs Unix time in milliseconds at which the worker started; 0: long ago
  */
 public record Endpoint(
         String worker, String address, State state, double weight, int kind, int cell, int zone, double startedAtMs) {
-    /** The lifecycle of a worker, by the names that discovery uses on the wire. */
+    /** The lifecycle states of a worker, under the names that discovery uses on the wire. */
     public enum State {
-        /** Takes requests. */
+        /** Accepts requests. */
         SERVING,
-        /** Completes what it holds and gets nothing new. */
+        /** Completes its requests and is sent no new ones. */
         DRAINING,
         /** Is no longer on the list. */
         DELETED
--- a/src/main/java/maplespread/facade/EndpointUpdate.java
+++ b/src/main/java/maplespread/facade/EndpointUpdate.java
@@ -3,22 +3,24 @@
 import java.util.List;
 
 /**
- * The endpoint list or a change of it, as its source has delivered it. {@code version} only grows; {@code confirmed}: the
- * source has delivered all that it has, and it is the source that counts now.
+ * The endpoint list or a change of it, as received from its source.
+ *
+ * @param version the list's version; never decreases
+ * @param confirmed whether the source is the current one and has delivered everything it has
  */
 public record EndpointUpdate(Kind kind, long version, List<Endpoint> endpoints, boolean confirmed) {
-    /** Confirmed unless it is a cached snapshot. */
+    /** Creates an update that is confirmed unless it is a cached snapshot. */
     public EndpointUpdate(Kind kind, long version, List<Endpoint> endpoints) {
         this(kind, version, endpoints, kind != Kind.CACHED_SNAPSHOT);
     }
 
-    /** What the endpoints of an update are. */
+    /** Which endpoints an update contains. */
     public enum Kind {
-        /** Those that have changed. */
+        /** The endpoints that have changed. */
         DELTA,
-        /** All there are. */
+        /** All endpoints. */
         FULL_SNAPSHOT,
-        /** All there were when the list was last known, before this process started. */
+        /** All endpoints of the list that was cached before this process started. */
         CACHED_SNAPSHOT
     }
 }
--- a/src/main/java/maplespread/facade/InFlightRequest.java
+++ b/src/main/java/maplespread/facade/InFlightRequest.java
@@ -8,8 +8,9 @@
 import maplespread.policy.PolicySettings;
 
 /**
- * One request of a client, from its acceptance to its final response, as far as decisions go; it knows no protocol. The network code makes it and asks {@link
- * DecisionService#decide} about it. Mutable fields are guarded by the service's lock.
+ * What decisions need of a client's request, from its acceptance to its final response; independent of the protocol.
+ * The network code creates it and calls {@link DecisionService#decide} for it. Mutable fields are guarded by the
+ * service's lock.
  */
 public final class InFlightRequest {
     final int requestClass;
@@ -19,37 +20,43 @@
     final double slots;
     final double memory;
     final String key;
-    /** The settings whose rules hold for it to its end; null: those in force. */
+    /** The settings that apply to the request to its end; null: the current settings. */
     final PolicySettings acceptedSettings;
 
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** The workers that it may go to; null: any. */
+    /** The workers that the request may be sent to; null: any. */
     Predicate<String> eligibleWorkers;
-    /** Whether it may be sent now, asked without the lock; null: always. */
+    /** Whether the request may be sent now; called without the lock; null: always. */
     BooleanSupplier sendPermitted;
 
     long id;
+    /** Whether the policy has received the request. */
     boolean submitted;
-    /** No further attempt is made, whatever comes. */
+    /** Whether no further attempt is made. */
     boolean ended;
 
     int attemptsInFlight;
-    /** When the first attempt was decided on that may have run; 0: none may have. */
+    /** When the first attempt that may have run was decided, in microseconds; 0: none may have run. */
     long firstPossibleRunUs;
 
+    /** The decision that {@link DecisionService#decide} has not returned yet; null: none. */
     Decision decision;
+
     Condition decisionAvailable;
 
     /**
-     * A request under the settings in force. {@code deadlineUs}: on {@link DecisionService#nowUs}; {@code workMs}: hinted
-     * work in milliseconds, NaN where no hint came; {@code key}: what it concerns, or null.
+     * Creates a request to which the current settings apply.
+     *
+     * @param deadlineUs on the clock of {@link DecisionService#nowUs}
+     * @param workMs hinted work in milliseconds; NaN: no hint
+     * @param key the request's affinity key, or null
      */
     public InFlightRequest(
             int requestClass, int tenant, long deadlineUs, double workMs, double slots, double memory, String key) {
         this(requestClass, tenant, deadlineUs, workMs, slots, memory, key, null);
     }
 
-    /** A request under {@code acceptedSettings}, whatever is in force later. */
+    /** Creates a request to which {@code acceptedSettings} apply to its end; null: the current settings. */
     public InFlightRequest(
             int requestClass,
             int tenant,
@@ -70,30 +77,32 @@
     }
 
     /**
-     * Restricts it before its first decision: to {@code workers}, and to moments at which {@code permitted} holds (null:
-     * any moment), which is asked just before each send, on the request's thread.
+     * Restricts where and when the request may be sent; to be called before its first decision.
+     *
+     * @param workers the workers that it may be sent to; null: any
+     * @param permitted whether it may be sent now, called just before each send on the request's thread; null: always
      */
     public void restrict(Predicate<String> workers, BooleanSupplier permitted) {
         eligibleWorkers = workers;
         sendPermitted = permitted;
     }
 
-    /** The class's number in the settings. */
+    /** Index of the request class in the settings. */
     public int requestClass() {
         return requestClass;
     }
 
-    /** The tenant's number in the settings, or -1. */
+    /** Index of the tenant in the settings; -1: none. */
     public int tenant() {
         return tenant;
     }
 
-    /** Hinted work in milliseconds; NaN where no hint came. */
+    /** Hinted work in milliseconds; NaN: no hint. */
     public double workMs() {
         return workMs;
     }
 
-    /** Microseconds on {@link DecisionService#nowUs}. */
+    /** The deadline in microseconds, on the clock of {@link DecisionService#nowUs}. */
     public long deadlineUs() {
         return deadlineUs;
     }
--- a/src/main/java/maplespread/facade/PolicyMapping.java
+++ b/src/main/java/maplespread/facade/PolicyMapping.java
@@ -57,7 +57,7 @@
         };
     }
 
-    /** {@code load}: null where the worker has reported none; so is the result. */
+    /** Returns null if {@code load} is null: the worker has sent no report. */
     static LoadReport load(WorkerLoad load) {
         if (load == null) {
             return null;
--- a/src/main/java/maplespread/facade/PolicyTimers.java
+++ b/src/main/java/maplespread/facade/PolicyTimers.java
@@ -2,37 +2,35 @@
 
 import java.util.PriorityQueue;
 
-/** The timers that the policy has asked for, in the order in which they are due. Guarded by the service's lock. */
+/** The policy's timers, in the order in which they are due. Guarded by the service's lock. */
 final class PolicyTimers {
-    private record Timer(long dueUs, long order, long label) implements Comparable<Timer> {
+    private record Timer(long dueUs, long sequence, long label) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(order, other.order);
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private long lastOrder;
+    private long lastSequence;
 
-    /** Adds a timer; of several that are due at one time the one added first comes first. */
+    /** Adds a timer; timers due at the same time expire in the order in which they were added. */
     void add(long dueUs, long label) {
-        timers.add(new Timer(dueUs, ++lastOrder, label));
+        timers.add(new Timer(dueUs, ++lastSequence, label));
     }
 
-    /** Whether a timer is due at this time. */
+    /** Whether a timer is due at {@code nowUs}. */
     boolean isDue(long nowUs) {
         return !timers.isEmpty() && timers.peek().dueUs() <= nowUs;
     }
 
-    /** Takes out the first timer and returns its label. There must be one. */
+    /** Removes the first timer and returns its label. There must be one. */
     long removeFirst() {
         return timers.remove().label();
     }
 
-    /** When the first timer is due, or {@code otherwiseUs} where that comes before it or there is none. */
-    long firstDueUs(long otherwiseUs) {
-        return timers.isEmpty()
-                ? otherwiseUs
-                : Math.min(otherwiseUs, timers.peek().dueUs());
+    /** The time at which the first timer is due, but {@code limitUs} at the latest. */
+    long nextDueUs(long limitUs) {
+        return timers.isEmpty() ? limitUs : Math.min(limitUs, timers.peek().dueUs());
     }
 }
--- a/src/main/java/maplespread/facade/RequestListener.java
+++ b/src/main/java/maplespread/facade/RequestListener.java
@@ -6,7 +6,7 @@
     enum Result {
         /** The worker's result was written. */
         SERVED,
-        /** It was rejected, harmless to send again. */
+        /** It was rejected: the client may safely retry. */
         REJECTED,
         /** It was answered with an error. */
         FAILED,
@@ -14,12 +14,14 @@
         CLIENT_LEFT
     }
 
-    /** A request has been accepted; the value returned is handed back when it completes. */
+    /** A request was accepted. Returns a handle that {@link #requestCompleted} receives. */
     long requestAccepted(InFlightRequest request);
 
     /**
-     * The last byte of the response was sent, or the client has left. {@code handle}: what {@link #requestAccepted}
-     * returned; {@code worker}: the one it was sent to last, or null where it was sent to none.
+     * The last byte of the response was sent, or the client has left.
+     *
+     * @param handle the value that {@link #requestAccepted} returned
+     * @param worker the worker of the request's last attempt; null: no attempt was sent
      */
     void requestCompleted(long handle, Result result, String worker);
 }
--- a/src/main/java/maplespread/facade/RequestWeights.java
+++ b/src/main/java/maplespread/facade/RequestWeights.java
@@ -6,30 +6,33 @@
 import maplespread.quota.TenantQuota;
 
 /**
- * What each request counts for: less beyond its tenant's quota, more where its tenant is boosted. The quota is guarded
- * by the service's lock; boosts may be set by any thread.
+ * Weighs requests: below 1 for a request beyond its tenant's quota, above 1 for one whose tenant is boosted. The quota
+ * is guarded by the service's lock; any thread may set boosts.
  */
 final class RequestWeights {
-    private TenantQuota quota; // null: requests beyond a quota count like all others
+    /** The tenants' quotas; null: not enforced. */
+    private TenantQuota quota;
+
+    /** Weight of boosted requests by tenant, 1 or more. */
     private volatile double[] boosts = {};
 
     RequestWeights(boolean quotaEnforced, List<Tenant> tenants) {
         quota = quotaEnforced ? new TenantQuota(tenants) : null;
     }
 
-    /** Weights of requests to come by tenant, 1 or more each; tenants beyond the array's end are not boosted. */
+    /** Sets the weights of future requests by tenant, 1 or more; tenants beyond the array's end are not boosted. */
     void setBoosts(double[] weights) {
         boosts = weights.clone();
     }
 
-    /** Other tenants begin with full quotas. */
+    /** Resets all quotas to full buckets if the tenants differ from those {@code before}. */
     void tenantsChanged(List<Tenant> before, List<Tenant> tenants) {
         if (quota != null && !tenants.equals(before)) {
             quota = new TenantQuota(tenants);
         }
     }
 
-    /** From 0.01, far beyond the quota, over 1 to the boost; a request beyond its quota is not boosted. */
+    /** The request's weight, from 0.01 up to the tenant's boost; a request beyond its quota is not boosted. */
     double of(InFlightRequest request, PolicySettings settings, long nowUs) {
         double weight = quotaWeight(request, settings, nowUs);
         double[] boostByTenant = boosts;
@@ -42,8 +45,8 @@
             return 1;
         }
         double remainingMs = (request.deadlineUs - nowUs) / 1000.0;
-        // The count of all dispatchers: the policy may count only those that share its workers, while a tenant's
-        // traffic is spread over all.
+        // A tenant's traffic is spread over all dispatchers, so this is the count of all of them; the policy may count
+        // only those that share its workers.
         return quota.weight(
                 nowUs / 1000.0,
                 request.id,
@@ -52,14 +55,14 @@
                 settings.dispatcherCount());
     }
 
-    /** The request has its final response. */
+    /** The request received its final response. */
     void requestCompleted(InFlightRequest request, boolean rejectedOrFailed) {
         if (quota != null) {
             quota.requestCompleted(request.id, rejectedOrFailed);
         }
     }
 
-    /** The client has left, which tells nothing of rejections. */
+    /** The client has left; the request does not count towards the rejected share. */
     void clientLeft(InFlightRequest request) {
         if (quota != null) {
             quota.clientLeft(request.id);
--- a/src/main/java/maplespread/quota/package-info.java
+++ b/src/main/java/maplespread/quota/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Weighs requests by their tenants' quotas, as one dispatcher of many can without asking the others. Owns the
- * token buckets. Does no input or output and has no clock, threads or randomness; the caller guards it. The
- * policy takes the weight with each request, and alone decides what is rejected. May import {@code policy}'s
- * settings alone.
+ * Weighs requests by their tenants' quotas at one of several dispatchers, without communication among them. Owns the
+ * token buckets. Does no input or output and has no clock, threads or randomness; the caller synchronizes access. The
+ * policy receives the weight with each request, and only the policy decides which requests are rejected. May import
+ * only the settings of {@code policy}.
  */
 package maplespread.quota;
--- a/src/main/java/maplespread/subset/DeterministicAperture.java
+++ b/src/main/java/maplespread/subset/DeterministicAperture.java
@@ -8,14 +8,15 @@
 import maplespread.policy.StableHash;
 
 /**
- * A deterministic aperture on a ring. Workers stand in an order that every dispatcher computes alike from the
- * seed, worker {@code j} of {@code M} on the arc [j/M, (j+1)/M). Dispatcher {@code i} stands at the fraction of
- * {@code i} times the golden ratio and covers the arc of {@code k/M} from there; a worker's weight is the part of
- * its arc that is covered, in (0, 1]. The order is one for all and the starts differ, so first choices do not
- * coincide; a dispatcher that joins moves no other; a worker that joins moves the edges of arcs alone.
+ * A deterministic aperture on a ring of length 1. Every dispatcher computes the same order of the workers from the
+ * seed; worker {@code j} of {@code M} occupies the arc [j/M, (j+1)/M). Dispatcher {@code i} starts at the fractional
+ * part of {@code i} times the golden ratio and covers an arc of length {@code k/M} from there. A worker's weight is the
+ * covered part of its arc, in (0, 1]. All dispatchers use one order with different starts, so their first choices
+ * differ; a dispatcher that joins moves no other dispatcher's arc, and a worker that joins moves only the edges of
+ * arcs.
  */
 public final class DeterministicAperture {
-    /** A part of an arc below this is no connection. */
+    /** Least covered part of a worker's arc for which the worker belongs to the subset. */
     private static final double MIN_COVERED_PART = 1e-9;
 
     /** 2^64 divided by the golden ratio. */
@@ -26,8 +27,12 @@
     private DeterministicAperture() {}
 
     /**
-     * The subset of dispatcher {@code index} (0 to {@code dispatchers - 1}): worker to weight. {@code width}:
-     * workers that a dispatcher covers, at least 1; all of them where it is {@code workers.size()} or more.
+     * Returns a dispatcher's subset: the weights by worker.
+     *
+     * @param index the dispatcher's index, 0 to {@code dispatchers - 1}
+     * @param width number of workers that a dispatcher covers, 1 or more; all of them if it is {@code workers.size()}
+     *     or more
+     * @param seed of the workers' order, the same at all dispatchers
      */
     public static Map<String, Double> of(int index, int dispatchers, double width, List<String> workers, long seed) {
         if (dispatchers < 1 || index < 0 || index >= dispatchers) {
@@ -39,20 +44,29 @@
         return of(index, width, ordered(workers, seed));
     }
 
-    /** The same of workers that are in order already. */
+    /** Returns a dispatcher's subset of workers that are already in ring order. */
     static Map<String, Double> of(int index, double width, String[] order) {
         Map<String, Double> subset = new LinkedHashMap<>();
         visitArc(index, width, order.length, (place, part) -> subset.merge(order[place], part, Double::sum));
         return subset;
     }
 
-    /** Visits the places on the ring that an arc covers. */
+    /** Visits the workers' places on the ring that a dispatcher's arc covers. */
     interface ArcVisitor {
-        /** {@code part}: how much of the place's own arc is covered, in (0, 1]. */
+        /**
+         * Visits one place.
+         *
+         * @param part the covered part of the place's own arc, in (0, 1]
+         */
         void visit(int place, double part);
     }
 
-    /** Visits the places, of {@code places}, that the arc of {@code width} workers of a dispatcher covers. */
+    /**
+     * Visits the places that a dispatcher's arc covers.
+     *
+     * @param width length of the dispatcher's arc, in places
+     * @param places number of places on the ring
+     */
     static void visitArc(int index, double width, int places, ArcVisitor visitor) {
         if (width >= places) {
             for (int place = 0; place < places; place++) {
@@ -71,26 +85,26 @@
     }
 
     /**
-     * The fraction of the index times the golden ratio: each new index falls into one of the largest gaps. So do
-     * the indices of any part of the fleet, every fourth one say: where zones are dealt out by index, the
-     * dispatchers of each zone still spread over the whole ring.
+     * The fractional part of the index times the golden ratio, in [0, 1): each new index falls into one of the largest
+     * gaps. The same holds for a regular part of the indexes, such as every fourth one: if zones are assigned by index,
+     * the dispatchers of each zone still spread over the whole ring.
      */
     static double position(int index) {
         long fraction = index * GOLDEN_RATIO_FRACTION >>> Long.SIZE - DOUBLE_MANTISSA_BITS;
         return fraction / (double) (1L << DOUBLE_MANTISSA_BITS);
     }
 
-    /** The workers in the order that all dispatchers compute alike, by a hash of the seed and the worker's id. */
+    /** The distinct workers in ring order, by a hash of the seed and the worker's id: the same at all dispatchers. */
     static String[] ordered(List<String> workers, long seed) {
-        String[] all = workers.stream().distinct().toArray(String[]::new);
+        String[] order = workers.stream().distinct().toArray(String[]::new);
         Arrays.sort(
-                all,
+                order,
                 Comparator.comparingLong((String worker) -> ringHash(worker, seed))
                         .thenComparing(worker -> worker));
-        return all;
+        return order;
     }
 
-    /** The hash by which a worker has its place on the ring. */
+    /** The hash by which workers are ordered on the ring. */
     static long ringHash(String worker, long seed) {
         return StableHash.hash(seed + "/" + worker);
     }
--- a/src/main/java/maplespread/subset/SubsetAssignment.java
+++ b/src/main/java/maplespread/subset/SubsetAssignment.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * Assigns one dispatcher the workers of the list that it uses, and tells among how many dispatchers each of them
- * is shared. Every zone is divided by itself, in proportion to its size, so that a zone that is lost leaves each
- * dispatcher with workers in all others.
+ * Computes which workers of the endpoint list one dispatcher uses, and how many dispatchers share a worker. Each zone
+ * is divided separately, in proportion to its size, so that a dispatcher that loses a zone still has workers in all
+ * others.
  *
- * <p>Limits that dispatchers share by their count, as the slow-start budget, go by
- * {@link #maxDispatchersPerWorker}: the most dispatchers that can meet at one worker, as all of them compute it.
- * Divided by all dispatchers a limit would be too small, by fewer than meet the sum would exceed it. A dispatcher
- * keeps the index that it has started with: when one leaves, nobody's arc moves. Not thread-safe.
+ * <p>A limit that dispatchers share, such as the slow-start budget, is divided by {@link #maxDispatchersPerWorker}: the
+ * largest number of dispatchers that use one of its workers. Divided by the number of all dispatchers, a limit would be
+ * too small; divided by fewer than use the worker, the sum would exceed the limit. A dispatcher keeps its initial
+ * index: when another one leaves, no arc moves. Not thread-safe.
  */
 public final class SubsetAssignment {
     private record RingPosition(long hash, String worker) implements Comparable<RingPosition> {
@@ -27,14 +27,16 @@
     }
 
     /**
-     * {@code dispatchersPerWorker}: how many dispatchers are to meet at a worker, 0: all of them; {@code
-     * minWorkers}: workers that a dispatcher uses at the least, as far as there are so many.
+     * How the workers are divided.
+     *
+     * @param dispatchersPerWorker target number of dispatchers that use a worker; 0: all of them
+     * @param minWorkers least number of workers that a dispatcher uses, as far as there are so many
      */
     public record SubsetSettings(double dispatchersPerWorker, double minWorkers) {
         /** Every dispatcher uses every worker. */
         public static final SubsetSettings ALL = new SubsetSettings(0, 1);
 
-        /** Checks the ranges; the message has the names of the operators' file. */
+        /** Checks the ranges; the message has the names that the settings have in the operator's file. */
         public SubsetSettings {
             if (!(dispatchersPerWorker >= 0) || !(minWorkers >= 1)) {
                 throw new IllegalArgumentException("sharers must be 0 or more, least 1 or more");
@@ -48,9 +50,16 @@
     private final Map<String, Integer> zoneByWorker = new HashMap<>();
     private SubsetSettings settings;
     private int dispatchers;
+
+    /** Result of the last {@link #workers}; the number of all dispatchers before the first. */
     private int maxDispatchersPerWorker;
 
-    /** {@code index}: of this dispatcher; {@code seed}: of the workers' order, the same at all dispatchers. */
+    /**
+     * Creates an assignment without workers.
+     *
+     * @param index of this dispatcher, from 0
+     * @param seed of the workers' order, the same at all dispatchers
+     */
     public SubsetAssignment(int index, int dispatchers, SubsetSettings settings, long seed) {
         if (index < 0) {
             throw new IllegalArgumentException("index must not be negative");
@@ -60,21 +69,21 @@
         resize(dispatchers, settings);
     }
 
-    /** So many dispatchers share the workers from now on, by these settings. */
+    /** Changes the number of dispatchers that share the workers, and the settings. */
     public void resize(int dispatcherCount, SubsetSettings newSettings) {
         settings = newSettings;
         dispatchers = Math.max(dispatcherCount, index + 1);
         maxDispatchersPerWorker = dispatchers;
     }
 
-    /** How many workers a dispatcher uses, over all zones. */
+    /** The number of workers that a dispatcher covers in all zones; may be fractional. */
     public double width() {
         int all = zoneByWorker.size();
         double wanted = Math.max(settings.minWorkers, settings.dispatchersPerWorker * all / dispatchers);
         return settings.dispatchersPerWorker == 0 ? all : Math.min(all, wanted);
     }
 
-    /** The worker is on the list, in that zone. */
+    /** Adds a worker of the endpoint list, or changes its zone. */
     public void put(String worker, int zone) {
         Integer previousZone = zoneByWorker.put(worker, zone);
         if (previousZone != null && previousZone != zone) {
@@ -83,7 +92,7 @@
         workersByZone.computeIfAbsent(zone, z -> new TreeMap<>()).put(position(worker), worker);
     }
 
-    /** The worker has left the list. */
+    /** Removes a worker that is no longer on the endpoint list. */
     public void remove(String worker) {
         Integer zone = zoneByWorker.remove(worker);
         if (zone != null) {
@@ -91,7 +100,7 @@
         }
     }
 
-    /** The list is empty. */
+    /** Removes all workers. */
     public void clear() {
         workersByZone.clear();
         zoneByWorker.clear();
@@ -105,12 +114,12 @@
         }
     }
 
-    /** The worker's place among the others, the same for all dispatchers. */
+    /** The worker's position on the ring, the same at all dispatchers. */
     private RingPosition position(String worker) {
         return new RingPosition(DeterministicAperture.ringHash(worker, seed), worker);
     }
 
-    /** The workers that this dispatcher uses. */
+    /** Computes the workers that this dispatcher uses, and {@link #maxDispatchersPerWorker}. */
     public Set<String> workers() {
         Set<String> used = new LinkedHashSet<>();
         maxDispatchersPerWorker = 0;
@@ -130,7 +139,7 @@
         return used;
     }
 
-    /** By place on the ring how many dispatchers' arcs touch it. */
+    /** The number of dispatchers by place on the ring, counting every arc that touches the place. */
     private int[] dispatchersByPlace(double width, int places) {
         int[] edges = new int[places + 1];
         for (int dispatcher = 0; dispatcher < dispatchers; dispatcher++) {
@@ -145,7 +154,9 @@
         return byPlace;
     }
 
-    /** Adds one dispatcher's arc to the edges: +1 where it begins, -1 behind its end, in one turn of the ring. */
+    /**
+     * Adds one dispatcher's arc to the edges: +1 at its first place, -1 after its last one, wrapping around the ring.
+     */
     private static void addArc(int dispatcher, double width, int places, int[] edges) {
         double start = DeterministicAperture.position(dispatcher) * places;
         int from = (int) Math.floor(start);
@@ -162,7 +173,7 @@
         }
     }
 
-    /** The most dispatchers that use one worker of {@link #workers}, this one among them; at least 1. */
+    /** The largest number of dispatchers, including this one, that use one worker of {@link #workers}; at least 1. */
     public int maxDispatchersPerWorker() {
         return maxDispatchersPerWorker;
     }
--- a/src/test/java/maplespread/facade/DecisionServiceTest.java
+++ b/src/test/java/maplespread/facade/DecisionServiceTest.java
@@ -16,178 +16,186 @@
 import maplespread.policy.RejectionReason;
 import org.junit.Test;
 
-/** The facade alone, with no socket: what it guards between the network code and the module. */
+/** {@link DecisionService} without sockets: the rules it enforces between the network code and the policy. */
 public class DecisionServiceTest {
-    private static Endpoint route(String worker, Endpoint.State state) {
+    private static Endpoint endpoint(String worker, Endpoint.State state) {
         return new Endpoint(worker, "127.0.0.1:" + worker.length(), state, 1, 0, 0, 0, 0);
     }
 
-    private static DecisionService dispatcher(String... workers) throws Exception {
-        Config c = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        DecisionService d = new DecisionService(c.settings(), 7);
-        d.reportEndpoints(new EndpointUpdate(
+    private static DecisionService serviceWith(String... workers) throws Exception {
+        Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
+        DecisionService service = new DecisionService(config.settings(), 7);
+        service.reportEndpoints(new EndpointUpdate(
                 EndpointUpdate.Kind.CACHED_SNAPSHOT,
                 1,
                 Arrays.stream(workers)
-                        .map(w -> route(w, Endpoint.State.SERVING))
+                        .map(w -> endpoint(w, Endpoint.State.SERVING))
                         .toList()));
-        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
-        return d;
+        service.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+        return service;
     }
 
-    /** The decision, while the dispatcher's timers run as they do in service. */
-    private static Decision decidedWithTimers(DecisionService d, InFlightRequest t) throws InterruptedException {
+    /** Returns the decision on the request while another thread runs the service's timers. */
+    private static Decision decideWithTimers(DecisionService service, InFlightRequest request)
+            throws InterruptedException {
         Thread ticker = new Thread(() -> {
             try {
                 while (true) {
-                    d.tick(1000);
+                    service.tick(1000);
                 }
-            } catch (InterruptedException over) {
+            } catch (InterruptedException expected) {
                 // the decision has been made
             }
         });
         ticker.start();
         try {
-            return d.decide(t);
+            return service.decide(request);
         } finally {
             ticker.interrupt();
             ticker.join();
         }
     }
 
-    private static InFlightRequest job(DecisionService d, int cls, double waitMs) {
-        return new InFlightRequest(cls, 0, d.nowUs() + Math.round(waitMs * 1000), 100, 1, 0, null);
+    private static InFlightRequest request(DecisionService service, int requestClass, double waitMs) {
+        return new InFlightRequest(requestClass, 0, service.nowUs() + Math.round(waitMs * 1000), 100, 1, 0, null);
     }
 
     /**
-     * With subsets the module's count is of those that meet at a worker; allowances are for all there are.
+     * Guards against quotas divided by too few dispatchers: with subsets the policy counts only the dispatchers that
+     * share a worker, while a quota is divided among all.
      */
     @Test
-    public void sharesGoByAllDispatchersAndNotByThoseOfASubset() throws Exception {
-        Config c = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
-        var told = c.settings().withDispatcherCount(10_000);
-        DecisionService d = new DecisionService(told.withDispatcherCount(1), 7, true);
-        double whole = told.classes().get(0).deadlineMs();
-        InFlightRequest[] jobs = new InFlightRequest[20];
-        for (int i = 0; i < jobs.length; i++) { // no worker: turned away, those within too
-            double waitMs = i == 0 ? 30 : whole + 500;
-            jobs[i] = new InFlightRequest(
+    public void quotasAreDividedByAllDispatchersAndNotByThoseOfASubset() throws Exception {
+        Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
+        var fleetSettings = config.settings().withDispatcherCount(10_000);
+        DecisionService service = new DecisionService(fleetSettings.withDispatcherCount(1), 7, true);
+        double deadlineMs = fleetSettings.classes().get(0).deadlineMs();
+        InFlightRequest[] requests = new InFlightRequest[20];
+        for (int i = 0; i < requests.length; i++) { // no worker: requests within the quota are rejected too
+            double waitMs = i == 0 ? 30 : deadlineMs + 500;
+            requests[i] = new InFlightRequest(
                     0,
                     0,
-                    d.nowUs() + Math.round(waitMs * 1000),
+                    service.nowUs() + Math.round(waitMs * 1000),
                     100,
                     1,
                     0,
                     null,
-                    i == 0 ? told.withDispatcherCount(1) : told);
+                    i == 0 ? fleetSettings.withDispatcherCount(1) : fleetSettings);
         }
-        d.decide(jobs[0]);
-        double least = 1;
-        for (InFlightRequest t : jobs) {
-            least = Math.min(least, d.priorityWeight(t));
+        service.decide(requests[0]);
+        double leastWeight = 1;
+        for (InFlightRequest request : requests) {
+            leastWeight = Math.min(leastWeight, service.priorityWeight(request));
         }
-        assertTrue("twenty at once are beyond a ten-thousandth, but count " + least, least < 0.1);
+        assertTrue(
+                "20 requests at once exceed 1/10000 of the quota, but the least weight is " + leastWeight,
+                leastWeight < 0.1);
     }
 
-    /** Guards drains told between the pick and the send. */
+    /** Guards against sending to a worker that began to drain between the decision and the send. */
     @Test
-    public void aDrainToldAfterThePickForbidsTheSend() throws Exception {
-        DecisionService d = dispatcher("a", "bb");
-        Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
-        d.reportEndpoints(
-                new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(route(b.worker(), Endpoint.State.DRAINING))));
-        assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
-        d.reportAttemptEnded(b, Outcome.NEVER_SENT, null);
-        Attempt next = (Attempt) d.decide(b.request());
-        assertEquals("it goes to the other", 1, next.number());
-        assertFalse(next.worker().equals(b.worker()));
+    public void aDrainNotifiedAfterTheDecisionForbidsTheSend() throws Exception {
+        DecisionService service = serviceWith("a", "bb");
+        Attempt attempt = (Attempt) service.decide(request(service, 0, 4000));
+        assertEquals(SendCheck.ALLOWED, service.checkSend(attempt));
+        service.reportEndpoints(new EndpointUpdate(
+                EndpointUpdate.Kind.DELTA, 2, List.of(endpoint(attempt.worker(), Endpoint.State.DRAINING))));
+        assertEquals(SendCheck.SERVER_NOT_LISTED, service.checkSend(attempt));
+        service.reportAttemptEnded(attempt, Outcome.NEVER_SENT, null);
+        Attempt next = (Attempt) service.decide(attempt.request());
+        assertEquals("the next attempt goes to the other worker", 1, next.number());
+        assertFalse(next.worker().equals(attempt.worker()));
     }
 
-    /** Guards clients that leave while the connection to the worker comes up: nobody waits for that work. */
+    /** Guards against sending a request whose client left while the connection to the worker was established. */
     @Test
-    public void aClientThatLeftAfterThePickForbidsTheSend() throws Exception {
-        DecisionService d = dispatcher("a", "bb");
-        Attempt b = (Attempt) d.decide(job(d, 1, 4000));
-        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
-        d.reportClientLeft(b.request());
-        assertEquals(SendCheck.REQUEST_ENDED, d.checkSend(b));
+    public void aClientThatLeftAfterTheDecisionForbidsTheSend() throws Exception {
+        DecisionService service = serviceWith("a", "bb");
+        Attempt attempt = (Attempt) service.decide(request(service, 1, 4000));
+        assertEquals(SendCheck.ALLOWED, service.checkSend(attempt));
+        service.reportClientLeft(attempt.request());
+        assertEquals(SendCheck.REQUEST_ENDED, service.checkSend(attempt));
     }
 
-    /** Guards drains that were never told: the list may go stale while a connection comes up. */
+    /** Guards against missed drains: the list may become stale while the connection is established. */
     @Test
-    public void aListThatWentStaleAfterThePickForbidsTheSend() throws Exception {
-        DecisionService d = dispatcher("a", "bb");
-        Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.reportListUnconfirmed(EndpointListDoubt.SILENT, 3000);
-        assertEquals(SendCheck.ALLOWED, d.checkSend(b));
-        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
-        d.reportListUnconfirmed(EndpointListDoubt.SILENT, 6000);
-        assertEquals(SendCheck.LIST_NOT_CONFIRMED, d.checkSend(b));
-        d.reportAttemptEnded(b, Outcome.NEVER_SENT, null);
-        Decision decision = decidedWithTimers(d, b.request());
+    public void aListThatBecameStaleAfterTheDecisionForbidsTheSend() throws Exception {
+        DecisionService service = serviceWith("a", "bb");
+        Attempt attempt = (Attempt) service.decide(request(service, 0, 4000));
+        service.reportListUnconfirmed(EndpointListDoubt.SILENT, 3000);
+        assertEquals(SendCheck.ALLOWED, service.checkSend(attempt));
+        service.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 1, List.of()));
+        service.reportListUnconfirmed(EndpointListDoubt.SILENT, 6000);
+        assertEquals(SendCheck.LIST_NOT_CONFIRMED, service.checkSend(attempt));
+        service.reportAttemptEnded(attempt, Outcome.NEVER_SENT, null);
+        Decision decision = decideWithTimers(service, attempt.request());
         assertTrue(
                 decision.toString(),
-                decision instanceof Decision.Rejected busy && busy.reason() == RejectionReason.LIST_NOT_CONFIRMED);
+                decision instanceof Decision.Rejected rejected
+                        && rejected.reason() == RejectionReason.LIST_NOT_CONFIRMED);
     }
 
-    /** Guards the order of sources: what the address left behind says does not vouch for the one that counts now. */
+    /** Guards the order of sources: an update from discovery's former address does not confirm the list. */
     @Test
-    public void newsOfASourceLeftBehindConfirmsNothing() throws Exception {
-        DecisionService d = dispatcher("a");
-        d.reportListUnconfirmed(EndpointListDoubt.MOVED, 0);
-        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
-        assertEquals(EndpointListState.RENEWING, d.listState());
-        d.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
-        assertEquals(EndpointListState.CONFIRMED, d.listState());
+    public void anUpdateFromAFormerSourceConfirmsNothing() throws Exception {
+        DecisionService service = serviceWith("a");
+        service.reportListUnconfirmed(EndpointListDoubt.MOVED, 0);
+        service.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), false));
+        assertEquals(EndpointListState.RENEWING, service.listState());
+        service.reportEndpoints(new EndpointUpdate(EndpointUpdate.Kind.DELTA, 2, List.of(), true));
+        assertEquals(EndpointListState.CONFIRMED, service.listState());
     }
 
-    /** Guards the whole list: who is absent from it is gone. */
+    /** Guards full snapshots: a worker that is absent from one is removed. */
     @Test
-    public void aWholeListDropsTheAbsent() throws Exception {
-        DecisionService d = dispatcher("a");
-        Attempt b = (Attempt) d.decide(job(d, 0, 4000));
-        d.reportEndpoints(
-                new EndpointUpdate(EndpointUpdate.Kind.FULL_SNAPSHOT, 2, List.of(route("bb", Endpoint.State.SERVING))));
-        assertEquals(SendCheck.SERVER_NOT_LISTED, d.checkSend(b));
-        assertEquals(List.of("127.0.0.1:2"), d.endpointAddresses());
+    public void aFullSnapshotRemovesAbsentWorkers() throws Exception {
+        DecisionService service = serviceWith("a");
+        Attempt attempt = (Attempt) service.decide(request(service, 0, 4000));
+        service.reportEndpoints(new EndpointUpdate(
+                EndpointUpdate.Kind.FULL_SNAPSHOT, 2, List.of(endpoint("bb", Endpoint.State.SERVING))));
+        assertEquals(SendCheck.SERVER_NOT_LISTED, service.checkSend(attempt));
+        assertEquals(List.of("127.0.0.1:2"), service.endpointAddresses());
     }
 
-    /** Guards orders: after an outcome that may have run there is an end, and no second branch. */
+    /** Guards against running a non-idempotent request twice: after an outcome that may have run it fails. */
     @Test
-    public void anOrderThatMayHaveRunEnds() throws Exception {
-        DecisionService d = dispatcher("a", "bb");
-        for (Outcome o : new Outcome[] {Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT}) {
-            InFlightRequest t = job(d, 1, 4000);
-            d.reportAttemptEnded((Attempt) d.decide(t), o, null);
-            assertTrue(o.toString(), d.decide(t) instanceof Decision.Failed);
+    public void aNonIdempotentRequestThatMayHaveRunFails() throws Exception {
+        DecisionService service = serviceWith("a", "bb");
+        for (Outcome outcome : new Outcome[] {Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT}) {
+            InFlightRequest request = request(service, 1, 4000);
+            service.reportAttemptEnded((Attempt) service.decide(request), outcome, null);
+            assertTrue(outcome.toString(), service.decide(request) instanceof Decision.Failed);
         }
     }
 
-    /** Guards a client that leaves when its branch is picked and not yet sent: the branch gets its end. */
+    /** Guards against attempts without an outcome: a client may leave after the decision and before the send. */
     @Test
-    public void leavingEndsABranchThatNobodyWillSend() throws Exception {
-        DecisionService d = dispatcher("a", "bb");
-        InFlightRequest t = job(d, 0, 4000);
-        d.reportAttemptEnded((Attempt) d.decide(t), Outcome.REJECTED, null); // the next branch waits to be read
-        d.reportClientLeft(t);
-        assertEquals(0, t.attemptsInFlight);
-        assertTrue(d.decide(t) instanceof Decision.ClientLeft);
+    public void aClientThatLeavesEndsAnAttemptThatIsNotSentYet() throws Exception {
+        DecisionService service = serviceWith("a", "bb");
+        InFlightRequest request = request(service, 0, 4000);
+        // The next attempt is decided at once and not read.
+        service.reportAttemptEnded((Attempt) service.decide(request), Outcome.REJECTED, null);
+        service.reportClientLeft(request);
+        assertEquals(0, request.attemptsInFlight);
+        assertTrue(service.decide(request) instanceof Decision.ClientLeft);
     }
 
-    /** Guards the lock's owner: an event that the module rejects ends its transaction and nothing else. */
+    /** Guards the service against the policy's exceptions: a rejected event fails its request and no other. */
     @Test
-    public void whatTheModuleRejectsIsFailed() throws Exception {
-        DecisionService d = dispatcher("a");
-        assertTrue(d.decide(job(d, 99, 4000)) instanceof Decision.Failed);
-        assertTrue(d.decide(job(d, 0, 4000)) instanceof Attempt);
+    public void aRequestThatThePolicyRejectsWithAnExceptionFails() throws Exception {
+        DecisionService service = serviceWith("a");
+        assertTrue(service.decide(request(service, 99, 4000)) instanceof Decision.Failed);
+        assertTrue(service.decide(request(service, 0, 4000)) instanceof Attempt);
     }
 
-    /** Guards the client: without a worker the module refuses in time, and says when to come back. */
+    /** Guards the client: without a worker the request is rejected in time, with a delay for the retry. */
     @Test
-    public void withoutAWorkerTheAnswerComesInTimeWithAPause() throws Exception {
-        DecisionService d = dispatcher();
-        Decision.Rejected busy = (Decision.Rejected) decidedWithTimers(d, job(d, 1, 4000));
-        assertTrue("pause " + busy.retryAfterMs(), busy.retryAfterMs() >= 100 && busy.retryAfterMs() <= 2000);
+    public void withoutAWorkerTheRejectionComesInTimeWithARetryDelay() throws Exception {
+        DecisionService service = serviceWith();
+        Decision.Rejected rejected = (Decision.Rejected) decideWithTimers(service, request(service, 1, 4000));
+        assertTrue(
+                "retry after " + rejected.retryAfterMs(),
+                rejected.retryAfterMs() >= 100 && rejected.retryAfterMs() <= 2000);
     }
 }
--- a/src/test/java/maplespread/subset/SubsetAssignmentTest.java
+++ b/src/test/java/maplespread/subset/SubsetAssignmentTest.java
@@ -10,77 +10,84 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Cuts of a fleet, with seeds: who uses what, and among how many each believes a worker to be shared. */
+/** Seeded assignments: which dispatcher uses which workers, and how many dispatchers it computes to share a worker. */
 class SubsetAssignmentTest {
-    private static SubsetAssignment cut(
-            int index, int dispatchers, SubsetAssignment.SubsetSettings wish, int workers, int zones) {
-        SubsetAssignment cut = new SubsetAssignment(index, dispatchers, wish, 0);
+    private static SubsetAssignment assignment(
+            int index, int dispatchers, SubsetAssignment.SubsetSettings settings, int workers, int zones) {
+        SubsetAssignment assignment = new SubsetAssignment(index, dispatchers, settings, 0);
         for (int j = 0; j < workers; j++) {
-            cut.put("w-" + j, j % zones);
+            assignment.put("w-" + j, j % zones);
         }
-        return cut;
+        return assignment;
     }
 
-    /** A limit split by what each believes must not be overrun by the sum, nor lie idle where few share. */
+    /**
+     * The parts of a limit that dispatchers compute must not add up to more than the limit, nor be smaller than needed.
+     */
     @Test
-    void whatEachBelievesToShareBoundsTheSum() {
+    void thePartsOfASharedLimitDoNotExceedIt() {
         SplittableRandom random = new SplittableRandom(5);
-        for (int play = 0; play < 60; play++) {
-            int n = 1 + random.nextInt(120);
-            int m = 1 + random.nextInt(400);
+        for (int run = 0; run < 60; run++) {
+            int dispatchers = 1 + random.nextInt(120);
+            int workers = 1 + random.nextInt(400);
             int zones = 1 + random.nextInt(5);
-            SubsetAssignment.SubsetSettings wish = new SubsetAssignment.SubsetSettings(
+            SubsetAssignment.SubsetSettings settings = new SubsetAssignment.SubsetSettings(
                     random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(30), 1 + random.nextInt(30));
-            String what = n + " x " + m + " in " + zones + ", " + wish;
-            Map<String, Double> load = new HashMap<>();
-            Map<String, Integer> users = new HashMap<>();
-            int most = 0;
-            for (int i = 0; i < n; i++) {
-                SubsetAssignment cut = cut(i, n, wish, m, zones);
-                Set<String> mine = cut.workers();
-                assertTrue(mine.size() >= Math.min(m, wish.minWorkers()) || mine.size() >= m, what);
-                mine.forEach(w -> load.merge(w, 1.0 / cut.maxDispatchersPerWorker(), Double::sum));
-                mine.forEach(w -> users.merge(w, 1, Integer::sum));
-                most = Math.max(most, cut.maxDispatchersPerWorker());
+            String what = dispatchers + " x " + workers + " in " + zones + ", " + settings;
+            Map<String, Double> limitSum = new HashMap<>();
+            Map<String, Integer> dispatchersByWorker = new HashMap<>();
+            int maxComputed = 0;
+            for (int i = 0; i < dispatchers; i++) {
+                SubsetAssignment assignment = assignment(i, dispatchers, settings, workers, zones);
+                Set<String> used = assignment.workers();
+                assertTrue(used.size() >= Math.min(workers, settings.minWorkers()) || used.size() >= workers, what);
+                used.forEach(w -> limitSum.merge(w, 1.0 / assignment.maxDispatchersPerWorker(), Double::sum));
+                used.forEach(w -> dispatchersByWorker.merge(w, 1, Integer::sum));
+                maxComputed = Math.max(maxComputed, assignment.maxDispatchersPerWorker());
             }
-            load.forEach((w, sum) -> assertTrue(sum <= 1 + 1e-9, what + ": " + w + " is shared out " + sum));
-            int used = users.values().stream().mapToInt(x -> x).max().orElse(0);
-            assertTrue(most <= used, what + ": " + most + " believed, " + used + " true");
+            limitSum.forEach((w, sum) -> assertTrue(sum <= 1 + 1e-9, what + ": " + w + " has the sum " + sum));
+            int maxActual =
+                    dispatchersByWorker.values().stream().mapToInt(x -> x).max().orElse(0);
+            assertTrue(
+                    maxComputed <= maxActual,
+                    what + ": " + maxComputed + " dispatchers a worker computed, " + maxActual + " actual");
         }
     }
 
     @Test
     void aLostZoneLeavesEveryDispatcherWorkersInAllOthers() {
         for (int i = 0; i < 40; i++) {
-            SubsetAssignment cut = cut(i, 40, new SubsetAssignment.SubsetSettings(5, 8), 200, 4);
+            SubsetAssignment assignment = assignment(i, 40, new SubsetAssignment.SubsetSettings(5, 8), 200, 4);
             for (int j = 0; j < 200; j += 4) {
-                cut.remove("w-" + j);
+                assignment.remove("w-" + j);
             }
             boolean[] zones = new boolean[4];
-            cut.workers().forEach(w -> zones[Integer.parseInt(w.substring(2)) % 4] = true);
+            assignment.workers().forEach(w -> zones[Integer.parseInt(w.substring(2)) % 4] = true);
             assertTrue(!zones[0] && zones[1] && zones[2] && zones[3], "dispatcher " + i);
         }
     }
 
-    /** One goes and the others' indices close the gap: nobody's arc moves, only the count is another. */
+    /** A dispatcher that leaves changes only the number of dispatchers: no other arc moves. */
     @Test
-    void whoHasStartedKeepsItsPlace() {
-        SubsetAssignment cut = cut(30, 40, new SubsetAssignment.SubsetSettings(10, 5), 400, 1);
-        Set<String> before = cut.workers();
-        cut.resize(39, new SubsetAssignment.SubsetSettings(10, 5));
-        Set<String> after = cut.workers();
+    void aDispatcherKeepsItsPlaceWhenAnotherLeaves() {
+        SubsetAssignment assignment = assignment(30, 40, new SubsetAssignment.SubsetSettings(10, 5), 400, 1);
+        Set<String> before = assignment.workers();
+        assignment.resize(39, new SubsetAssignment.SubsetSettings(10, 5));
+        Set<String> after = assignment.workers();
         long kept = before.stream().filter(after::contains).count();
         assertEquals(before.size(), kept, "fewer dispatchers, wider arcs");
-        cut.resize(20, new SubsetAssignment.SubsetSettings(10, 5)); // fewer than its index
-        assertTrue(cut.workers().size() >= after.size() && cut.maxDispatchersPerWorker() >= 1);
+        assignment.resize(20, new SubsetAssignment.SubsetSettings(10, 5)); // fewer than its index
+        assertTrue(assignment.workers().size() >= after.size() && assignment.maxDispatchersPerWorker() >= 1);
     }
 
     @Test
-    void allAreUsedWhereNothingElseIsWished() {
+    void allWorkersAreUsedByDefaultAndInvalidSettingsAreRejected() {
         assertEquals(
                 50,
-                cut(3, 9, SubsetAssignment.SubsetSettings.ALL, 50, 3).workers().size());
-        SubsetAssignment few = cut(3, 9, new SubsetAssignment.SubsetSettings(2, 20), 12, 3);
+                assignment(3, 9, SubsetAssignment.SubsetSettings.ALL, 50, 3)
+                        .workers()
+                        .size());
+        SubsetAssignment few = assignment(3, 9, new SubsetAssignment.SubsetSettings(2, 20), 12, 3);
         assertEquals(12, few.workers().size());
         assertEquals(9, few.maxDispatchersPerWorker());
         assertTrue(new SubsetAssignment(0, 1, SubsetAssignment.SubsetSettings.ALL, 0)
--- a/src/test/java/maplespread/subset/SubsetGoldenTest.java
+++ b/src/test/java/maplespread/subset/SubsetGoldenTest.java
@@ -8,15 +8,15 @@
 import maplespread.quota.TenantQuota;
 import org.junit.jupiter.api.Test;
 
-/** Which dispatcher uses which workers, and what requests count for: all dispatchers must compute it alike. */
+/** Records which dispatcher uses which workers, and requests' weights: all dispatchers must compute the same. */
 class SubsetGoldenTest {
-    private final StringBuilder seen = new StringBuilder();
+    private final StringBuilder output = new StringBuilder();
 
     private void line(Object... parts) {
         for (Object part : parts) {
-            seen.append(part).append(' ');
+            output.append(part).append(' ');
         }
-        seen.append('\n');
+        output.append('\n');
     }
 
     private static List<String> workers(int count) {
@@ -36,41 +36,42 @@
                 CoverageStatistics.movedShare(30, workers(40), 31, workers(40), 8, 3),
                 CoverageStatistics.movedShare(30, workers(40), 30, workers(41), 8, 3));
         for (int index : new int[] {0, 3, 11}) {
-            SubsetAssignment cut = new SubsetAssignment(index, 12, new SubsetAssignment.SubsetSettings(4, 3), 42);
+            SubsetAssignment assignment =
+                    new SubsetAssignment(index, 12, new SubsetAssignment.SubsetSettings(4, 3), 42);
             for (int i = 0; i < 30; i++) {
-                cut.put("w-" + i, i % 7 == 0 ? 2 : i % 2);
+                assignment.put("w-" + i, i % 7 == 0 ? 2 : i % 2);
             }
-            line(index, cut.width(), cut.workers(), cut.maxDispatchersPerWorker());
-            cut.remove("w-4");
-            cut.put("w-5", 0);
-            cut.resize(20, new SubsetAssignment.SubsetSettings(2.5, 6));
-            line(index, cut.width(), cut.workers(), cut.maxDispatchersPerWorker());
+            line(index, assignment.width(), assignment.workers(), assignment.maxDispatchersPerWorker());
+            assignment.remove("w-4");
+            assignment.put("w-5", 0);
+            assignment.resize(20, new SubsetAssignment.SubsetSettings(2.5, 6));
+            line(index, assignment.width(), assignment.workers(), assignment.maxDispatchersPerWorker());
         }
-        GoldenOutput.assertMatches("subset/subsets.txt", seen.toString());
+        GoldenOutput.assertMatches("subset/subsets.txt", output.toString());
     }
 
     @Test
     void weightsOfRequests() throws Exception {
         List<Tenant> tenants = new ArrayList<>();
-        for (double allowance : new double[] {40, 10, 0, 100}) {
-            tenants.add(new Tenant(allowance));
+        for (double quotaPerSecond : new double[] {40, 10, 0, 100}) {
+            tenants.add(new Tenant(quotaPerSecond));
         }
-        TenantQuota shares = new TenantQuota(tenants);
+        TenantQuota quota = new TenantQuota(tenants);
         java.util.SplittableRandom random = new java.util.SplittableRandom(9);
-        double now = 5;
+        double nowMs = 5;
         for (int id = 0; id < 700; id++) {
-            now += random.nextInt(6);
+            nowMs += random.nextInt(6);
             int tenant = Math.max(-1, random.nextInt(9) - 4);
-            double weight = shares.weight(now, id, tenant, random.nextInt(5) != 0, 3);
+            double weight = quota.weight(nowMs, id, tenant, random.nextInt(5) != 0, 3);
             if (weight != 1) {
                 line(id, tenant, weight);
             }
             if (random.nextInt(3) == 0) {
-                shares.clientLeft(id);
+                quota.clientLeft(id);
             } else {
-                shares.requestCompleted(id, random.nextInt(50) == 0);
+                quota.requestCompleted(id, random.nextInt(50) == 0);
             }
         }
-        GoldenOutput.assertMatches("subset/shares.txt", seen.toString());
+        GoldenOutput.assertMatches("subset/shares.txt", output.toString());
     }
 }
