--- a/src/main/java/maplespread/quota/TenantQuota.java
+++ b/src/main/java/maplespread/quota/TenantQuota.java
@@ -11,8 +11,8 @@
  * tenant's quota. A dispatcher cannot know that share: of N dispatchers, each receives 1/N of the traffic on average,
  * and some receive several times that. The bucket therefore fills at the larger of two estimates: 1/N, which is right
  * if the traffic is spread evenly, and the ratio of the other tenants' traffic here to their quotas, which is right if
- * this dispatcher receives more than others. A tenant's own traffic is excluded, since more requests would raise its
- * share.
+ * this dispatcher receives more than others. A tenant's own traffic is excluded:
+ * otherwise a tenant would raise its share by sending more.
  *
  * <p>A request beyond its tenant's quota has its full weight as long as no request within a quota is rejected. As the
  * share of such rejections rises to {@link #MAX_REJECTED_SHARE}, that weight falls to {@link #MIN_WEIGHT}: the policy,
--- a/src/test/java/maplespread/policy/ActionDigest.java
+++ b/src/test/java/maplespread/policy/ActionDigest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A hash over a policy's actions with the exact bits of their arguments, and how many of each there were. */
+/** A hash of a policy's actions, with the exact bits of their arguments, and a count of each kind of action. */
 final class ActionDigest {
     private final MessageDigest digest;
     private final DataOutputStream hashed;
@@ -26,8 +26,8 @@
         hashed = new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
     }
 
-    void count(String what) {
-        counts.merge(what, 1, Integer::sum);
+    void count(String action) {
+        counts.merge(action, 1, Integer::sum);
     }
 
     void put(char kind, long nowUs, long first, long second) {
@@ -41,11 +41,11 @@
         }
     }
 
-    /** All counts and the hash; to be called once, at the end. */
+    /** Returns all counts and the hash. To be called once, after the last action. */
     String summary(long events) {
         StringBuilder line = new StringBuilder("events=" + events);
         counts.forEach(
-                (what, count) -> line.append(' ').append(what).append('=').append(count));
+                (action, count) -> line.append(' ').append(action).append('=').append(count));
         return line.append(" sha256=")
                 .append(HexFormat.of().formatHex(digest.digest()))
                 .toString();
--- a/src/test/java/maplespread/policy/AdmissionControlTest.java
+++ b/src/test/java/maplespread/policy/AdmissionControlTest.java
@@ -6,42 +6,42 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a request is ended without a worker, and how. */
+/** When and how a request ends that no worker may run. */
 class AdmissionControlTest {
     @Test
     void rejectsEarlyWhenEveryBacklogIsPastTheObjective() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        int served = 0;
+        int attempts = 0;
         RuleCheckingHost.TestRequest last = null;
         for (int i = 1; i <= 60; i++) {
             last = host.accept(i, 500);
-            served += last.attempts.size();
+            attempts += last.attempts.size();
         }
         assertEquals("rejected", last.result);
-        assertTrue(served >= 4 && served < 40, "took " + served);
+        assertTrue(attempts >= 4 && attempts < 40, "attempts " + attempts);
     }
 
     /**
-     * A dispatcher that rejects all because of what it once learnt sends nothing and so learns nothing: it must send a
-     * trial now and then. Here no worker answers, so only the trials go out.
+     * Guards against a dispatcher that rejects all requests forever: as long as it sends nothing, its estimates cannot
+     * improve, so it must send a trial attempt now and then. No worker answers here, so only trial attempts are sent.
      */
     @Test
-    void aDispatcherThatRejectsAllTriesAWorkerNowAndThen() {
+    void aDispatcherThatRejectsAllSendsTrialAttempts() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         long id = 0;
         while (host.accept(++id, 500).result.isEmpty()) {
-            assertTrue(id < 60, "all are taken");
+            assertTrue(id < 60, "all requests are accepted");
         }
-        int tried = 0;
-        for (int i = 0; i < 110; i++) { // eleven seconds; the estimators remember ten
+        int trials = 0;
+        for (int i = 0; i < 110; i++) { // 11 s; the estimators remember 10 s
             host.advance(100);
-            tried += host.accept(++id, 500).attempts.size();
+            trials += host.accept(++id, 500).attempts.size();
         }
-        assertTrue(tried >= 2 && tried <= 3, "tried " + tried);
+        assertTrue(trials >= 2 && trials <= 3, "trial attempts " + trials);
     }
 
     @Test
-    void failsWhenItsLastAttemptTimesOutAtTheDeadline() {
+    void aRequestEndsWhenItsLastAttemptTimesOutAtTheDeadline() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         host.nowMs = request.deadlineMs;
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void isAnsweredAtOnceWhenItsAttemptsAreUsed() {
+    void aRequestIsRejectedAtOnceWhenItsAttemptsAreUsed() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
                 Idempotency.READ_LIKE,
                 DeduplicationScope.ALL,
@@ -59,18 +59,19 @@
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         while (request.result.isEmpty() && request.attempts.size() <= 4) {
             assertTrue(
-                    request.attempts.stream().filter(attempt -> !attempt.ended).count() == 1, "out, or else answered");
+                    request.attempts.stream().filter(attempt -> !attempt.ended).count() == 1,
+                    "one attempt is in flight until the request ends");
             host.endAttempt(1, AttemptOutcome.ERROR);
             host.advance(
                     request.result.isEmpty() && request.attempts.get(request.attempts.size() - 1).ended
                             ? 500
-                            : 0); // all back off
+                            : 0); // all workers back off
         }
         assertEquals("rejected", request.result);
     }
 
     @Test
-    void isAnsweredWhenThereIsNoWorkerAtAll() {
+    void aRequestIsRejectedWhenThereIsNoWorker() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL);
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         host.advance(1000);
--- a/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
+++ b/src/test/java/maplespread/policy/ArrivalStatisticsTest.java
@@ -6,27 +6,37 @@
 
 /** What counts as offered load. */
 class ArrivalStatisticsTest {
-    /** How many requests are accepted after a rush of them, each served at once, so that there is no backlog. */
-    private static int acceptedAfterARush(double leftMs) {
+    /**
+     * Returns how many requests are accepted after a burst of requests, each served at once, so that there is no
+     * backlog.
+     *
+     * @param remainingMs time to the deadline of the burst's requests; below the class's deadline in later attempts
+     */
+    private static int acceptedAfterABurst(double remainingMs) {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         for (int i = 1; i <= 900; i++) {
-            if (!host.accept(i, 0, 500, 0, leftMs).attempts.isEmpty()) {
+            if (!host.accept(i, 0, 500, 0, remainingMs).attempts.isEmpty()) {
                 host.endAttempt(i, AttemptOutcome.SERVED);
             }
             host.nowMs += 30;
         }
-        int taken = 0;
-        while (host.accept(1000 + taken, 500).result.isEmpty()) {
-            taken++;
+        int accepted = 0;
+        while (host.accept(1000 + accepted, 500).result.isEmpty()) {
+            accepted++;
         }
-        return taken;
+        return accepted;
     }
 
-    /** Rejected requests come again: counted as load, they would keep up the costs that rejected them. */
+    /**
+     * Guards against rejections that sustain themselves: clients send rejected requests again, and counted as offered
+     * load these would keep up the costs for which requests are rejected.
+     */
     @Test
-    void laterAttemptsOfClientsDoNotRaiseThePrice() {
-        int rushed = acceptedAfterARush(10_000);
-        int calm = acceptedAfterARush(9_000);
-        assertTrue(calm > rushed, calm + " after later tries, " + rushed + " after as many jobs");
+    void laterAttemptsOfClientsDoNotRaiseTheCosts() {
+        int afterFirstAttempts = acceptedAfterABurst(10_000);
+        int afterLaterAttempts = acceptedAfterABurst(9_000);
+        assertTrue(
+                afterLaterAttempts > afterFirstAttempts,
+                afterLaterAttempts + " accepted after later attempts, " + afterFirstAttempts + " after first attempts");
     }
 }
--- a/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollBackoffTest.java
@@ -8,9 +8,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** When one dispatcher asks discovery for the list. */
+/** When a dispatcher polls discovery for the endpoint list. */
 class DiscoveryPollBackoffTest {
-    /** Two workers, by a cached list that discovery has not confirmed. */
+    /** A host with two workers on a cached list that discovery has not confirmed. */
     private static RuleCheckingHost unconfirmed(long seed) {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
@@ -21,14 +21,14 @@
         return host;
     }
 
-    /** A whole fleet that starts in one instant must not overload discovery: the first calls come one after another. */
+    /** Guards discovery against overload by a fleet that starts at one moment: the first polls are spread out. */
     @Test
-    void firstCallsOfALargeFleetComeInTurnAndThoseOfASmallOneAtOnce() {
+    void firstPollsOfALargeFleetAreSpreadAndThoseOfASmallOneAreImmediate() {
         EndpointEntry[] workers = IntStream.range(0, 60)
                 .mapToObj(i -> RuleCheckingHost.entry("w" + i, 0, 0))
                 .toArray(EndpointEntry[]::new);
-        double[] latest = new double[101];
-        int[] inASecond = new int[6];
+        double[] latestMs = new double[101];
+        int[] pollsBySecond = new int[6];
         for (int fleet : new int[] {4, 100}) {
             for (int index = 0; index < fleet; index++) {
                 RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
@@ -38,92 +38,94 @@
                         index));
                 host.confirmsCachedList = false;
                 host.receiveList(EndpointListKind.CACHED_SNAPSHOT, workers);
-                double from = host.nowMs;
+                double startMs = host.nowMs;
                 while (host.watchCalls == 0) {
                     host.advance(10);
                 }
-                latest[fleet] = Math.max(latest[fleet], host.nowMs - from);
-                inASecond[fleet == 100 ? (int) (host.nowMs - from) / 1000 : 5]++;
+                latestMs[fleet] = Math.max(latestMs[fleet], host.nowMs - startMs);
+                pollsBySecond[fleet == 100 ? (int) (host.nowMs - startMs) / 1000 : 5]++;
             }
         }
-        assertTrue(latest[4] <= 300, "of 4 nodes after " + latest[4]);
-        assertTrue(latest[100] > 3500 && latest[100] <= 4300, "of 100 nodes after " + latest[100]);
-        assertTrue(IntStream.range(0, 3).allMatch(s -> inASecond[s] < 32), () -> Arrays.toString(inASecond));
+        assertTrue(latestMs[4] <= 300, "last poll of 4 dispatchers after " + latestMs[4]);
+        assertTrue(
+                latestMs[100] > 3500 && latestMs[100] <= 4300, "last poll of 100 dispatchers after " + latestMs[100]);
+        assertTrue(IntStream.range(0, 3).allMatch(s -> pollsBySecond[s] < 32), () -> Arrays.toString(pollsBySecond));
     }
 
     /**
-     * A worker on a cached list may have drained long ago: nothing is sent by it, however the calls end and however
-     * long they fail. Once confirmed, it counts at once.
+     * Guards against sending to a worker that drained before this process started: nothing is sent by a cached list,
+     * however and however long polls fail. Once confirmed, the list is used at once.
      */
     @Test
-    void nothingIsSentByACachedListUntilDiscoveryHasSpoken() {
-        for (EndpointWatchFailure loss : EndpointWatchFailure.values()) {
+    void nothingIsSentByACachedListUntilDiscoveryConfirmsIt() {
+        for (EndpointWatchFailure failure : EndpointWatchFailure.values()) {
             RuleCheckingHost host = unconfirmed(7);
             for (int i = 0; i < 20; i++) {
-                int asked = host.watchCalls;
+                int pollsBefore = host.watchCalls;
                 host.advance(1000);
-                assertEquals(0, host.accept(100 + i, 20).attempts.size(), loss + " after " + (i + 1) + " s");
-                if (host.watchCalls > asked) {
-                    host.listFailed(loss);
+                assertEquals(0, host.accept(100 + i, 20).attempts.size(), failure + " after " + (i + 1) + " s");
+                if (host.watchCalls > pollsBefore) {
+                    host.listFailed(failure);
                 }
             }
-            assertEquals(List.of(), host.states, "no change of the state without a word");
+            assertEquals(List.of(), host.states, "the state does not change without a message");
             host.receiveList(
                     EndpointListKind.FULL_SNAPSHOT,
                     RuleCheckingHost.entry("a", 0, 0),
                     RuleCheckingHost.entry("b", 0, 0));
             assertEquals(List.of(EndpointListState.CONFIRMED), host.states);
-            assertEquals(1, host.accept(2, 20).attempts.size(), "confirmed, it is trusted at once");
+            assertEquals(1, host.accept(2, 20).attempts.size(), "a confirmed list is used at once");
         }
     }
 
     @Test
-    void theListIsAskedForAgainAfterAFailure() {
+    void theListIsPolledAgainAfterAFailure() {
         RuleCheckingHost host = unconfirmed(7);
         host.advance(400);
         assertEquals(1, host.watchCalls);
         host.listFailed(EndpointWatchFailure.ENDED);
         host.advance(5000);
-        assertTrue(host.watchCalls >= 2, "watches " + host.watchCalls);
+        assertTrue(host.watchCalls >= 2, "polls " + host.watchCalls);
     }
 
     /**
-     * A change counts as notified after six seconds, whatever failed: after a long outage a call that began just
-     * before discovery came back may last 2.5 s, and the next one must still be answered in time.
+     * Guards against a late poll after an outage. A change counts as notified after 6 s, whatever failed: a poll that
+     * began just before discovery recovered may last 2.5 s, and the next one must still be answered within the 6 s.
      */
     @Test
-    void noOutageDelaysTheNextCallTooLong() {
+    void noNumberOfFailuresDelaysTheNextPollTooLong() {
         RuleCheckingHost host = unconfirmed(7);
         host.advance(400);
         for (int i = 0; i < 40; i++) {
-            int asked = host.watchCalls;
+            int pollsBefore = host.watchCalls;
             host.listFailed(EndpointWatchFailure.ENDED);
             host.advance(2700);
-            assertTrue(host.watchCalls > asked, "after " + i + " failures");
+            assertTrue(host.watchCalls > pollsBefore, "after " + i + " failures");
         }
     }
 
     /**
-     * Calls in step would each find the queue of the last ones, which were given up by then: a call that waited two
-     * seconds in vain is followed after 0.8 to 2.4 more, and one whose watch broke at once sooner.
+     * Guards against dispatchers that poll in step: each poll would queue behind earlier ones, which their dispatchers
+     * have given up. A poll that had no answer for 2 s is followed by the next one after 0.8 s to 2.4 s, a watch that
+     * broke at once sooner.
      */
     @Test
-    void aCallThatWaitedInVainIsFollowedLater() {
-        double soonest = Double.MAX_VALUE;
-        double latest = 0;
+    void aPollWithoutAnAnswerIsFollowedByALaterOne() {
+        double soonestMs = Double.MAX_VALUE;
+        double latestMs = 0;
         for (int i = 0; i < 40; i++) {
             RuleCheckingHost host = unconfirmed(i);
             host.advance(400);
-            host.advance(2000); // the call waits
+            host.advance(2000); // the poll waits for an answer
             host.listFailed(EndpointWatchFailure.ENDED);
-            int asked = host.watchCalls;
-            double since = host.nowMs;
-            while (host.watchCalls == asked) {
+            int pollsBefore = host.watchCalls;
+            double endedAtMs = host.nowMs;
+            while (host.watchCalls == pollsBefore) {
                 host.advance(10);
             }
-            soonest = Math.min(soonest, host.nowMs - since);
-            latest = Math.max(latest, host.nowMs - since);
+            soonestMs = Math.min(soonestMs, host.nowMs - endedAtMs);
+            latestMs = Math.max(latestMs, host.nowMs - endedAtMs);
         }
-        assertTrue(soonest >= 780 && latest > 1800 && latest <= 2700, soonest + " to " + latest);
+        assertTrue(soonestMs >= 780 && latestMs > 1800 && latestMs <= 2700, soonestMs + " to " + latestMs);
     }
 }
--- a/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
+++ b/src/test/java/maplespread/policy/DiscoveryPollScheduleTest.java
@@ -10,66 +10,67 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A hundred dispatchers and one discovery that answers 14 to 18 full snapshots a second, one call after another, and
- * ends a call after 2 s. It works on for callers that have given up, so a queue longer than that keeps it busy in
- * vain. All are answered within a bound, after a start and after an outage, in virtual time.
+ * In virtual time, 100 dispatchers poll one discovery, which answers 14 to 18 polls a second with a full snapshot, one
+ * after another, and ends a poll after 2 s. Discovery also answers polls that were ended, so its
+ * answers are wasted while its queue is longer than 2 s. All dispatchers must have an answer within a bound, after a
+ * start and after an outage.
  *
- * <p>The bound: all snapshots together take at most 100 / 14 = 7.2 s, so by then the first wave of calls is done,
- * those given up too. A caller whose call was ended comes again at its turn in a round of 5.5 s; a turn that still
- * falls behind the first wave fails once more, and in the round after that fewer call than are answered: 7.2 + 2 x 5.5
- * + 2 s.
+ * <p>The bound: all snapshots together take at most 100 / 14 = 7.2 s, so by then discovery has worked off the first
+ * polls, including those that were ended. A dispatcher whose poll was ended polls again at its turn in a round of
+ * 5.5 s. A turn that still falls behind the first polls fails once more; in the round after it, fewer dispatchers poll
+ * than discovery can answer. This makes 7.2 s + 2 x 5.5 s + 2 s.
  */
 class DiscoveryPollScheduleTest {
     private static final int DISPATCHERS = 100;
-    private static final int SERVERS = 90;
+    private static final int WORKERS = 90;
     private static final double STEP_MS = 10;
-    private static final double CALL_LIMIT_MS = 2000;
-    private static final double BOUND_MS = 7200 + 2 * 5500 + 2000;
+    private static final double POLL_TIMEOUT_MS = 2000;
+    private static final double MAX_ALL_ANSWERED_MS = 7200 + 2 * 5500 + 2000;
 
     private static final class Call {
-        final int node;
-        final double at;
-        boolean dead;
+        final int dispatcher;
+        final double startedAtMs;
+        boolean ended;
 
-        Call(int node, double at) {
-            this.node = node;
-            this.at = at;
+        Call(int dispatcher, double startedAtMs) {
+            this.dispatcher = dispatcher;
+            this.startedAtMs = startedAtMs;
         }
     }
 
     private static final class Fleet {
-        private final List<RuleCheckingHost> nodes = new ArrayList<>();
-        private final int[] asked = new int[DISPATCHERS];
-        private final Call[] out = new Call[DISPATCHERS];
+        private final List<RuleCheckingHost> hosts = new ArrayList<>();
+        private final int[] pollsSeen = new int[DISPATCHERS];
+        private final Call[] openPolls = new Call[DISPATCHERS];
         private final boolean[] watching = new boolean[DISPATCHERS];
         private final Deque<Call> queue = new ArrayDeque<>();
-        private final double listMs;
-        private final EndpointEntry[] entries = IntStream.range(0, SERVERS)
+        private final double answerMs;
+        private final EndpointEntry[] entries = IntStream.range(0, WORKERS)
                 .mapToObj(i -> RuleCheckingHost.entry("s" + i, 0, 0))
                 .toArray(EndpointEntry[]::new);
         private boolean up = true;
-        private double now;
-        private double freeAt;
+        private double nowMs;
+        private double idleAtMs;
         private int answered;
 
         Fleet(double listsPerSecond, long seed) {
-            listMs = 1000 / listsPerSecond;
+            answerMs = 1000 / listsPerSecond;
             for (int i = 0; i < DISPATCHERS; i++) {
-                RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+                RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                         RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL),
                         false,
                         DISPATCHERS,
                         i));
-                h.policy = new DispatchPolicy(h.settings, seed + i, h);
-                h.confirmsCachedList = false;
-                h.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
-                nodes.add(h);
+                host.policy = new DispatchPolicy(host.settings, seed + i, host);
+                host.confirmsCachedList = false;
+                host.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
+                hosts.add(host);
             }
         }
 
         void run(double ms) {
-            for (double end = now + ms; now < end; ) {
-                now += STEP_MS;
+            for (double endMs = nowMs + ms; nowMs < endMs; ) {
+                nowMs += STEP_MS;
                 for (int i = 0; i < DISPATCHERS; i++) {
                     step(i);
                 }
@@ -78,106 +79,109 @@
         }
 
         private void step(int i) {
-            RuleCheckingHost h = nodes.get(i);
-            h.advance(STEP_MS);
-            if (h.watchCalls > asked[i]) {
-                asked[i] = h.watchCalls;
-                if (out[i] == null && !watching[i]) {
-                    out[i] = new Call(i, now);
+            RuleCheckingHost host = hosts.get(i);
+            host.advance(STEP_MS);
+            if (host.watchCalls > pollsSeen[i]) {
+                pollsSeen[i] = host.watchCalls;
+                if (openPolls[i] == null && !watching[i]) {
+                    openPolls[i] = new Call(i, nowMs);
                     if (up) {
-                        queue.add(out[i]);
+                        queue.add(openPolls[i]);
                     }
                 }
             }
-            if (out[i] != null && now - out[i].at >= CALL_LIMIT_MS) {
-                out[i].dead = true;
-                out[i] = null;
-                h.listFailed(EndpointWatchFailure.NO_ANSWER);
+            if (openPolls[i] != null && nowMs - openPolls[i].startedAtMs >= POLL_TIMEOUT_MS) {
+                openPolls[i].ended = true;
+                openPolls[i] = null;
+                host.listFailed(EndpointWatchFailure.NO_ANSWER);
             }
         }
 
         private void serve() {
-            while (up && !queue.isEmpty() && freeAt <= now) {
-                freeAt = Math.max(freeAt, now) + listMs;
-                Call call = queue.remove();
-                if (!call.dead) {
-                    out[call.node] = null;
-                    watching[call.node] = true;
+            while (up && !queue.isEmpty() && idleAtMs <= nowMs) {
+                idleAtMs = Math.max(idleAtMs, nowMs) + answerMs;
+                Call poll = queue.remove();
+                if (!poll.ended) {
+                    openPolls[poll.dispatcher] = null;
+                    watching[poll.dispatcher] = true;
                     answered++;
-                    nodes.get(call.node).receiveList(EndpointListKind.FULL_SNAPSHOT, entries);
+                    hosts.get(poll.dispatcher).receiveList(EndpointListKind.FULL_SNAPSHOT, entries);
                 }
             }
         }
 
-        void down() {
+        void stopDiscovery() {
             up = false;
             queue.clear();
             answered = 0;
             for (int i = 0; i < DISPATCHERS; i++) {
                 if (watching[i]) {
                     watching[i] = false;
-                    nodes.get(i).listFailed(EndpointWatchFailure.ENDED);
+                    hosts.get(i).listFailed(EndpointWatchFailure.ENDED);
                 }
             }
         }
 
-        void back() {
+        void startDiscovery() {
             up = true;
-            freeAt = now;
+            idleAtMs = nowMs;
         }
 
-        /** How long until all have been answered. */
-        double untilAll() {
-            double from = now;
-            while (answered < DISPATCHERS && now - from < 120_000) {
+        /** Runs until all dispatchers have an answer and returns how long that took, in milliseconds. */
+        double runUntilAllAnswered() {
+            double startMs = nowMs;
+            while (answered < DISPATCHERS && nowMs - startMs < 120_000) {
                 run(STEP_MS);
             }
-            return now - from;
+            return nowMs - startMs;
         }
     }
 
-    private static void within(double took, String what) {
-        assertTrue(took <= BOUND_MS, what + ": " + Math.round(took) + " ms");
+    private static void assertWithinBound(double tookMs, String what) {
+        assertTrue(tookMs <= MAX_ALL_ANSWERED_MS, what + ": " + Math.round(tookMs) + " ms");
     }
 
     @Test
-    void allAreAnsweredCold() {
+    void allDispatchersAreAnsweredAfterAStart() {
         for (double rate : new double[] {14, 16, 18}) {
             for (long seed = 1; seed <= 3; seed++) {
-                within(new Fleet(rate, seed * 1000).untilAll(), "cold, " + rate + " lists a second");
+                assertWithinBound(
+                        new Fleet(rate, seed * 1000).runUntilAllAnswered(),
+                        "after a start, " + rate + " lists a second");
             }
         }
     }
 
     @Test
-    void allAreAnsweredAfterAnOutage() {
+    void allDispatchersAreAnsweredAfterAnOutage() {
         for (double rate : new double[] {14, 16, 18}) {
-            for (double outage : new double[] {2000, 8000, 20_000, 60_000}) {
-                Fleet fleet = new Fleet(rate, Math.round(outage));
-                fleet.untilAll();
+            for (double outageMs : new double[] {2000, 8000, 20_000, 60_000}) {
+                Fleet fleet = new Fleet(rate, Math.round(outageMs));
+                fleet.runUntilAllAnswered();
                 fleet.run(5000);
-                fleet.down();
-                fleet.run(outage);
-                fleet.back();
-                within(fleet.untilAll(), "after " + outage + " ms, " + rate + " lists a second");
+                fleet.stopDiscovery();
+                fleet.run(outageMs);
+                fleet.startDiscovery();
+                assertWithinBound(
+                        fleet.runUntilAllAnswered(), "after " + outageMs + " ms, " + rate + " lists a second");
             }
         }
     }
 
-    /** A short restart of discovery meanwhile costs as much again at most. */
+    /** After a short restart of discovery during the polls, all dispatchers have an answer within one more bound. */
     @Test
-    void aRestartInTheMiddleDoesNotBeginItAnew() {
+    void allDispatchersAreAnsweredAfterARestartOfDiscovery() {
         for (double rate : new double[] {14, 16, 18}) {
             Fleet fleet = new Fleet(rate, 77);
-            fleet.untilAll();
-            fleet.down();
+            fleet.runUntilAllAnswered();
+            fleet.stopDiscovery();
             fleet.run(8000);
-            fleet.back();
+            fleet.startDiscovery();
             fleet.run(3000);
-            fleet.down();
+            fleet.stopDiscovery();
             fleet.run(500);
-            fleet.back();
-            within(fleet.untilAll(), "after a restart in the middle, " + rate + " lists a second");
+            fleet.startDiscovery();
+            assertWithinBound(fleet.runUntilAllAnswered(), "after a restart of discovery, " + rate + " lists a second");
         }
     }
 }
--- a/src/test/java/maplespread/policy/EligibilityFilterTest.java
+++ b/src/test/java/maplespread/policy/EligibilityFilterTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** To which workers nothing may be sent. */
+/** Which workers may be sent no request. */
 class EligibilityFilterTest {
     @Test
     void nothingNewGoesToADrainingOrAbsentWorker() {
--- a/src/test/java/maplespread/policy/EligibilityTest.java
+++ b/src/test/java/maplespread/policy/EligibilityTest.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each condition of a send fails alone here, and is named. */
+/** Lets each condition of a send fail alone and asserts that the filter returns that condition. */
 class EligibilityTest {
     private static final double START_MS = 50_000;
 
     private final Set<Eligibility> seen = EnumSet.noneOf(Eligibility.class);
 
-    /** A request of a class to a worker, both of which a case may spoil. */
+    /** A request and a worker that is eligible for it until a test changes either of them. */
     private static final class Case {
         final RuleCheckingHost host;
         final PolicyContext context;
@@ -50,8 +50,8 @@
             return directory.find("a");
         }
 
-        /** An earlier attempt at the other worker, which is over. */
-        void attempted(boolean neverRan) {
+        /** Adds an ended attempt at the other worker. */
+        void addEndedAttempt(boolean neverRan) {
             InFlightAttempt attempt = new InFlightAttempt(request, directory.find("b"), START_MS, 0);
             attempt.ended = true;
             attempt.neverRan = neverRan;
@@ -59,12 +59,12 @@
         }
     }
 
-    private static Case with(Idempotency idempotency, DeduplicationScope scope) {
+    private static Case caseOf(Idempotency idempotency, DeduplicationScope scope) {
         return new Case(RuleCheckingHost.requestClass(idempotency, scope));
     }
 
     private static Case readLike() {
-        return with(Idempotency.READ_LIKE, DeduplicationScope.ALL);
+        return caseOf(Idempotency.READ_LIKE, DeduplicationScope.ALL);
     }
 
     private void expect(Eligibility expected, Case given) {
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void theFirstFailingConditionIsNamed() {
+    void theFirstFailingConditionIsReturned() {
         expect(Eligibility.ELIGIBLE, readLike());
 
         Case draining = readLike();
@@ -118,37 +118,37 @@
     }
 
     @Test
-    void anEarlierAttemptBarsWhatItMust() {
+    void earlierAttemptsRestrictWhereTheRequestMayBeSent() {
         Case used = readLike();
         for (int i = 0; i < used.host.settings.permissions().maxAttempts(); i++) {
-            used.attempted(true);
+            used.addEndedAttempt(true);
         }
         expect(Eligibility.ATTEMPTS_USED, used);
 
-        Case mayHaveRun = with(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
-        mayHaveRun.attempted(false);
+        Case mayHaveRun = caseOf(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        mayHaveRun.addEndedAttempt(false);
         expect(Eligibility.MAY_HAVE_RUN, mayHaveRun);
 
-        Case neverRan = with(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
-        neverRan.attempted(true);
+        Case neverRan = caseOf(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+        neverRan.addEndedAttempt(true);
         expect(Eligibility.ELIGIBLE, neverRan);
 
-        Case otherCell = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
-        otherCell.attempted(false);
+        Case otherCell = caseOf(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+        otherCell.addEndedAttempt(false);
         expect(Eligibility.OUTSIDE_DEDUPLICATION_SCOPE, otherCell);
 
-        Case sameZone = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
-        sameZone.attempted(false);
+        Case sameZone = caseOf(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
+        sameZone.addEndedAttempt(false);
         expect(Eligibility.ELIGIBLE, sameZone);
 
-        Case windowOver = with(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
-        windowOver.attempted(false);
-        windowOver.request = moved(windowOver, START_MS + 60_000);
+        Case windowOver = caseOf(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
+        windowOver.addEndedAttempt(false);
+        windowOver.request = atLaterTime(windowOver, START_MS + 60_000);
         expect(Eligibility.MAY_HAVE_RUN, windowOver);
     }
 
-    /** The same request with a later deadline, past the time in which its repeat is dropped. */
-    private static PendingRequest moved(Case given, double nowMs) {
+    /** Returns the same request with a later deadline, after the time in which workers drop its repeat. */
+    private static PendingRequest atLaterTime(Case given, double nowMs) {
         given.context.nowMs = nowMs;
         given.freshness.confirmed(nowMs);
         long deadlineUs = Math.round((nowMs + 9000) * 1000);
@@ -167,10 +167,10 @@
     }
 
     @Test
-    void everyConditionIsHeldByATest() {
+    void everyConditionIsCoveredByATest() {
         List<Runnable> tests = List.of(
-                this::theFirstFailingConditionIsNamed,
-                this::anEarlierAttemptBarsWhatItMust,
+                this::theFirstFailingConditionIsReturned,
+                this::earlierAttemptsRestrictWhereTheRequestMayBeSent,
                 this::aWorkerInSlowStartTakesNoMoreThanItsBudget);
         tests.forEach(Runnable::run);
         assertEquals(EnumSet.allOf(Eligibility.class), seen);
--- a/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -11,21 +11,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The list's freshness at any time of a life: every order of a lost watch, an outage, slow answers, a drain, a restart
- * and a move of discovery is played in virtual time against a judge that knows what discovery has. No request goes to
- * a drained server later than the rule's time, and service goes on through an outage in which nothing could be had.
+ * The freshness of the endpoint list in virtual time: combines a lost watch, an outage, slow answers, a drain, a
+ * restart of the dispatcher and a move of discovery in every order, and compares with what discovery has. No request
+ * may go to a drained worker after the drain counts as notified, and requests are still sent during an outage in which
+ * discovery could report no change.
  */
 class EndpointListFreshnessTest {
     private static final double STEP_MS = 50;
-    private static final double CALL_LIMIT_MS = 2000; // discovery cuts a call that has waited so long
-    private static final double SILENCE_SEEN_MS = 3200;
-    private static final double NOTIFIED_MS = 6000;
-    private static final double MOVE_NOTIFIED_MS = 4000;
-    private static final double GRACE_MS = 250;
-    private static final double DEAD_MS = 10_000; // long enough for what it missed to be due at the start
-    private static final double LENGTH_MS = 45_000;
-
-    /** What befalls the watch at five seconds. */
+
+    /** Time after which discovery ends a poll that has no answer. */
+    private static final double POLL_TIMEOUT_MS = 2000;
+
+    /** Time after which the host takes a watch without messages for broken. */
+    private static final double SILENCE_TIMEOUT_MS = 3200;
+
+    /** Time after which a change counts as notified. */
+    private static final double NOTIFIED_AFTER_MS = 6000;
+
+    /** Time after which a change counts as notified that was known at the address to which discovery moved. */
+    private static final double NOTIFIED_AFTER_MOVE_MS = 4000;
+
+    /** How long after a drain was notified a request may still reach the worker. */
+    private static final double DRAIN_GRACE_MS = 250;
+
+    /** Time that a restart takes: long enough that changes missed meanwhile count as notified at the start. */
+    private static final double RESTART_MS = 10_000;
+
+    private static final double RUN_MS = 45_000;
+
+    /** What happens to the watch after 5 s. */
     private enum Loss {
         NONE,
         SILENT,
@@ -34,41 +48,55 @@
     }
 
     /**
-     * {@code slowMs}: from the loss on, or from the outage's end on, answers take so long; {@code drainAt}, {@code
-     * restartAt}, {@code moveAt}: negative where there is none. Milliseconds.
+     * One combination of events; times in milliseconds.
+     *
+     * @param slowMs additional time that an answer takes, from the loss of the watch or the end of the outage
+     * @param drainAt when one worker begins to drain; negative: never
+     * @param restartAt when the dispatcher restarts; negative: never
+     * @param moveAt when discovery moves; negative: never
+     * @param mute whether discovery does not answer after its move
      */
     private record Play(
             Loss loss, double outageMs, double slowMs, double drainAt, double restartAt, double moveAt, boolean mute) {}
 
-    /** Discovery, the node and the judge, in virtual time. */
+    /** Discovery, one dispatcher and the check of its requests, in virtual time. */
     private static final class World {
         private final Play play;
-        private final List<String> breaks = new ArrayList<>();
+        private final List<String> violations = new ArrayList<>();
         private RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
         private final double start = host.nowMs;
-        private double deadUntil = -1;
+
+        /** When the current restart ends; negative: none. */
+        private double restartUntil = -1;
+
         private boolean moved;
-        private int asked;
-        private double callAt = -1; // of the call that is out; negative: none is
+        private int pollsSeen;
+
+        /** When the open poll began; negative: none is open. */
+        private double polledAt = -1;
+
         private boolean watching;
         private double silentSince = -1;
-        private double heardAt;
-        private double notifiedAt = Double.MAX_VALUE; // of the drain
+        private double lastMessageAt;
+
+        /** When the drain counts as notified. */
+        private double notifiedAt = Double.MAX_VALUE;
+
         private long ids;
         private int sent;
-        private int taken;
+        private int accepted;
 
         World(Play play) {
             this.play = play;
-            boot();
+            startDispatcher();
         }
 
         private double now() {
             return host.nowMs - start;
         }
 
-        private void boot() {
+        private void startDispatcher() {
             double now = host.nowMs;
             host = new RuleCheckingHost(host.settings);
             host.nowMs = now;
@@ -77,8 +105,8 @@
                     EndpointListKind.CACHED_SNAPSHOT,
                     RuleCheckingHost.entry("stays", 0, 0),
                     RuleCheckingHost.entry("drains", 0, 0));
-            asked = 0;
-            callAt = -1;
+            pollsSeen = 0;
+            polledAt = -1;
             watching = false;
             silentSince = -1;
         }
@@ -87,70 +115,70 @@
             return play.loss != Loss.OUTAGE || now() < 5000 || now() >= 5000 + play.outageMs;
         }
 
-        private double answerTakes() {
+        private double answerMs() {
             double from = play.loss == Loss.OUTAGE ? 5000 + play.outageMs : 5000;
             boolean muted = play.mute && moved;
             return muted ? Double.MAX_VALUE : now() >= from ? 20 + play.slowMs : 20;
         }
 
         void run() {
-            while (now() < LENGTH_MS) {
+            while (now() < RUN_MS) {
                 host.advance(STEP_MS);
-                events();
-                if (now() < deadUntil) {
+                runEvents();
+                if (now() < restartUntil) {
                     continue;
                 }
-                conversation();
-                request();
+                runHost();
+                sendRequest();
             }
         }
 
-        private boolean crossed(double at) {
+        private boolean isDue(double at) {
             return at >= 0 && now() >= at && now() - STEP_MS < at;
         }
 
-        private void events() {
-            if (crossed(play.drainAt)) {
-                // What is had during an outage is had when discovery is back.
-                double had = up() ? now() : 5000 + play.outageMs;
-                notifiedAt = Math.min(notifiedAt, had + NOTIFIED_MS);
+        private void runEvents() {
+            if (isDue(play.drainAt)) {
+                // Discovery learns of a drain during an outage when the outage ends.
+                double known = up() ? now() : 5000 + play.outageMs;
+                notifiedAt = Math.min(notifiedAt, known + NOTIFIED_AFTER_MS);
                 if (silentSince >= 0) {
-                    notifiedAt = Math.min(notifiedAt, Math.max(now(), silentSince + NOTIFIED_MS));
+                    notifiedAt = Math.min(notifiedAt, Math.max(now(), silentSince + NOTIFIED_AFTER_MS));
                 }
                 if (watching && silentSince < 0) {
                     notifiedAt = now();
-                    tell();
+                    sendList();
                 }
             }
-            if (crossed(play.restartAt)) {
-                deadUntil = now() + DEAD_MS;
+            if (isDue(play.restartAt)) {
+                restartUntil = now() + RESTART_MS;
             }
-            if (deadUntil > 0 && now() >= deadUntil) {
-                deadUntil = -1;
-                boot();
+            if (restartUntil > 0 && now() >= restartUntil) {
+                restartUntil = -1;
+                startDispatcher();
             }
-            if (crossed(play.moveAt)) {
+            if (isDue(play.moveAt)) {
                 moved = true;
-                if (play.drainAt >= 0 && play.drainAt < now()) { // the other address has had it for long
-                    notifiedAt = Math.min(notifiedAt, now() + MOVE_NOTIFIED_MS);
+                if (play.drainAt >= 0 && play.drainAt < now()) { // the new address has known of the drain for long
+                    notifiedAt = Math.min(notifiedAt, now() + NOTIFIED_AFTER_MOVE_MS);
                 }
                 watching = false;
                 host.policy.endpointListUnconfirmed(host.nowUs(), EndpointListDoubt.MOVED, 0);
-                callAt = now();
+                polledAt = now();
             }
-            if (crossed(5000)) {
-                lose();
+            if (isDue(5000)) {
+                loseWatch();
             }
         }
 
-        private void lose() {
+        private void loseWatch() {
             if (!watching) {
                 return;
             }
             switch (play.loss) {
                 case SILENT -> {
                     silentSince = now();
-                    heardAt = now();
+                    lastMessageAt = now();
                 }
                 case RESET, OUTAGE -> {
                     watching = false;
@@ -160,58 +188,58 @@
             }
         }
 
-        /** The host's part: a silent watch is begun anew, and what the node asks for is carried out. */
-        private void conversation() {
-            if (watching && silentSince >= 0 && now() - heardAt >= SILENCE_SEEN_MS) {
-                host.policy.endpointListUnconfirmed(host.nowUs(), EndpointListDoubt.SILENT, now() - heardAt);
+        /** Runs the host's part: restarts a silent watch and polls discovery when the policy requests it. */
+        private void runHost() {
+            if (watching && silentSince >= 0 && now() - lastMessageAt >= SILENCE_TIMEOUT_MS) {
+                host.policy.endpointListUnconfirmed(host.nowUs(), EndpointListDoubt.SILENT, now() - lastMessageAt);
                 watching = false;
-                callAt = now();
+                polledAt = now();
             }
-            if (host.watchCalls > asked) {
-                asked = host.watchCalls;
-                if (!watching && callAt < 0) {
-                    callAt = now();
+            if (host.watchCalls > pollsSeen) {
+                pollsSeen = host.watchCalls;
+                if (!watching && polledAt < 0) {
+                    polledAt = now();
                 }
             }
-            if (callAt < 0) {
+            if (polledAt < 0) {
                 return;
             }
-            if (up() && now() - callAt >= answerTakes()) {
-                callAt = -1;
+            if (up() && now() - polledAt >= answerMs()) {
+                polledAt = -1;
                 watching = true;
                 silentSince = -1;
-                tell();
-            } else if (now() - callAt >= CALL_LIMIT_MS) {
-                callAt = -1;
-                host.policy.endpointWatchFailed(host.nowUs(), EndpointWatchFailure.NO_ANSWER, CALL_LIMIT_MS);
+                sendList();
+            } else if (now() - polledAt >= POLL_TIMEOUT_MS) {
+                polledAt = -1;
+                host.policy.endpointWatchFailed(host.nowUs(), EndpointWatchFailure.NO_ANSWER, POLL_TIMEOUT_MS);
             }
         }
 
-        private void tell() {
+        private void sendList() {
             boolean drains = play.drainAt >= 0 && now() >= play.drainAt;
-            EndpointLifecycle health = drains ? EndpointLifecycle.DRAINING : EndpointLifecycle.ACTIVE;
+            EndpointLifecycle lifecycle = drains ? EndpointLifecycle.DRAINING : EndpointLifecycle.ACTIVE;
             host.receiveList(
                     EndpointListKind.FULL_SNAPSHOT,
                     RuleCheckingHost.entry("stays", 0, 0),
-                    new EndpointEntry("drains", health, 1, 0, 0, 0, 0));
+                    new EndpointEntry("drains", lifecycle, 1, 0, 0, 0, 0));
             if (drains) {
                 notifiedAt = Math.min(notifiedAt, now());
             }
         }
 
-        private void request() {
+        private void sendRequest() {
             if ((ids + 1) % 4 != 0) {
                 ids++;
                 return;
             }
-            RuleCheckingHost.TestRequest call = host.accept(++ids, 20);
-            taken++;
-            if (call.attempts.isEmpty()) {
+            RuleCheckingHost.TestRequest request = host.accept(++ids, 20);
+            accepted++;
+            if (request.attempts.isEmpty()) {
                 return;
             }
             sent++;
-            if (call.attempts.get(0).worker.equals("drains") && now() > notifiedAt + GRACE_MS) {
-                breaks.add(Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + play);
+            if (request.attempts.get(0).worker.equals("drains") && now() > notifiedAt + DRAIN_GRACE_MS) {
+                violations.add(Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + play);
             }
             host.endAttempt(ids, AttemptOutcome.SERVED);
         }
@@ -223,15 +251,15 @@
         return world;
     }
 
-    private static List<Play> everyOrder() {
+    private static List<Play> everyCombination() {
         List<Play> all = new ArrayList<>();
         double[] drains = {-1, 3000, 5500, 9000, 16_000, 24_000, 31_000};
         double[] restarts = {-1, 6000, 15_000, 30_000};
         for (Loss loss : Loss.values()) {
             for (double outage : loss == Loss.OUTAGE ? new double[] {500, 2000, 8000, 20_000} : new double[] {0}) {
                 for (double slow : new double[] {0, 1500, 60_000}) {
-                    if (slow > CALL_LIMIT_MS && (loss == Loss.RESET || loss == Loss.OUTAGE)) {
-                        continue; // an outage that never ends, by all that can be seen: the test after this one
+                    if (slow > POLL_TIMEOUT_MS && (loss == Loss.RESET || loss == Loss.OUTAGE)) {
+                        continue; // looks like an outage without an end, which the next test covers
                     }
                     for (double drain : drains) {
                         for (double restart : restarts) {
@@ -247,33 +275,33 @@
     }
 
     @Test
-    void nothingGoesToADrainedServerInAnyOrderOfEvents() {
-        List<String> breaks = new ArrayList<>();
-        List<Play> plays = everyOrder();
+    void noRequestGoesToADrainedWorkerInAnyOrderOfEvents() {
+        List<String> violations = new ArrayList<>();
+        List<Play> plays = everyCombination();
         for (Play play : plays) {
-            breaks.addAll(played(play).breaks.stream().limit(1).toList());
+            violations.addAll(played(play).violations.stream().limit(1).toList());
         }
-        assertTrue(plays.size() > 500, "plays " + plays.size());
-        assertEquals(List.of(), breaks, breaks.size() + " of " + plays.size() + " plays");
+        assertTrue(plays.size() > 500, "combinations " + plays.size());
+        assertEquals(List.of(), violations, violations.size() + " of " + plays.size() + " combinations");
     }
 
-    /** Nothing could be had: neither a drain nor its end, so refusing would only cost service. */
+    /** Discovery can report no drain during the outage, so rejecting requests would only cost service. */
     @Test
-    void serviceGoesOnThroughAnOutageInWhichNothingCouldBeHad() {
+    void requestsAreSentDuringAnOutageOfDiscovery() {
         World world = played(new Play(Loss.OUTAGE, 60_000, 0, -1, -1, -1, false));
-        assertTrue(world.sent >= world.taken - 5, world.sent + " of " + world.taken + " sent");
+        assertTrue(world.sent >= world.accepted - 5, world.sent + " of " + world.accepted + " sent");
     }
 
-    /** The node is no worse off than its watch: confirmed again, it serves at once. */
+    /** Once the list is confirmed again, requests are sent at once. */
     @Test
-    void whatIsConfirmedAnewServesAtOnce() {
+    void requestsAreSentAtOnceAfterAnotherConfirmation() {
         World world = played(new Play(Loss.SILENT, 0, 0, -1, -1, -1, false));
-        assertTrue(world.sent >= world.taken - 5, world.sent + " of " + world.taken + " sent");
+        assertTrue(world.sent >= world.accepted - 5, world.sent + " of " + world.accepted + " sent");
     }
 
     /**
-     * Each move of the state alone. Events are {@code time:event}, milliseconds; what follows is the state and whether
-     * a request may be sent at 11,000 ms, after a confirmation at 0 where the row begins with one.
+     * Checks each state transition. Columns: whether the list is polled or pushed; the events as {@code time:event}, in
+     * milliseconds; the state after them; whether a request may be sent at 11,000 ms.
      */
     @ParameterizedTest
     @CsvSource(
@@ -304,19 +332,19 @@
                 "ask  | 0:confirmed 1000:ended 3000:no_answer 7000:moved | STALE | false",
                 "ask  | 0:confirmed 1000:silent 7000:no_answer 9000:refused 10000:confirmed | CONFIRMED | true",
             })
-    void eachEventMovesTheStateAsItsTableSays(String mode, String events, EndpointListState state, boolean usable) {
+    void eachEventLeadsToTheStateInTheTable(String mode, String events, EndpointListState state, boolean usable) {
         EndpointListState[] now = {EndpointListState.UNCONFIRMED};
         EndpointListFreshness freshness = new EndpointListFreshness((from, to, age) -> now[0] = to);
         freshness.settings(mode.equals("push"), 10_000);
         for (String event : events.split(" ")) {
             double at = Double.parseDouble(event.substring(0, event.indexOf(':')));
-            String what = event.substring(event.indexOf(':') + 1);
+            String kind = event.substring(event.indexOf(':') + 1);
             freshness.usable(at);
-            switch (what) {
+            switch (kind) {
                 case "confirmed" -> freshness.confirmed(at);
                 case "silent" -> freshness.silent(at, 0);
                 case "moved" -> freshness.moved(at);
-                default -> freshness.failed(at, EndpointWatchFailure.valueOf(what.toUpperCase(Locale.ROOT)), 0);
+                default -> freshness.failed(at, EndpointWatchFailure.valueOf(kind.toUpperCase(Locale.ROOT)), 0);
             }
         }
         assertEquals(usable, freshness.usable(11_000));
--- a/src/test/java/maplespread/policy/KeyAffinityTest.java
+++ b/src/test/java/maplespread/policy/KeyAffinityTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where requests of one key go. */
+/** Which workers the requests of one key go to. */
 class KeyAffinityTest {
-    private static RuleCheckingHost eight() {
+    private static RuleCheckingHost withEightWorkers() {
         EndpointEntry[] entries = new EndpointEntry[8];
         for (int i = 0; i < 8; i++) {
             entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
@@ -25,40 +25,44 @@
         return host.requests.get(id).attempts.get(0).worker;
     }
 
-    /** Requests of a key stay together, to spare the shared store, and all dispatchers find the same worker for it. */
+    /** Requests of a key go to one worker, to spare the shared store, and all dispatchers choose the same worker. */
     @Test
     void requestsOfAKeyStayTogetherAndDispatchersAgree() {
-        RuleCheckingHost one = eight();
-        RuleCheckingHost other = eight();
-        java.util.Set<String> places = new java.util.HashSet<>();
+        RuleCheckingHost first = withEightWorkers();
+        RuleCheckingHost second = withEightWorkers();
+        java.util.Set<String> workersByKey = new java.util.HashSet<>();
         for (int i = 1; i <= 40; i++) {
             String key = "fn:" + i % 10;
-            String at = sentTo(one, i, key);
-            one.endAttempt(i, AttemptOutcome.SERVED);
-            assertEquals(at, sentTo(other, i, key), "another node, the same home");
-            other.endAttempt(i, AttemptOutcome.SERVED);
-            places.add(key + at);
+            String worker = sentTo(first, i, key);
+            first.endAttempt(i, AttemptOutcome.SERVED);
+            assertEquals(worker, sentTo(second, i, key), "another dispatcher, the same primary worker");
+            second.endAttempt(i, AttemptOutcome.SERVED);
+            workersByKey.add(key + worker);
         }
-        assertEquals(10, places.size(), "one place for each key: " + places);
+        assertEquals(10, workersByKey.size(), "one worker for each key: " + workersByKey);
     }
 
     /** A primary worker with a long backlog is passed over. */
     @Test
     void aFullPrimaryWorkerIsPassedOver() {
-        RuleCheckingHost host = eight();
-        java.util.Set<String> places = new java.util.HashSet<>();
-        for (int i = 1; i <= 40 && places.size() < 2; i++) {
-            places.add(sentTo(host, i, "fn:hot"));
+        RuleCheckingHost host = withEightWorkers();
+        java.util.Set<String> workersByKey = new java.util.HashSet<>();
+        for (int i = 1; i <= 40 && workersByKey.size() < 2; i++) {
+            workersByKey.add(sentTo(host, i, "fn:hot"));
         }
-        assertTrue(places.size() > 1, "only " + places);
+        assertTrue(workersByKey.size() > 1, "only " + workersByKey);
     }
 
-    /** How many requests of one key its primary worker is given before another worker gets one. */
-    private static int staysAtPrimary(int jobsBefore) {
-        RuleCheckingHost host = eight();
-        PolicySettings s = host.settings; // starts are not reported, so none comes late
+    /**
+     * Returns how many requests of one key its primary worker is sent before another worker is sent one.
+     *
+     * @param earlierRequests requests without a key that are sent before
+     */
+    private static int requestsSentToPrimary(int earlierRequests) {
+        RuleCheckingHost host = withEightWorkers();
+        PolicySettings settings = host.settings; // workers do not report starts, so no start is late
         host.changeSettings(new PolicySettings(
-                s.dispatcherCount(),
+                settings.dispatcherCount(),
                 0,
                 0,
                 true,
@@ -69,29 +73,32 @@
                 2,
                 0.1,
                 0,
-                s.classes(),
+                settings.classes(),
                 List.of(),
-                s.permissions(),
-                s.rules()));
-        for (int i = 1; i <= jobsBefore; i++) {
+                settings.permissions(),
+                settings.rules()));
+        for (int i = 1; i <= earlierRequests; i++) {
             sentTo(host, i, null);
         }
-        host.advance(12_000); // the mean wait is settled
-        String home = sentTo(host, 1000, "fn:hot");
-        int stays = 1;
-        while (sentTo(host, 1000 + stays, "fn:hot").equals(home)) {
-            stays++;
+        host.advance(12_000); // the mean wait converges
+        String primary = sentTo(host, 1000, "fn:hot");
+        int sent = 1;
+        while (sentTo(host, 1000 + sent, "fn:hot").equals(primary)) {
+            sent++;
         }
-        return stays;
+        return sent;
     }
 
     /**
-     * Where all workers queue, a slot that waits for a data set costs more: a key stays longer at its primary worker.
+     * If requests wait at all workers, a slot that waits for a data set costs more, so a key stays longer at its
+     * primary worker.
      */
     @Test
-    void aMissIsDearerWhileRequestsWait() {
-        int calm = staysAtPrimary(0);
-        int behind = staysAtPrimary(48);
-        assertTrue(behind > calm, behind + " where jobs wait, " + calm + " where none do");
+    void aCacheMissCostsMoreWhileRequestsWait() {
+        int withoutBacklog = requestsSentToPrimary(0);
+        int withBacklog = requestsSentToPrimary(48);
+        assertTrue(
+                withBacklog > withoutBacklog,
+                withBacklog + " while requests wait, " + withoutBacklog + " while none do");
     }
 }
--- a/src/test/java/maplespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/maplespread/policy/OutlierDetectorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a worker is ejected or backs off, and when it serves again. */
+/** When a worker is ejected or backs off, and when it is sent requests again. */
 class OutlierDetectorTest {
     @Test
     void aSilentWorkerIsAvoided() {
@@ -35,17 +35,17 @@
     }
 
     @Test
-    void servesOnWhenAllWorkersLookSilent() {
+    void requestsAreStillSentWhenAllWorkersLookSilent() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         host.accept(1, 300);
         host.accept(2, 300);
         host.advance(6000);
         RuleCheckingHost.TestRequest request = host.accept(3, 300);
-        assertFalse(request.attempts.isEmpty(), "all suspected at once: keep serving");
+        assertFalse(request.attempts.isEmpty(), "all workers look silent, so the request is still sent");
     }
 
     @Test
-    void aWorkerThatAnswersIsTrustedAgain() {
+    void aSilentWorkerThatAnswersIsUsedAgain() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
                 Idempotency.READ_LIKE,
                 DeduplicationScope.ALL,
@@ -55,11 +55,11 @@
         host.accept(1, 300);
         host.advance(5000);
         host.endAttempt(1, 0, AttemptOutcome.SERVED);
-        boolean back = false;
+        boolean usedAgain = false;
         for (int i = 10; i < 16; i++) {
-            back |= host.accept(i, 300).attempts.stream().anyMatch(attempt -> attempt.worker.equals("a"));
+            usedAgain |= host.accept(i, 300).attempts.stream().anyMatch(attempt -> attempt.worker.equals("a"));
         }
-        assertTrue(back);
+        assertTrue(usedAgain);
     }
 
     @Test
@@ -77,8 +77,8 @@
         host.advance(3000);
         host.accept(3, 300);
         host.endAttempt(3, AttemptOutcome.SERVED);
-        assertTrue(host.probes.contains("a"), "probed when the fleet is looked at again");
-        host.advance(1500); // a window's budget after its answer
+        assertTrue(host.probes.contains("a"), "the ejected worker is probed");
+        host.advance(1500); // time for one window's slow-start budget after its answer
         double sent = 0;
         for (int i = 10; i < 60; i++) {
             for (RuleCheckingHost.TestAttempt attempt : host.accept(i, 100).attempts) {
@@ -89,10 +89,11 @@
     }
 
     /**
-     * One connection that breaks must not cost a healthy worker its capacity: a probe at once shows that it is well.
+     * Guards against a healthy worker that is put into slow start because one connection broke: a probe follows at once
+     * and shows that it is healthy.
      */
     @Test
-    void oneBrokenConnectionIsNoRestart() {
+    void oneBrokenConnectionDoesNotCauseASlowStart() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.STALE_CONNECTION_RESET
         }) {
@@ -101,17 +102,15 @@
             host.accept(1, 300);
             host.endAttempt(1, outcome);
             host.answerProbes();
-            int taken = 0;
+            int sent = 0;
             for (int i = 10; i < 20; i++) {
-                taken += host.accept(i, 100).attempts.size();
+                sent += host.accept(i, 100).attempts.size();
             }
-            assertTrue(taken > 3, "as a warm worker, not a cold one: " + taken + " after " + outcome);
+            assertTrue(sent > 3, "not in slow start: " + sent + " requests after " + outcome);
         }
     }
 
-    /**
-     * A worker that rejects is left alone for a while, and serves again after it.
-     */
+    /** A worker that rejects a request is sent none during its backoff, and is used again after it. */
     @Test
     void aWorkerThatRejectsBacksOff() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
@@ -122,12 +121,12 @@
         assertEquals("b", host.accept(2, 300).attempts.get(0).worker);
         host.endAttempt(2, AttemptOutcome.SERVED);
         host.advance(1000);
-        assertEquals("a", host.accept(3, 300).attempts.get(0).worker, "and serves again");
+        assertEquals("a", host.accept(3, 300).attempts.get(0).worker, "used again after its backoff");
     }
 
     /** Further attempts go to the one worker that is neither silent nor draining. */
     @Test
-    void aSilentWorkerWhileAnotherDrains() {
+    void attemptsAvoidASilentAndADrainingWorker() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
         host.receiveList(
@@ -142,34 +141,34 @@
         for (RuleCheckingHost.TestAttempt attempt : request.attempts.subList(1, request.attempts.size())) {
             assertEquals("c", attempt.worker);
         }
-        assertEquals("c", host.accept(2, 300).attempts.get(0).worker, "neither the silent nor the draining one");
+        assertEquals("c", host.accept(2, 300).attempts.get(0).worker, "neither the silent nor the draining worker");
     }
 
-    /** While new connections fail slowly, workers with an open one go first, and none is ejected. */
+    /** While new connections time out, workers with an open connection are preferred, and few workers are ejected. */
     @Test
-    void whileNewConnectionsFailSlowlyWorkersWithOpenOnesGoFirst() {
+    void whileNewConnectionsTimeOutWorkersWithOpenOnesArePreferred() {
         EndpointEntry[] entries = new EndpointEntry[12];
         for (int i = 0; i < 12; i++) {
             entries[i] = RuleCheckingHost.entry("w" + i, i, 0);
         }
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(1, entries);
         RuleCheckingHost.TestRequest request = host.accept(1, 100);
-        String open = request.attempts.get(0).worker;
+        String connected = request.attempts.get(0).worker;
         host.endAttempt(1, AttemptOutcome.SERVED);
         for (int i = 0; i < 12; i++) {
-            AttemptOutcome outcome = open.equals("w" + i) ? AttemptOutcome.SERVED : AttemptOutcome.CONNECT_FAILED;
+            AttemptOutcome outcome = connected.equals("w" + i) ? AttemptOutcome.SERVED : AttemptOutcome.CONNECT_FAILED;
             host.policy.probeEnded(host.nowUs(), "w" + i, outcome, 250, null);
         }
-        assertTrue(host.log.size() < 6, "only the first are taken for down: " + host.log);
+        assertTrue(host.log.size() < 6, "only the first ones are ejected: " + host.log);
         host.advance(2000);
-        assertEquals(open, host.accept(2, 100).attempts.get(0).worker);
+        assertEquals(connected, host.accept(2, 100).attempts.get(0).worker);
     }
 
-    /** A worker that fails one class and serves the other is judged by class. */
+    /** A worker that fails one request class and serves another is still sent requests of the other one. */
     @Test
     void aWorkerFailingOneClassKeepsTheOther() {
-        RequestClass spec = RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL);
-        PolicySettings one = RuleCheckingHost.settings(spec, false, 1);
+        RequestClass requestClass = RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL);
+        PolicySettings settings = RuleCheckingHost.settings(requestClass, false, 1);
         RuleCheckingHost host = new RuleCheckingHost(new PolicySettings(
                 1,
                 0,
@@ -182,26 +181,26 @@
                 2,
                 0.1,
                 0,
-                List.of(spec, spec),
+                List.of(requestClass, requestClass),
                 List.of(),
-                one.permissions(),
-                one.rules()));
+                settings.permissions(),
+                settings.rules()));
         host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
-        int firstAtA = 0;
-        int secondAtA = 0;
+        int failingAtA = 0;
+        int servedAtA = 0;
         for (int i = 1; i <= 40; i++) {
             RuleCheckingHost.TestRequest request = host.accept(i, i % 2, 300, 0);
             host.advance(300);
             boolean atA = request.attempts.get(0).worker.equals("a");
-            firstAtA += i > 20 && i % 2 == 0 && atA ? 1 : 0;
-            secondAtA += i > 20 && i % 2 == 1 && atA ? 1 : 0;
+            failingAtA += i > 20 && i % 2 == 0 && atA ? 1 : 0;
+            servedAtA += i > 20 && i % 2 == 1 && atA ? 1 : 0;
             host.endAttempt(i, 0, i % 2 == 0 && atA ? AttemptOutcome.ERROR : AttemptOutcome.SERVED);
             for (int n = 1; n < request.attempts.size(); n++) {
                 host.endAttempt(i, n, AttemptOutcome.SERVED);
             }
         }
-        assertTrue(firstAtA <= 1, "the class that fails there is kept away: " + firstAtA);
-        assertTrue(secondAtA >= 3, "the other is not: " + secondAtA);
+        assertTrue(failingAtA <= 1, "requests of the failing class at a: " + failingAtA);
+        assertTrue(servedAtA >= 3, "requests of the other class at a: " + servedAtA);
     }
 }
--- a/src/test/java/maplespread/policy/ProbeSchedulerTest.java
+++ b/src/test/java/maplespread/policy/ProbeSchedulerTest.java
@@ -5,9 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Probe rounds before a choice. */
+/** Probe rounds before a worker is chosen. */
 class ProbeSchedulerTest {
-    /** With many dispatchers own sends show little of the load, so workers are probed first. */
+    /** Among many dispatchers, one dispatcher's own attempts show little of the load, so workers are probed first. */
     @Test
     void amongManyDispatchersWorkersAreProbedBeforeOneIsChosen() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
@@ -19,30 +19,30 @@
         host.reports.put("b", RuleCheckingHost.report(9, 0));
         host.reports.put("c", RuleCheckingHost.report(0, 2));
         RuleCheckingHost.TestRequest request = host.accept(1, 400);
-        assertEquals(3, host.probes.size(), "the three cheapest at once");
-        assertEquals("c", request.attempts.get(0).worker, "the one that was seen to be idle");
-        RuleCheckingHost alone = RuleCheckingHost.amongDispatchers(1, RuleCheckingHost.entry("a", 0, 0));
-        alone.accept(1, 400);
-        assertTrue(alone.probes.isEmpty(), "where own pushes are the load there is no look");
+        assertEquals(3, host.probes.size(), "the three cheapest workers are probed at once");
+        assertEquals("c", request.attempts.get(0).worker, "the worker whose report shows it idle");
+        RuleCheckingHost single = RuleCheckingHost.amongDispatchers(1, RuleCheckingHost.entry("a", 0, 0));
+        single.accept(1, 400);
+        assertTrue(single.probes.isEmpty(), "no probes where the own attempts are all the load");
     }
 
     /** A worker that does not answer a probe (hung, cut off, slow to connect) backs off. */
     @Test
-    void aWorkerThatDoesNotAnswerAProbeIsPassedOver() {
+    void aWorkerThatDoesNotAnswerAProbeBacksOff() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         host.silentWorkers.add("a");
         host.reports.put("b", RuleCheckingHost.report(1, 1));
         RuleCheckingHost.TestRequest request = host.accept(1, 400);
-        assertTrue(request.attempts.isEmpty(), "held while an answer is out");
+        assertTrue(request.attempts.isEmpty(), "parked while a probe is not answered");
         host.advance(60);
         assertEquals("b", request.attempts.get(0).worker);
-        assertEquals("b", host.accept(2, 400).attempts.get(0).worker, "it rests");
+        assertEquals("b", host.accept(2, 400).attempts.get(0).worker, "a backs off");
     }
 
-    /** When no worker answers the probes, the request is served all the same. */
+    /** If no worker answers the probes, the request is still sent. */
     @Test
-    void whenNoProbeIsAnsweredTheRequestIsServedAllTheSame() {
+    void aRequestIsSentWhenNoProbeIsAnswered() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         host.silentWorkers.add("a");
@@ -52,18 +52,21 @@
         assertEquals(1, request.attempts.size());
     }
 
-    /** After a pause of this process the round's timer comes before the answers that wait behind it. */
+    /**
+     * Guards against workers blamed for a process pause: after it, the round's timer expires before the answers are
+     * read.
+     */
     @Test
-    void afterAProcessPauseAnswersAreAwaitedATickMore() {
+    void afterAProcessPauseProbeAnswersAreAwaitedForAnotherTick() {
         RuleCheckingHost host = RuleCheckingHost.amongDispatchers(
                 100, RuleCheckingHost.entry("a", 0, 0), RuleCheckingHost.entry("b", 0, 0));
         host.silentWorkers.add("a");
         host.silentWorkers.add("b");
         host.advance(500);
         RuleCheckingHost.TestRequest request = host.accept(1, 400);
-        host.nowMs += 700; // the process pauses: timers and answers pile up
+        host.nowMs += 700; // a process pause: timers and answers accumulate
         host.advance(1);
-        assertTrue(request.attempts.isEmpty(), "not judged by what it slept through");
+        assertTrue(request.attempts.isEmpty(), "still parked after the process pause");
         host.policy.probeEnded(host.nowUs(), "a", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(0, 2));
         host.policy.probeEnded(host.nowUs(), "b", AttemptOutcome.SERVED, 700, RuleCheckingHost.report(9, 0));
         assertEquals("a", request.attempts.get(0).worker);
--- a/src/test/java/maplespread/policy/RejectionReasonTest.java
+++ b/src/test/java/maplespread/policy/RejectionReasonTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Each reason for which the policy ends a request, in the situation that its doc names. */
+/** Each reason for which the policy ends a request, in the situation that its documentation describes. */
 class RejectionReasonTest {
     private static RuleCheckingHost withTwo(Idempotency idempotency) {
         return RuleCheckingHost.withWorkers(
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void noServerWhereAConfirmedListHasNone() {
+    void noServerWhereAConfirmedListHasNoWorker() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(Idempotency.READ_LIKE, DeduplicationScope.ALL);
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
-        assertEquals("", request.result, "it waits for its objective");
+        assertEquals("", request.result, "parked until its latency objective");
         host.advance(1000);
         assertEnded("rejected", RejectionReason.NO_SERVER, request);
     }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void mayHaveRunFailsAndIsNotRejected() {
+    void mayHaveRunEndsAsFailedAndNotAsRejected() {
         RuleCheckingHost host = withTwo(Idempotency.NON_IDEMPOTENT);
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         host.endAttempt(1, AttemptOutcome.ERROR);
--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -9,12 +9,12 @@
 import java.util.function.Predicate;
 
 /**
- * A seeded virtual fleet around one {@link DispatchPolicy}. Its clients, workers and discovery react to the node's
- * actions, and every action goes into a hash with its arguments as exact bits, so that any change of a decision, of an
- * arithmetic order or of a random draw changes the hash. The model is a driver, not a judge: it checks no rule.
+ * Simulates a seeded fleet around one {@link DispatchPolicy}. Clients, workers and discovery react to the policy's
+ * actions. Every action is hashed with the exact bits of its arguments, so that any change of a decision, of an order
+ * of arithmetic operations or of a random draw changes the hash. The simulation drives the policy and checks no rules.
  */
 final class ReplayFleet implements PolicyActions {
-    /** Which figures the workers' load reports have. */
+    /** The figures that workers' load reports contain. */
     enum ReportFields {
         NONE,
         ACTIVE_AND_FREE_SLOTS,
@@ -22,7 +22,13 @@
         SERVICE_TIME
     }
 
-    /** What one replay varies; {@code load}: offered work over the fleet's capacity, as a mean over time. */
+    /**
+     * The parameters of one replay.
+     *
+     * @param slots slots of a worker
+     * @param load mean offered work as a share of the fleet's capacity
+     * @param keyed whether requests have affinity keys
+     */
     record Plan(
             String name,
             PolicySettings settings,
@@ -42,29 +48,35 @@
 
     private static final long START_US = 1_000_000_000L;
     private static final double MEAN_WORK_MS = 60;
+
     private final Plan plan;
     private final SplittableRandom random;
     private final ActionDigest digest = new ActionDigest();
     private final DispatchPolicy policy;
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<Due> dueEvents = new PriorityQueue<>();
     private final List<ReplayModel.ModelWorker> workers = new ArrayList<>();
-    private final Map<String, ReplayModel.ModelWorker> byId = new HashMap<>();
-    private final Map<Long, ReplayModel.Call> calls = new HashMap<>();
+    private final Map<String, ReplayModel.ModelWorker> workersById = new HashMap<>();
+    private final Map<Long, ReplayModel.Call> requests = new HashMap<>();
     private PolicySettings settings;
-    private PolicySettings before;
+    private PolicySettings previousSettings;
     private long nowUs = START_US;
     private long order;
     private long lastId;
     private long events;
-    private double capacity; // work in ms a ms
-    private double discoveryBackMs;
+
+    /** Capacity of all workers, in milliseconds of work a millisecond. */
+    private double capacity;
+
+    /** When discovery answers again, in milliseconds; in the past: it answers. */
+    private double discoveryUpAtMs;
+
     private long version = 1;
 
     ReplayFleet(Plan plan, long seed) {
         this.plan = plan;
         random = new SplittableRandom(seed * 1_000_003 + plan.name().hashCode());
         settings = plan.settings();
-        before = settings;
+        previousSettings = settings;
         policy = new DispatchPolicy(settings, seed, this);
         for (int i = 0; i < plan.workers(); i++) {
             double speed = 0.5 + 1.5 * random.nextDouble();
@@ -75,23 +87,23 @@
 
     private void add(ReplayModel.ModelWorker worker) {
         workers.add(worker);
-        byId.put(worker.id, worker);
+        workersById.put(worker.id, worker);
         capacity += worker.speed * worker.slots;
     }
 
-    /** Plays the whole and returns what was counted and the hash of all actions, as one line. */
-    String play() {
+    /** Runs the replay and returns the counts and the hash of all actions as one line. */
+    String run() {
         receiveList(EndpointListKind.CACHED_SNAPSHOT);
         after(20 + random.nextInt(300), () -> {
             receiveList(EndpointListKind.FULL_SNAPSHOT);
             confirm();
         });
         after(1, this::arrival);
-        after(300, this::disturb);
+        after(300, this::injectFault);
         after(500, this::strayEvent);
         long endUs = START_US + plan.seconds() * 1_000_000L;
-        while (!due.isEmpty() && due.peek().atUs() <= endUs) {
-            Due next = due.remove();
+        while (!dueEvents.isEmpty() && dueEvents.peek().atUs() <= endUs) {
+            Due next = dueEvents.remove();
             nowUs = Math.max(nowUs, next.atUs());
             next.work().run();
             if (++events % 50 == 0) {
@@ -106,182 +118,201 @@
     private void arrival() {
         double wave = 1 + 0.6 * StrictMath.sin((nowUs - START_US) / 4e6);
         after(-StrictMath.log(1 - random.nextDouble()) * MEAN_WORK_MS / (capacity * plan.load() * wave), this::arrival);
-        int cls = random.nextInt(settings.classes().size());
-        request(cls, settings.classes().get(cls).deadlineMs(), true);
+        int requestClass = random.nextInt(settings.classes().size());
+        request(requestClass, settings.classes().get(requestClass).deadlineMs(), true);
     }
 
-    private void request(int cls, double leftMs, boolean mayRepeat) {
-        PolicySettings under = chance(0.05) && cls < before.classes().size() ? before : null;
+    private void request(int requestClass, double remainingMs, boolean mayRepeat) {
+        PolicySettings acceptedSettings =
+                chance(0.05) && requestClass < previousSettings.classes().size() ? previousSettings : null;
         double work = MEAN_WORK_MS * -StrictMath.log(1 - random.nextDouble()) + 1;
         double hint = chance(0.1) ? Double.NaN : chance(0.01) ? 1e12 : work * (0.5 + random.nextDouble());
         double slots = chance(0.1) ? 2 : chance(0.01) ? 1e6 : 1;
         double memory = chance(0.1) ? 1 + random.nextInt(2) : 0;
         String key = plan.keyed() ? "key-" + random.nextInt(1 + random.nextInt(40)) : chance(0.02) ? "" : null;
-        double counts = chance(0.8) ? 1 : 4 * random.nextDouble();
-        Predicate<String> among = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
-        RequestClass spec = (under == null ? settings : under).classes().get(cls);
-        ReplayModel.Call call = new ReplayModel.Call(++lastId, cls, ms() + leftMs, slots > 100 ? 1 : slots, work, spec);
-        calls.put(call.id, call);
+        double weight = chance(0.8) ? 1 : 4 * random.nextDouble();
+        Predicate<String> eligibleWorkers = chance(0.05) ? worker -> worker.hashCode() % 3 != 0 : null;
+        RequestClass classSettings = (acceptedSettings == null ? settings : acceptedSettings)
+                .classes()
+                .get(requestClass);
+        ReplayModel.Call request = new ReplayModel.Call(
+                ++lastId, requestClass, nowMs() + remainingMs, slots > 100 ? 1 : slots, work, classSettings);
+        requests.put(request.id, request);
         policy.requestAccepted(
                 nowUs,
                 new PolicyRequest(
-                        call.id,
-                        cls,
+                        request.id,
+                        requestClass,
                         random.nextInt(2),
-                        Math.round(call.deadlineMs * 1000),
+                        Math.round(request.deadlineMs * 1000),
                         hint,
                         slots,
                         memory,
                         key,
-                        under,
-                        counts,
-                        among));
-        after(leftMs, () -> leave(call));
+                        acceptedSettings,
+                        weight,
+                        eligibleWorkers));
+        after(remainingMs, () -> abandon(request));
         if (chance(0.01)) {
-            after(leftMs * random.nextDouble(), () -> leave(call));
+            after(remainingMs * random.nextDouble(), () -> abandon(request));
         }
-        if (mayRepeat && chance(0.3)) { // where it is refused soon, its client comes again
+        if (mayRepeat && chance(0.3)) { // the client retries if the request is rejected soon
             after(40, () -> {
-                if (call.ended && call.jobs.isEmpty() && leftMs > 100) {
-                    request(cls, leftMs - 40, false);
+                if (request.ended && request.attempts.isEmpty() && remainingMs > 100) {
+                    request(requestClass, remainingMs - 40, false);
                 }
             });
         }
     }
 
-    private void leave(ReplayModel.Call call) {
-        if (!call.ended) {
-            call.ended = true;
-            policy.requestAbandoned(nowUs, call.id);
+    private void abandon(ReplayModel.Call request) {
+        if (!request.ended) {
+            request.ended = true;
+            policy.requestAbandoned(nowUs, request.id);
         }
-        if (call.jobs.stream().allMatch(job -> job.over)) {
-            calls.remove(call.id);
+        if (request.attempts.stream().allMatch(attempt -> attempt.ended)) {
+            requests.remove(request.id);
         }
     }
 
     // ------------------------------------------------------------ workers
 
-    private void reach(ReplayModel.Job job) {
-        ReplayModel.ModelWorker worker = job.worker;
-        double fate = random.nextDouble();
+    private void reachWorker(ReplayModel.Job attempt) {
+        ReplayModel.ModelWorker worker = attempt.worker;
+        double draw = random.nextDouble();
         if (worker.unreachable) {
-            after(settings.permissions().connectTimeoutMs(), () -> end(job, AttemptOutcome.CONNECT_FAILED));
+            after(settings.permissions().connectTimeoutMs(), () -> end(attempt, AttemptOutcome.CONNECT_FAILED));
         } else if (!worker.up) {
-            end(job, AttemptOutcome.CONNECT_FAILED);
-        } else if (worker.hanging || fate < 0.004) { // its connection is dead, or the worker
-            double waitMs = Math.min(2500, Math.max(1, job.call.deadlineMs - ms()));
-            after(waitMs, () -> end(job, AttemptOutcome.TIMED_OUT));
-        } else if (fate < 0.006) {
-            end(job, AttemptOutcome.NEVER_SENT);
-        } else if (fate < 0.008) {
-            end(job, AttemptOutcome.STALE_CONNECTION_RESET);
-        } else if (fate < 0.010) {
-            end(job, AttemptOutcome.RESET);
-        } else if (fate < 0.012 || worker.failingClass == job.call.cls) {
-            end(job, AttemptOutcome.ERROR);
-        } else if (worker.queue.size() > 6 * worker.slots || worker.health != EndpointLifecycle.ACTIVE && chance(0.7)) {
-            end(job, AttemptOutcome.REJECTED);
+            end(attempt, AttemptOutcome.CONNECT_FAILED);
+        } else if (worker.hanging || draw < 0.004) { // the connection is broken or the worker hangs
+            double waitMs = Math.min(2500, Math.max(1, attempt.request.deadlineMs - nowMs()));
+            after(waitMs, () -> end(attempt, AttemptOutcome.TIMED_OUT));
+        } else if (draw < 0.006) {
+            end(attempt, AttemptOutcome.NEVER_SENT);
+        } else if (draw < 0.008) {
+            end(attempt, AttemptOutcome.STALE_CONNECTION_RESET);
+        } else if (draw < 0.010) {
+            end(attempt, AttemptOutcome.RESET);
+        } else if (draw < 0.012 || worker.failingClass == attempt.request.requestClass) {
+            end(attempt, AttemptOutcome.ERROR);
+        } else if (worker.queue.size() > 6 * worker.slots
+                || worker.lifecycle != EndpointLifecycle.ACTIVE && chance(0.7)) {
+            end(attempt, AttemptOutcome.REJECTED);
         } else {
-            worker.queue.add(job);
+            worker.queue.add(attempt);
             startNext(worker);
         }
     }
 
     private void startNext(ReplayModel.ModelWorker worker) {
         while (!worker.queue.isEmpty()
-                && (worker.running.isEmpty() || worker.usedSlots() + worker.queue.peek().call.slots <= worker.slots)) {
-            ReplayModel.Job job = worker.queue.remove();
-            if (job.over) {
+                && (worker.running.isEmpty()
+                        || worker.usedSlots() + worker.queue.peek().request.slots <= worker.slots)) {
+            ReplayModel.Job attempt = worker.queue.remove();
+            if (attempt.ended) {
                 continue;
             }
-            worker.running.add(job);
-            double warm =
-                    clampWarmth((ms() - worker.startedAtMs) / settings.rules().slowStartMs());
-            job.startedAtMs = ms();
-            job.takesMs = job.call.workMs / worker.speed / warm * worker.slowness * (0.8 + 0.4 * random.nextDouble());
+            worker.running.add(attempt);
+            double capacityShare = clampCapacityShare(
+                    (nowMs() - worker.startedAtMs) / settings.rules().slowStartMs());
+            attempt.startedAtMs = nowMs();
+            attempt.durationMs = attempt.request.workMs
+                    / worker.speed
+                    / capacityShare
+                    * worker.slowness
+                    * (0.8 + 0.4 * random.nextDouble());
             if (settings.workersReportStart() && chance(0.97)) {
-                after(0.2, () -> progress(job, true, 0));
+                after(0.2, () -> reportProgress(attempt, true, 0));
             }
             if (settings.progressIntervalMs() > 0) {
-                after(settings.progressIntervalMs(), () -> goOn(job));
+                after(settings.progressIntervalMs(), () -> reportProgressPeriodically(attempt));
             }
-            if (job.call.spec.streaming()) {
-                after(job.takesMs / 2, () -> {
-                    if (!job.over) {
-                        policy.responseStarted(nowUs, job.call.id, job.attempt, worker.id);
+            if (attempt.request.classSettings.streaming()) {
+                after(attempt.durationMs / 2, () -> {
+                    if (!attempt.ended) {
+                        policy.responseStarted(nowUs, attempt.request.id, attempt.number, worker.id);
                     }
                 });
             }
-            after(job.takesMs, () -> finish(job));
+            after(attempt.durationMs, () -> finish(attempt));
         }
     }
 
-    private static double clampWarmth(double warm) {
-        return Math.max(0.1, Math.min(1, warm));
+    private static double clampCapacityShare(double capacityShare) {
+        return Math.max(0.1, Math.min(1, capacityShare));
     }
 
-    private void progress(ReplayModel.Job job, boolean started, double share) {
-        if (!job.over) {
-            policy.attemptProgressed(nowUs, job.call.id, job.attempt, job.worker.id, started, share);
+    private void reportProgress(ReplayModel.Job attempt, boolean started, double share) {
+        if (!attempt.ended) {
+            policy.attemptProgressed(nowUs, attempt.request.id, attempt.number, attempt.worker.id, started, share);
         }
     }
 
-    private void goOn(ReplayModel.Job job) {
-        if (!job.over) {
-            progress(job, false, (ms() - job.startedAtMs) / job.takesMs * (chance(0.02) ? 0.5 : 1));
-            after(settings.progressIntervalMs(), () -> goOn(job));
+    private void reportProgressPeriodically(ReplayModel.Job attempt) {
+        if (!attempt.ended) {
+            reportProgress(
+                    attempt, false, (nowMs() - attempt.startedAtMs) / attempt.durationMs * (chance(0.02) ? 0.5 : 1));
+            after(settings.progressIntervalMs(), () -> reportProgressPeriodically(attempt));
         }
     }
 
-    private void finish(ReplayModel.Job job) {
-        job.worker.lastServiceMs = job.takesMs;
-        end(job, AttemptOutcome.SERVED);
+    private void finish(ReplayModel.Job attempt) {
+        attempt.worker.lastServiceMs = attempt.durationMs;
+        end(attempt, AttemptOutcome.SERVED);
     }
 
-    private void end(ReplayModel.Job job, AttemptOutcome verdict) {
-        ReplayModel.ModelWorker worker = job.worker;
-        worker.running.remove(job);
-        worker.queue.remove(job);
-        if (job.over) {
+    private void end(ReplayModel.Job attempt, AttemptOutcome outcome) {
+        ReplayModel.ModelWorker worker = attempt.worker;
+        worker.running.remove(attempt);
+        worker.queue.remove(attempt);
+        if (attempt.ended) {
             return;
         }
-        job.over = true;
-        job.call.ended |= verdict == AttemptOutcome.SERVED;
-        double lagMs = ms() - job.sentAtMs;
-        LoadReport report = verdict == AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
-        policy.attemptEnded(nowUs, job.call.id, job.attempt, worker.id, verdict, lagMs, job.call.ended, report);
+        attempt.ended = true;
+        attempt.request.ended |= outcome == AttemptOutcome.SERVED;
+        double durationMs = nowMs() - attempt.sentAtMs;
+        LoadReport report = outcome == AttemptOutcome.SERVED || chance(0.3) ? report(worker) : null;
+        policy.attemptEnded(
+                nowUs,
+                attempt.request.id,
+                attempt.number,
+                worker.id,
+                outcome,
+                durationMs,
+                attempt.request.ended,
+                report);
         startNext(worker);
     }
 
     private LoadReport report(ReplayModel.ModelWorker worker) {
-        double nan = Double.NaN;
+        double unknown = Double.NaN;
         if (chance(0.003)) {
-            return new LoadReport(1e7, 0, 0, 1, 1e7, 0); // absurd
+            return new LoadReport(1e7, 0, 0, 1, 1e7, 0); // implausible figures
         }
         int active = worker.running.size() + worker.queue.size();
         double free = Math.max(0, worker.slots - worker.usedSlots());
-        double memory = chance(0.5) ? nan : free;
+        double memory = chance(0.5) ? unknown : free;
         return switch (plan.reports()) {
             case NONE -> null;
             case ACTIVE_AND_FREE_SLOTS ->
-                new LoadReport(active + random.nextInt(2), worker.queue.size(), 0.5, nan, free, memory);
-            case FREE_SLOTS -> new LoadReport(nan, nan, nan, worker.lastServiceMs, free, memory);
-            case SERVICE_TIME -> new LoadReport(nan, nan, 0.9, worker.lastServiceMs, nan, nan);
+                new LoadReport(active + random.nextInt(2), worker.queue.size(), 0.5, unknown, free, memory);
+            case FREE_SLOTS -> new LoadReport(unknown, unknown, unknown, worker.lastServiceMs, free, memory);
+            case SERVICE_TIME -> new LoadReport(unknown, unknown, 0.9, worker.lastServiceMs, unknown, unknown);
         };
     }
 
     private void crash(ReplayModel.ModelWorker worker, double downMs) {
         worker.up = false;
-        List<ReplayModel.Job> lost = new ArrayList<>(worker.running);
-        lost.addAll(worker.queue);
+        List<ReplayModel.Job> lostAttempts = new ArrayList<>(worker.running);
+        lostAttempts.addAll(worker.queue);
         worker.running.clear();
         worker.queue.clear();
-        for (ReplayModel.Job job : lost) {
-            after(random.nextInt(5), () -> end(job, AttemptOutcome.RESET));
+        for (ReplayModel.Job attempt : lostAttempts) {
+            after(random.nextInt(5), () -> end(attempt, AttemptOutcome.RESET));
         }
         after(downMs, () -> {
             worker.up = true;
-            worker.startedAtMs = ms();
+            worker.startedAtMs = nowMs();
             if (chance(0.7)) {
                 changed(worker);
             }
@@ -291,12 +322,12 @@
     // ------------------------------------------------------------ discovery
 
     private boolean discoveryDown() {
-        return ms() < discoveryBackMs;
+        return nowMs() < discoveryUpAtMs;
     }
 
     private EndpointEntry entry(ReplayModel.ModelWorker worker) {
         return new EndpointEntry(
-                worker.id, worker.health, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
+                worker.id, worker.lifecycle, 1, worker.kind, worker.cell, worker.zone, worker.startedAtMs);
     }
 
     private void receiveList(EndpointListKind kind) {
@@ -321,12 +352,12 @@
 
     private void answerWatch() {
         if (discoveryDown()) {
-            EndpointWatchFailure loss = chance(0.3) ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NO_ANSWER;
-            double tookMs = loss == EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
+            EndpointWatchFailure failure = chance(0.3) ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NO_ANSWER;
+            double durationMs = failure == EndpointWatchFailure.REFUSED ? 1 : 400 + random.nextInt(1600);
             after(
-                    tookMs,
+                    durationMs,
                     () -> policy.endpointWatchFailed(
-                            nowUs, chance(0.05) ? EndpointWatchFailure.NOT_ASKED : loss, tookMs));
+                            nowUs, chance(0.05) ? EndpointWatchFailure.NOT_ASKED : failure, durationMs));
         } else {
             receiveList(EndpointListKind.FULL_SNAPSHOT);
             confirm();
@@ -335,7 +366,7 @@
 
     private void discoveryFault() {
         double outageMs = chance(0.3) ? 9000 * random.nextDouble() : 400 * random.nextDouble();
-        discoveryBackMs = ms() + outageMs;
+        discoveryUpAtMs = nowMs() + outageMs;
         if (!settings.pollsDiscovery() || chance(0.3)) {
             after(outageMs + 50, this::answerWatch);
         }
@@ -353,10 +384,10 @@
         }
     }
 
-    // ------------------------------------------------------------ what goes wrong
+    // ------------------------------------------------------------ faults
 
-    private void disturb() {
-        after(50 + random.nextInt(400), this::disturb);
+    private void injectFault() {
+        after(50 + random.nextInt(400), this::injectFault);
         ReplayModel.ModelWorker worker = workers.get(random.nextInt(workers.size()));
         double forMs = 200 + random.nextInt(3000);
         switch (random.nextInt(13)) {
@@ -376,7 +407,8 @@
             }
             case 5 -> drain(worker, forMs);
             case 6 -> discoveryFault();
-            case 7 -> nowUs += chance(0.3) ? 1000L * random.nextInt(1500) : 1000L * random.nextInt(60); // a stall
+            case 7 ->
+                nowUs += chance(0.3) ? 1000L * random.nextInt(1500) : 1000L * random.nextInt(60); // a process pause
             case 8 -> changeSettings();
             case 9 -> restartAll();
             case 10 -> join();
@@ -391,15 +423,15 @@
     }
 
     private void drain(ReplayModel.ModelWorker worker, double forMs) {
-        worker.health = EndpointLifecycle.DRAINING;
+        worker.lifecycle = EndpointLifecycle.DRAINING;
         changed(worker);
         after(forMs, () -> {
-            worker.health = EndpointLifecycle.REMOVED;
+            worker.lifecycle = EndpointLifecycle.REMOVED;
             changed(worker);
         });
         after(2 * forMs, () -> {
-            worker.health = EndpointLifecycle.ACTIVE;
-            worker.startedAtMs = ms();
+            worker.lifecycle = EndpointLifecycle.ACTIVE;
+            worker.startedAtMs = nowMs();
             changed(worker);
         });
     }
@@ -421,7 +453,7 @@
             int number = workers.size();
             ReplayModel.ModelWorker worker = new ReplayModel.ModelWorker(
                     "10.0.1." + number + ":9000", number % 3, number % 5, number % 2, plan.slots(), 1);
-            worker.startedAtMs = ms();
+            worker.startedAtMs = nowMs();
             add(worker);
             changed(worker);
         }
@@ -438,26 +470,26 @@
     }
 
     private void changeSettings() {
-        before = settings;
+        previousSettings = settings;
         List<RequestClass> classes = new ArrayList<>(settings.classes());
         if (chance(0.3) && classes.size() < 8) {
             classes.add(classes.get(random.nextInt(classes.size())));
         } else {
-            int at = random.nextInt(classes.size());
-            RequestClass old = classes.get(at);
+            int index = random.nextInt(classes.size());
+            RequestClass oldClass = classes.get(index);
             classes.set(
-                    at,
+                    index,
                     new RequestClass(
-                            old.latencyObjectiveMs() * (0.8 + 0.4 * random.nextDouble()),
-                            old.stretchFactor(),
-                            old.deadlineMs(),
-                            old.priorityWeight(),
-                            old.lateWeightShare(),
-                            old.idempotency(),
-                            old.deduplicationScope(),
-                            old.deduplicationWindowMs(),
-                            old.streaming(),
-                            old.requiredWorkerKind()));
+                            oldClass.latencyObjectiveMs() * (0.8 + 0.4 * random.nextDouble()),
+                            oldClass.stretchFactor(),
+                            oldClass.deadlineMs(),
+                            oldClass.priorityWeight(),
+                            oldClass.lateWeightShare(),
+                            oldClass.idempotency(),
+                            oldClass.deduplicationScope(),
+                            oldClass.deduplicationWindowMs(),
+                            oldClass.streaming(),
+                            oldClass.requiredWorkerKind()));
         }
         settings = settings.withClasses(classes);
         if (chance(0.3)) {
@@ -468,19 +500,19 @@
         policy.settingsChanged(nowUs, settings);
     }
 
-    /** Events that do not fit: they cost that event and no more. */
+    /** Sends the policy an event that matches nothing, which it must ignore or reject. */
     private void strayEvent() {
         after(700, this::strayEvent);
-        long known = Math.max(1, lastId - random.nextInt(50));
+        long id = Math.max(1, lastId - random.nextInt(50));
         switch (random.nextInt(8)) {
             case 0 -> policy.attemptEnded(nowUs, lastId + 99, 0, "10.0.0.1:9000", AttemptOutcome.SERVED, 1, true, null);
-            case 1 -> policy.attemptProgressed(nowUs, known, 7, "10.0.0.1:9000", true, 0);
-            case 2 -> policy.attemptProgressed(nowUs, known, -1, "10.0.0.1:9000", false, 3);
+            case 1 -> policy.attemptProgressed(nowUs, id, 7, "10.0.0.1:9000", true, 0);
+            case 2 -> policy.attemptProgressed(nowUs, id, -1, "10.0.0.1:9000", false, 3);
             case 3 -> policy.probeEnded(nowUs, "10.9.9.9:1", AttemptOutcome.SERVED, 1, null);
             case 4 -> policy.requestAbandoned(nowUs, lastId + 99);
-            case 5 -> policy.timerExpired(nowUs, 1 + 1 + known);
+            case 5 -> policy.timerExpired(nowUs, 1 + 1 + id);
             case 6 -> rejected(() -> policy.requestAccepted(nowUs, new PolicyRequest(++lastId, -1, 0, nowUs, 1, 1, 0)));
-            default -> rejected(() -> policy.responseStarted(nowUs - 10_000_000, known, 0, "10.0.0.1:9000"));
+            default -> rejected(() -> policy.responseStarted(nowUs - 10_000_000, id, 0, "10.0.0.1:9000"));
         }
     }
 
@@ -493,54 +525,57 @@
         }
     }
 
-    // ------------------------------------------------------------ the node's actions
+    // ------------------------------------------------------------ the policy's actions
 
     @Override
     public void sendAttempt(long id, String worker) {
         count("send");
         put('S', id, worker.hashCode());
-        ReplayModel.Call call = calls.get(id);
-        ReplayModel.Job job = new ReplayModel.Job(call, call.jobs.size(), byId.get(worker), ms());
-        call.jobs.add(job);
-        after(0.1 + random.nextDouble() * (chance(0.01) ? 200 : 1), () -> reach(job));
+        ReplayModel.Call request = requests.get(id);
+        ReplayModel.Job attempt =
+                new ReplayModel.Job(request, request.attempts.size(), workersById.get(worker), nowMs());
+        request.attempts.add(attempt);
+        after(0.1 + random.nextDouble() * (chance(0.01) ? 200 : 1), () -> reachWorker(attempt));
     }
 
     @Override
-    public void reject(long id, double pauseMs, RejectionReason why) {
-        count("reject." + why);
-        put('R', id, Double.doubleToLongBits(pauseMs));
-        put('r', why.ordinal(), 0);
-        calls.get(id).ended = true;
+    public void reject(long id, double retryAfterMs, RejectionReason reason) {
+        count("reject." + reason);
+        put('R', id, Double.doubleToLongBits(retryAfterMs));
+        put('r', reason.ordinal(), 0);
+        requests.get(id).ended = true;
     }
 
     @Override
-    public void fail(long id, RejectionReason why) {
-        count("fail." + why);
-        put('F', id, why.ordinal());
-        calls.get(id).ended = true;
+    public void fail(long id, RejectionReason reason) {
+        count("fail." + reason);
+        put('F', id, reason.ordinal());
+        requests.get(id).ended = true;
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {
+    public void cancelAttempt(long id, int number) {
         count("cancel");
-        put('C', id, attempt);
-        ReplayModel.Job job = calls.get(id).jobs.get(attempt);
-        after(0.5, () -> end(job, AttemptOutcome.CANCELLED));
+        put('C', id, number);
+        ReplayModel.Job attempt = requests.get(id).attempts.get(number);
+        after(0.5, () -> end(attempt, AttemptOutcome.CANCELLED));
     }
 
     @Override
     public void probe(String worker) {
         count("probe");
         put('P', worker.hashCode(), 0);
-        ReplayModel.ModelWorker probed = byId.get(worker);
+        ReplayModel.ModelWorker probed = workersById.get(worker);
         if (probed.hanging || chance(0.03)) {
             after(1000, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.TIMED_OUT, 1000, null));
         } else if (!probed.up || probed.unreachable) {
-            double lagMs = probed.up ? settings.permissions().connectTimeoutMs() : 0.5;
-            after(lagMs, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.CONNECT_FAILED, lagMs, null));
+            double durationMs = probed.up ? settings.permissions().connectTimeoutMs() : 0.5;
+            after(durationMs, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.CONNECT_FAILED, durationMs, null));
         } else {
-            double lagMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
-            after(lagMs, () -> policy.probeEnded(nowUs, worker, AttemptOutcome.SERVED, lagMs, report(probed)));
+            double durationMs = chance(0.05) ? 100 * random.nextDouble() : 0.3;
+            after(
+                    durationMs,
+                    () -> policy.probeEnded(nowUs, worker, AttemptOutcome.SERVED, durationMs, report(probed)));
         }
     }
 
@@ -569,22 +604,22 @@
         put('G', line.hashCode(), 0);
     }
 
-    // ------------------------------------------------------------ clock, chance and hash
+    // ------------------------------------------------------------ clock, random draws and hash
 
-    private double ms() {
+    private double nowMs() {
         return nowUs / 1000.0;
     }
 
     private void after(double delayMs, Runnable work) {
-        due.add(new Due(nowUs + Math.round(delayMs * 1000), ++order, work));
+        dueEvents.add(new Due(nowUs + Math.round(delayMs * 1000), ++order, work));
     }
 
     private boolean chance(double probability) {
         return random.nextDouble() < probability;
     }
 
-    private void count(String what) {
-        digest.count(what);
+    private void count(String action) {
+        digest.count(action);
     }
 
     private void put(char kind, long first, long second) {
--- a/src/test/java/maplespread/policy/ReplayModel.java
+++ b/src/test/java/maplespread/policy/ReplayModel.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What {@link ReplayFleet} keeps of its virtual workers, calls and attempts. */
+/** The simulated workers, requests and attempts of {@link ReplayFleet}. */
 final class ReplayModel {
     private ReplayModel() {}
 
@@ -17,14 +17,21 @@
         final double speed;
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         final List<Job> running = new ArrayList<>();
-        EndpointLifecycle health = EndpointLifecycle.ACTIVE;
+        EndpointLifecycle lifecycle = EndpointLifecycle.ACTIVE;
         boolean listed = true;
         boolean up = true;
         boolean unreachable;
         boolean hanging;
+
+        /** Factor by which attempts take longer. */
         double slowness = 1;
+
+        /** Index of the request class that fails at this worker; -1: none. */
         int failingClass = -1;
+
         double startedAtMs;
+
+        /** Duration of the last completed attempt in milliseconds; NaN: none. */
         double lastServiceMs = Double.NaN;
 
         ModelWorker(String id, int zone, int cell, int kind, int slots, double speed) {
@@ -38,45 +45,47 @@
 
         double usedSlots() {
             double used = 0;
-            for (Job job : running) {
-                used += job.call.slots;
+            for (Job attempt : running) {
+                used += attempt.request.slots;
             }
             return used;
         }
     }
 
+    /** A client's request. */
     static final class Call {
         final long id;
-        final int cls;
+        final int requestClass;
         final double deadlineMs;
         final double slots;
         final double workMs;
-        final RequestClass spec;
-        final List<Job> jobs = new ArrayList<>(2);
+        final RequestClass classSettings;
+        final List<Job> attempts = new ArrayList<>(2);
         boolean ended;
 
-        Call(long id, int cls, double deadlineMs, double slots, double workMs, RequestClass spec) {
+        Call(long id, int requestClass, double deadlineMs, double slots, double workMs, RequestClass classSettings) {
             this.id = id;
-            this.cls = cls;
+            this.requestClass = requestClass;
             this.deadlineMs = deadlineMs;
             this.slots = slots;
             this.workMs = workMs;
-            this.spec = spec;
+            this.classSettings = classSettings;
         }
     }
 
+    /** One attempt of a request, sent to a worker. */
     static final class Job {
-        final Call call;
-        final int attempt;
+        final Call request;
+        final int number;
         final ModelWorker worker;
         final double sentAtMs;
         double startedAtMs;
-        double takesMs;
-        boolean over;
+        double durationMs;
+        boolean ended;
 
-        Job(Call call, int attempt, ModelWorker worker, double sentAtMs) {
-            this.call = call;
-            this.attempt = attempt;
+        Job(Call request, int number, ModelWorker worker, double sentAtMs) {
+            this.request = request;
+            this.number = number;
             this.worker = worker;
             this.sentAtMs = sentAtMs;
         }
--- a/src/test/java/maplespread/policy/RetryPolicyTest.java
+++ b/src/test/java/maplespread/policy/RetryPolicyTest.java
@@ -16,10 +16,13 @@
         RuleCheckingHost.TestRequest request = host.accept(1, 500);
         host.endAttempt(1, AttemptOutcome.ERROR);
         assertEquals(1, request.attempts.size());
-        assertEquals("failed", request.result, "nothing can be legal any more: at once, not after its aim");
-        RuleCheckingHost.TestRequest d = host.accept(2, 500);
+        assertEquals(
+                "failed",
+                request.result,
+                "no further attempt is allowed, so it fails at once and not after its objective");
+        RuleCheckingHost.TestRequest rejected = host.accept(2, 500);
         host.endAttempt(2, AttemptOutcome.REJECTED);
-        assertEquals(2, d.attempts.size(), "an attempt that never ran may be repeated");
+        assertEquals(2, rejected.attempts.size(), "an attempt that never ran may be repeated");
     }
 
     @Test
@@ -36,9 +39,9 @@
         assertEquals("c", request.attempts.get(1).worker);
     }
 
-    /** New requests go elsewhere, whatever becomes of the list. */
+    /** New requests go to another worker than the one whose connection broke, even if the list becomes stale. */
     @Test
-    void aBrokenConnectionUnderAStaleList() {
+    void aWorkerWithABrokenConnectionIsAvoidedUnderAStaleList() {
         RuleCheckingHost host = RuleCheckingHost.withWorkers(
                 Idempotency.IDEMPOTENCY_KEY,
                 DeduplicationScope.CELL,
@@ -53,7 +56,8 @@
                 assertEquals("b", attempt.worker);
             }
         }
-        // The request with a key may go nowhere else: it is attempted there, within its attempts, and then ends.
+        // The request with the idempotency key may run on no other worker: its attempts are made at a, and then it
+        // fails.
         for (int i = 0; i < 4 && !request.ended; i++) {
             host.endAttempt(1, request.attempts.size() - 1, AttemptOutcome.CONNECT_FAILED);
             host.advance(600);
--- a/src/test/java/maplespread/policy/RuleCheckingHost.java
+++ b/src/test/java/maplespread/policy/RuleCheckingHost.java
@@ -7,7 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A host for tests: records the node's actions and asserts the four rules on each. It models no servers. */
+/**
+ * A host for tests that records the policy's actions and asserts on each that it keeps the rules: one result for each
+ * request and no send after it or past the deadline (rule 1), safe repeats (rule 2), only active listed workers (rule
+ * 3), and what the site permits. It simulates no workers.
+ */
 final class RuleCheckingHost implements PolicyActions {
     static final class TestAttempt {
         String worker;
@@ -19,9 +23,15 @@
     static final class TestRequest {
         RequestClass requestClass;
         double deadlineMs;
-        int maxAttempts = Integer.MAX_VALUE; // as when it was accepted
+
+        /** Greatest number of attempts by the settings under which the request was accepted. */
+        int maxAttempts = Integer.MAX_VALUE;
+
         boolean ended;
+
+        /** "served", "rejected" or "failed"; empty: none yet. */
         String result = "";
+
         RejectionReason reason;
         final List<TestAttempt> attempts = new ArrayList<>();
     }
@@ -31,24 +41,35 @@
     final Map<String, EndpointEntry> listedEntries = new HashMap<>();
     final List<String> log = new ArrayList<>();
     final List<EndpointListState> states = new ArrayList<>();
+
+    /** Pending timers: when each is due, in milliseconds, and its label. */
     final List<double[]> timers = new ArrayList<>();
+
     final List<String> probes = new ArrayList<>();
+
+    /** Workers that do not answer probes. */
     final Set<String> silentWorkers = new HashSet<>();
+
+    /** Load reports with which workers answer probes. */
     final Map<String, LoadReport> reports = new HashMap<>();
+
     int watchCalls;
     int cancellations;
     int answeredProbes;
-    boolean confirmsCachedList = true; // a cached list is confirmed at once: nothing has changed
+
+    /** Whether a cached list is confirmed at once, without changes. */
+    boolean confirmsCachedList = true;
+
     double nowMs = 1000;
     DispatchPolicy policy;
 
-    RuleCheckingHost(PolicySettings set) {
-        this.settings = set;
-        policy = new DispatchPolicy(set, 7, this);
+    RuleCheckingHost(PolicySettings initialSettings) {
+        this.settings = initialSettings;
+        policy = new DispatchPolicy(initialSettings, 7, this);
     }
 
-    static RuleCheckingHost withWorkers(Idempotency effect, DeduplicationScope group, EndpointEntry... entries) {
-        RuleCheckingHost host = new RuleCheckingHost(settings(requestClass(effect, group), false, 1));
+    static RuleCheckingHost withWorkers(Idempotency idempotency, DeduplicationScope scope, EndpointEntry... entries) {
+        RuleCheckingHost host = new RuleCheckingHost(settings(requestClass(idempotency, scope), false, 1));
         host.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
         return host;
     }
@@ -57,28 +78,28 @@
         return withWorkers(Idempotency.READ_LIKE, DeduplicationScope.ALL, entry("a", 0, 0), entry("b", 0, 0));
     }
 
-    static RuleCheckingHost amongDispatchers(int nodes, EndpointEntry... entries) {
+    static RuleCheckingHost amongDispatchers(int dispatchers, EndpointEntry... entries) {
         RuleCheckingHost host = new RuleCheckingHost(
-                settings(requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, nodes));
+                settings(requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, dispatchers));
         host.receiveList(EndpointListKind.CACHED_SNAPSHOT, entries);
         return host;
     }
 
-    static LoadReport report(double active, double free) {
-        return new LoadReport(active, Double.NaN, Double.NaN, Double.NaN, free, Double.NaN);
+    static LoadReport report(double active, double freeSlots) {
+        return new LoadReport(active, Double.NaN, Double.NaN, Double.NaN, freeSlots, Double.NaN);
     }
 
-    static RequestClass requestClass(Idempotency effect, DeduplicationScope group) {
-        return new RequestClass(400, 2, 10000, 1, 0, effect, group, 15000, false, -1);
+    static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass(400, 2, 10000, 1, 0, idempotency, scope, 15000, false, -1);
     }
 
-    static PolicySettings settings(RequestClass spec, boolean copies, int balancers) {
-        return settings(spec, copies, balancers, 0);
+    static PolicySettings settings(RequestClass requestClass, boolean hedging, int dispatchers) {
+        return settings(requestClass, hedging, dispatchers, 0);
     }
 
-    static PolicySettings settings(RequestClass spec, boolean copies, int balancers, int index) {
+    static PolicySettings settings(RequestClass requestClass, boolean hedging, int dispatchers, int index) {
         return new PolicySettings(
-                balancers,
+                dispatchers,
                 index,
                 0,
                 true,
@@ -89,14 +110,14 @@
                 2,
                 0.1,
                 0,
-                List.of(spec),
+                List.of(requestClass),
                 List.of(),
-                new SitePermissions(true, true, copies, 4, 250, 2000, 5000),
+                new SitePermissions(true, true, hedging, 4, 250, 2000, 5000),
                 new PlatformRules(1000, 10000, 0.3, 9000, 4, 1500, 8));
     }
 
-    static EndpointEntry entry(String id, int cell, double up) {
-        return new EndpointEntry(id, EndpointLifecycle.ACTIVE, 1, 0, cell, 0, up);
+    static EndpointEntry entry(String id, int cell, double startedAtMs) {
+        return new EndpointEntry(id, EndpointLifecycle.ACTIVE, 1, 0, cell, 0, startedAtMs);
     }
 
     long nowUs() {
@@ -107,8 +128,8 @@
         if (kind != EndpointListKind.DELTA) {
             listedEntries.clear();
         }
-        for (EndpointEntry e : entries) {
-            listedEntries.put(e.worker(), e);
+        for (EndpointEntry entry : entries) {
+            listedEntries.put(entry.worker(), entry);
         }
         policy.endpointListReceived(nowUs(), kind, 1, List.of(entries));
         if (kind == EndpointListKind.CACHED_SNAPSHOT && confirmsCachedList) {
@@ -119,44 +140,50 @@
         }
     }
 
-    TestRequest accept(long id, double work) {
-        return accept(id, 0, work, 0);
+    TestRequest accept(long id, double workMs) {
+        return accept(id, 0, workMs, 0);
     }
 
-    TestRequest accept(long id, int cls, double work, double memory) {
-        return accept(id, cls, work, memory, settings.classes().get(cls).deadlineMs());
+    TestRequest accept(long id, int requestClass, double workMs, double memory) {
+        return accept(
+                id,
+                requestClass,
+                workMs,
+                memory,
+                settings.classes().get(requestClass).deadlineMs());
     }
 
-    /** With less time left than the class's deadline, as in a client's later attempt. */
-    TestRequest accept(long id, int cls, double work, double memory, double leftMs) {
+    /** Accepts a request with less time left than its class's deadline, as in a client's later attempt. */
+    TestRequest accept(long id, int requestClass, double workMs, double memory, double remainingMs) {
         TestRequest request = new TestRequest();
-        request.requestClass = settings.classes().get(cls);
-        request.deadlineMs = nowMs + leftMs;
+        request.requestClass = settings.classes().get(requestClass);
+        request.deadlineMs = nowMs + remainingMs;
         request.maxAttempts = settings.permissions().maxAttempts();
         requests.put(id, request);
         policy.requestAccepted(
-                nowUs(), new PolicyRequest(id, cls, 0, Math.round(request.deadlineMs * 1000), work, 1, memory));
+                nowUs(),
+                new PolicyRequest(id, requestClass, 0, Math.round(request.deadlineMs * 1000), workMs, 1, memory));
         answerProbes();
         return request;
     }
 
-    /** Accepts one under settings that are not in force any more, as one that was read just before they changed. */
-    TestRequest acceptUnder(PolicySettings before, long id) {
+    /** Accepts a request under earlier settings, as one that was received just before they changed. */
+    TestRequest acceptUnder(PolicySettings earlier, long id) {
         TestRequest request = new TestRequest();
-        request.requestClass = before.classes().get(0);
-        request.maxAttempts = before.permissions().maxAttempts();
+        request.requestClass = earlier.classes().get(0);
+        request.maxAttempts = earlier.permissions().maxAttempts();
         request.deadlineMs = nowMs + request.requestClass.deadlineMs();
         requests.put(id, request);
         policy.requestAccepted(
                 nowUs(),
-                new PolicyRequest(id, 0, 0, Math.round(request.deadlineMs * 1000), 100, 1, 0, null, before, 1, null));
+                new PolicyRequest(id, 0, 0, Math.round(request.deadlineMs * 1000), 100, 1, 0, null, earlier, 1, null));
         answerProbes();
         return request;
     }
 
-    /** The watch, or the call for one, has failed. */
-    void listFailed(EndpointWatchFailure loss) {
-        policy.endpointWatchFailed(nowUs(), loss, 0);
+    /** Reports that the watch of the endpoint list, or a poll for it, failed. */
+    void listFailed(EndpointWatchFailure failure) {
+        policy.endpointWatchFailed(nowUs(), failure, 0);
     }
 
     void changeSettings(PolicySettings next) {
@@ -164,43 +191,44 @@
         policy.settingsChanged(nowUs(), next);
     }
 
-    /** Answers the probes sent so far, unless the worker is to stay silent, with the report set for it. */
+    /** Answers the probes sent so far with the workers' load reports, except those of silent workers. */
     void answerProbes() {
         while (answeredProbes < probes.size()) {
-            String w = probes.get(answeredProbes++);
-            if (!silentWorkers.contains(w)) {
-                policy.probeEnded(nowUs(), w, AttemptOutcome.SERVED, 1, reports.get(w));
+            String worker = probes.get(answeredProbes++);
+            if (!silentWorkers.contains(worker)) {
+                policy.probeEnded(nowUs(), worker, AttemptOutcome.SERVED, 1, reports.get(worker));
             }
         }
     }
 
     void endAttempt(long id, AttemptOutcome outcome) {
         TestRequest request = requests.get(id);
-        int n = request.attempts.size() - 1;
-        endAttempt(id, n, outcome);
+        int number = request.attempts.size() - 1;
+        endAttempt(id, number, outcome);
     }
 
-    void endAttempt(long id, int n, AttemptOutcome outcome) {
+    void endAttempt(long id, int number, AttemptOutcome outcome) {
         TestRequest request = requests.get(id);
-        TestAttempt attempt = request.attempts.get(n);
+        TestAttempt attempt = request.attempts.get(number);
         attempt.ended = true;
         attempt.neverRan = outcome.provesNeverRan();
-        boolean was = request.ended;
+        boolean endedBefore = request.ended;
         request.ended |= outcome == AttemptOutcome.SERVED;
-        if (request.ended && !was) {
+        if (request.ended && !endedBefore) {
             request.result = "served";
         }
-        policy.attemptEnded(nowUs(), id, n, attempt.worker, outcome, nowMs - attempt.sentAtMs, request.ended, null);
+        policy.attemptEnded(
+                nowUs(), id, number, attempt.worker, outcome, nowMs - attempt.sentAtMs, request.ended, null);
     }
 
-    /** Lets time pass, firing the policy's timers. */
+    /** Advances the time and runs the policy's timers that expire. */
     void advance(double ms) {
-        double end = nowMs + ms;
+        double endMs = nowMs + ms;
         while (true) {
             double[] first = null;
-            for (double[] attempt : timers) {
-                if (attempt[0] <= end && (first == null || attempt[0] < first[0])) {
-                    first = attempt;
+            for (double[] timer : timers) {
+                if (timer[0] <= endMs && (first == null || timer[0] < first[0])) {
+                    first = timer;
                 }
             }
             if (first == null) {
@@ -210,42 +238,43 @@
             nowMs = Math.max(nowMs, first[0]);
             policy.timerExpired(nowUs(), (long) first[1]);
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
-    static void requireRule(boolean ok, String what) {
-        if (!ok) {
-            throw new AssertionError(what);
+    static void requireRule(boolean holds, String rule) {
+        if (!holds) {
+            throw new AssertionError(rule);
         }
     }
 
     @Override
     public void sendAttempt(long id, String worker) {
         TestRequest request = requests.get(id);
-        requireRule(!request.ended, "rule 1: a send after the end");
+        requireRule(!request.ended, "rule 1: a send after the result");
         requireRule(nowMs < request.deadlineMs, "rule 1: a send past the deadline");
         requireRule(
                 listedEntries.containsKey(worker) && listedEntries.get(worker).lifecycle() == EndpointLifecycle.ACTIVE,
-                "rule 3: " + worker);
-        int outNow = 0;
+                "rule 3: a send to a worker that is not active: " + worker);
+        int inFlight = 0;
         for (TestAttempt attempt : request.attempts) {
-            outNow += attempt.ended ? 0 : 1;
+            inFlight += attempt.ended ? 0 : 1;
             if (!attempt.neverRan) {
                 requireRule(
-                        request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT, "rule 2: unsafe sent twice");
+                        request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "rule 2: a non-idempotent request may run twice");
                 if (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                     requireRule(
                             nowMs - attempt.sentAtMs <= request.requestClass.deduplicationWindowMs(),
-                            "rule 2: outside the window");
+                            "rule 2: a repeat outside the deduplication window");
                     requireRule(
                             request.requestClass.deduplicationScope() != DeduplicationScope.CELL
                                     || cell(attempt.worker) == cell(worker),
-                            "rule 2: outside the cell");
+                            "rule 2: a repeat outside the cell");
                 }
             }
         }
-        requireRule(outNow <= (settings.permissions().hedging() ? 1 : 0), "rule 2: too many attempts out");
-        requireRule(request.attempts.size() < Math.min(request.maxAttempts, 4), "tryLimit");
+        requireRule(inFlight <= (settings.permissions().hedging() ? 1 : 0), "rule 2: too many attempts in flight");
+        requireRule(request.attempts.size() < Math.min(request.maxAttempts, 4), "more attempts than permitted");
         TestAttempt attempt = new TestAttempt();
         attempt.worker = worker;
         attempt.sentAtMs = nowMs;
@@ -255,39 +284,43 @@
     private final Map<String, Integer> cells = new HashMap<>();
 
     private int cell(String worker) {
-        EndpointEntry e = listedEntries.get(worker);
-        if (e != null) {
-            cells.put(worker, e.cell());
+        EndpointEntry entry = listedEntries.get(worker);
+        if (entry != null) {
+            cells.put(worker, entry.cell());
         }
         return cells.getOrDefault(worker, 0);
     }
 
     @Override
-    public void reject(long id, double pauseMs, RejectionReason why) {
+    public void reject(long id, double retryAfterMs, RejectionReason reason) {
         TestRequest request = requests.get(id);
-        requireRule(!request.ended, "rule 1: two answers");
-        boolean ran = request.attempts.stream().anyMatch(attempt -> !attempt.neverRan);
+        requireRule(!request.ended, "rule 1: two results");
+        boolean mayHaveRun = request.attempts.stream().anyMatch(attempt -> !attempt.neverRan);
         requireRule(
-                !ran
+                !mayHaveRun
                         || request.requestClass.idempotency() == Idempotency.READ_LIKE
                         || request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                 && request.requestClass.deduplicationScope() == DeduplicationScope.ALL,
-                "rule 2: refused what may have run");
-        requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
-        requireRule(pauseMs <= settings.permissions().maxRetryAfterMs(), "pause beyond what clients follow");
+                "rule 2: a request that may have run was rejected");
+        requireRule(
+                nowMs <= request.deadlineMs + settings.rules().responseSlackMs(),
+                "rule 1: a result after the deadline");
+        requireRule(retryAfterMs <= settings.permissions().maxRetryAfterMs(), "a retry delay longer than permitted");
         request.ended = true;
         request.result = "rejected";
-        request.reason = why;
+        request.reason = reason;
     }
 
     @Override
-    public void fail(long id, RejectionReason why) {
+    public void fail(long id, RejectionReason reason) {
         TestRequest request = requests.get(id);
-        requireRule(!request.ended, "rule 1: two answers");
-        requireRule(nowMs <= request.deadlineMs + settings.rules().responseSlackMs(), "rule 1: late answer");
+        requireRule(!request.ended, "rule 1: two results");
+        requireRule(
+                nowMs <= request.deadlineMs + settings.rules().responseSlackMs(),
+                "rule 1: a result after the deadline");
         request.ended = true;
         request.result = "failed";
-        request.reason = why;
+        request.reason = reason;
     }
 
     @Override
@@ -295,13 +328,13 @@
         requireRule(
                 settings.permissions().cancellation()
                         && attempt < requests.get(id).attempts.size(),
-                "cancel");
+                "cancellation is not permitted, or the attempt does not exist");
         cancellations++;
     }
 
     @Override
     public void probe(String worker) {
-        requireRule(settings.permissions().probing(), "probe");
+        requireRule(settings.permissions().probing(), "probing is not permitted");
         probes.add(worker);
     }
 
--- a/src/test/java/maplespread/policy/SettingsChangeTest.java
+++ b/src/test/java/maplespread/policy/SettingsChangeTest.java
@@ -12,13 +12,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/**
- * Settings that change while requests are in work; the host asserts each request's own rules at every send.
- */
+/** Settings that change while requests are in flight; the host asserts each request's own rules at every send. */
 class SettingsChangeTest {
-    private static PolicySettings settings(Idempotency effect, int tries) {
-        PolicySettings s =
-                RuleCheckingHost.settings(RuleCheckingHost.requestClass(effect, DeduplicationScope.ALL), true, 1);
+    private static PolicySettings settings(Idempotency idempotency, int maxAttempts) {
+        PolicySettings current =
+                RuleCheckingHost.settings(RuleCheckingHost.requestClass(idempotency, DeduplicationScope.ALL), true, 1);
         return new PolicySettings(
                 1,
                 0,
@@ -31,78 +29,81 @@
                 2,
                 0.1,
                 0,
-                s.classes(),
+                current.classes(),
                 List.of(),
-                new SitePermissions(true, true, true, tries, 250, 2000, 5000),
-                s.rules());
+                new SitePermissions(true, true, true, maxAttempts, 250, 2000, 5000),
+                current.rules());
     }
 
-    private static RuleCheckingHost host(PolicySettings set) {
-        RuleCheckingHost h = new RuleCheckingHost(set);
-        h.receiveList(
+    private static RuleCheckingHost host(PolicySettings settings) {
+        RuleCheckingHost host = new RuleCheckingHost(settings);
+        host.receiveList(
                 EndpointListKind.CACHED_SNAPSHOT,
                 IntStream.range(0, 5)
                         .mapToObj(i -> RuleCheckingHost.entry("w" + i, 0, 0))
                         .toArray(EndpointEntry[]::new));
-        return h;
+        return host;
     }
 
-    /** Whatever a class becomes, a request in flight ends by the settings under which it was accepted. */
+    /** A request ends by the settings under which it was accepted, however its class changes meanwhile. */
     @Property(tries = 300)
-    void aRequestKeepsTheRulesItWasTakenUnder(
-            @ForAll Idempotency was,
-            @ForAll Idempotency becomes,
-            @ForAll @IntRange(min = 1, max = 4) int triesWere,
-            @ForAll @IntRange(min = 1, max = 4) int triesBecome,
+    void aRequestKeepsTheSettingsUnderWhichItWasAccepted(
+            @ForAll Idempotency idempotencyBefore,
+            @ForAll Idempotency idempotencyAfter,
+            @ForAll @IntRange(min = 1, max = 4) int maxAttemptsBefore,
+            @ForAll @IntRange(min = 1, max = 4) int maxAttemptsAfter,
             @ForAll boolean mayHaveRun) {
-        PolicySettings before = settings(was, triesWere);
-        PolicySettings after = settings(becomes, triesBecome);
-        RuleCheckingHost h = host(before);
-        h.accept(1, 100);
-        h.changeSettings(after);
-        h.acceptUnder(before, 2);
-        h.accept(3, 100);
-        for (int i = 0; i < 300; i++) { // longer than their deadlines
-            for (Map.Entry<Long, RuleCheckingHost.TestRequest> e : h.requests.entrySet()) {
-                List<RuleCheckingHost.TestAttempt> tries = e.getValue().attempts;
-                if (!tries.isEmpty() && !tries.get(tries.size() - 1).ended) {
-                    h.endAttempt(e.getKey(), mayHaveRun ? AttemptOutcome.ERROR : AttemptOutcome.REJECTED);
+        PolicySettings before = settings(idempotencyBefore, maxAttemptsBefore);
+        PolicySettings after = settings(idempotencyAfter, maxAttemptsAfter);
+        RuleCheckingHost host = host(before);
+        host.accept(1, 100);
+        host.changeSettings(after);
+        host.acceptUnder(before, 2);
+        host.accept(3, 100);
+        for (int i = 0; i < 300; i++) { // longer than the deadlines
+            for (Map.Entry<Long, RuleCheckingHost.TestRequest> e : host.requests.entrySet()) {
+                List<RuleCheckingHost.TestAttempt> attempts = e.getValue().attempts;
+                if (!attempts.isEmpty() && !attempts.get(attempts.size() - 1).ended) {
+                    host.endAttempt(e.getKey(), mayHaveRun ? AttemptOutcome.ERROR : AttemptOutcome.REJECTED);
                 }
             }
-            h.advance(50);
+            host.advance(50);
         }
         for (long id = 1; id <= 3; id++) {
-            RuleCheckingHost.TestRequest request = h.requests.get(id);
-            Idempotency effect = id == 3 ? becomes : was;
-            int most = mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? 1 : id == 3 ? triesBecome : triesWere;
-            assertEquals(most, request.attempts.size(), "attempts of " + id);
-            assertEquals(mayHaveRun && effect == Idempotency.NON_IDEMPOTENT ? "failed" : "rejected", request.result);
+            RuleCheckingHost.TestRequest request = host.requests.get(id);
+            Idempotency idempotency = id == 3 ? idempotencyAfter : idempotencyBefore;
+            int expectedAttempts = mayHaveRun && idempotency == Idempotency.NON_IDEMPOTENT
+                    ? 1
+                    : id == 3 ? maxAttemptsAfter : maxAttemptsBefore;
+            assertEquals(expectedAttempts, request.attempts.size(), "attempts of " + id);
+            assertEquals(
+                    mayHaveRun && idempotency == Idempotency.NON_IDEMPOTENT ? "failed" : "rejected", request.result);
         }
     }
 
-    private static int sentToACold(PolicySettings set) {
-        RuleCheckingHost h = new RuleCheckingHost(RuleCheckingHost.settings(
+    private static int sentToAWorkerInSlowStart(PolicySettings settings) {
+        RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4));
-        h.changeSettings(set);
-        h.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("cold", 0, h.nowMs));
+        host.changeSettings(settings);
+        host.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("cold", 0, host.nowMs));
         int sent = 0;
         for (int i = 1; i <= 400; i++) {
-            RuleCheckingHost.TestRequest request = h.accept(i, 10);
-            h.advance(5);
+            RuleCheckingHost.TestRequest request = host.accept(i, 10);
+            host.advance(5);
             if (!request.attempts.isEmpty()) {
                 sent += request.attempts.get(0).worker.equals("cold") ? 1 : 0;
-                h.endAttempt(i, AttemptOutcome.SERVED);
+                host.endAttempt(i, AttemptOutcome.SERVED);
             }
         }
         return sent;
     }
 
-    /** Two processes of one dispatcher, in an upgrade, send a worker in slow start no more than the one would. */
+    /** During an upgrade, the two processes of one dispatcher send a worker in slow start no more than one would. */
     @Test
-    void twoProcessesOfOneNodeSendAColdWorkerWhatOneWould() {
-        PolicySettings s = RuleCheckingHost.settings(
+    void twoProcessesOfOneDispatcherKeepToTheSlowStartBudgetOfOne() {
+        PolicySettings current = RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 4);
-        PolicySettings one = new PolicySettings(
+        PolicySettings single = new PolicySettings(
                 4,
                 0,
                 0,
@@ -114,33 +115,33 @@
                 2,
                 0.1,
                 0,
-                s.classes(),
+                current.classes(),
                 List.of(),
-                s.permissions(),
-                new PlatformRules(1000, 10000, 0.3, 9000, 1, 1500, 8)); // easily overloaded
-        int alone = sentToACold(one);
-        int each = sentToACold(one.sharedByTwoProcesses());
-        assertTrue(alone > 6 && each > 0 && 2 * each <= alone * 1.3, "twice " + each + ", alone " + alone);
+                current.permissions(),
+                new PlatformRules(1000, 10000, 0.3, 9000, 1, 1500, 8)); // a worker in slow start is easily overloaded
+        int byOne = sentToAWorkerInSlowStart(single);
+        int byEach = sentToAWorkerInSlowStart(single.sharedByTwoProcesses());
+        assertTrue(byOne > 6 && byEach > 0 && 2 * byEach <= byOne * 1.3, "twice " + byEach + ", alone " + byOne);
     }
 
-    /** What was learnt survives a change: a worker that is avoided stays so. */
+    /** A worker that is avoided stays avoided after a change, and a change may add classes but not remove them. */
     @Test
-    void whatIsKnownOfWorkersSurvivesAndClassesOnlyCome() {
-        RuleCheckingHost h = host(settings(Idempotency.READ_LIKE, 4));
-        String down = h.accept(1, 100).attempts.get(0).worker;
-        h.silentWorkers.add(down);
-        h.endAttempt(1, AttemptOutcome.CONNECT_FAILED);
-        int avoided = h.policy.avoidedWorkers();
+    void workerStatesSurviveAChangeAndClassesAreOnlyAdded() {
+        RuleCheckingHost host = host(settings(Idempotency.READ_LIKE, 4));
+        String unreachable = host.accept(1, 100).attempts.get(0).worker;
+        host.silentWorkers.add(unreachable);
+        host.endAttempt(1, AttemptOutcome.CONNECT_FAILED);
+        int avoided = host.policy.avoidedWorkers();
         assertTrue(avoided >= 1);
-        RequestClass one = h.settings.classes().get(0);
-        h.changeSettings(h.settings.withClasses(
-                List.of(one, RuleCheckingHost.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL))));
-        assertEquals(avoided, h.policy.avoidedWorkers());
-        RuleCheckingHost.TestRequest request = h.accept(2, 1, 100, 0);
-        h.endAttempt(2, AttemptOutcome.ERROR);
-        h.advance(1000);
-        assertEquals("failed", request.result, "the new class has its own effect");
+        RequestClass existing = host.settings.classes().get(0);
+        host.changeSettings(host.settings.withClasses(
+                List.of(existing, RuleCheckingHost.requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL))));
+        assertEquals(avoided, host.policy.avoidedWorkers());
+        RuleCheckingHost.TestRequest request = host.accept(2, 1, 100, 0);
+        host.endAttempt(2, AttemptOutcome.ERROR);
+        host.advance(1000);
+        assertEquals("failed", request.result, "the new class has its own idempotency");
         PolicySettings fewer = settings(Idempotency.NON_IDEMPOTENT, 1);
-        assertThrows(IllegalArgumentException.class, () -> h.policy.settingsChanged(h.nowUs(), fewer));
+        assertThrows(IllegalArgumentException.class, () -> host.policy.settingsChanged(host.nowUs(), fewer));
     }
 }
--- a/src/test/java/maplespread/policy/SlowStartBudgetTest.java
+++ b/src/test/java/maplespread/policy/SlowStartBudgetTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a worker in slow start is sent. */
+/** How much work a worker in slow start is sent. */
 class SlowStartBudgetTest {
     @Test
-    void aWorkerInSlowStartGetsOnlyItsShareOfTheBudget() {
+    void aDispatcherSendsOnlyItsShareOfTheSlowStartBudget() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
         host.nowMs = 50000;
@@ -16,15 +16,13 @@
         for (int i = 1; i < 50; i++) {
             sent += host.accept(i, 100).attempts.size() * 100;
         }
-        // 4 times present capacity (0.3 of at most 2 slots at speed 1) over 1.5 s, by two dispatchers
+        // 4 times the present capacity (0.3 of at most 2 slots at speed 1) over 1.5 s, divided by two dispatchers
         assertTrue(sent > 0 && sent <= 4 * 0.31 * 2 * 1500 / 2, "sent " + sent);
     }
 
-    /**
-     * Many dispatchers, each with a share below one request, must not starve new workers.
-     */
+    /** Guards against new workers without requests: each of many dispatchers has a share below one request. */
     @Test
-    void aShareBelowOneRequestStillLetsOneThroughInTime() {
+    void aShareBelowOneRequestStillAllowsOneInTime() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 30));
         host.nowMs = 50000;
@@ -45,17 +43,17 @@
         assertTrue(sent >= 1 && sent <= 12, "sent " + sent);
     }
 
-    /** Unused budget lapses, so that many dispatchers do not send at once. */
+    /** Unused budget expires, so that many dispatchers do not spend saved budgets at the same time. */
     @Test
-    void unusedBudgetLapses() {
+    void unusedBudgetExpires() {
         int sent = 0;
-        for (int node = 0; node < 200; node++) {
+        for (int dispatcher = 0; dispatcher < 200; dispatcher++) {
             RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                     RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 200));
-            host.policy = new DispatchPolicy(host.settings, node, host);
+            host.policy = new DispatchPolicy(host.settings, dispatcher, host);
             host.nowMs = 50000;
             host.receiveList(EndpointListKind.CACHED_SNAPSHOT, RuleCheckingHost.entry("new", 0, 49999));
-            host.advance(6000); // all idle, then all have a request at once
+            host.advance(6000); // all dispatchers are idle, then each has one request at the same time
             sent += host.accept(1, 500).attempts.size();
         }
         // 4 times 0.8 of two slots over a window of 1.5 s is 19 requests of 500 ms
--- a/src/test/java/maplespread/policy/ValueFunctionTest.java
+++ b/src/test/java/maplespread/policy/ValueFunctionTest.java
@@ -6,24 +6,24 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The value function against the formulas of the paper. */
+/** Compares the value function with the formulas of the paper. */
 class ValueFunctionTest {
     @Test
     void equalsThePapersFormulaAtFullUtilization() {
-        // cost rate that makes (10) and (11) agree
+        // the cost rate at which equations (10) and (11) agree
         double lambda = 1;
         double tau = 2;
         double r = lambda / (2 + lambda * tau);
         for (double u = 0; u <= 6; u += 0.25) {
-            double exact = u > tau
+            double expected = u > tau
                     ? lambda * (1 + lambda * tau) / (2 + lambda * tau) * (u - tau)
                     : lambda * lambda / (4 + 2 * lambda * tau) * (u * u - tau * tau);
-            assertEquals(exact, ValueFunction.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
+            assertEquals(expected, ValueFunction.value(lambda, r, 1, tau, u), 1e-9, "u = " + u);
         }
     }
 
     @Test
-    void isTheHeavyLoadLineWhereOverloaded() {
+    void isTheHeavyLoadLineWhenOverloaded() {
         double s = 2;
         double tau = 3;
         double lambda = 100;
@@ -41,12 +41,12 @@
             double s = 0.1 + random.nextDouble();
             double tau = 0.1 + random.nextDouble() * 3;
             double step = tau / 10;
-            double last = -1e-12;
+            double previousSlope = -1e-12;
             for (int i = 0; i < 30; i++) {
-                double up = ValueFunction.value(lambda, r, s, tau, (i + 1) * step)
+                double slope = ValueFunction.value(lambda, r, s, tau, (i + 1) * step)
                         - ValueFunction.value(lambda, r, s, tau, i * step);
-                assertTrue(up >= last - 1e-9, "slope must not fall");
-                last = up;
+                assertTrue(slope >= previousSlope - 1e-9, "slope must not fall");
+                previousSlope = slope;
             }
         }
     }
--- a/src/test/java/maplespread/policy/WorkerBacklogTest.java
+++ b/src/test/java/maplespread/policy/WorkerBacklogTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is known of the work at a worker. */
+/** How a worker's backlog is estimated. */
 class WorkerBacklogTest {
     @Test
     void aPausedWorkerKeepsItsBacklog() {
@@ -20,27 +20,27 @@
         assertEquals("b", host.accept(3, 300).attempts.get(0).worker);
     }
 
-    /** An attempt that a later one has overtaken has a dead connection, and is no sign of a queue. */
+    /** An attempt that a later one overtakes has a broken connection; it does not show that the worker has a queue. */
     @Test
-    void anOvertakenAttemptIsPlacedAnew() {
+    void anOvertakenAttemptIsCancelledAndSentAgain() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
-        RuleCheckingHost.TestRequest silent = host.accept(1, 300);
-        String at = silent.attempts.get(0).worker;
+        RuleCheckingHost.TestRequest overtaken = host.accept(1, 300);
+        String worker = overtaken.attempts.get(0).worker;
         host.advance(250);
         long next = 2;
-        while (!host.accept(next, 300).attempts.get(0).worker.equals(at)) {
+        while (!host.accept(next, 300).attempts.get(0).worker.equals(worker)) {
             next++;
         }
         assertEquals(0, host.cancellations);
-        host.policy.attemptProgressed(host.nowUs(), next, 0, at, true, 0);
-        assertEquals(1, host.cancellations, "its connection is dead, not the worker");
+        host.policy.attemptProgressed(host.nowUs(), next, 0, worker, true, 0);
+        assertEquals(1, host.cancellations, "the attempt on the broken connection is cancelled");
         host.endAttempt(1, 0, AttemptOutcome.CANCELLED);
-        assertEquals(2, silent.attempts.size());
+        assertEquals(2, overtaken.attempts.size());
     }
 
-    /** Others' load shown by reports counts as backlog. */
+    /** Load of other dispatchers in a report counts as backlog. */
     @Test
-    void reportedLoadOfOthersMovesWorkAway() {
+    void reportedLoadOfOtherDispatchersDivertsRequests() {
         RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), false, 2));
         host.receiveList(
@@ -62,9 +62,9 @@
         assertEquals("b", host.accept(2, 400).attempts.get(0).worker);
     }
 
-    /** A request that starts late shows a queue of others that no report has. */
+    /** A late start shows that requests of other dispatchers are queued, even if no report shows them. */
     @Test
-    void aLateStartTellsOfWorkThatNoReportShows() {
+    void aLateStartShowsBacklogThatNoReportShows() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         host.accept(1, 300);
         String slow = host.requests.get(1L).attempts.get(0).worker;
@@ -72,14 +72,14 @@
         host.policy.attemptProgressed(host.nowUs(), 1, 0, slow, true, 0);
         host.endAttempt(1, AttemptOutcome.SERVED);
         for (int i = 2; i <= 4; i++) {
-            assertNotEquals(slow, host.accept(i, 300).attempts.get(0).worker, "job " + i);
+            assertNotEquals(slow, host.accept(i, 300).attempts.get(0).worker, "request " + i);
             host.endAttempt(i, AttemptOutcome.SERVED);
         }
     }
 
-    /** A request that takes two slots leaves no free one of two. */
+    /** A request that needs two slots leaves none free at a worker with two. */
     @Test
-    void aWideRequestFillsItsSlots() {
+    void aRequestThatNeedsTwoSlotsFillsTheWorker() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
         RuleCheckingHost.TestRequest request =
                 host.requests.computeIfAbsent(1L, k -> new RuleCheckingHost.TestRequest());
@@ -87,14 +87,14 @@
         request.deadlineMs = host.nowMs + 9000;
         host.policy.requestAccepted(
                 host.nowUs(), new PolicyRequest(1, 0, 0, Math.round((host.nowMs + 9000) * 1000), 100, 2, 0));
-        String wide = request.attempts.get(0).worker;
-        assertNotEquals(wide, host.accept(2, 100).attempts.get(0).worker);
-        assertNotEquals(wide, host.accept(3, 100).attempts.get(0).worker, "the other has a slot left");
+        String full = request.attempts.get(0).worker;
+        assertNotEquals(full, host.accept(2, 100).attempts.get(0).worker);
+        assertNotEquals(full, host.accept(3, 100).attempts.get(0).worker, "the other worker has a free slot");
     }
 
-    /** A dispatcher with little traffic sees few starts, and a full worker's report hides its queue. */
+    /** A dispatcher with little traffic observes few starts, and a full worker's report does not show its queue. */
     @Test
-    void aFewLateStartsTellOfTheWholeFleet() {
+    void aFewLateStartsRaiseTheBacklogOfTheWholeFleet() {
         EndpointEntry[] entries = new EndpointEntry[20];
         for (int i = 0; i < entries.length; i++) {
             entries[i] = RuleCheckingHost.entry("w" + i, 0, 0);
@@ -114,10 +114,10 @@
         for (int i = 101; i <= 120; i++) {
             sent += host.accept(i, 300).attempts.size();
         }
-        assertTrue(sent <= 5, "sent as if nobody waited at those not heard of: " + sent);
+        assertTrue(sent <= 5, "workers without observations also count as backlogged, sent: " + sent);
     }
 
-    /** A request starts only where its memory is free; absurd needs count as none. */
+    /** A request can start only where its memory is free; invalid memory needs count as none. */
     @Test
     void memoryDecidesWhereARequestCanStart() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
