--- a/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
+++ b/src/test/java/maplespread/policy/EndpointListFreshnessTest.java
@@ -50,18 +50,25 @@
     /**
      * One combination of events; times in milliseconds.
      *
+     * @param outageMs duration of the outage; 0 without one
      * @param slowMs additional time that an answer takes, from the loss of the watch or the end of the outage
      * @param drainAt when one worker begins to drain; negative: never
      * @param restartAt when the dispatcher restarts; negative: never
      * @param moveAt when discovery moves; negative: never
-     * @param mute whether discovery does not answer after its move
+     * @param silentAfterMove whether discovery does not answer after its move
      */
     private record Play(
-            Loss loss, double outageMs, double slowMs, double drainAt, double restartAt, double moveAt, boolean mute) {}
+            Loss loss,
+            double outageMs,
+            double slowMs,
+            double drainAt,
+            double restartAt,
+            double moveAt,
+            boolean silentAfterMove) {}
 
     /** Discovery, one dispatcher and the check of its requests, in virtual time. */
     private static final class World {
-        private final Play play;
+        private final Play combination;
         private final List<String> violations = new ArrayList<>();
         private RuleCheckingHost host = new RuleCheckingHost(RuleCheckingHost.settings(
                 RuleCheckingHost.requestClass(Idempotency.READ_LIKE, DeduplicationScope.ALL), true, 1));
@@ -87,8 +94,8 @@
         private int sent;
         private int accepted;
 
-        World(Play play) {
-            this.play = play;
+        World(Play combination) {
+            this.combination = combination;
             startDispatcher();
         }
 
@@ -112,13 +119,13 @@
         }
 
         private boolean up() {
-            return play.loss != Loss.OUTAGE || now() < 5000 || now() >= 5000 + play.outageMs;
+            return combination.loss != Loss.OUTAGE || now() < 5000 || now() >= 5000 + combination.outageMs;
         }
 
         private double answerMs() {
-            double from = play.loss == Loss.OUTAGE ? 5000 + play.outageMs : 5000;
-            boolean muted = play.mute && moved;
-            return muted ? Double.MAX_VALUE : now() >= from ? 20 + play.slowMs : 20;
+            double from = combination.loss == Loss.OUTAGE ? 5000 + combination.outageMs : 5000;
+            boolean silent = combination.silentAfterMove && moved;
+            return silent ? Double.MAX_VALUE : now() >= from ? 20 + combination.slowMs : 20;
         }
 
         void run() {
@@ -138,9 +145,9 @@
         }
 
         private void runEvents() {
-            if (isDue(play.drainAt)) {
+            if (isDue(combination.drainAt)) {
                 // Discovery learns of a drain during an outage when the outage ends.
-                double known = up() ? now() : 5000 + play.outageMs;
+                double known = up() ? now() : 5000 + combination.outageMs;
                 notifiedAt = Math.min(notifiedAt, known + NOTIFIED_AFTER_MS);
                 if (silentSince >= 0) {
                     notifiedAt = Math.min(notifiedAt, Math.max(now(), silentSince + NOTIFIED_AFTER_MS));
@@ -150,16 +157,17 @@
                     sendList();
                 }
             }
-            if (isDue(play.restartAt)) {
+            if (isDue(combination.restartAt)) {
                 restartUntil = now() + RESTART_MS;
             }
             if (restartUntil > 0 && now() >= restartUntil) {
                 restartUntil = -1;
                 startDispatcher();
             }
-            if (isDue(play.moveAt)) {
+            if (isDue(combination.moveAt)) {
                 moved = true;
-                if (play.drainAt >= 0 && play.drainAt < now()) { // the new address has known of the drain for long
+                if (combination.drainAt >= 0
+                        && combination.drainAt < now()) { // the new address has known of the drain for long
                     notifiedAt = Math.min(notifiedAt, now() + NOTIFIED_AFTER_MOVE_MS);
                 }
                 watching = false;
@@ -175,7 +183,7 @@
             if (!watching) {
                 return;
             }
-            switch (play.loss) {
+            switch (combination.loss) {
                 case SILENT -> {
                     silentSince = now();
                     lastMessageAt = now();
@@ -216,7 +224,7 @@
         }
 
         private void sendList() {
-            boolean drains = play.drainAt >= 0 && now() >= play.drainAt;
+            boolean drains = combination.drainAt >= 0 && now() >= combination.drainAt;
             EndpointLifecycle lifecycle = drains ? EndpointLifecycle.DRAINING : EndpointLifecycle.ACTIVE;
             host.receiveList(
                     EndpointListKind.FULL_SNAPSHOT,
@@ -239,14 +247,15 @@
             }
             sent++;
             if (request.attempts.get(0).worker.equals("drains") && now() > notifiedAt + DRAIN_GRACE_MS) {
-                violations.add(Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + play);
+                violations.add(
+                        Math.round(now() - notifiedAt) + " ms late at " + Math.round(now()) + " in " + combination);
             }
             host.endAttempt(ids, AttemptOutcome.SERVED);
         }
     }
 
-    private static World played(Play play) {
-        World world = new World(play);
+    private static World runWorld(Play combination) {
+        World world = new World(combination);
         world.run();
         return world;
     }
@@ -277,25 +286,25 @@
     @Test
     void noRequestGoesToADrainedWorkerInAnyOrderOfEvents() {
         List<String> violations = new ArrayList<>();
-        List<Play> plays = everyCombination();
-        for (Play play : plays) {
-            violations.addAll(played(play).violations.stream().limit(1).toList());
+        List<Play> combinations = everyCombination();
+        for (Play combination : combinations) {
+            violations.addAll(runWorld(combination).violations.stream().limit(1).toList());
         }
-        assertTrue(plays.size() > 500, "combinations " + plays.size());
-        assertEquals(List.of(), violations, violations.size() + " of " + plays.size() + " combinations");
+        assertTrue(combinations.size() > 500, "combinations " + combinations.size());
+        assertEquals(List.of(), violations, violations.size() + " of " + combinations.size() + " combinations");
     }
 
     /** Discovery can report no drain during the outage, so rejecting requests would only cost service. */
     @Test
     void requestsAreSentDuringAnOutageOfDiscovery() {
-        World world = played(new Play(Loss.OUTAGE, 60_000, 0, -1, -1, -1, false));
+        World world = runWorld(new Play(Loss.OUTAGE, 60_000, 0, -1, -1, -1, false));
         assertTrue(world.sent >= world.accepted - 5, world.sent + " of " + world.accepted + " sent");
     }
 
     /** Once the list is confirmed again, requests are sent at once. */
     @Test
     void requestsAreSentAtOnceAfterAnotherConfirmation() {
-        World world = played(new Play(Loss.SILENT, 0, 0, -1, -1, -1, false));
+        World world = runWorld(new Play(Loss.SILENT, 0, 0, -1, -1, -1, false));
         assertTrue(world.sent >= world.accepted - 5, world.sent + " of " + world.accepted + " sent");
     }
 
--- a/src/test/java/maplespread/policy/ReplayFleet.java
+++ b/src/test/java/maplespread/policy/ReplayFleet.java
@@ -67,7 +67,7 @@
     /** Capacity of all workers, in milliseconds of work a millisecond. */
     private double capacity;
 
-    /** When discovery answers again, in milliseconds; in the past: it answers. */
+    /** Time in milliseconds from which discovery answers; 0: always. */
     private double discoveryUpAtMs;
 
     private long version = 1;
