--- a/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
+++ b/src/main/java/maplespread/partition/client/AssignmentCoordinator.java
@@ -17,17 +17,17 @@
 import maplespread.partition.client.PartitionService.ClusterHandle;
 
 /**
- * Proposes changes of the assignment: its first value, who is a member, slots that are drained or open, stopped
- * keys and a new table of the operators' file. {@link #run} is called by one thread alone, which blocks while a
- * change is decided; {@link #storeStop} by requests' threads.
+ * Proposes changes of the assignment: its first value, its members, slots that have drained or opened, stopped keys and
+ * a new table from the operators' file. {@link #run} is called by the coordinator's thread only, which blocks while a
+ * change is being decided; {@link #storeStop} is also called by request threads.
  */
 final class AssignmentCoordinator {
-    /** The longest that the coordinator's thread waits for one change. */
-    private static final long PROPOSAL_WAIT_MS = 500;
-    /** The longest that the response to a failed request waits until the stop of its key is stored. */
+    /** Longest time that the coordinator's thread waits for the decision of one change. */
+    private static final long MAX_PROPOSAL_WAIT_MS = 500;
+    /** Longest time that the response to a failed request waits for the stop of its key to be stored. */
     private static final long MAX_STOP_WAIT_MS = 1000;
 
-    private static final long MIN_PAUSE_MS = 5;
+    private static final long MIN_ROUND_DELAY_MS = 5;
 
     private final String name;
     private final PartitionSettings settings;
@@ -39,12 +39,12 @@
     private final HeartbeatTable heartbeats;
     private final ConfiguredTable configured;
 
-    /** The register's epoch that has no assignment yet, and since when. On the coordinator's thread. */
+    /** Latest epoch of the register seen without an assignment; 0 if there was none. Coordinator's thread only. */
     private long emptyRegisterEpoch;
-
+    /** When {@link #emptyRegisterEpoch} was first seen. Coordinator's thread only. */
     private long emptySinceMs;
 
-    /** {@code heartbeats}: guarded by itself, and shared with the lease renewer. */
+    /** {@code heartbeats} is shared with the lease renewer and guarded by its own monitor. */
     AssignmentCoordinator(
             String name,
             PartitionSettings settings,
@@ -65,10 +65,10 @@
         this.configured = configured;
     }
 
-    /** One round of proposals. Returns the pause until the next, in ms. */
+    /** Runs one round of proposals. Returns the delay before the next round in ms. */
     long run() {
         joined.get().ifPresent(this::propose);
-        return Math.max(MIN_PAUSE_MS, settings.askMs() / 3);
+        return Math.max(MIN_ROUND_DELAY_MS, settings.askMs() / 3);
     }
 
     private void propose(ClusterHandle handle) {
@@ -78,36 +78,37 @@
             return;
         }
         long nowMs = MonotonicTime.nowMs();
-        boolean leads;
+        boolean isLeader;
         synchronized (heartbeats) {
-            leads = heartbeats.isLeader(nowMs, value.electors(), name, settings.silentMs());
+            isLeader = heartbeats.isLeader(nowMs, value.electors(), name, settings.silentMs());
         }
         if (store.read(value).isEmpty()) {
-            proposeFirst(handle, value, nowMs, leads);
+            proposeFirst(handle, value, nowMs, isLeader);
             return;
         }
-        if (leads) {
+        if (isLeader) {
             proposeMembers(handle, value.electors());
         }
         proposeSlots(handle);
-        state.lines().storePendingStops(PROPOSAL_WAIT_MS);
-        if (configured.toBeOffered() && state.mayChange()) {
+        state.lines().storePendingStops(MAX_PROPOSAL_WAIT_MS);
+        if (configured.isProposalPending() && state.mayChangeTable()) {
             proposeConfiguredTable(handle);
         }
     }
 
     /**
-     * Nothing is agreed on: all begin, or what was agreed is lost. What was sent before must be over, and whoever
-     * knew of it may have left, so a hold time is waited from when this epoch of the register was first seen.
+     * Proposes the first assignment of this epoch of the register, which has none because the group is new or because
+     * the earlier assignment was lost. Requests sent under an earlier assignment must have ended, and the members that
+     * knew of them may have left, so the proposal waits for a hold time from when the epoch was first seen.
      */
-    private void proposeFirst(ClusterHandle handle, VersionedValue value, long nowMs, boolean leads) {
+    private void proposeFirst(ClusterHandle handle, VersionedValue value, long nowMs, boolean isLeader) {
         if (emptyRegisterEpoch != value.epoch()) {
             emptyRegisterEpoch = value.epoch();
             emptySinceMs = nowMs;
         }
         String table = configured.compressed();
         long holdMs = leaseSettings.holdMs(state.maxRunMs());
-        if (leads && nowMs - emptySinceMs >= holdMs) {
+        if (isLeader && nowMs - emptySinceMs >= holdMs) {
             change(handle, AssignmentSection.initializing(settings.slots(), table));
         }
     }
@@ -115,7 +116,7 @@
     private void proposeMembers(ClusterHandle handle, List<String> electors) {
         proposeIfChanged(handle, assignment -> {
             synchronized (heartbeats) {
-                long nowMs = MonotonicTime.nowMs(); // the process may have paused meanwhile
+                long nowMs = MonotonicTime.nowMs(); // read here, as a process pause may have preceded this call
                 return heartbeats.isLeader(nowMs, electors, name, settings.silentMs())
                         ? heartbeats.nextAssignment(nowMs, electors, name, assignment, timeouts)
                         : assignment;
@@ -136,24 +137,27 @@
     }
 
     private void proposeConfiguredTable(ClusterHandle handle) {
-        String next = configured.compressed();
+        String nextTable = configured.compressed();
         long knownEpoch = state.assignment().orElseThrow().tableEpoch();
         ChangeResult result =
-                change(handle, AssignmentSection.changing(assignment -> assignment.table(next, knownEpoch)));
+                change(handle, AssignmentSection.changing(assignment -> assignment.table(nextTable, knownEpoch)));
         boolean inForce = result.outcome() == ChangeResult.Outcome.DECIDED
-                && AssignmentSection.read(result.value()).orElseThrow().table().equals(next);
-        configured.setToBeOffered(!inForce);
+                && AssignmentSection.read(result.value()).orElseThrow().table().equals(nextTable);
+        configured.setProposalPending(!inForce);
     }
 
-    private void proposeIfChanged(ClusterHandle handle, UnaryOperator<SlotAssignment> command) {
-        store.propose(handle.register(), command, PROPOSAL_WAIT_MS);
+    private void proposeIfChanged(ClusterHandle handle, UnaryOperator<SlotAssignment> update) {
+        store.propose(handle.register(), update, MAX_PROPOSAL_WAIT_MS);
     }
 
     private ChangeResult change(ClusterHandle handle, Mutation mutation) {
-        return store.change(handle.register(), mutation, PROPOSAL_WAIT_MS);
+        return store.change(handle.register(), mutation, MAX_PROPOSAL_WAIT_MS);
     }
 
-    /** Has it stored that a key has stopped; false: that is not known. Blocks, for {@code waitMs} at most. */
+    /**
+     * Stores that a key is stopped; returns false if it is not known whether the stop was stored. Blocks for {@code
+     * waitMs} milliseconds at most.
+     */
     boolean storeStop(String key, long waitMs) {
         boolean stored = joined.get()
                 .map(handle -> storeStop(handle, key, Math.min(MAX_STOP_WAIT_MS, waitMs)))
--- a/src/main/java/maplespread/partition/client/ConfiguredTable.java
+++ b/src/main/java/maplespread/partition/client/ConfiguredTable.java
@@ -8,7 +8,7 @@
  */
 final class ConfiguredTable {
     private volatile String compressed;
-    private volatile boolean toBeOffered;
+    private volatile boolean proposalPending;
 
     ConfiguredTable(String json) {
         compressed = compress(json);
@@ -19,7 +19,7 @@
         String next = compress(json);
         if (!next.equals(compressed)) {
             compressed = next;
-            toBeOffered = true;
+            proposalPending = true;
         }
     }
 
@@ -27,12 +27,12 @@
         return compressed;
     }
 
-    boolean toBeOffered() {
-        return toBeOffered;
+    boolean isProposalPending() {
+        return proposalPending;
     }
 
-    void setToBeOffered(boolean still) {
-        toBeOffered = still;
+    void setProposalPending(boolean pending) {
+        proposalPending = pending;
     }
 
     /** Compressed without the blanks between its parts, so that tables are compared by what they say. */
--- a/src/main/java/maplespread/partition/client/LeaseRenewer.java
+++ b/src/main/java/maplespread/partition/client/LeaseRenewer.java
@@ -16,17 +16,16 @@
 import maplespread.partition.client.PartitionService.ClusterHandle;
 
 /**
- * Asks the electors for this member's lease, and answers as an elector what others ask. {@link #run} is called by
- * the lease thread alone, {@link #receive} by the transport's receiving thread, which must not block; what both use
- * is volatile, concurrent or guarded by itself.
+ * Requests this member's lease from the electors, and answers the lease requests of other members as an elector. {@link
+ * #run} is called by the lease thread only, {@link #receive} by the transport's receiving thread, which must not block.
+ * State that both threads use is volatile, concurrent or guarded by its own monitor.
  */
 final class LeaseRenewer {
-    /** Of the group's channels. */
     private static final int CHANNEL = PartitionService.CHANNEL;
-    /** How often a member tells all others its address. */
+    /** Interval at which a member sends its address to all others. */
     private static final long ADDRESS_INTERVAL_MS = 500;
 
-    /** A round of questions: the electors that were asked, and those that have answered. */
+    /** One round of lease requests: the electors that they were sent to, and those that have answered. */
     private record ElectorPoll(long round, Set<String> electors, Set<String> answered) {
         ElectorPoll(long round, Collection<String> electors) {
             this(round, Set.copyOf(electors), ConcurrentHashMap.newKeySet());
@@ -46,17 +45,20 @@
     private final AssignmentStore store;
     private final HeartbeatTable heartbeats;
     private final PeerAddresses peers;
-    private final CachedAssignment accepted = new CachedAssignment();
+    private final CachedAssignment acceptedAssignment = new CachedAssignment();
 
+    /** Null until this member has joined the group. Written by the lease thread. */
     private volatile ClusterHandle joined;
+
     private volatile boolean releasingSlots;
     private volatile ElectorPoll poll = new ElectorPoll(0, Set.of());
-    /** When a majority of the electors has last answered, whatever it answered. */
+    /** When a majority of the electors last answered a round, whether or not it granted the lease. */
     private volatile long majorityAnsweredAtMs = MonotonicTime.nowMs();
 
+    /** When this member last sent its address; 0 if the address is due at once. */
     private volatile long addressSentAtMs;
 
-    /** {@code heartbeats}: guarded by itself, and shared with the coordinator. */
+    /** {@code heartbeats} is shared with the coordinator and guarded by its own monitor. */
     LeaseRenewer(
             String name,
             PartitionSettings settings,
@@ -76,17 +78,20 @@
         this.peers = peers;
     }
 
-    /** The group and its register; empty until this member has joined. */
+    /** The group's transport and register; empty until this member has joined the group. */
     Optional<ClusterHandle> joined() {
         return Optional.ofNullable(joined);
     }
 
-    /** This member wants no slots from now on. */
+    /** From now on, lease requests say that this member wants no slots. */
     void releaseSlots() {
         releasingSlots = true;
     }
 
-    /** One round: joins where that is due, then asks for the lease. Returns the pause until the next, in ms. */
+    /**
+     * Joins the group if this member has not yet, then requests the lease; does nothing while there is no group to
+     * join. Returns the delay before the next round in ms.
+     */
     long run() {
         ClusterHandle handle = cluster.get();
         if (handle != null) {
@@ -105,7 +110,7 @@
         joined = handle;
     }
 
-    // ------------------------------------------------------------ as a member that asks
+    // ------------------------------------------------------------ as a member
 
     private void renew(ClusterHandle handle) {
         long nowMs = MonotonicTime.nowMs();
@@ -145,8 +150,9 @@
     }
 
     /**
-     * Whether this member is to own slots. Not while it cannot be told what is agreed: electors that hear it, and
-     * that it does not hear, would leave its slots with it for ever. Nor with a table that it cannot read.
+     * Whether this member is to own slots. A member that receives nothing from a majority of the electors wants none:
+     * electors that still receive its requests would otherwise leave its slots with it forever. Nor does a member want
+     * slots while it cannot read the decided table.
      */
     private boolean wantsSlots() {
         return !releasingSlots
@@ -202,8 +208,9 @@
     }
 
     /**
-     * Whether this member, as an elector, knows of nothing later. It goes by the value that it has accepted, decided
-     * or not: once an epoch is decided, a majority has accepted it, though few may know yet that it was decided.
+     * Records the sender's heartbeat and returns whether this member grants the lease as an elector, which it does if
+     * it knows of no later epoch. The check uses the accepted value, decided or not: once an epoch is decided, a
+     * majority of the electors has accepted it, though few may know yet that it was decided.
      */
     private boolean grantsLease(ClusterHandle handle, String sender, PartitionMessage request) {
         synchronized (heartbeats) {
@@ -216,17 +223,17 @@
                 || value.electorsVersion() > request.electorsVersion()) {
             return false;
         }
-        Optional<SlotAssignment> assignment = accepted.read(value);
+        Optional<SlotAssignment> assignment = acceptedAssignment.read(value);
         return assignment.isPresent()
                 && assignment.get().grantsLease(sender + '#' + request.incarnation(), request.epoch());
     }
 
-    // ------------------------------------------------------------ what comes from others
+    // ------------------------------------------------------------ messages from other members
 
-    /** On the transport's receiving thread. */
+    /** Called on the transport's receiving thread. */
     private void receive(ClusterHandle handle, String sender, byte[] bytes) {
         PartitionMessage message = PartitionMessage.decode(bytes).orElse(null);
-        if (message == null) { // of a version that this one does not know
+        if (message == null) { // from a version with messages that this one does not know
             return;
         }
         switch (message.kind()) {
@@ -244,7 +251,7 @@
             }
             case ADDRESS -> {
                 if (peers.update(sender, message.incarnation(), message.address())) {
-                    addressSentAtMs = 0; // it may not know of this member yet
+                    addressSentAtMs = 0; // the sender may not know this member's address yet
                 }
             }
         }
--- a/src/main/java/maplespread/partition/client/OrderedDispatch.java
+++ b/src/main/java/maplespread/partition/client/OrderedDispatch.java
@@ -16,14 +16,17 @@
 import maplespread.worker.PeerForwarder;
 
 /**
- * Gives each request its permit or its response: at once where its rule has no order, in the line of its key where
- * this member owns the key's slot, by forwarding where another one does. All of it runs on the request's own
- * thread, which waits under the {@link OrderingLock} and forwards without it.
+ * Gives each request its permit or its final response: at once if its rule is unordered, through the queue of its key
+ * if this member owns the key's slot, by forwarding if another member owns the slot. Each request is handled on its
+ * own thread, which waits under the {@link OrderingLock} and forwards without holding the lock.
  */
 final class OrderedDispatch implements RequestSequencer {
-    /** How often a request that can go nowhere looks again at what may have changed elsewhere. */
-    private static final long RECHECK_MS = 10;
-    /** After each rejected forward the wait doubles, up to {@link #RECHECK_MS} times two to this power. */
+    /**
+     * Longest wait before a request that can be neither sent nor forwarded is decided again; also the first backoff
+     * after a rejected forward.
+     */
+    private static final long RECHECK_INTERVAL_MS = 10;
+    /** The backoff doubles after each rejected forward, up to {@link #RECHECK_INTERVAL_MS} times two to this power. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     private final OrderingState state;
@@ -33,10 +36,10 @@
     private final ClusterOperations operations;
     private final OrderResponses responses;
     private final RequestForwarding forwarding;
-    /** Requests whose thread is in {@link #acquire}; guarded by the lock. */
+    /** Requests whose threads are in {@link #acquire}. Guarded by {@link #lock}. */
     private final IdentityHashMap<InFlightRequest, PendingRequest> pending = new IdentityHashMap<>();
 
-    /** {@code name}: of this dispatcher. */
+    /** {@code name} is the name of this dispatcher. */
     OrderedDispatch(
             String name,
             OrderingState state,
@@ -52,9 +55,9 @@
         forwarding = new RequestForwarding(name, forwarder);
     }
 
-    // ------------------------------------------------------------ the way of a request
+    // ------------------------------------------------------------ request path
 
-    /** One look at what becomes of a request: a result, or what to do next. */
+    /** The outcome of one decision about a request: its result, or what to do next. */
     private record Step(Kind kind, SequencingResult result) {
         private enum Kind {
             RESULT,
@@ -78,7 +81,7 @@
         lock.locked(() -> pending.put(sequenced.request(), request));
         try {
             while (true) {
-                Optional<SequencingResult> result = decideHere(request);
+                Optional<SequencingResult> result = decideLocally(request);
                 if (result.isEmpty()) {
                     result = forward(request);
                 }
@@ -108,8 +111,8 @@
         }
     }
 
-    /** What becomes of the request as far as this member goes; empty: it is to be forwarded to its target. */
-    private Optional<SequencingResult> decideHere(PendingRequest request) throws InterruptedException {
+    /** Decides the request on this member; returns empty if the request is to be forwarded to its target. */
+    private Optional<SequencingResult> decideLocally(PendingRequest request) throws InterruptedException {
         lock.lockInterruptibly();
         try {
             while (!request.clientLeft) {
@@ -121,8 +124,8 @@
                     case FORWARD -> {
                         return Optional.empty();
                     }
-                    case WAIT -> state.awaitChange(RECHECK_MS);
-                    case DECIDE_AGAIN -> {} // its slot went to another member while it waited in line
+                    case WAIT -> state.awaitChange(RECHECK_INTERVAL_MS);
+                    case DECIDE_AGAIN -> {} // the slot moved to another member while the request was queued
                 }
             }
             return Optional.of(new ClientLeft());
@@ -133,17 +136,18 @@
 
     private Step decideOnce(PendingRequest request) throws InterruptedException {
         long nowMs = MonotonicTime.nowMs();
-        Optional<RoutingDecision> agreed = state.decide(nowMs, request.attributes);
-        Rule rule =
-                agreed.isPresent() ? agreed.get().rule() : state.tableInForce().decide(request.attributes);
+        Optional<RoutingDecision> routing = state.decide(nowMs, request.attributes);
+        Rule rule = routing.isPresent()
+                ? routing.get().rule()
+                : state.tableInForce().decide(request.attributes);
         if (!rule.isOrdered()) {
             return Step.result(request.isForwarded() ? responses.moved() : permitUnordered(request, rule));
         }
         if (rule.keyOf(request.attributes) == null) {
             return Step.result(OrderResponses.missingAttribute(rule.key()));
         }
-        return agreed.isPresent()
-                ? decideBySlot(request, agreed.get(), nowMs)
+        return routing.isPresent()
+                ? decideBySlot(request, routing.get(), nowMs)
                 : forwardOrWait(request, OrderReason.NO_LEASE);
     }
 
@@ -152,36 +156,36 @@
         SlotAssignment assignment = state.assignmentInForce();
         int slotNumber = assignment.slotOf(decision.key());
         SlotAssignment.Slot slot = assignment.slots().get(slotNumber);
-        boolean own = slot.owner().equals(state.member());
-        if (request.isForwarded() && (!own || request.forwarderIsAhead(assignment.epoch()))) {
+        boolean ownedHere = slot.owner().equals(state.member());
+        if (request.isForwarded() && (!ownedHere || request.forwarderIsAhead(assignment.epoch()))) {
             return Step.result(responses.moved());
         }
-        if (own && state.slotAllowsFrom(nowMs, slotNumber, slot.ownedSinceEpoch()) != FencingCheck.NEVER) {
-            return waitInLine(request, decision, slot.ownedSinceEpoch())
+        if (ownedHere && state.slotAllowsFrom(nowMs, slotNumber, slot.ownedSinceEpoch()) != FencingCheck.NEVER) {
+            return waitInQueue(request, decision, slot.ownedSinceEpoch())
                     .map(Step::result)
                     .orElse(Step.DECIDE_AGAIN);
         }
-        boolean another = !own && !slot.owner().isEmpty();
-        String address = another ? operations.address(slot.owner()) : null;
+        boolean ownedByPeer = !ownedHere && !slot.owner().isEmpty();
+        String address = ownedByPeer ? operations.address(slot.owner()) : null;
         request.target = address == null
                 ? null
                 : new PendingRequest.ForwardTarget(address, slot.owner(), slotNumber, assignment.epoch());
-        return forwardOrWait(request, another ? OrderReason.MOVED : OrderReason.NO_LEASE);
+        return forwardOrWait(request, ownedByPeer ? OrderReason.MOVED : OrderReason.NO_LEASE);
     }
 
-    private Step forwardOrWait(PendingRequest request, OrderReason whyNotHere) {
+    private Step forwardOrWait(PendingRequest request, OrderReason reason) {
         if (request.isForwarded()) {
             return Step.result(responses.moved());
         }
         if (request.isLate()) {
-            return Step.result(responses.rejected(whyNotHere, OrderResponses.MOVED_RETRY_MS, true));
+            return Step.result(responses.rejected(reason, OrderResponses.MOVED_RETRY_MS, true));
         }
         return request.target != null ? Step.FORWARD : Step.WAIT;
     }
 
-    /** Waits in the line of its key; empty: its slot went to another member before its turn. */
-    private Optional<SequencingResult> waitInLine(PendingRequest request, RoutingDecision decision, long slotOwnedSince)
-            throws InterruptedException {
+    /** Waits in the queue of the key; returns empty if the slot moved to another member before the request was sent. */
+    private Optional<SequencingResult> waitInQueue(
+            PendingRequest request, RoutingDecision decision, long slotOwnedSince) throws InterruptedException {
         RoutingTable table = state.tableInForce();
         PartitionEndpoints.PartitionWorkers workers =
                 endpoints.workersOf(table.partitions().get(decision.rule().partition()));
@@ -203,11 +207,11 @@
             request.sequenced.request().restrict(workers, ordered::isValid);
             return Optional.of(ordered);
         }
-        return request.clientLeft ? Optional.of(new ClientLeft()) : rejectedInLine(ordered);
+        return request.clientLeft ? Optional.of(new ClientLeft()) : rejectedInQueue(ordered);
     }
 
-    /** Empty: it is to be decided anew. */
-    private Optional<SequencingResult> rejectedInLine(OrderedRequest ordered) {
+    /** The result for a request that was rejected from its key's queue; empty if the request is to be decided again. */
+    private Optional<SequencingResult> rejectedInQueue(OrderedRequest ordered) {
         return switch (ordered.rejection) {
             case MOVED -> ordered.request.isForwarded() ? Optional.of(responses.moved()) : Optional.empty();
             case STOPPED -> Optional.of(OrderResponses.keyStopped(ordered.key));
@@ -216,7 +220,10 @@
         };
     }
 
-    /** To the rule's partition, or where that has no worker to the first of its spill partitions that has one. */
+    /**
+     * Restricts the request to the workers of the rule's partition or, if none of them is serving, to the workers of
+     * the first spill partition that has a serving worker.
+     */
     private Permit permitUnordered(PendingRequest request, Rule rule) {
         RoutingTable table = state.tableInForce();
         List<String> candidates = new ArrayList<>(List.of(rule.partition()));
@@ -232,17 +239,20 @@
         return UnorderedPermit.INSTANCE;
     }
 
-    /** Forwards the request, not under the lock; empty: its owner did not accept it, so it is decided anew. */
+    /**
+     * Forwards the request without holding the lock; returns empty if the owner did not accept the request, which is
+     * then decided again.
+     */
     private Optional<SequencingResult> forward(PendingRequest request) throws InterruptedException {
         Optional<SequencingResult> result = forwarding.forward(request, request.target);
         if (result.isPresent()) {
             return result;
         }
         request.target = null;
-        long backoffMs = RECHECK_MS << Math.min(request.rejectedForwards, MAX_BACKOFF_DOUBLINGS);
+        long backoffMs = RECHECK_INTERVAL_MS << Math.min(request.rejectedForwards, MAX_BACKOFF_DOUBLINGS);
         request.rejectedForwards++;
         lock.lockInterruptibly();
-        try { // until it may have been agreed anew who owns the slot
+        try { // a change of the slot's owner ends the backoff
             state.awaitChange(Math.min(backoffMs, Math.max(1, request.remainingMs())));
         } finally {
             lock.unlock();
@@ -250,7 +260,7 @@
         return Optional.empty();
     }
 
-    /** Of a request without an order: its rule says only which workers it may go to. */
+    /** The permit of an unordered request, whose rule only restricts its workers. */
     private enum UnorderedPermit implements Permit {
         INSTANCE;
 
@@ -261,7 +271,7 @@
 
         @Override
         public void attemptCompleted(Outcome outcome) {
-            // an attempt without an order holds nothing
+            // an unordered request holds up no other request
         }
 
         @Override
@@ -271,29 +281,29 @@
 
         @Override
         public FinalResponse permitLostResponse() {
-            return null; // is always valid, so never asked for
+            return null; // never called, as this permit is always valid
         }
     }
 
-    // ------------------------------------------------------------ what the fleet agrees on
+    // ------------------------------------------------------------ decided assignments
 
     /**
-     * Takes up a value that was agreed on, with its tables; false: it is no later than the known one. Requests that
-     * were forwarded to a member that was silent and has now lost their slots are in doubt at once, whether they
-     * are still waited for or not.
+     * Applies a decided assignment and its routing tables; returns false if the assignment is no newer than the known
+     * one. Requests that were forwarded to a silent member which has now lost their slots are in doubt at once, whether
+     * or not their responses are still awaited.
      */
     boolean learn(SlotAssignment next, RoutingTable current, RoutingTable previous) {
         boolean learned = state.learn(next, current, previous);
         if (learned) {
-            List<PendingRequest> lost = lock.locked(() -> pending.values().stream()
-                    .filter(request -> isLost(request.target, next))
+            List<PendingRequest> lostRequests = lock.locked(() -> pending.values().stream()
+                    .filter(request -> isTargetLost(request.target, next))
                     .toList());
-            lost.forEach(forwarding::cancel);
+            lostRequests.forEach(forwarding::cancel);
         }
         return learned;
     }
 
-    private static boolean isLost(PendingRequest.ForwardTarget target, SlotAssignment assignment) {
+    private static boolean isTargetLost(PendingRequest.ForwardTarget target, SlotAssignment assignment) {
         if (target == null || target.slot() >= assignment.slots().size()) {
             return false;
         }
--- a/src/main/java/maplespread/partition/client/OrderingState.java
+++ b/src/main/java/maplespread/partition/client/OrderingState.java
@@ -210,7 +210,7 @@
     }
 
     /** Whether the next table may come: the last change has settled. */
-    boolean mayChange() {
+    boolean mayChangeTable() {
         return lock.locked(() -> tables != null && tables.mayChange(MonotonicTime.nowMs()));
     }
 
--- a/src/main/java/maplespread/partition/client/PartitionAdminApi.java
+++ b/src/main/java/maplespread/partition/client/PartitionAdminApi.java
@@ -25,20 +25,22 @@
 import maplespread.partition.client.PartitionService.ClusterHandle;
 
 /**
- * The operators' calls about partitions: what is agreed and what this member has, a new table, the start of a
- * stopped key. Runs on the admin server's threads; docs/operators/partition.md describes calls and answers.
+ * The admin calls about partitions, which show the decided assignment and this member's state, replace the table and
+ * start stopped keys. Runs on the admin server's threads; docs/operators/partition.md describes calls and responses.
  */
 final class PartitionAdminApi {
-    /** A call that waits for the fleet waits no longer than this. */
-    private static final long CALL_WAIT_MS = 1_900;
+    /** Longest time that a call waits for the decision of a change. */
+    private static final long MAX_CALL_WAIT_MS = 1_900;
 
+    /** Calls that may wait for a decision at the same time; further ones are rejected. */
     private static final int MAX_WAITING_CALLS = 4;
+
     private static final int OK = 200;
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
 
-    /** A call that has the assignment changed. */
+    /** A call that changes the assignment. */
     private interface ChangingCall {
         AdminResponse answer(ClusterHandle handle, AdminRequest request) throws FleetException;
     }
@@ -49,7 +51,7 @@
     private final Supplier<Optional<ClusterHandle>> joined;
     private final OrderingState state;
     private final AssignmentStore store;
-    private final Semaphore permits = new Semaphore(MAX_WAITING_CALLS);
+    private final Semaphore callPermits = new Semaphore(MAX_WAITING_CALLS);
 
     PartitionAdminApi(
             String name,
@@ -66,7 +68,7 @@
         this.store = store;
     }
 
-    /** By method and path. */
+    /** The calls by method and path. */
     Map<String, Call> calls() {
         return Map.of(
                 "GET /admin/partition",
@@ -77,26 +79,26 @@
                 changing(this::startKey));
     }
 
-    // ------------------------------------------------------------ calls that change something
+    // ------------------------------------------------------------ calls that change the assignment
 
     private Call changing(ChangingCall call) {
         return request -> {
-            if (!permits.tryAcquire()) {
-                return new AdminResponse(UNAVAILABLE, "other calls wait for the fleet");
+            if (!callPermits.tryAcquire()) {
+                return new AdminResponse(UNAVAILABLE, "too many calls are waiting for a decision");
             }
             try {
-                return call.answer(handleOnceAgreed(), request);
+                return call.answer(requireHandle(), request);
             } catch (PartitionCallException e) {
                 return new AdminResponse(e.status, e.getMessage());
             } catch (FleetException e) {
                 return new AdminResponse(CONFLICT, e.getMessage());
             } finally {
-                permits.release();
+                callPermits.release();
             }
         };
     }
 
-    private ClusterHandle handleOnceAgreed() throws PartitionCallException {
+    private ClusterHandle requireHandle() throws PartitionCallException {
         Optional<ClusterHandle> handle = joined.get();
         if (handle.isEmpty()) {
             throw new PartitionCallException(Reason.NOT_AGREED, name + " is not in the group yet");
@@ -112,14 +114,14 @@
         if (key.isBlank()) {
             throw new PartitionCallException(Reason.BAD_CALL, "the call lacks ?key=");
         }
-        AtomicBoolean wasStopped = new AtomicBoolean(); // by the value that the change is made of last
+        AtomicBoolean wasStopped = new AtomicBoolean(); // set by the change, which may run repeatedly
         ChangeResult result = store.change(
                 handle.register(),
                 AssignmentSection.changing(assignment -> {
                     wasStopped.set(assignment.stoppedKeys().contains(key));
                     return assignment.startKey(key);
                 }),
-                CALL_WAIT_MS);
+                MAX_CALL_WAIT_MS);
         return response(result, wasStopped.get() ? "starts" : "was not stopped");
     }
 
@@ -127,75 +129,76 @@
         PartitionSettings.read(request.body(), config.get(), endpoints.workers());
         String next = ConfiguredTable.compress(request.body());
         SlotAssignment known = state.assignment().orElseThrow();
-        if (!known.table().equals(next) && !state.mayChange()) {
+        if (!known.table().equals(next) && !state.mayChangeTable()) {
             throw new PartitionCallException(
                     Reason.SETTLING, "the change of epoch " + known.tableEpoch() + " still settles");
         }
         ChangeResult result = store.change(
                 handle.register(),
                 AssignmentSection.changing(assignment -> assignment.table(next, known.tableEpoch())),
-                CALL_WAIT_MS);
+                MAX_CALL_WAIT_MS);
         if (result.outcome() != ChangeResult.Outcome.DECIDED) {
             return response(result, "");
         }
         SlotAssignment decided = AssignmentSection.read(result.value()).orElseThrow();
         if (!decided.table().equals(next)) {
             throw new PartitionCallException(
-                    Reason.SETTLING, "another table came first, as epoch " + decided.tableEpoch());
+                    Reason.SETTLING, "another table was decided first, as epoch " + decided.tableEpoch());
         }
         return response(result, "table of epoch " + decided.tableEpoch());
     }
 
-    private static AdminResponse response(ChangeResult result, String textOnceDecided) {
+    private static AdminResponse response(ChangeResult result, String successText) {
         return switch (result.outcome()) {
-            case DECIDED -> new AdminResponse(OK, textOnceDecided);
+            case DECIDED -> new AdminResponse(OK, successText);
             case REJECTED -> new AdminResponse(CONFLICT, result.error().getMessage());
             case NO_MAJORITY -> new AdminResponse(UNAVAILABLE, result.error().getMessage());
         };
     }
 
-    // ------------------------------------------------------------ what is agreed, and what this member has
+    // ------------------------------------------------------------ decided assignment and state of this member
 
-    /** {@code key}: whose slot and owner are to be named; blank: none's. */
+    /** The state as JSON, with the slot and owner of {@code key} unless it is blank. */
     private String describe(String key) {
-        JsonObject all = new JsonObject();
+        JsonObject json = new JsonObject();
         Optional<ClusterHandle> handle = joined.get();
         Optional<SlotAssignment> agreed = state.assignment();
-        all.addProperty("name", name);
-        all.addProperty("member", handle.map(h -> h.member(name)).orElse(""));
-        all.addProperty("joined", handle.isPresent());
-        all.addProperty("lease", state.holdsLease());
-        all.addProperty("waiting", state.lines().waitingCount());
-        agreed.ifPresent(assignment -> describe(assignment, key, all));
-        return GSON.toJson(all);
+        json.addProperty("name", name);
+        json.addProperty("member", handle.map(h -> h.member(name)).orElse(""));
+        json.addProperty("joined", handle.isPresent());
+        json.addProperty("lease", state.holdsLease());
+        json.addProperty("waiting", state.lines().waitingCount());
+        agreed.ifPresent(assignment -> describe(assignment, key, json));
+        return GSON.toJson(json);
     }
 
-    private void describe(SlotAssignment assignment, String key, JsonObject all) {
-        all.addProperty("version", assignment.version());
-        all.addProperty("epoch", assignment.epoch());
-        all.addProperty("table_since", assignment.tableEpoch());
-        all.addProperty("may_change", state.mayChange());
-        all.add("members", sorted(assignment.members()));
-        all.add("silent", sorted(assignment.silent().keySet()));
+    private void describe(SlotAssignment assignment, String key, JsonObject json) {
+        json.addProperty("version", assignment.version());
+        json.addProperty("epoch", assignment.epoch());
+        json.addProperty("table_since", assignment.tableEpoch());
+        json.addProperty("may_change", state.mayChangeTable());
+        json.add("members", sortedArray(assignment.members()));
+        json.add("silent", sortedArray(assignment.silent().keySet()));
         JsonArray owners = new JsonArray();
-        JsonObject leavers = new JsonObject();
+        JsonObject previousOwners = new JsonObject();
         for (int i = 0; i < assignment.slots().size(); i++) {
             SlotAssignment.Slot slot = assignment.slots().get(i);
             owners.add(slot.owner().isEmpty() ? "" : SlotAssignment.dispatcherName(slot.owner()));
             if (!slot.previousOwners().isEmpty()) {
-                leavers.add(String.valueOf(i), sorted(slot.previousOwners().keySet()));
+                previousOwners.add(
+                        String.valueOf(i), sortedArray(slot.previousOwners().keySet()));
             }
         }
-        all.add("slots", owners);
-        all.add("open", GSON.toJsonTree(state.openSlots()));
-        all.add("leavers", leavers);
-        all.add("work_to_come_ms", waitingWork());
-        all.add("stopped", sorted(assignment.stoppedKeys()));
+        json.add("slots", owners);
+        json.add("open", GSON.toJsonTree(state.openSlots()));
+        json.add("leavers", previousOwners);
+        json.add("work_to_come_ms", waitingWork());
+        json.add("stopped", sortedArray(assignment.stoppedKeys()));
         if (!key.isBlank()) {
-            all.addProperty("slot", assignment.slotOf(key));
-            all.add("owner", owners.get(assignment.slotOf(key)));
+            json.addProperty("slot", assignment.slotOf(key));
+            json.add("owner", owners.get(assignment.slotOf(key)));
         }
-        all.add("table", JsonParser.parseString(CompressedTable.decompress(assignment.table())));
+        json.add("table", JsonParser.parseString(CompressedTable.decompress(assignment.table())));
     }
 
     private JsonObject waitingWork() {
@@ -207,9 +210,9 @@
         return work;
     }
 
-    private static JsonArray sorted(Collection<String> texts) {
-        JsonArray all = new JsonArray();
-        new TreeSet<>(texts).forEach(all::add);
-        return all;
+    private static JsonArray sortedArray(Collection<String> texts) {
+        JsonArray json = new JsonArray();
+        new TreeSet<>(texts).forEach(json::add);
+        return json;
     }
 }
--- a/src/main/java/maplespread/partition/client/PartitionMessage.java
+++ b/src/main/java/maplespread/partition/client/PartitionMessage.java
@@ -8,18 +8,18 @@
 import maplespread.partition.HeartbeatTable;
 
 /**
- * What members send each other about leases, as JSON on the cluster transport's channel. A field that a kind does
- * not use is 0, false or null. The names on the wire are older than the code's, and are kept for members of earlier
+ * A message between members about leases, as JSON on the cluster transport's channel. A field that a kind does not use
+ * is 0, false or null. The field names on the wire differ from those in the code and are kept for members of earlier
  * versions.
  *
- * @param incarnation of the sender
- * @param round the sender's round of questions, which a response repeats
- * @param epoch with a request: the latest epoch that the sender knows
- * @param registerEpoch with a request: the incarnation of the register that the epoch belongs to
- * @param electorsVersion with a request: of the list of electors that the sender goes by
- * @param yes with a request: {@link #wantsSlots}; with a response: {@link #grantsLease}
- * @param address with an address: {@code HOST:PORT} where the sender takes forwarded requests
- * @param report with a heartbeat report: what the sender knows as an elector
+ * @param incarnation the sender's incarnation
+ * @param round in a lease request, the sender's round; in a lease response, the round of the request
+ * @param epoch in a lease request, the latest epoch that the sender knows
+ * @param registerEpoch in a lease request, the incarnation of the register that the epoch belongs to
+ * @param electorsVersion in a lease request, the version of the sender's list of electors
+ * @param yes in a lease request, {@link #wantsSlots}; in a lease response, {@link #grantsLease}
+ * @param address in an address message, {@code HOST:PORT} where the sender accepts forwarded requests
+ * @param report in a heartbeat report, the heartbeats that the sender has received as an elector
  */
 record PartitionMessage(
         Kind kind,
@@ -31,18 +31,17 @@
         boolean yes,
         String address,
         HeartbeatTable.Report report) {
-    /** What a message is. */
     enum Kind {
-        /** Asks an elector whether it knows of no later epoch than the sender does. */
+        /** Asks an elector to grant a lease, which it does unless it knows of a later epoch than the sender. */
         @SerializedName("ASK")
         LEASE_REQUEST,
-        /** An elector's response. */
+        /** An elector's response to a lease request. */
         @SerializedName("ANSWER")
         LEASE_RESPONSE,
-        /** From one elector to another: whom it has heard. */
+        /** Sent between electors: the members whose heartbeats the sender has received. */
         @SerializedName("HEARD")
         HEARTBEAT_REPORT,
-        /** Where the sender takes forwarded requests. */
+        /** The address where the sender accepts forwarded requests. */
         @SerializedName("HERE")
         ADDRESS
     }
@@ -79,12 +78,12 @@
         return new PartitionMessage(Kind.ADDRESS, incarnation, 0, 0, 0, 0, false, address, null);
     }
 
-    /** Of a request: whether the sender wants to own slots. */
+    /** Whether the sender of a lease request wants to own slots. */
     boolean wantsSlots() {
         return yes;
     }
 
-    /** Of a response: whether the elector knows of no later epoch, and of nothing against the lease. */
+    /** Whether the sender of a lease response grants the lease: it knows of no later epoch, nor of another obstacle. */
     boolean grantsLease() {
         return yes;
     }
@@ -93,7 +92,7 @@
         return GSON.toJson(this).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Empty for what is no message of this version; a later one may send it. */
+    /** Returns empty for bytes that are no message of this version, such as a message of a later version. */
     static Optional<PartitionMessage> decode(byte[] bytes) {
         try {
             PartitionMessage message = GSON.fromJson(new String(bytes, StandardCharsets.UTF_8), PartitionMessage.class);
--- a/src/main/java/maplespread/partition/client/PartitionService.java
+++ b/src/main/java/maplespread/partition/client/PartitionService.java
@@ -18,15 +18,15 @@
 import maplespread.worker.PeerForwarder;
 
 /**
- * Ordered partitions in a running dispatcher: ties the parts of this package together, and runs their threads.
- * "partition" asks for the lease, "partition changes" proposes changes of the assignment and may wait for them, and
- * "partition turns" gives requests their turn when time alone brings it.
+ * Ordered partitions in a running dispatcher: creates the parts of this package and runs their threads. "partition"
+ * renews the lease, "partition changes" proposes changes of the assignment and may block until they are decided, and
+ * "partition turns" sends or rejects queued requests whose time has come.
  */
 public final class PartitionService implements Closeable {
-    /** The channel of the cluster's transport that carries {@link PartitionMessage}. */
+    /** The cluster transport's channel for {@link PartitionMessage}s. */
     public static final int CHANNEL = 4;
 
-    /** The group and its register, once this dispatcher is in them. */
+    /** The group's transport and register, once this dispatcher has joined the group. */
     public record ClusterHandle(ClusterTransport transport, ReplicatedRegister register) {
         long incarnation() {
             return transport.incarnation();
@@ -39,9 +39,12 @@
     }
 
     /**
-     * What the service needs of the dispatcher. {@code cluster}: null until it has joined; {@code acceptsRequests}:
-     * whether clients are to be sent here; {@code advertisedAddress}: where other dispatchers forward requests to,
-     * {@code HOST:PORT}, null before the listener is bound.
+     * What the service needs from the dispatcher.
+     *
+     * @param cluster supplies null until the dispatcher has joined the group
+     * @param acceptsRequests whether clients are to send requests to this dispatcher
+     * @param advertisedAddress supplies {@code HOST:PORT} where other dispatchers forward requests to, or null before
+     *     the listener is bound
      */
     public record Dependencies(
             Supplier<Config> config,
@@ -60,7 +63,7 @@
     private final PartitionAdminApi adminApi;
     private final List<Thread> threads;
 
-    /** Throws where the table of the settings uses names that the site does not have. */
+    /** Throws if the table in the settings uses names that the site's configuration does not define. */
     public PartitionService(PartitionSettings settings, Dependencies dependencies) throws RoutingTableException {
         config = dependencies.config();
         String name = config.get().name();
@@ -104,33 +107,33 @@
         }
     }
 
-    /** Starts the threads; to be called once. */
+    /** Starts the threads. Must be called once only. */
     public void start() {
         threads.forEach(Thread::start);
     }
 
-    /** This member gives its slots up, and goes on to serve what comes. */
+    /** Makes this member give up its slots; it keeps serving the requests that it receives. */
     public void releaseSlots() {
         leaseRenewer.releaseSlots();
     }
 
-    /** Ends the threads; does not wait for them. */
+    /** Interrupts the threads without waiting for them to end. */
     @Override
     public void close() {
         threads.forEach(Thread::interrupt);
     }
 
-    /** Gives requests their turn. */
+    /** The sequencer that gives requests their permits. */
     public RequestSequencer sequencer() {
         return dispatch;
     }
 
-    /** Where other members take requests, {@code HOST:PORT}. */
+    /** The addresses, {@code HOST:PORT}, where other members accept forwarded requests. */
     public Collection<String> peers() {
         return peers.all();
     }
 
-    /** The operators' file was read anew: another table than before is to become the fleet's. */
+    /** Takes the table from the reread operators' file; one that differs from the last is proposed to the group. */
     public void reloadTable(PartitionSettings next) {
         configuredTable.reload(next.table());
     }
