--- a/src/main/java/maplespread/partition/client/AssignmentSection.java
+++ b/src/main/java/maplespread/partition/client/AssignmentSection.java
@@ -7,32 +7,32 @@
 import maplespread.consensus.VersionedValue;
 import maplespread.partition.SlotAssignment;
 
-/** The part of the value agreed on by the fleet that holds the slot assignment: how it is read and changed. */
+/** Reads and changes the slot assignment, which is one section of the replicated value. */
 final class AssignmentSection {
     private static final String SECTION = "partition";
 
     private AssignmentSection() {}
 
     /**
-     * The assignment that is in force; empty: nothing is agreed on. Version numbers begin with that of the register's
-     * incarnation, so a lower one is of an earlier incarnation, which was bootstrapped anew since: some of what
-     * followed it may be lost.
+     * The assignment in force; empty if none is decided. Versions of an assignment start at the register's epoch, so an
+     * assignment with a lower version is from an earlier incarnation of the register. The register was bootstrapped
+     * again since, and later versions of that assignment may be lost.
      */
     static Optional<SlotAssignment> read(VersionedValue value) {
         return stored(value).filter(assignment -> assignment.version() >= value.epoch());
     }
 
-    /** What is stored, be it in force or of an earlier incarnation of the register. */
+    /** The stored assignment, which may be from an earlier incarnation of the register. */
     private static Optional<SlotAssignment> stored(VersionedValue value) {
         String text = SharedState.read(value.text(), SECTION);
         return text.isEmpty() ? Optional.empty() : Optional.of(SlotAssignment.fromJson(text));
     }
 
-    /** A command as a change of the whole value; it changes nothing where no assignment is in force. */
-    static Mutation changing(UnaryOperator<SlotAssignment> command) {
+    /** A mutation of the replicated value that applies {@code update} to the assignment in force, if there is one. */
+    static Mutation changing(UnaryOperator<SlotAssignment> update) {
         return value -> {
             Optional<SlotAssignment> current = read(value);
-            Optional<SlotAssignment> next = current.map(command);
+            Optional<SlotAssignment> next = current.map(update);
             return next.equals(current)
                     ? value.text()
                     : SharedState.write(
@@ -41,8 +41,9 @@
     }
 
     /**
-     * Writes the first assignment of this incarnation of the register: with the table and the stopped keys of an
-     * earlier one, where there is one, else with {@code slots} and {@code compressedTable}.
+     * A mutation that writes the first assignment of this incarnation of the register. The assignment keeps the slot
+     * count, table and stopped keys of an earlier incarnation's assignment if one is stored, and otherwise has {@code
+     * slots} slots and {@code compressedTable}.
      */
     static Mutation initializing(int slots, String compressedTable) {
         return value -> {
--- a/src/main/java/maplespread/partition/client/AssignmentStore.java
+++ b/src/main/java/maplespread/partition/client/AssignmentStore.java
@@ -14,9 +14,9 @@
 import maplespread.partition.SlotAssignment;
 
 /**
- * Has the assignment changed in the replicated register, and takes up each later one for {@link OrderedDispatch}.
- * Values are learned on the register's notifying thread, the lease thread and whichever thread has had a change
- * decided: one at a time, under this object's monitor.
+ * Changes the assignment through the replicated register, and passes each newer assignment to {@link OrderedDispatch}.
+ * Decided values are learned on the register's notifying thread, on the lease thread and on each thread whose change
+ * was decided, by one thread at a time under this object's monitor.
  */
 final class AssignmentStore {
     private final OrderingState state;
@@ -24,9 +24,9 @@
     private final RoutingTableCache tables;
     private final ConfiguredTable configured;
     private final CachedAssignment decided = new CachedAssignment();
-    /** Why the agreed table cannot be used here; empty: it can. */
+    /** Why the decided table cannot be used on this member; empty if it can. */
     private volatile String unreadableReason = "";
-    /** The assignment that the log tells of; null: none yet. Guarded by this object's monitor. */
+    /** The assignment that was logged last; null before the first. Guarded by this object's monitor. */
     private SlotAssignment lastLogged;
 
     AssignmentStore(
@@ -37,17 +37,17 @@
         this.configured = configured;
     }
 
-    /** Whether the agreed table, if there is one, can be used with this site's names. */
+    /** Whether the decided table, if there is one, uses only names that this site's configuration defines. */
     boolean isTableReadable() {
         return unreadableReason.isEmpty();
     }
 
-    /** The assignment in a decided value; empty: nothing is agreed on. */
+    /** The assignment in a decided value; empty if there is none in force. */
     Optional<SlotAssignment> read(VersionedValue value) {
         return decided.read(value);
     }
 
-    /** Takes up a decided value, if it is later than what is known. */
+    /** Applies the assignment in a decided value if it is newer than the known one. */
     synchronized void learn(VersionedValue value) {
         Optional<SlotAssignment> read = decided.read(value);
         Optional<SlotAssignment> known = state.assignment();
@@ -62,7 +62,7 @@
             }
             tables.retain(List.of(next.table(), next.previousTable(), configured.compressed()));
             unreadableReason = "";
-        } catch (RoutingTableException e) { // the file of the member that offered it may have other names
+        } catch (RoutingTableException e) { // the member that proposed the table may have other names configured
             logUnreadable(e.getMessage());
             return;
         }
@@ -105,7 +105,10 @@
                 .forEach(key -> Event.of("partition.started", "key", key).info());
     }
 
-    /** Blocks until it is decided or rejected, or the time is over; a decided value is learned before it returns. */
+    /**
+     * Proposes a change and blocks until it is decided or rejected, or for {@code waitMs}. A decided value is learned
+     * before this method returns.
+     */
     ChangeResult change(ReplicatedRegister register, Mutation mutation, long waitMs) {
         ChangeResult result = register.change(mutation, waitMs);
         switch (result.outcome()) {
@@ -113,16 +116,16 @@
             case REJECTED ->
                 Event.of("partition.refused", "why", result.error().getMessage())
                         .warn();
-            case NO_MAJORITY -> {} // may yet be decided, and is learned then
+            case NO_MAJORITY -> {} // the change may still be decided, and is learned then
         }
         return result;
     }
 
-    /** Blocks as {@link #change} does, but only where the command would change what is known here. */
-    void propose(ReplicatedRegister register, UnaryOperator<SlotAssignment> command, long waitMs) {
+    /** As {@link #change}, but proposes nothing if {@code update} leaves the known assignment as it is. */
+    void propose(ReplicatedRegister register, UnaryOperator<SlotAssignment> update, long waitMs) {
         Optional<SlotAssignment> known = state.assignment();
-        if (known.isPresent() && !command.apply(known.get()).equals(known.get())) {
-            change(register, AssignmentSection.changing(command), waitMs);
+        if (known.isPresent() && !update.apply(known.get()).equals(known.get())) {
+            change(register, AssignmentSection.changing(update), waitMs);
         }
     }
 }
--- a/src/main/java/maplespread/partition/client/ClusterOperations.java
+++ b/src/main/java/maplespread/partition/client/ClusterOperations.java
@@ -1,16 +1,16 @@
 package maplespread.partition.client;
 
-/** What ordered dispatch needs of the rest of the fleet. */
+/** What ordered dispatch needs from the rest of the dispatcher. */
 interface ClusterOperations {
-    /** Where a member takes requests, {@code HOST:PORT}; null: not known. Must not block. */
+    /** The address, {@code HOST:PORT}, where a member accepts requests; null if it is not known. Must not block. */
     String address(String member);
 
     /**
-     * Has it stored that the key is stopped; false: that is not known. Blocks for at most {@code waitMs}, so it must
-     * not be called under the {@link OrderingLock}.
+     * Stores that the key is stopped; returns false if it is not known whether the stop was stored. Blocks for at most
+     * {@code waitMs}, so it must not be called under the {@link OrderingLock}.
      */
     boolean storeStop(String key, long waitMs);
 
-    /** The longest pause in milliseconds that clients may be advised. */
+    /** The longest retry delay in milliseconds that clients may be advised; 0 if none is advised. */
     double maxRetryAfterMs();
 }
--- a/src/main/java/maplespread/partition/client/CompressedTable.java
+++ b/src/main/java/maplespread/partition/client/CompressedTable.java
@@ -9,11 +9,14 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** A table's text as the agreed value holds it: that must fit into one packet, with the table before it. */
+/**
+ * The compressed form of a table's text in the replicated value. The value must fit into one packet together with the
+ * current and the previous table.
+ */
 final class CompressedTable {
     private CompressedTable() {}
 
-    /** Deflated, as Base64 without padding. */
+    /** Deflates the text and encodes the result as Base64 without padding. */
     static String compress(String text) {
         ByteArrayOutputStream compressed = new ByteArrayOutputStream();
         try (DeflaterOutputStream deflater = new DeflaterOutputStream(compressed)) {
@@ -24,7 +27,7 @@
         return Base64.getEncoder().withoutPadding().encodeToString(compressed.toByteArray());
     }
 
-    /** Throws an IllegalArgumentException for a text that {@link #compress} has not made. */
+    /** Throws an IllegalArgumentException for a text that {@link #compress} did not produce. */
     static String decompress(String compressed) {
         byte[] bytes = Base64.getDecoder().decode(compressed);
         try (InflaterInputStream inflater = new InflaterInputStream(new ByteArrayInputStream(bytes))) {
--- a/src/main/java/maplespread/partition/client/ConfiguredTable.java
+++ b/src/main/java/maplespread/partition/client/ConfiguredTable.java
@@ -3,8 +3,8 @@
 import com.google.gson.JsonParser;
 
 /**
- * The routing table of the operators' file, and whether it is still to become the fleet's. Reloaded on the thread
- * that reads the file, and offered by the coordinator's.
+ * The routing table in the operators' file, and whether the table is still to be proposed to the group. Reloaded on the
+ * thread that reads the file, and proposed on the coordinator's thread.
  */
 final class ConfiguredTable {
     private volatile String compressed;
@@ -14,7 +14,7 @@
         compressed = compress(json);
     }
 
-    /** The file was read anew. A table that differs from the one before is to become the fleet's. */
+    /** Takes the table from the reread file; one that differs from the last is to be proposed. */
     void reload(String json) {
         String next = compress(json);
         if (!next.equals(compressed)) {
@@ -35,7 +35,7 @@
         proposalPending = pending;
     }
 
-    /** Compressed without the blanks between its parts, so that tables are compared by what they say. */
+    /** Compresses the table without insignificant white space, so that tables that differ in layout only are equal. */
     static String compress(String json) {
         return CompressedTable.compress(JsonParser.parseString(json).toString());
     }
--- a/src/main/java/maplespread/partition/client/MonotonicTime.java
+++ b/src/main/java/maplespread/partition/client/MonotonicTime.java
@@ -1,6 +1,6 @@
 package maplespread.partition.client;
 
-/** The clock of this package: milliseconds that never go back and mean nothing to other processes. */
+/** The package's monotonic clock, in milliseconds from an arbitrary origin: not comparable across processes. */
 final class MonotonicTime {
     private static final long NANOS_PER_MS = 1_000_000;
 
--- a/src/main/java/maplespread/partition/client/OrderResponses.java
+++ b/src/main/java/maplespread/partition/client/OrderResponses.java
@@ -9,11 +9,11 @@
 import maplespread.caller.RequestSequencer.FinalResponse;
 import maplespread.worker.PeerForwarder;
 
-/** The responses that clients get from ordered dispatch itself. Stateless but for the limit on advised pauses. */
+/** The responses that ordered dispatch itself sends to clients. Stateless except for the limit on advised delays. */
 final class OrderResponses {
-    /** Advised where the request's queue has to shrink first. */
+    /** Advised retry delay if the request's queue has to shrink first. */
     static final double QUEUE_RETRY_MS = 250;
-    /** Advised where another member may be able to serve at once. */
+    /** Advised retry delay if another member may be able to serve the request at once. */
     static final double MOVED_RETRY_MS = 100;
 
     private static final int BAD_REQUEST = 400;
@@ -21,22 +21,23 @@
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final String RETRY_AFTER = "Retry-After";
+    /** Header fields of an owner's response that are passed on to the client. */
     private static final List<String> FORWARDED_HEADERS =
             List.of(RequestSequencer.ORDER_REASON_HEADER, RETRY_AFTER, "Allow");
 
     private final DoubleSupplier maxRetryAfterMs;
 
-    /** {@code maxRetryAfterMs}: the longest pause that clients may be advised, 0: none is advised. */
+    /** {@code maxRetryAfterMs} supplies the longest retry delay that clients may be advised; with 0 none is advised. */
     OrderResponses(DoubleSupplier maxRetryAfterMs) {
         this.maxRetryAfterMs = maxRetryAfterMs;
     }
 
-    /** This member did not accept the request: whoever forwarded it decides anew. */
+    /** The response for a forwarded request that this member did not accept; the forwarding member decides it again. */
     FinalResponse moved() {
         return rejected(OrderReason.MOVED, MOVED_RETRY_MS, false);
     }
 
-    /** {@code idConsumed}: false where the same request may come again under its id. */
+    /** {@code idConsumed} is false if the same request may be sent again under its id. */
     FinalResponse rejected(OrderReason reason, double retryAfterMs, boolean idConsumed) {
         List<String[]> fields = new ArrayList<>();
         fields.add(reasonField(reason));
@@ -59,7 +60,7 @@
                 true);
     }
 
-    /** The owner was sent the request and never answered. */
+    /** The response for a request that was sent to its owner and not answered. */
     static FinalResponse lostAtOwner() {
         return response(
                 BAD_GATEWAY,
@@ -68,7 +69,7 @@
                 true);
     }
 
-    /** The owner's response, with the header fields that its client is to see. */
+    /** The owner's response, reduced to the header fields that are passed on to the client. */
     static FinalResponse fromOwner(PeerForwarder.Result result) {
         List<String[]> fields = new ArrayList<>();
         for (String name : FORWARDED_HEADERS) {
--- a/src/main/java/maplespread/partition/client/OrderedLines.java
+++ b/src/main/java/maplespread/partition/client/OrderedLines.java
@@ -13,27 +13,28 @@
 import maplespread.partition.PerKeyQueue;
 
 /**
- * The requests in the lines of the keys that this member owns, and the stops of these keys. Guarded by the {@link
- * OrderingLock}: methods of the first part are called under it, the others take it themselves.
+ * The queued and in-flight requests of the keys that this member owns, and the stops of these keys. Guarded by the
+ * {@link OrderingLock}: the methods up to the queue's callbacks are called under it, the others acquire it themselves.
  *
- * <p>Threads that come here: each request's own, the coordinator's ({@link #storePendingStops}), the one that runs
- * {@link #runDueLoop}, whoever changes the {@link OrderingState}, and the admin server's for figures.
+ * <p>Used by the request threads, the coordinator's thread ({@link #storePendingStops}), the thread that runs {@link
+ * #runDueLoop}, threads that change the {@link OrderingState}, and the admin server's threads for statistics.
  */
 final class OrderedLines implements PerKeyQueue.Callbacks {
-    /** The longest sleep of the thread that runs what is due. */
+    /** Longest wait of {@link #runDueLoop} before it checks again for due work. */
     private static final long MAX_DUE_WAIT_MS = 1000;
 
     private final OrderingLock lock;
     private final ClusterOperations operations;
     private final PerKeyQueue queue;
-    /** Something is due earlier than {@link #dueAtMs} was. */
+    /** Signalled when {@link #dueAtMs} has become earlier. */
     private final Condition dueSooner;
-    /** Those that wait in line or are in flight, by id. */
+    /** Requests that are queued or in flight, by id. */
     private final Map<Long, OrderedRequest> requests = new HashMap<>();
-    /** Keys whose stop some thread is having stored. */
+    /** Keys whose stop some thread is storing. */
     private final Set<String> stopsBeingStored = new HashSet<>();
 
     private long lastId;
+    /** When the queue next has due work, on {@link MonotonicTime}; {@code Long.MAX_VALUE} if none is known. */
     private long dueAtMs = Long.MAX_VALUE;
 
     OrderedLines(OrderingLock lock, LeaseSettings settings, ClusterOperations operations) {
@@ -53,13 +54,13 @@
         return ++lastId;
     }
 
-    /** The callbacks find the request from now on; {@link #withdraw} must follow. */
+    /** Makes the request known to the callbacks. {@link #withdraw} must follow. */
     void register(OrderedRequest ordered) {
         requests.put(ordered.id, ordered);
         ordered.request.queued = ordered;
     }
 
-    /** Puts a registered request in the line of its key, whereby it may be sent or rejected at once. */
+    /** Appends a registered request to its key's queue; the request may be sent or rejected at once. */
     void enqueue(long nowMs, OrderedRequest ordered) {
         queue.enqueue(
                 nowMs,
@@ -73,7 +74,7 @@
         runDue();
     }
 
-    /** Its thread waits no longer; one that was not sent leaves its line. */
+    /** Called when the request's thread stops waiting; removes the request from its queue unless it was sent. */
     void withdraw(OrderedRequest ordered) {
         ordered.request.queued = null;
         if (!ordered.sent) {
@@ -83,23 +84,23 @@
         }
     }
 
-    /** These partitions there are now. */
+    /** Replaces the known partitions. */
     void updatePartitions(Collection<Partition> partitions) {
         queue.updatePartitions(partitions);
     }
 
-    /** The keys that are stored as stopped. */
+    /** Replaces the set of keys that are stored as stopped. */
     void updateStoppedKeys(Set<String> stored) {
         queue.updateStoppedKeys(stored);
     }
 
-    /** The lease, the assignment or the tables have changed. */
+    /** Checks all queued requests again after a change of the lease, the assignment or the tables. */
     void reevaluateAll(long nowMs) {
         queue.reevaluateAll(nowMs);
         runDue();
     }
 
-    /** Slots of which a request is in flight or may still run, or a stop is to be stored. */
+    /** Slots with a request that is in flight or may still run, or with a stop that is not stored yet. */
     Set<Integer> busySlots(long nowMs, ToIntFunction<String> slotOf) {
         return queue.busySlots(nowMs, slotOf);
     }
@@ -125,7 +126,7 @@
         ordered.decided.signal();
     }
 
-    /** To be called after whatever may have changed what is due when. */
+    /** Runs due work. Must be called after every change that may make work due earlier. */
     private void runDue() {
         long nextMs = queue.runDue(MonotonicTime.nowMs());
         if (nextMs < dueAtMs) {
@@ -134,9 +135,9 @@
         }
     }
 
-    // ------------------------------------------------------------ what ends, and what is due
+    // ------------------------------------------------------------ completions, due work and stops
 
-    /** A request that was sent has ended. Whether the caller is to have the stop of its key stored. */
+    /** Completes a request that was sent; returns whether the caller must store the stop of its key. */
     boolean complete(OrderedRequest ordered, PerKeyQueue.ExecutionResult result) {
         return lock.locked(() -> {
             requests.remove(ordered.id);
@@ -149,7 +150,7 @@
         });
     }
 
-    /** Runs what is due, for ever, on a thread for that alone; ends by an interrupt. */
+    /** Runs due work on a dedicated thread until it is interrupted. */
     void runDueLoop() throws InterruptedException {
         lock.lockInterruptibly();
         try {
@@ -163,7 +164,7 @@
         }
     }
 
-    /** Has those stops stored that no request's thread waits for. Blocks, for {@code waitMs} a key at most. */
+    /** Stores the stops that no other thread is storing. Blocks for at most {@code waitMs} per key. */
     void storePendingStops(long waitMs) {
         Set<String> keys = lock.locked(() -> {
             Set<String> pending = queue.unstoredStops();
@@ -173,16 +174,19 @@
         keys.forEach(key -> storeStop(key, waitMs));
     }
 
-    /** Has a stop stored; false: that is not known, and the key goes on. Blocks: not under the lock. */
+    /**
+     * Stores the stop of a key. Returns false if it is not known whether the stop was stored; the key's queue then
+     * continues. Blocks, so it must not be called under the lock.
+     */
     boolean storeStop(String key, long waitMs) {
         boolean stored = false;
         try {
             stored = operations.storeStop(key, waitMs);
         } finally {
-            boolean keyGoesOn = !stored;
+            boolean queueContinues = !stored;
             lock.runLocked(() -> {
                 stopsBeingStored.remove(key);
-                if (keyGoesOn) {
+                if (queueContinues) {
                     queue.stopNotStored(MonotonicTime.nowMs(), key);
                     runDue();
                 }
@@ -191,14 +195,14 @@
         return stored;
     }
 
-    // ------------------------------------------------------------ figures
+    // ------------------------------------------------------------ statistics
 
-    /** How many requests wait for their turn. */
+    /** The number of queued requests. */
     int waitingCount() {
         return lock.locked(queue::waitingCount);
     }
 
-    /** Milliseconds of estimated work that wait for a partition. */
+    /** The estimated work, in milliseconds, of a partition's queued requests. */
     double waitingWorkMs(String partition) {
         return lock.locked(() -> queue.waitingWorkMs(partition));
     }
--- a/src/main/java/maplespread/partition/client/OrderedRequest.java
+++ b/src/main/java/maplespread/partition/client/OrderedRequest.java
@@ -10,9 +10,9 @@
 import maplespread.partition.Rule;
 
 /**
- * A request in the line of a key that this member owns, and the permit to send it once its turn has come. Its own
- * thread waits for {@link #decided}; fields that are not final are guarded by the {@link OrderingLock},
- * except where they are volatile: attempts end on threads of their own.
+ * A request in the queue of a key that this member owns, and the permit to send the request once it is first in the
+ * queue. The request's own thread waits for {@link #decided}. Fields that are not final are guarded by the {@link
+ * OrderingLock}, except the volatile ones, which are written by the threads that complete attempts.
  */
 final class OrderedRequest implements RequestSequencer.Permit {
     final long id;
@@ -23,22 +23,26 @@
     final Condition decided;
 
     boolean sent;
-    /** Null until it is rejected. */
+    /** Null unless the request was rejected from its queue. */
     Rejection rejection;
 
     private final OrderingState state;
     private final OrderResponses responses;
-    /** The epoch at which this member came to own the slot, when the request was accepted. */
+    /** The epoch at which this member became the slot's owner, as of when the request was accepted. */
     private final long slotOwnedSinceEpoch;
 
+    /** The tables' version for which {@link #keyUnchanged} and {@link #tableAllowsFromMs} were determined. */
     private long tablesVersion;
+    /** Whether the tables still give the request the key by which it was queued. */
     private boolean keyUnchanged = true;
+    /** From when on the tables allow the request to be sent. */
     private long tableAllowsFromMs;
+
     private volatile boolean mayHaveRun;
     private volatile boolean attemptMayStillRun;
     private volatile boolean attemptFailed;
 
-    /** Made under the lock. */
+    /** Must be called under the lock. */
     OrderedRequest(
             OrderingState state,
             OrderResponses responses,
@@ -57,7 +61,10 @@
         tablesVersion = state.tablesVersion();
     }
 
-    /** From when on it may be sent, {@link FencingCheck#NEVER}: no longer by this member. Under the lock. */
+    /**
+     * From when on the request may be sent; {@link FencingCheck#NEVER} if this member may no longer send it. Must be
+     * called under the lock.
+     */
     long sendAllowedFrom(long nowMs) {
         if (tablesVersion != state.tablesVersion()) {
             RoutingDecision decision = state.decide(nowMs, request.attributes).orElseThrow();
--- a/src/main/java/maplespread/partition/client/OrderingLock.java
+++ b/src/main/java/maplespread/partition/client/OrderingLock.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** The one lock around all that requests are ordered by; held for moments only, and never while something blocks. */
+/** The lock around all state that requests are ordered by. Held only briefly and never across a blocking call. */
 final class OrderingLock {
     private final ReentrantLock lock = new ReentrantLock();
 
-    /** Does the work under the lock. */
+    /** Runs {@code work} under the lock and returns its result. */
     <T> T locked(Supplier<T> work) {
         lock.lock();
         try {
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The same for work without a result. */
+    /** Runs {@code work}, which has no result, under the lock. */
     void runLocked(Runnable work) {
         lock.lock();
         try {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** For a thread that waits for a condition; {@link #unlock} must follow. */
+    /** Acquires the lock for a thread that waits for a condition. {@link #unlock} must follow. */
     void lockInterruptibly() throws InterruptedException {
         lock.lockInterruptibly();
     }
--- a/src/main/java/maplespread/partition/client/OrderingState.java
+++ b/src/main/java/maplespread/partition/client/OrderingState.java
@@ -19,34 +19,37 @@
 import maplespread.partition.SlotAssignment;
 
 /**
- * What this member knows of the order of requests: its lease and fencing check, the assignment, and the routing
- * tables. Guarded by the {@link OrderingLock}, as are the {@link OrderedLines} that belong to it: methods of the
- * first part are called under it, the others take it themselves.
+ * The state by which this member orders requests: its lease and fencing check, the assignment, and the routing tables.
+ * Guarded by the {@link OrderingLock}, as are its {@link OrderedLines}: the methods of the first section are called
+ * under the lock, the others acquire it themselves.
  *
- * <p>Threads that come here: each request's own, the lease thread ({@link #startRenewal}), the transport's receiving
- * thread ({@link #recordGrant}), whoever learns an agreed value ({@link #learn}), the coordinator's ({@link
- * #drainedSlots}, {@link #openedSlots}), and the admin server's for figures.
+ * <p>Used by the request threads, the lease thread ({@link #startRenewal}), the transport's receiving thread ({@link
+ * #recordGrant}), threads that learn a decided value ({@link #learn}), the coordinator's thread ({@link #drainedSlots},
+ * {@link #openedSlots}), and the admin server's threads for statistics.
  */
 final class OrderingState {
-    /** A question to all electors: its number, and the epoch that it is about. */
+    /** A round of lease requests to all electors: its number, and the epoch that the lease is requested for. */
     record LeaseRound(long number, long epoch) {}
 
     private final LeaseSettings settings;
     private final PartitionEndpoints endpoints;
     private final OrderingLock lock = new OrderingLock();
     private final OrderedLines lines;
-    /** The lease, the assignment or the tables have changed. */
+    /** Signalled when the lease, the assignment or the tables have changed. */
     private final Condition changed = lock.newCondition();
 
+    /** This member's name in the assignment; empty until it has joined the group. */
     private String member = "";
     /** Null until this member has joined the group. */
     private FencingCheck fencing;
-    /** Null until a value was agreed on. */
+    /** Null until an assignment has been learned. */
     private RoutingTableTransition tables;
-    /** The table in force; the configured one until a value was agreed on. */
+    /** The table in force; the configured one until an assignment has been learned. */
     private RoutingTable table;
 
+    /** Incremented with each newly learned table. */
     private long tablesVersion;
+    /** Whether this member held the lease at the last check. */
     private boolean leaseHeld;
 
     OrderingState(
@@ -70,12 +73,11 @@
 
     // ------------------------------------------------------------ for requests, under the lock
 
-    /** Waits until lease, assignment or tables have changed, or for so long; may return earlier than that. */
+    /** Waits for a change of the lease, the assignment or the tables, up to {@code limitMs}; may return early. */
     void awaitChange(long limitMs) throws InterruptedException {
         changed.await(limitMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Grows with each table that is learned. */
     long tablesVersion() {
         return tablesVersion;
     }
@@ -84,42 +86,42 @@
         return member;
     }
 
-    /** By the tables that were agreed on; empty: none were yet. */
+    /** Decides by the decided tables; returns empty if none have been learned yet. */
     Optional<RoutingDecision> decide(long nowMs, RequestAttributes attributes) {
         return tables == null ? Optional.empty() : Optional.of(tables.decide(nowMs, attributes));
     }
 
-    /** The table in force, or the configured one while none was agreed on. */
+    /** The table in force; the configured one until an assignment has been learned. */
     RoutingTable tableInForce() {
         return table;
     }
 
-    /** The assignment that requests go by; only once {@link #decide} has an answer. */
+    /** The assignment by which requests are ordered. Valid only once {@link #decide} returns a decision. */
     SlotAssignment assignmentInForce() {
         return fencing.assignment();
     }
 
-    /** From when on this member may send for the slot; {@link FencingCheck#NEVER}: it may not. */
+    /** From when on this member may send requests of the slot; {@link FencingCheck#NEVER} if it may not. */
     long slotAllowsFrom(long nowMs, int slot, long ownedSinceEpoch) {
         return fencing.sendAllowedFrom(nowMs, slot, ownedSinceEpoch);
     }
 
-    /** The same for the slot of a key. */
+    /** As {@link #slotAllowsFrom(long, int, long)}, for the slot of a key. */
     long slotAllowsFrom(long nowMs, String key, long ownedSinceEpoch) {
         return fencing.sendAllowedFrom(nowMs, fencing.assignment().slotOf(key), ownedSinceEpoch);
     }
 
-    // ------------------------------------------------------------ what the fleet agrees on
+    // ------------------------------------------------------------ decided assignments, lease and slots
 
-    /** This member is in the group now, under this name. */
-    void join(String asMember, int slots) {
+    /** Called when this member has joined the group as {@code memberName}. */
+    void join(String memberName, int slots) {
         lock.runLocked(() -> {
-            member = asMember;
-            fencing = new FencingCheck(settings, asMember, SlotAssignment.initial(slots, "", 0));
+            member = memberName;
+            fencing = new FencingCheck(settings, memberName, SlotAssignment.initial(slots, "", 0));
         });
     }
 
-    /** Takes up a value that was agreed on, with its tables; false: it is no later than the known one. */
+    /** Applies a decided assignment and its tables; returns false if it is no newer than the known one. */
     boolean learn(SlotAssignment next, RoutingTable current, RoutingTable previous) {
         return lock.locked(() -> {
             long nowMs = MonotonicTime.nowMs();
@@ -152,7 +154,7 @@
         changed.signalAll();
     }
 
-    /** Begins a round of questions to the electors; empty: this member has not joined yet. */
+    /** Starts a round of lease requests to the electors; returns empty if this member has not joined the group yet. */
     Optional<LeaseRound> startRenewal() {
         return lock.locked(() -> {
             if (fencing == null) {
@@ -164,7 +166,7 @@
         });
     }
 
-    /** An elector has granted what was asked in this round. */
+    /** Records that an elector granted the lease in this round. */
     void recordGrant(String elector, long round, Predicate<Set<String>> isMajority) {
         lock.runLocked(() -> {
             fencing.recordGrant(elector, round, isMajority);
@@ -181,7 +183,7 @@
         }
     }
 
-    /** Slots of earlier epochs, of which nothing is in flight or held any more. */
+    /** Slots that this member owned in earlier epochs and that have no request in flight and no key held any more. */
     Set<Integer> drainedSlots() {
         return lock.locked(() -> {
             if (tables == null) {
@@ -192,24 +194,24 @@
         });
     }
 
-    /** Slots for whose earlier owners this member has waited long enough, and since which epoch it owns each. */
+    /** Slots whose hold time for previous owners has passed, with the epoch since which this member owns each. */
     Map<Integer, Long> openedSlots() {
         return lock.locked(() -> tables == null ? Map.<Integer, Long>of() : fencing.openedSlots(MonotonicTime.nowMs()));
     }
 
-    // ------------------------------------------------------------ figures
+    // ------------------------------------------------------------ statistics
 
-    /** The latest assignment that is known; empty: none was agreed on. */
+    /** The latest known assignment; empty if none has been learned. */
     Optional<SlotAssignment> assignment() {
         return lock.locked(() -> tables == null ? Optional.<SlotAssignment>empty() : Optional.of(fencing.assignment()));
     }
 
-    /** The agreed table; empty: none was agreed on. */
+    /** The decided table; empty if none has been learned. */
     Optional<RoutingTable> agreedTable() {
         return lock.locked(() -> tables == null ? Optional.<RoutingTable>empty() : Optional.of(table));
     }
 
-    /** Whether the next table may come: the last change has settled. */
+    /** Whether the table may be replaced, that is, the last change of the table has settled. */
     boolean mayChangeTable() {
         return lock.locked(() -> tables != null && tables.mayChange(MonotonicTime.nowMs()));
     }
@@ -218,12 +220,12 @@
         return lock.locked(() -> fencing != null && fencing.holdsLease(MonotonicTime.nowMs()));
     }
 
-    /** The longest in milliseconds that a request can run under the table in force, or the configured one. */
+    /** The longest run time of a request in milliseconds under {@link #tableInForce}. */
     long maxRunMs() {
         return lock.locked(() -> table.maxRunMs());
     }
 
-    /** Slots that this member may send for at this moment. */
+    /** Slots whose requests this member may send now. */
     List<Integer> openSlots() {
         return lock.locked(() -> {
             List<Integer> open = new ArrayList<>();
--- a/src/main/java/maplespread/partition/client/PartitionCallException.java
+++ b/src/main/java/maplespread/partition/client/PartitionCallException.java
@@ -2,17 +2,17 @@
 
 import maplespread.errors.FleetException;
 
-/** A call of an operator about ordered partitions that could not be followed. Nothing was changed by it. */
+/** An admin call about ordered partitions that was rejected without changing anything. */
 public final class PartitionCallException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #problem()} says it in words. */
+    /** Why the call was rejected, for programs; {@link #problem()} gives the reason as text. */
     public enum Reason {
-        /** This instance is not in the group yet, or no table is agreed on. */
+        /** This dispatcher is not in the group yet, or no table has been decided. */
         NOT_AGREED(503, "jobs without an order", "look at who the electors are, and call again"),
-        /** The last change of the table still settles, or another one came first. */
+        /** The last change of the table has not settled yet, or another change was decided first. */
         SETTLING(409, "the table that counts", "call again after a hold time"),
-        /** The call lacks what it is about. */
+        /** The call lacks a required parameter. */
         BAD_CALL(400, "everything; nothing was asked of the fleet", "add to the call what is named");
 
         final int status;
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Of the HTTP response. */
+    /** Status code of the HTTP response. */
     final int status;
 
     PartitionCallException(Reason reason, String problem) {
--- a/src/main/java/maplespread/partition/client/PartitionEndpoints.java
+++ b/src/main/java/maplespread/partition/client/PartitionEndpoints.java
@@ -20,25 +20,26 @@
 import maplespread.policy.EndpointWatchFailure;
 
 /**
- * The workers as the endpoint list shows them, and which of them are in a partition. Updates come on the list's
- * thread, questions on requests' threads; what both use is guarded by this object's monitor or volatile.
+ * The workers on the endpoint list, and which of them belong to a partition. Updates arrive on the endpoint list's
+ * thread, queries on request threads; state that both use is guarded by this object's monitor or volatile.
  */
 public final class PartitionEndpoints implements EndpointListener {
     private final EndpointListener next;
     private final Config.Names names;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    /** By identity: partitions of different tables may be equal. */
+    /** Keyed by identity, as partitions of different tables may be equal. */
     private final IdentityHashMap<Partition, PartitionWorkers> workers = new IdentityHashMap<>();
 
+    /** Incremented with each update of the endpoint list. */
     private volatile long version;
 
-    /** {@code next}: is told all of it, after this one; {@code names}: of the site's zones and kinds. */
+    /** {@code next} is notified of every update after this listener; {@code names} has the site's zones and kinds. */
     public PartitionEndpoints(EndpointListener next, Config.Names names) {
         this.next = next;
         this.names = names;
     }
 
-    /** The workers of one partition; determined anew once the list has changed. */
+    /** The workers of one partition, cached until the endpoint list changes. */
     final class PartitionWorkers implements Predicate<String> {
         private final Partition partition;
         private volatile Snapshot snapshot = new Snapshot(-1, Set.of(), false);
@@ -53,14 +54,14 @@
             Snapshot current = snapshot;
             if (current.version != version) {
                 synchronized (PartitionEndpoints.this) {
-                    current = determine();
+                    current = createSnapshot();
                     snapshot = current;
                 }
             }
             return current;
         }
 
-        private Snapshot determine() {
+        private Snapshot createSnapshot() {
             Set<String> ids = new HashSet<>();
             boolean serving = false;
             for (Endpoint endpoint : endpoints.values()) {
@@ -72,13 +73,13 @@
             return new Snapshot(version, ids, serving);
         }
 
-        /** Whether the worker of this id is one of them. */
+        /** Whether the partition contains the worker with this id. */
         @Override
         public boolean test(String id) {
             return current().ids.contains(id);
         }
 
-        /** Whether any of them takes requests. */
+        /** Whether any worker of the partition is serving. */
         boolean hasServingWorker() {
             return current().hasServingWorker;
         }
@@ -88,7 +89,7 @@
         return workers.computeIfAbsent(partition, PartitionWorkers::new);
     }
 
-    /** Only these very partitions are asked for from now on. */
+    /** Drops the cached workers of all partitions but these instances. */
     synchronized void retain(Collection<Partition> partitions) {
         Set<Partition> retained = Collections.newSetFromMap(new IdentityHashMap<>());
         retained.addAll(partitions);
@@ -103,19 +104,19 @@
                 endpoint.cell());
     }
 
-    /** Empty where there is no name at that place. */
-    private static String name(List<String> names, int place) {
-        return place < 0 || place >= names.size() ? "" : names.get(place);
+    /** The name at an index; empty if the index is out of range. */
+    private static String name(List<String> names, int index) {
+        return index < 0 || index >= names.size() ? "" : names.get(index);
     }
 
-    /** All that the list has at present. */
+    /** All workers that are currently on the endpoint list. */
     synchronized List<Worker> workers() {
         return new ArrayList<>(endpoints.values().stream().map(this::worker).toList());
     }
 
     @Override
     public void endpointsChanged(EndpointUpdate update) {
-        synchronized (this) { // before the policy is told: the workers that it may choose are known here
+        synchronized (this) { // before the policy is notified, so that the workers it may choose are known here
             if (update.kind() != EndpointUpdate.Kind.DELTA) {
                 endpoints.clear();
             }
--- a/src/main/java/maplespread/partition/client/PartitionThreads.java
+++ b/src/main/java/maplespread/partition/client/PartitionThreads.java
@@ -2,19 +2,20 @@
 
 import maplespread.log.Event;
 
-/** Threads that do one round after the other until they are interrupted; a round that fails ends none of them. */
+/** Daemon threads that run round after round until they are interrupted. A failed round does not end its thread. */
 final class PartitionThreads {
     private static final long STACK_BYTES = 256 * 1024;
-    private static final long PAUSE_AFTER_FAULT_MS = 100;
+    /** Delay before the next round after one that failed. */
+    private static final long FAILURE_BACKOFF_MS = 100;
 
     private PartitionThreads() {}
 
-    /** One round of work; returns the pause until the next in milliseconds. */
+    /** One round of work, which returns the delay before the next round in milliseconds. */
     interface Round {
         long run() throws InterruptedException;
     }
 
-    /** Not started yet. */
+    /** Creates a thread that is not started yet. */
     static Thread daemon(String name, Round round) {
         Thread thread = new Thread(null, () -> loop(round), name, STACK_BYTES);
         thread.setDaemon(true);
@@ -24,13 +25,13 @@
     private static void loop(Round round) {
         try {
             while (true) {
-                long pauseMs = PAUSE_AFTER_FAULT_MS;
+                long delayMs = FAILURE_BACKOFF_MS;
                 try {
-                    pauseMs = round.run();
-                } catch (RuntimeException | Error e) { // the next round must still come
+                    delayMs = round.run();
+                } catch (RuntimeException | Error e) { // a failed round must not prevent the next one
                     Event.of("partition.fault", "why", e).error();
                 }
-                Thread.sleep(pauseMs);
+                Thread.sleep(delayMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/maplespread/partition/client/PendingRequest.java
+++ b/src/main/java/maplespread/partition/client/PendingRequest.java
@@ -4,59 +4,70 @@
 import maplespread.partition.RequestAttributes;
 
 /**
- * A request from its arrival until it has a permit or a response. Its own thread waits for it; the fields that
- * are not final are guarded by the {@link OrderingLock}, except where they are volatile.
+ * A request from its arrival until it has a permit or a response, for which the request's own thread waits. Fields that
+ * are neither final nor volatile are guarded by the {@link OrderingLock} unless their comment says otherwise.
  */
 final class PendingRequest {
-    /** Where a request goes whose slot another member owns: the address, and what was agreed when it was chosen. */
+    /**
+     * Where a request whose slot another member owns is forwarded to.
+     *
+     * @param address the owner's {@code HOST:PORT}
+     * @param owner the member that owned the slot when the target was chosen
+     * @param epoch the assignment's epoch when the target was chosen
+     */
     record ForwardTarget(String address, String owner, int slot, long epoch) {}
 
     final SequencedRequest sequenced;
     final RequestAttributes attributes;
-    /** Estimated work in milliseconds, 0 where there is no estimate. */
+    /** Estimated work in milliseconds; 0 if there is no estimate. */
     final double workMs;
-    /** On {@link MonotonicTime}. */
+    /** Deadline on the {@link MonotonicTime} clock. */
     final long deadlineMs;
 
     volatile boolean clientLeft;
-    /** The owner that the request is being forwarded to; null: it is not. Cleared by the request's own thread. */
+    /**
+     * Where the request is to be or is being forwarded to; null if it is not forwarded. Written by the request's own
+     * thread.
+     */
     volatile ForwardTarget target;
-    /** The request's place in the line of its key; null: it is in none. */
+    /** The request's entry in the queue of its key; null if it is not queued. */
     OrderedRequest queued;
-    /** How often an owner did not accept it. Only the request's own thread looks here. */
+    /** How often an owner did not accept the request. Used by the request's own thread only. */
     int rejectedForwards;
 
     PendingRequest(SequencedRequest sequenced) {
         this.sequenced = sequenced;
         String target = sequenced.message().target();
-        int query = target.indexOf('?');
+        int queryStart = target.indexOf('?');
         attributes = new RequestAttributes(
                 sequenced.message().lane(),
                 sequenced.tenant(),
                 sequenced.entity(),
-                query < 0 ? target : target.substring(0, query),
+                queryStart < 0 ? target : target.substring(0, queryStart),
                 sequenced.labels());
         double estimate = sequenced.request().workMs();
         workMs = estimate > 0 ? estimate : 0;
         deadlineMs = MonotonicTime.nowMs() + sequenced.remainingMs();
     }
 
-    /** Whether another member has forwarded it here. */
+    /** Whether another member forwarded the request to this one. */
     boolean isForwarded() {
         return sequenced.forwardedBy() != null;
     }
 
-    /** Whether the member that forwarded it knows a later epoch than this one. */
+    /** Whether the member that forwarded the request knows a later epoch than {@code knownEpoch}. */
     boolean forwarderIsAhead(long knownEpoch) {
-        String[] words = sequenced.forwardedBy().split(" ", -1);
-        return words.length > 1 && words[1].matches("[0-9]{1,18}") && Long.parseLong(words[1]) > knownEpoch;
+        String[] nameAndEpoch = sequenced.forwardedBy().split(" ", -1);
+        return nameAndEpoch.length > 1
+                && nameAndEpoch[1].matches("[0-9]{1,18}")
+                && Long.parseLong(nameAndEpoch[1]) > knownEpoch;
     }
 
     long remainingMs() {
         return deadlineMs - MonotonicTime.nowMs();
     }
 
-    /** Whether the time that remains is too short for its work. */
+    /** Whether the remaining time is too short for the estimated work. */
     boolean isLate() {
         return remainingMs() <= workMs;
     }
--- a/src/main/java/maplespread/partition/client/RequestForwarding.java
+++ b/src/main/java/maplespread/partition/client/RequestForwarding.java
@@ -8,20 +8,23 @@
 import maplespread.worker.PeerForwarder;
 
 /**
- * Sends a request to the member that owns its key's slot, as a client would, and turns what comes back into the
- * client's response. Runs on the request's own thread, and never under a lock.
+ * Sends a request to the member that owns its key's slot, as a client would, and turns the owner's response into the
+ * client's response. Runs on the request's own thread, never under a lock.
  */
 final class RequestForwarding {
     private final String name;
     private final PeerForwarder forwarder;
 
-    /** {@code name}: of this dispatcher. */
+    /** {@code name} is the name of this dispatcher. */
     RequestForwarding(String name, PeerForwarder forwarder) {
         this.name = name;
         this.forwarder = forwarder;
     }
 
-    /** Empty: the owner did not accept it, so it may be routed again. Blocks until the deadline at most. */
+    /**
+     * Forwards the request; returns empty if the owner did not accept it, so that it may be routed again. Blocks until
+     * the request's deadline at most.
+     */
     Optional<SequencingResult> forward(PendingRequest request, PendingRequest.ForwardTarget target) {
         PeerForwarder.Result result = forwarder.run(
                 request,
@@ -40,7 +43,7 @@
         };
     }
 
-    /** Its client has left, or its owner has lost the slot: the response is not waited for any longer. */
+    /** Stops waiting for the owner's response, as the client has left or the owner has lost the slot. */
     void cancel(PendingRequest request) {
         forwarder.cancel(request);
     }
--- a/src/main/java/maplespread/partition/client/RoutingTableCache.java
+++ b/src/main/java/maplespread/partition/client/RoutingTableCache.java
@@ -10,17 +10,17 @@
 import maplespread.partition.RoutingTable;
 import maplespread.partition.RoutingTableException;
 
-/** Routing tables by their compressed texts, so that each is compiled once. Thread-safe. */
+/** Caches routing tables by their compressed texts, so that each is parsed once. Thread-safe. */
 final class RoutingTableCache {
     private final Supplier<Config> config;
     private final Map<String, RoutingTable> tables = new ConcurrentHashMap<>();
 
-    /** {@code config}: whose names a table may use, at the time when it is compiled. */
+    /** {@code config} supplies the configuration whose names a table may use at the time when it is parsed. */
     RoutingTableCache(Supplier<Config> config) {
         this.config = config;
     }
 
-    /** Throws where the table uses names that this site does not have. */
+    /** Throws if the table uses names that this site's configuration does not define. */
     RoutingTable get(String compressed) throws RoutingTableException {
         RoutingTable known = tables.get(compressed);
         if (known == null) {
@@ -30,7 +30,7 @@
         return known;
     }
 
-    /** Forgets all others. */
+    /** Drops all tables but these. */
     void retain(Collection<String> compressed) {
         tables.keySet().retainAll(compressed);
     }
--- a/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/OrderedDispatchGoldenTest.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients are answered with by this package, and what goes to a key's owner, byte by byte. */
+/** Responses to clients and requests forwarded to a key's owner must match the recorded ones, byte by byte. */
 class OrderedDispatchGoldenTest {
     private static final String TABLE = ("{'rules':["
                     + "{'when':{'class':'stop'},'order':'by_key_stop','runs_ms':1},"
@@ -55,10 +55,10 @@
     private static final SlotAssignment OWN = SlotAssignment.initial(2, "t").members(Set.of("n0#1"));
     private static final long LONG_MS = 600_000;
 
-    /** Another member's listener: notes what comes, and answers by the script; empty: it breaks off. */
+    /** Another member's listener; records each request and sends the next response, or disconnects if it is empty. */
     private static final class Peer implements Closeable {
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
         private final ServerSocket listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
 
         Peer() throws IOException {
@@ -77,26 +77,26 @@
         private void serve(Socket socket) throws Exception {
             try (socket) {
                 while (true) {
-                    requests.add(request(socket.getInputStream()));
-                    String answer = answers.take();
-                    if (answer.isEmpty()) {
+                    requests.add(readRequest(socket.getInputStream()));
+                    String response = responses.take();
+                    if (response.isEmpty()) {
                         return;
                     }
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
                 }
             }
         }
 
-        private static String request(InputStream in) throws IOException {
+        private static String readRequest(InputStream in) throws IOException {
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             while (!all.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
                 int next = in.read();
                 if (next < 0) {
-                    throw new IOException("over");
+                    throw new IOException("connection closed before the end of the request head");
                 }
                 all.write(next);
             }
-            all.write(in.readNBytes(4)); // each body here has four bytes
+            all.write(in.readNBytes(4)); // each request body in this test has four bytes
             return all.toString(StandardCharsets.UTF_8);
         }
 
@@ -114,7 +114,7 @@
         Thread thread = new Thread(() -> {
             try {
                 work.run();
-            } catch (Exception over) { // with the test, or the connection
+            } catch (Exception e) { // the test or the connection has ended
                 return;
             }
         });
@@ -122,22 +122,24 @@
         thread.start();
     }
 
-    private final StringBuilder seen = new StringBuilder();
+    private final StringBuilder recorded = new StringBuilder();
     private PartitionEndpoints endpoints;
     private OrderingState state;
     private OrderedDispatch dispatch;
     private RoutingTable table;
-    private int keys;
-    private volatile String peer;
-    private volatile boolean stores = true;
+    private int keyCount;
+    /** Address of the slots' owner; null if it is not known. */
+    private volatile String ownerAddress;
+
+    private volatile boolean stopIsStored = true;
 
     @BeforeEach
-    void begin() throws Exception {
+    void createDispatch() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
         endpoints = new PartitionEndpoints(
                 new EndpointListener() {
                     @Override
-                    public void endpointsChanged(EndpointUpdate news) {}
+                    public void endpointsChanged(EndpointUpdate update) {}
 
                     @Override
                     public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
@@ -157,12 +159,12 @@
         ClusterOperations operations = new ClusterOperations() {
             @Override
             public String address(String member) {
-                return peer;
+                return ownerAddress;
             }
 
             @Override
             public boolean storeStop(String key, long waitMs) {
-                return stores;
+                return stopIsStored;
             }
 
             @Override
@@ -179,24 +181,24 @@
                 operations);
     }
 
-    /** This one owns all slots by this value's word, and has a lease. */
-    private void owns(SlotAssignment assignment) {
+    /** Joins the group, learns the assignment and obtains a lease. */
+    private void joinWithLease(SlotAssignment assignment) {
         state.join("n0#1", 2);
         dispatch.learn(assignment, table, table);
         state.recordGrant("e", state.startRenewal().orElseThrow().number(), electors -> true);
     }
 
-    private void worker() {
+    private void addServingWorker() {
         endpoints.endpointsChanged(new EndpointUpdate(
                 EndpointUpdate.Kind.FULL_SNAPSHOT,
                 1,
                 List.of(new Endpoint("w", "127.0.0.1:1", Endpoint.State.SERVING, 1, 0, 0, 0, 0))));
     }
 
-    private RequestSequencer.SequencingResult take(
-            String cls, String entity, String handedBy, double workMs, long leftMs) {
-        WorkerRequest message =
-                new WorkerRequest("POST", "/x?y=1", "t1", cls, List.of(), "body".getBytes(StandardCharsets.UTF_8));
+    private RequestSequencer.SequencingResult acquire(
+            String requestClass, String entity, String forwardedBy, double workMs, long remainingMs) {
+        WorkerRequest message = new WorkerRequest(
+                "POST", "/x?y=1", "t1", requestClass, List.of(), "body".getBytes(StandardCharsets.UTF_8));
         try {
             return dispatch.acquire(new RequestSequencer.SequencedRequest(
                     message,
@@ -204,96 +206,100 @@
                     "acme",
                     entity,
                     Map.of(),
-                    List.of(new String[] {"X-Lane", cls}, new String[] {"X-Org", "acme"}),
-                    handedBy,
-                    leftMs));
+                    List.of(new String[] {"X-Lane", requestClass}, new String[] {"X-Org", "acme"}),
+                    forwardedBy,
+                    remainingMs));
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
-    private RequestSequencer.Permit go(String cls, String entity) {
-        return assertInstanceOf(RequestSequencer.Permit.class, take(cls, entity, null, 0, LONG_MS));
+    private RequestSequencer.Permit acquirePermit(String requestClass, String entity) {
+        return assertInstanceOf(RequestSequencer.Permit.class, acquire(requestClass, entity, null, 0, LONG_MS));
     }
 
-    private String taken(String cls, String entity, String handedBy, double workMs, long leftMs) {
-        return text(take(cls, entity, handedBy, workMs, leftMs));
+    private String acquireAsText(
+            String requestClass, String entity, String forwardedBy, double workMs, long remainingMs) {
+        return text(acquire(requestClass, entity, forwardedBy, workMs, remainingMs));
     }
 
-    /** Takes a job, and notes what became of it. */
-    private void note(String cls, String entity, String handedBy, double workMs, long leftMs) {
-        note(cls + " " + entity + ", by " + handedBy + ", " + workMs + " of " + leftMs + " ms: "
-                + taken(cls, entity, handedBy, workMs, leftMs));
+    /** Sequences a request and records the result. */
+    private void note(String requestClass, String entity, String forwardedBy, double workMs, long remainingMs) {
+        note(requestClass + " " + entity + ", by " + forwardedBy + ", " + workMs + " of " + remainingMs + " ms: "
+                + acquireAsText(requestClass, entity, forwardedBy, workMs, remainingMs));
     }
 
     private void note(String line) {
-        seen.append(line).append('\n');
+        recorded.append(line).append('\n');
     }
 
-    private static String text(RequestSequencer.SequencingResult turn) {
-        if (turn instanceof RequestSequencer.FinalResponse said) {
-            return said.status()
-                    + said.fields().stream().map(f -> " " + f[0] + ": " + f[1]).collect(Collectors.joining())
-                    + (said.idConsumed() ? " taken " : " not taken ")
-                    + new String(said.body(), StandardCharsets.UTF_8).replace("\n", "\\n");
+    private static String text(RequestSequencer.SequencingResult result) {
+        if (result instanceof RequestSequencer.FinalResponse response) {
+            return response.status()
+                    + response.fields().stream()
+                            .map(f -> " " + f[0] + ": " + f[1])
+                            .collect(Collectors.joining())
+                    + (response.idConsumed() ? " taken " : " not taken ")
+                    + new String(response.body(), StandardCharsets.UTF_8).replace("\n", "\\n");
         }
-        return turn instanceof RequestSequencer.Permit ? "go" : "left";
+        return result instanceof RequestSequencer.Permit ? "go" : "left";
     }
 
     @Test
-    void beforeAnyValueIsAgreedOn() throws Exception {
+    void responsesBeforeAnyAssignmentIsDecided() throws Exception {
         note("price", "1", null, 0, 0);
         note("price", "1", null, 50, 40);
         note("price", "1", "n1 3", 0, 1000);
         note("price", null, null, 0, 1000);
         note("page", null, null, 0, 1000);
         note("page", null, "n1 3", 0, 1000);
-        assertGolden("answers-before-agreement.txt", seen.toString());
+        assertGolden("answers-before-agreement.txt", recorded.toString());
     }
 
     @Test
-    void ofAKeyThatThisMemberOwns() throws Exception {
-        owns(OWN);
+    void responsesForKeysThatThisMemberOwns() throws Exception {
+        joinWithLease(OWN);
         note("price", "1", null, 0, 1000);
-        worker();
+        addServingWorker();
         note("price", "1", null, 0, 1000);
         note("price", "2", null, 50, 40);
         note("full", "1", null, 5, LONG_MS);
         note("price", "3", "n1 99", 0, 1000);
         note("price", "3", "n1 1", 0, 1000);
-        note("turn lost: " + text(go("price", "4").permitLostResponse()));
-        RequestSequencer.SequencingResult handed = take("price", "5", "n1 1", 0, LONG_MS);
+        note("turn lost: " + text(acquirePermit("price", "4").permitLostResponse()));
+        RequestSequencer.SequencingResult forwarded = acquire("price", "5", "n1 1", 0, LONG_MS);
         note("turn lost: "
-                + text(assertInstanceOf(RequestSequencer.Permit.class, handed).permitLostResponse()));
-        assertGolden("answers-of-the-owner.txt", seen.toString());
+                + text(assertInstanceOf(RequestSequencer.Permit.class, forwarded)
+                        .permitLostResponse()));
+        assertGolden("answers-of-the-owner.txt", recorded.toString());
     }
 
     @Test
-    void whatWaitsBehindAHead() throws Exception {
-        owns(OWN);
-        worker();
+    void requestsQueuedBehindAnotherAreSkippedOrExpire() throws Exception {
+        joinWithLease(OWN);
+        addServingWorker();
         daemon(state.lines()::runDueLoop);
-        for (String cls : List.of("skip", "aged")) {
-            RequestSequencer.Permit head = go(cls, "1");
+        for (String requestClass : List.of("skip", "aged")) {
+            RequestSequencer.Permit head = acquirePermit(requestClass, "1");
             CompletableFuture<String> behind = new CompletableFuture<>();
-            daemon(() -> behind.complete(taken(cls, "1", null, 0, LONG_MS)));
-            if (cls.equals("skip")) {
-                until("it waits", () -> state.lines().waitingCount() == 1);
+            daemon(() -> behind.complete(acquireAsText(requestClass, "1", null, 0, LONG_MS)));
+            if (requestClass.equals("skip")) {
+                until("the request is queued", () -> state.lines().waitingCount() == 1);
                 head.attemptCompleted(Outcome.ERROR);
                 assertEquals(RequestSequencer.Completion.ENDED, head.release(false));
             }
-            note(cls + ": " + behind.get(60, TimeUnit.SECONDS));
+            note(requestClass + ": " + behind.get(60, TimeUnit.SECONDS));
         }
-        assertGolden("answers-behind-a-head.txt", seen.toString());
+        assertGolden("answers-behind-a-head.txt", recorded.toString());
     }
 
     @Test
-    void aFailureStopsItsKeyOnlyWhereThatIsStored() throws Exception {
-        owns(OWN);
-        worker();
+    void failureStopsItsKeyOnlyIfTheStopIsStored() throws Exception {
+        joinWithLease(OWN);
+        addServingWorker();
         for (boolean stored : new boolean[] {true, false}) {
-            stores = stored;
-            RequestSequencer.Permit head = go("stop", "of " + stored);
+            stopIsStored = stored;
+            RequestSequencer.Permit head = acquirePermit("stop", "of " + stored);
             head.attemptCompleted(Outcome.ERROR);
             assertEquals(
                     stored ? RequestSequencer.Completion.ENDED : RequestSequencer.Completion.IN_DOUBT,
@@ -303,56 +309,56 @@
         note("stop", "of false", null, 0, 1000);
         dispatch.learn(OWN.stopKey("n0#1", "entity=7"), table, table);
         note("price", "7", null, 0, 1000);
-        assertGolden("answers-of-stopped-keys.txt", seen.toString());
+        assertGolden("answers-of-stopped-keys.txt", recorded.toString());
     }
 
-    private void ended(boolean served, Outcome... attempts) {
-        RequestSequencer.Permit job = go("price", "k" + ++keys);
-        List.of(attempts).forEach(job::attemptCompleted);
-        RequestSequencer.Completion end = job.release(served);
-        note("k" + keys + (served ? " served: " : " not served: ")
-                + (end == RequestSequencer.Completion.ENDED
+    private void noteCompletion(boolean served, Outcome... outcomes) {
+        RequestSequencer.Permit permit = acquirePermit("price", "k" + ++keyCount);
+        List.of(outcomes).forEach(permit::attemptCompleted);
+        RequestSequencer.Completion completion = permit.release(served);
+        note("k" + keyCount + (served ? " served: " : " not served: ")
+                + (completion == RequestSequencer.Completion.ENDED
                         ? "ended"
-                        : end == RequestSequencer.Completion.IN_DOUBT ? "in doubt" : "never ran"));
+                        : completion == RequestSequencer.Completion.IN_DOUBT ? "in doubt" : "never ran"));
     }
 
-    /** Outcomes of a job's attempts, whether it was served, and how it has ended. */
+    /** Records the completion for combinations of attempt outcomes, for requests that were served or not. */
     @Test
-    void howAJobHasEnded() throws Exception {
-        owns(OWN);
-        worker();
-        ended(false);
-        for (Outcome how : Outcome.values()) {
-            ended(false, how);
+    void completionFollowsFromTheOutcomesOfAttempts() throws Exception {
+        joinWithLease(OWN);
+        addServingWorker();
+        noteCompletion(false);
+        for (Outcome outcome : Outcome.values()) {
+            noteCompletion(false, outcome);
         }
-        ended(false, Outcome.TIMED_OUT, Outcome.ERROR);
-        ended(true, Outcome.SERVED);
-        ended(true, Outcome.TIMED_OUT, Outcome.SERVED);
-        assertGolden("ends.txt", seen.toString());
+        noteCompletion(false, Outcome.TIMED_OUT, Outcome.ERROR);
+        noteCompletion(true, Outcome.SERVED);
+        noteCompletion(true, Outcome.TIMED_OUT, Outcome.SERVED);
+        assertGolden("ends.txt", recorded.toString());
     }
 
     @Test
-    void ofAKeyThatAnotherMemberOwns() throws Exception {
-        owns(SlotAssignment.initial(2, "t").members(Set.of("n1#5")));
+    void requestsForAnotherMembersKeysAreForwarded() throws Exception {
+        joinWithLease(SlotAssignment.initial(2, "t").members(Set.of("n1#5")));
         note("price", "1", null, 0, 0);
         note("price", "1", "n2 1", 0, 1000);
         try (Peer owner = new Peer()) {
-            peer = owner.address();
-            owner.answers.add("HTTP/1.1 200 OK\r\nX-Order: late\r\nX-Other: 1\r\nRetry-After: 0.5\r\nAllow: POST\r\n"
+            ownerAddress = owner.address();
+            owner.responses.add("HTTP/1.1 200 OK\r\nX-Order: late\r\nX-Other: 1\r\nRetry-After: 0.5\r\nAllow: POST\r\n"
                     + "Content-Length: 3\r\n\r\nabc");
             note("price", "1", null, 0, LONG_MS);
-            note(sent(owner));
-            owner.answers.add("HTTP/1.1 503 Service Unavailable\r\nX-Order: moved\r\nContent-Length: 0\r\n\r\n");
-            owner.answers.add("HTTP/1.1 503 Service Unavailable\r\nX-Order: full\r\nContent-Length: 5\r\n\r\nfull\n");
+            note(nextForwarded(owner));
+            owner.responses.add("HTTP/1.1 503 Service Unavailable\r\nX-Order: moved\r\nContent-Length: 0\r\n\r\n");
+            owner.responses.add("HTTP/1.1 503 Service Unavailable\r\nX-Order: full\r\nContent-Length: 5\r\n\r\nfull\n");
             note("price", "1", null, 0, LONG_MS);
-            assertEquals(sent(owner), sent(owner));
-            owner.answers.add("");
+            assertEquals(nextForwarded(owner), nextForwarded(owner));
+            owner.responses.add("");
             note("price", "1", null, 0, LONG_MS);
         }
-        assertGolden("answers-handed-on.txt", seen.toString());
+        assertGolden("answers-handed-on.txt", recorded.toString());
     }
 
-    private static String sent(Peer owner) throws InterruptedException {
+    private static String nextForwarded(Peer owner) throws InterruptedException {
         return owner.requests
                 .poll(60, TimeUnit.SECONDS)
                 .replace(owner.address(), "HOST")
--- a/src/test/java/maplespread/partition/client/PartitionAdminGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/PartitionAdminGoldenTest.java
@@ -32,22 +32,24 @@
 import maplespread.worker.PeerForwarder;
 import org.junit.jupiter.api.Test;
 
-/** The console's answers, as recorded; numbers that begin with the time stand as {@code #}. */
+/** The responses of the admin calls must match the recorded ones, with numbers derived from the time as {@code #}. */
 class PartitionAdminGoldenTest {
     private static final String TABLE = ("{'rules':[{'when':{'class':'checkout','entity':{'prefix':''}},"
                     + "'order':'by_key_stop','runs_ms':RUNS},{}]}")
             .replace('\'', '"');
 
-    private final StringBuilder seen = new StringBuilder();
+    private final StringBuilder recorded = new StringBuilder();
+    /** Null until the group is joined. */
     private volatile PartitionService.ClusterHandle handle;
+
     private PartitionService service;
 
-    private void begin() throws Exception {
+    private void createService() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
         PartitionSettings settings = new PartitionSettings(TABLE.replace("RUNS", "1"), "", 300, 20, 250, 5000, 0.01, 2);
-        EndpointListener nobody = new EndpointListener() {
+        EndpointListener ignoringListener = new EndpointListener() {
             @Override
-            public void endpointsChanged(EndpointUpdate news) {}
+            public void endpointsChanged(EndpointUpdate update) {}
 
             @Override
             public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {}
@@ -63,37 +65,37 @@
                         () -> true,
                         () -> "127.0.0.1:7070",
                         new PeerForwarder(new ConnectionPool(() -> config, config::limits)),
-                        new PartitionEndpoints(nobody, config.names())));
+                        new PartitionEndpoints(ignoringListener, config.names())));
     }
 
-    private AdminResponse reply(String call, String key, String body) {
+    private AdminResponse send(String call, String key, String body) {
         return service.adminCalls()
                 .get(call)
                 .answer(new AdminRequest(key == null ? Map.of() : Map.of("key", key), body));
     }
 
-    private String call(String call, String key, String body) {
-        AdminResponse reply = reply(call, key, body);
-        return reply.status() + " " + reply.text().replaceAll("[0-9]{10,}", "#");
+    private String responseTo(String call, String key, String body) {
+        AdminResponse response = send(call, key, body);
+        return response.status() + " " + response.text().replaceAll("[0-9]{10,}", "#");
     }
 
-    private void note(String answer) {
-        seen.append(answer).append('\n');
+    private void recordResponse(String response) {
+        recorded.append(response).append('\n');
     }
 
-    private String shown(String key) {
-        return call("GET /admin/partition", key, "");
+    private String stateText(String key) {
+        return responseTo("GET /admin/partition", key, "");
     }
 
-    private JsonObject now() {
-        return JsonParser.parseString(reply("GET /admin/partition", null, "").text())
+    private JsonObject state() {
+        return JsonParser.parseString(send("GET /admin/partition", null, "").text())
                 .getAsJsonObject();
     }
 
     private static PartitionService.ClusterHandle join(List<String> electors) throws Exception {
         int port;
-        try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            port = freeSocket.getLocalPort();
         }
         ClusterTransport transport = new ClusterTransport(
                 MembershipSettings.of("toy", "127.0.0.1:" + port, List.of()),
@@ -103,7 +105,7 @@
                 transport, new ReplicatedRegister(ConsensusSettings.of("toy", electors), transport, 1));
     }
 
-    private void end() throws Exception {
+    private void close() throws Exception {
         service.close();
         if (handle != null) {
             handle.register().close();
@@ -112,66 +114,66 @@
     }
 
     @Test
-    void whileNothingIsAgreedOn() throws Exception {
-        begin();
+    void responsesBeforeAnyAssignmentIsDecided() throws Exception {
+        createService();
         try {
-            note(shown(null));
-            note(call("POST /admin/partition/table", null, TABLE));
-            note(call("POST /admin/partition/start", null, ""));
+            recordResponse(stateText(null));
+            recordResponse(responseTo("POST /admin/partition/table", null, TABLE));
+            recordResponse(responseTo("POST /admin/partition/start", null, ""));
             handle = join(List.of("toy", "absent", "lost"));
             service.start();
-            until("it has joined", () -> now().get("joined").getAsBoolean());
-            note(shown("entity=1"));
-            note(call("POST /admin/partition/table", null, TABLE));
+            until("the member has joined", () -> state().get("joined").getAsBoolean());
+            recordResponse(stateText("entity=1"));
+            recordResponse(responseTo("POST /admin/partition/table", null, TABLE));
         } finally {
-            end();
+            close();
         }
-        assertGolden("admin-before-agreement.txt", seen.toString());
+        assertGolden("admin-before-agreement.txt", recorded.toString());
     }
 
     @Test
-    void whileATableIsAgreedOn() throws Exception {
-        begin();
+    void responsesOnceATableIsDecided() throws Exception {
+        createService();
         try {
             handle = join(List.of("toy"));
             service.start();
-            until("it has a lease and all slots", () -> {
-                JsonObject now = now();
-                return now.has("open")
-                        && now.getAsJsonArray("open").size() == 2
-                        && now.get("lease").getAsBoolean()
-                        && now.get("may_change").getAsBoolean();
+            until("the member has a lease and all slots", () -> {
+                JsonObject state = state();
+                return state.has("open")
+                        && state.getAsJsonArray("open").size() == 2
+                        && state.get("lease").getAsBoolean()
+                        && state.get("may_change").getAsBoolean();
             });
             handle.register()
                     .change(
                             value -> {
-                                SlotAssignment owners =
+                                SlotAssignment assignment =
                                         SlotAssignment.fromJson(SharedState.read(value.text(), "partition"));
-                                String member = owners.members().iterator().next();
+                                String member = assignment.members().iterator().next();
                                 return SharedState.write(
                                         value.text(),
                                         "partition",
-                                        owners.stopKey(member, "entity=1").toJson());
+                                        assignment.stopKey(member, "entity=1").toJson());
                             },
                             5000);
-            until("the stop is known", () -> !now().getAsJsonArray("stopped").isEmpty());
-            AtomicReference<String> shown = new AtomicReference<>();
-            until("it has a lease", () -> {
-                shown.set(shown("entity=1"));
-                return shown.get().contains("\"lease\": true");
+            until("the stop is known", () -> !state().getAsJsonArray("stopped").isEmpty());
+            AtomicReference<String> stateWithLease = new AtomicReference<>();
+            until("the member has a lease", () -> {
+                stateWithLease.set(stateText("entity=1"));
+                return stateWithLease.get().contains("\"lease\": true");
             });
-            note(shown.get());
-            note(call("POST /admin/partition/start", null, ""));
-            note(call("POST /admin/partition/start", "entity=1", ""));
-            note(call("POST /admin/partition/start", "entity=1", ""));
-            note(call("POST /admin/partition/table", null, "{}"));
-            String next = TABLE.replace("RUNS", "3600000"); // it settles for longer than this test runs
-            note(call("POST /admin/partition/table", null, next));
-            note(call("POST /admin/partition/table", null, next));
-            note(call("POST /admin/partition/table", null, TABLE.replace("RUNS", "2")));
+            recordResponse(stateWithLease.get());
+            recordResponse(responseTo("POST /admin/partition/start", null, ""));
+            recordResponse(responseTo("POST /admin/partition/start", "entity=1", ""));
+            recordResponse(responseTo("POST /admin/partition/start", "entity=1", ""));
+            recordResponse(responseTo("POST /admin/partition/table", null, "{}"));
+            String nextTable = TABLE.replace("RUNS", "3600000"); // takes longer to settle than this test runs
+            recordResponse(responseTo("POST /admin/partition/table", null, nextTable));
+            recordResponse(responseTo("POST /admin/partition/table", null, nextTable));
+            recordResponse(responseTo("POST /admin/partition/table", null, TABLE.replace("RUNS", "2")));
         } finally {
-            end();
+            close();
         }
-        assertGolden("admin.txt", seen.toString());
+        assertGolden("admin.txt", recorded.toString());
     }
 }
--- a/src/test/java/maplespread/partition/client/PartitionMessageGoldenTest.java
+++ b/src/test/java/maplespread/partition/client/PartitionMessageGoldenTest.java
@@ -10,10 +10,10 @@
 import maplespread.partition.HeartbeatTable;
 import org.junit.jupiter.api.Test;
 
-/** The bytes that members of other versions send and read, as they were recorded. */
+/** The bytes exchanged with members of other versions must match the recorded ones. */
 class PartitionMessageGoldenTest {
     @Test
-    void eachMessageIsSentAsRecorded() throws Exception {
+    void messagesAreEncodedAsRecorded() throws Exception {
         HeartbeatTable heartbeats = new HeartbeatTable(100);
         heartbeats.recordHeartbeat(150, "n1", 22, 5, true);
         PartitionMessage[] messages = {
@@ -23,16 +23,16 @@
             PartitionMessage.heartbeatReport(11, heartbeats.report(190)),
             PartitionMessage.advertisedAddress(11, "127.0.0.1:7070")
         };
-        StringBuilder seen = new StringBuilder();
+        StringBuilder encoded = new StringBuilder();
         for (PartitionMessage message : messages) {
-            seen.append(new String(message.encode(), StandardCharsets.UTF_8)).append('\n');
+            encoded.append(new String(message.encode(), StandardCharsets.UTF_8)).append('\n');
             assertEquals(Optional.of(message), PartitionMessage.decode(message.encode()));
         }
-        assertGolden("messages.txt", seen.toString());
+        assertGolden("messages.txt", encoded.toString());
     }
 
     @Test
-    void whatIsNoMessageIsPassedOver() {
+    void unknownOrIncompleteMessagesAreIgnored() {
         for (String text : List.of(
                 "",
                 "nonsense",
@@ -57,9 +57,9 @@
                         .report());
     }
 
-    /** The agreed value holds tables so, and they are compared by these bytes. */
+    /** The replicated value holds tables in this form, and tables are compared by these bytes. */
     @Test
-    void aTableIsPackedAsRecorded() throws Exception {
+    void tablesAreCompressedAsRecorded() throws Exception {
         String table = "{\"rules\":[{\"order\":\"by_key\",\"runs_ms\":300},{}]}";
         assertGolden("packed-table.txt", CompressedTable.compress(table) + "\n");
         assertEquals(table, CompressedTable.decompress(CompressedTable.compress(table)));
--- a/src/test/java/maplespread/partition/client/Until.java
+++ b/src/test/java/maplespread/partition/client/Until.java
@@ -6,16 +6,16 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for what other threads bring about; the limit only ends a test that hangs. */
+/** Waits for conditions that other threads bring about; the limit only ends a test that hangs. */
 final class Until {
     private static final long LIMIT_S = 60;
 
     private Until() {}
 
     static void until(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never came: " + what);
+            assertTrue(System.nanoTime() < endNanos, "condition not met in time: " + what);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
         }
     }
