--- a/src/main/java/maplespread/partition/client/OrderedLines.java
+++ b/src/main/java/maplespread/partition/client/OrderedLines.java
@@ -14,7 +14,7 @@
 
 /**
  * The queued and in-flight requests of the keys that this member owns, and the stops of these keys. Guarded by the
- * {@link OrderingLock}: the methods up to the queue's callbacks are called under it, the others acquire it themselves.
+ * {@link OrderingLock}: the methods of the first two sections are called under it, the others acquire it themselves.
  *
  * <p>Used by the request threads, the coordinator's thread ({@link #storePendingStops}), the thread that runs {@link
  * #runDueLoop}, threads that change the {@link OrderingState}, and the admin server's threads for statistics.
--- a/src/main/java/maplespread/partition/client/OrderingState.java
+++ b/src/main/java/maplespread/partition/client/OrderingState.java
@@ -207,7 +207,7 @@
     }
 
     /** The decided table; empty if none has been learned. */
-    Optional<RoutingTable> agreedTable() {
+    Optional<RoutingTable> decidedTable() {
         return lock.locked(() -> tables == null ? Optional.<RoutingTable>empty() : Optional.of(table));
     }
 
--- a/src/main/java/maplespread/partition/client/PartitionAdminApi.java
+++ b/src/main/java/maplespread/partition/client/PartitionAdminApi.java
@@ -42,7 +42,7 @@
 
     /** A call that changes the assignment. */
     private interface ChangingCall {
-        AdminResponse answer(ClusterHandle handle, AdminRequest request) throws FleetException;
+        AdminResponse execute(ClusterHandle handle, AdminRequest request) throws FleetException;
     }
 
     private final String name;
@@ -51,7 +51,7 @@
     private final Supplier<Optional<ClusterHandle>> joined;
     private final OrderingState state;
     private final AssignmentStore store;
-    private final Semaphore callPermits = new Semaphore(MAX_WAITING_CALLS);
+    private final Semaphore permits = new Semaphore(MAX_WAITING_CALLS);
 
     PartitionAdminApi(
             String name,
@@ -83,17 +83,17 @@
 
     private Call changing(ChangingCall call) {
         return request -> {
-            if (!callPermits.tryAcquire()) {
+            if (!permits.tryAcquire()) {
                 return new AdminResponse(UNAVAILABLE, "too many calls are waiting for a decision");
             }
             try {
-                return call.answer(requireHandle(), request);
+                return call.execute(requireHandle(), request);
             } catch (PartitionCallException e) {
                 return new AdminResponse(e.status, e.getMessage());
             } catch (FleetException e) {
                 return new AdminResponse(CONFLICT, e.getMessage());
             } finally {
-                callPermits.release();
+                permits.release();
             }
         };
     }
@@ -162,13 +162,13 @@
     private String describe(String key) {
         JsonObject json = new JsonObject();
         Optional<ClusterHandle> handle = joined.get();
-        Optional<SlotAssignment> agreed = state.assignment();
+        Optional<SlotAssignment> knownAssignment = state.assignment();
         json.addProperty("name", name);
         json.addProperty("member", handle.map(h -> h.member(name)).orElse(""));
         json.addProperty("joined", handle.isPresent());
         json.addProperty("lease", state.holdsLease());
         json.addProperty("waiting", state.lines().waitingCount());
-        agreed.ifPresent(assignment -> describe(assignment, key, json));
+        knownAssignment.ifPresent(assignment -> describe(assignment, key, json));
         return GSON.toJson(json);
     }
 
@@ -203,7 +203,7 @@
 
     private JsonObject waitingWork() {
         JsonObject work = new JsonObject();
-        RoutingTable table = state.agreedTable().orElseThrow();
+        RoutingTable table = state.decidedTable().orElseThrow();
         table.partitions()
                 .keySet()
                 .forEach(partition -> work.addProperty(partition, state.lines().waitingWorkMs(partition)));
--- a/src/main/java/maplespread/partition/client/PartitionEndpoints.java
+++ b/src/main/java/maplespread/partition/client/PartitionEndpoints.java
@@ -42,6 +42,7 @@
     /** The workers of one partition, cached until the endpoint list changes. */
     final class PartitionWorkers implements Predicate<String> {
         private final Partition partition;
+        /** Never null; of version -1 until the first query. */
         private volatile Snapshot snapshot = new Snapshot(-1, Set.of(), false);
 
         private PartitionWorkers(Partition partition) {
