--- a/src/main/java/maplespread/partition/client/PartitionAdminApi.java
+++ b/src/main/java/maplespread/partition/client/PartitionAdminApi.java
@@ -84,7 +84,7 @@
     private Call changing(ChangingCall call) {
         return request -> {
             if (!permits.tryAcquire()) {
-                return new AdminResponse(UNAVAILABLE, "too many calls are waiting for a decision");
+                return new AdminResponse(UNAVAILABLE, "other calls wait for the fleet");
             }
             try {
                 return call.execute(requireHandle(), request);
@@ -143,7 +143,7 @@
         SlotAssignment decided = AssignmentSection.read(result.value()).orElseThrow();
         if (!decided.table().equals(next)) {
             throw new PartitionCallException(
-                    Reason.SETTLING, "another table was decided first, as epoch " + decided.tableEpoch());
+                    Reason.SETTLING, "another table came first, as epoch " + decided.tableEpoch());
         }
         return response(result, "table of epoch " + decided.tableEpoch());
     }
