--- a/src/main/java/maplespread/DispatcherServer.java
+++ b/src/main/java/maplespread/DispatcherServer.java
@@ -46,35 +46,36 @@
 import org.tinylog.Logger;
 
 /**
- * One running dispatcher: puts the parts together, takes them through the phases, reloads the configuration and shuts down.
- * The thread {@code ticker} carries out the policy's actions and closes what has expired; {@code reloader} reloads.
+ * One running dispatcher: creates the components, runs them through the lifecycle phases, reloads the configuration and
+ * shuts down. The thread {@code ticker} executes the policy's actions and closes expired connections; the thread
+ * {@code reloader} reloads the configuration.
  */
 public final class DispatcherServer {
-    /** Bytes; times the thread counts that follow from Config.Limits. */
+    /** Stack size in bytes of each thread; the total is this times the thread counts derived from Config.Limits. */
     private static final long THREAD_STACK_BYTES = 144 * 1024;
 
     private static final int ACCEPT_BACKLOG = 2048;
-    /** Threads for client connections beyond the limit. */
+    /** Maximum number of threads for client connections beyond the limit. */
     private static final int OVER_LIMIT_THREADS = 16;
-    /** Client connections that may wait for the thread of one that is closing. */
+    /** Maximum number of client connections that wait for the thread of a connection that is closing. */
     private static final int MAX_WAITING_CONNECTIONS = 64;
 
     private static final long SWEEP_INTERVAL_MS = 1000;
     private static final long COUNTS_LOG_INTERVAL_MS = 10_000;
-    /** A client connection that has been quiet for so long may close during a drain. */
+    /** Idle time in milliseconds after which a client connection is closed during a drain. */
     private static final long IDLE_CLOSE_MS = 500;
-    /** Between looks for such connections. */
+    /** Interval in milliseconds between two checks for idle connections during a drain. */
     private static final long DRAIN_POLL_MS = 50;
-    /** A drain by call that lasts longer than this hurries: */
-    private static final long DRAIN_HURRY_AFTER_MS = 1000;
-    /** then connections close after this. */
-    private static final long HURRIED_IDLE_CLOSE_MS = 200;
-    /** After the last client has left, others may come for so long. */
+    /** Duration in milliseconds of an operator's drain after which {@link #LATE_IDLE_CLOSE_MS} applies. */
+    private static final long LATE_DRAIN_AFTER_MS = 1000;
+    /** Idle time in milliseconds after which a client connection is closed late in an operator's drain. */
+    private static final long LATE_IDLE_CLOSE_MS = 200;
+    /** Time in milliseconds after the last client has left during which clients may still reconnect. */
     private static final long RECONNECT_GRACE_MS = 250;
-    /** For the last responses' way to their clients. */
+    /** Time in milliseconds that the last responses need to reach their clients. */
     private static final long RESPONSE_TRANSIT_MS = 100;
 
-    /** Where a new configuration comes from; the operators' file is read whole or not at all. */
+    /** Source of a new configuration; the operators' file is read completely or not at all. */
     public interface ConfigSource {
         Config read() throws ConfigException;
 
@@ -83,9 +84,11 @@
         }
     }
 
-    private volatile Config config; // what a reload cannot change stays in it
+    /** The configuration in force; a reload keeps the settings that only a restart can change. */
+    private volatile Config config;
+
     private final ConfigSource source;
-    private final Semaphore reloads = new Semaphore(0);
+    private final Semaphore reloadRequests = new Semaphore(0);
     private final Lifecycle lifecycle = new Lifecycle();
     private final DecisionService decisions;
     private final ConnectionPool connectionPool;
@@ -94,27 +97,43 @@
     private final EndpointSourceSwitch endpointSource;
     private final EndpointListener endpointListener;
     private final Features features;
-    private volatile Consumer<EndpointUpdate> endpointTap = news -> {};
-    private RegistrySettings registry; // null: the list comes from discovery
+    private volatile Consumer<EndpointUpdate> endpointObserver = update -> {};
+    /** The registry that the endpoint list comes from; null if the list comes from discovery. */
+    private RegistrySettings registry;
+
     private final List<Thread> daemonThreads;
     private final ExecutorService probes;
-    private volatile ServerSocket socket; // null before it is bound
+    /** The listening socket; null before it is bound. */
+    private volatile ServerSocket socket;
+    /** The listener for clients; null before the socket is bound. */
     private volatile ClientListener listener;
-    private volatile long shutdownDeadlineUs = Long.MAX_VALUE; // by when all must be answered
-    private long sweptNanos = System.nanoTime();
-    private long countsLoggedNanos = sweptNanos;
-    private long quiescedNanos; // 0: no drain by call
+    /** The time in microseconds by which every request must have its response. */
+    private volatile long shutdownDeadlineUs = Long.MAX_VALUE;
+    /** The time of the last sweep. Ticker thread only. */
+    private long lastSweepNanos = System.nanoTime();
+    /** The time at which the counts were last logged. Ticker thread only. */
+    private long lastCountsLogNanos = lastSweepNanos;
+    /** The start of the current operator's drain; 0 if there is none. Ticker thread only. */
+    private long drainStartNanos;
+
     private final Metrics metrics = new Metrics();
-    private AdminServer adminServer; // null: none is named
-    private final Object settingsLock = new Object(); // of those who give the policy settings
-    private final CountDownLatch listReceived = new CountDownLatch(1); // of the route set, since the start
+    /** The admin server; null if no admin address is configured. */
+    private AdminServer adminServer;
+    /** Held while settings are passed to the policy. */
+    private final Object settingsLock = new Object();
+    /** Released by the first endpoint list received since the start. */
+    private final CountDownLatch listReceived = new CountDownLatch(1);
 
-    /** {@code source}: asked at each reload. */
+    /**
+     * Creates a dispatcher without the operators' settings.
+     *
+     * @param source read at each reload
+     */
     public DispatcherServer(Config config, ConfigSource source) {
         this(config, OperatorConfig.NONE, source);
     }
 
-    /** With what the operators' own file says. */
+    /** Creates a dispatcher with the settings of the operators' file. */
     public DispatcherServer(Config config, OperatorConfig operator, ConfigSource source) {
         this.config = config;
         this.source = source;
@@ -125,34 +144,34 @@
         metrics.showClasses(config.names().classes());
         prober = new Prober(this::config, connectionPool, decisions);
         registry = operator.registry();
-        EndpointListener all = new EndpointListener() {
+        EndpointListener listHandler = new EndpointListener() {
             @Override
-            public void endpointsChanged(EndpointUpdate news) {
-                decisions.reportEndpoints(news);
-                if (news.kind() != EndpointUpdate.Kind.CACHED_SNAPSHOT) { // that one is of before the start
+            public void endpointsChanged(EndpointUpdate update) {
+                decisions.reportEndpoints(update);
+                if (update.kind() != EndpointUpdate.Kind.CACHED_SNAPSHOT) { // the cached list is older than the start
                     listReceived.countDown();
                 }
-                endpointTap.accept(news);
+                endpointObserver.accept(update);
             }
 
             @Override
-            public void watchLost(EndpointWatchFailure loss, double heardAgoMs) {
-                decisions.reportWatchLost(loss, heardAgoMs);
+            public void watchLost(EndpointWatchFailure failure, double heardAgoMs) {
+                decisions.reportWatchLost(failure, heardAgoMs);
             }
 
             @Override
-            public void listUnconfirmed(EndpointListDoubt why, double heardAgoMs) {
-                decisions.reportListUnconfirmed(why, heardAgoMs);
+            public void listUnconfirmed(EndpointListDoubt reason, double heardAgoMs) {
+                decisions.reportListUnconfirmed(reason, heardAgoMs);
             }
         };
-        features = new Features(config, operator, new ThisDispatcher());
-        endpointListener = features.wrapListener(all);
+        features = new Features(config, operator, new DispatcherContext());
+        endpointListener = features.wrapListener(listHandler);
         endpointSource = new EndpointSourceSwitch(EndpointSources.create(config, registry), endpointListener);
-        daemonThreads = List.of(daemonThread("ticker", this::tick), daemonThread("reloader", this::reloads));
+        daemonThreads = List.of(daemonThread("ticker", this::tick), daemonThread("reloader", this::runReloads));
     }
 
-    /** This dispatcher as its parts see it. */
-    private final class ThisDispatcher implements FeatureContext {
+    /** The view of this dispatcher that the optional features have. */
+    private final class DispatcherContext implements FeatureContext {
         @Override
         public Config config() {
             return config;
@@ -202,8 +221,8 @@
 
         @Override
         public InetSocketAddress listenAddress() {
-            ServerSocket s = socket;
-            return s == null ? null : (InetSocketAddress) s.getLocalSocketAddress();
+            ServerSocket bound = socket;
+            return bound == null ? null : (InetSocketAddress) bound.getLocalSocketAddress();
         }
 
         @Override
@@ -213,8 +232,9 @@
     }
 
     /**
-     * Opens the listener once the first endpoint list since the start has come, or after {@code firstListMs}: by the cached
-     * list of the configuration, whose age nobody knows, nothing is sent, and clients do better elsewhere until then.
+     * Opens the listener once the first endpoint list since the start has been received, or after {@code firstListMs}.
+     * The age of the configuration's cached list is unknown, so no request is sent by that list, and until a list has
+     * been received clients are better served by another dispatcher.
      */
     public void start() throws IOException {
         endpointListener.endpointsChanged(config.cachedEndpoints());
@@ -228,18 +248,20 @@
         try {
             long limitMs = config.times().firstListMs();
             if (!listReceived.await(limitMs, TimeUnit.MILLISECONDS)) {
-                Logger.warn("no word of the list within {} ms: refuses until it is confirmed", limitMs);
+                Logger.warn(
+                        "no endpoint list received within {} ms; rejecting requests until a list is confirmed",
+                        limitMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
-        if (config.console() != null) { // beside the process that this one relieves
+        if (config.console() != null) { // the process that this one replaces may still listen on the address
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
-        InetSocketAddress at = config.listen();
-        socket.bind(at, ACCEPT_BACKLOG);
+        InetSocketAddress listenAddress = config.listen();
+        socket.bind(listenAddress, ACCEPT_BACKLOG);
         this.socket = socket;
         ServingContext service = new ServingContext(
                 this::config,
@@ -269,12 +291,12 @@
         return config;
     }
 
-    /** How much may be held now: part of it while another process of this dispatcher lives. */
+    /** Returns the limits in force: reduced ones while another process of this dispatcher runs. */
     private Config.Limits presentLimits() {
         return features.hasPeerProcess() ? config.limits().shared() : config.limits();
     }
 
-    /** What the operators are shown. */
+    /** Returns the metrics page for the operators. */
     private String metrics() {
         metrics.setHostCounts(features.adjustHostCounts(decisions.hostCounts()));
         return metrics.text();
@@ -290,16 +312,16 @@
                 "POST /admin/resume", AdminRoutes.yesOrNo(lifecycle::resume, "at work", 409, "not in service")));
     }
 
-    /** Has the configuration read anew; asked several times at once, it is read after the last of them. */
+    /** Requests a reload of the configuration; one reload serves all the requests made before it starts. */
     public void reload() {
-        reloads.release();
+        reloadRequests.release();
     }
 
-    private void reloads() {
+    private void runReloads() {
         try {
             while (true) {
-                reloads.acquire();
-                reloads.drainPermits();
+                reloadRequests.acquire();
+                reloadRequests.drainPermits();
                 lifecycle.reload(this::applyConfiguration);
             }
         } catch (InterruptedException e) {
@@ -307,31 +329,33 @@
         }
     }
 
-    /** All of the file is read and checked before any of it counts; a bad one changes nothing. */
+    /** Reads and checks the whole configuration before any of it is applied; an invalid one changes nothing. */
     private void applyConfiguration() {
         try {
-            Config read = source.read();
-            Config next = read.mergedInto(config);
+            Config loaded = source.read();
+            Config next = loaded.mergedInto(config);
             OperatorConfig operator = source.operator();
             operator.check(next);
-            RegistrySettings then = operator.registry();
-            List<String> later = config.needingRestart(read);
-            if (!later.isEmpty()) {
-                Logger.warn("configuration: changed, but taken up only by a restart: {}", later);
+            RegistrySettings newRegistry = operator.registry();
+            List<String> restartOnly = config.needingRestart(loaded);
+            if (!restartOnly.isEmpty()) {
+                Logger.warn("configuration: changed, but taken up only by a restart: {}", restartOnly);
             }
             metrics.showClasses(next.names().live());
             synchronized (settingsLock) {
                 decisions.applySettings(features.adjustSettings(next.settings()));
-                config = next; // last: the policy must know a class first
+                config = next; // assigned last, as the policy must know a class before requests of it are accepted
             }
             features.reload(next, operator);
             metrics.reconfigured(true);
-            if (!Objects.equals(registry, then)) {
-                registry = then;
-                endpointSource.switchTo(EndpointSources.create(next, then));
+            if (!Objects.equals(registry, newRegistry)) {
+                registry = newRegistry;
+                endpointSource.switchTo(EndpointSources.create(next, newRegistry));
                 Logger.info(
                         "configuration: read anew; routes come from {}",
-                        then == null ? "discovery at " + next.discovery() : then.dialect() + " at " + then.endpoints());
+                        newRegistry == null
+                                ? "discovery at " + next.discovery()
+                                : newRegistry.dialect() + " at " + newRegistry.endpoints());
                 return;
             }
             Logger.info(
@@ -341,91 +365,99 @@
         } catch (ConfigException e) {
             metrics.reconfigured(false);
             Logger.error("configuration: {}; the old one stays", e.getMessage());
-        } catch (RuntimeException | Error e) { // the next reload must still be heard
+        } catch (RuntimeException | Error e) { // the thread must stay alive for the next reload
             metrics.reconfigured(false);
-            Logger.error(e, "a reload failed; the old configuration stays");
+            Logger.error(e, "the reload failed; the old configuration stays in force");
         }
     }
 
-    /** Has the tools hear what the dispatcher has just learned of the route set. */
+    /** Sets the observer that is notified of each endpoint update after the policy; for measurement tools. */
     public void onEndpoints(Consumer<EndpointUpdate> listener) {
-        endpointTap = listener;
+        endpointObserver = listener;
     }
 
     public Lifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** What is listened on. */
+    /** Returns the address that clients connect to. */
     InetSocketAddress address() {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    /** The operators' address; an IllegalStateException where there is none. */
+    /**
+     * Returns the address of the admin server.
+     *
+     * @throws IllegalStateException if no admin address is configured
+     */
     public InetSocketAddress adminAddress() {
         if (adminServer == null) {
-            throw new IllegalStateException("no console");
+            throw new IllegalStateException("no admin address is configured");
         }
         return adminServer.address();
     }
 
     /**
-     * Among how many dispatchers, processes counted, the policy shares out what a cold worker may be sent.
+     * Returns the number of dispatchers, counted as processes, among which the policy divides the slow-start budget of
+     * a cold worker.
      */
     public int dispatcherCount() {
         return decisions.dispatcherCount();
     }
 
-    /** The port that is listened on. */
+    /** Returns the port that clients connect to. */
     public int port() {
         return socket.getLocalPort();
     }
 
     /**
-     * Ends in order: accepts a while longer, since clients are sent here until the front has noticed; serves
-     * the open connections a while beyond that, since their clients use them as long as they stay open and
-     * another dispatcher may be restarting too; then finishes all that was taken. What is left shortly before
-     * the process may be killed is answered as failed: cut off, its clients would wait for nothing.
+     * Shuts down in order. Keeps accepting for a while, since the load balancer in front keeps sending clients until it
+     * notices the shutdown. Then serves the open connections for a while, since their clients use them as long as they
+     * stay open and another dispatcher may be restarting at the same time. Then completes the accepted requests.
+     * Requests still in flight shortly before the process may be killed are answered as failed: if they were cut off,
+     * their clients would wait in vain.
      */
     public void stop() {
         if (!lifecycle.enter(Lifecycle.Phase.DRAINING)) {
             return;
         }
-        if (listener == null) { // told to end before anything was open
+        if (listener == null) { // stopped before the listener was opened
             lifecycle.enter(Lifecycle.Phase.STOPPED);
             return;
         }
         try {
-            long ms = 1_000_000;
-            long start = System.nanoTime();
-            long end = start + config.times().shutdownMs() * ms;
+            long nanosPerMs = 1_000_000;
+            long startNanos = System.nanoTime();
+            long endNanos = startNanos + config.times().shutdownMs() * nanosPerMs;
             shutdownDeadlineUs = decisions.nowUs() + (config.times().shutdownMs() - RESPONSE_TRANSIT_MS) * 1000;
-            boolean relieved = features.hasServingPeerProcess();
+            boolean replaced = features.hasServingPeerProcess();
             features.beginShutdown();
-            if (relieved) { // who serves beside it accepts all
+            if (replaced) { // the other process accepts all new connections
                 Logger.info("another process of this dispatcher has taken over");
                 listener.close();
                 lifecycle.enter(Lifecycle.Phase.FINISHING);
             } else {
                 Thread.sleep(config.times().acceptMs());
             }
-            while (listener.hasRecentClients(relieved ? 0 : RECONNECT_GRACE_MS)
-                    && System.nanoTime() - start < config.times().drainMs() * ms) {
-                if (relieved) {
-                    listener.endQuiet(IDLE_CLOSE_MS);
+            while (listener.hasRecentClients(replaced ? 0 : RECONNECT_GRACE_MS)
+                    && System.nanoTime() - startNanos < config.times().drainMs() * nanosPerMs) {
+                if (replaced) {
+                    listener.closeConnectionsIdleFor(IDLE_CLOSE_MS);
                 }
                 Thread.sleep(10);
             }
-            // Not before: closing resets what the system has accepted and this program not yet, and on a part
-            // of a core it may not run for a tenth of a second between the two.
+            // Closing the listener resets connections that the kernel has accepted and this process has not. With a
+            // fraction of a core the process may be descheduled for a tenth of a second between the two, so the
+            // listener is closed only here.
             listener.close();
             lifecycle.enter(Lifecycle.Phase.FINISHING);
-            while (!listener.closeIdleConnections() && System.nanoTime() < end - RESPONSE_TRANSIT_MS * ms) {
+            while (!listener.closeIdleConnections()
+                    && System.nanoTime() < endNanos - RESPONSE_TRANSIT_MS * nanosPerMs) {
                 Thread.sleep(10);
             }
             listener.failAll();
-            while (!listener.closeIdleConnections()
-                    && System.nanoTime() < end) { // an exit over unread bytes would reset
+            // An exit with unread bytes would reset the connections.
+            while (!listener.closeIdleConnections() && System.nanoTime() < endNanos) {
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
@@ -452,9 +484,9 @@
                         endpointSource.watch();
                     }
                 }
-                closeQuietConnections();
-                if (System.nanoTime() - sweptNanos > SWEEP_INTERVAL_MS * 1_000_000) {
-                    sweptNanos = System.nanoTime();
+                closeIdleConnections();
+                if (System.nanoTime() - lastSweepNanos > SWEEP_INTERVAL_MS * 1_000_000) {
+                    lastSweepNanos = System.nanoTime();
                     Set<String> used = new HashSet<>(decisions.endpointAddresses());
                     used.addAll(features.peerAddresses());
                     connectionPool.closeExpired(used);
@@ -467,26 +499,26 @@
                 }
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException | Error e) { // the timers must go on
-                Logger.error(e, "an action of the policy failed");
+            } catch (RuntimeException | Error e) { // the thread must stay alive for the later ticks
+                Logger.error(e, "a tick of the dispatcher failed");
             }
         }
     }
 
-    /** During a drain by call: connections that are not in use end, later ones sooner. */
-    private void closeQuietConnections() {
+    /** Closes idle client connections during an operator's drain, after a shorter idle time late in the drain. */
+    private void closeIdleConnections() {
         if (!lifecycle.quiesced() || listener == null) {
-            quiescedNanos = 0;
+            drainStartNanos = 0;
             return;
         }
-        quiescedNanos = quiescedNanos == 0 ? System.nanoTime() : quiescedNanos;
-        boolean late = System.nanoTime() - quiescedNanos > DRAIN_HURRY_AFTER_MS * 1_000_000;
-        listener.endQuiet(late ? HURRIED_IDLE_CLOSE_MS : IDLE_CLOSE_MS);
+        drainStartNanos = drainStartNanos == 0 ? System.nanoTime() : drainStartNanos;
+        boolean late = System.nanoTime() - drainStartNanos > LATE_DRAIN_AFTER_MS * 1_000_000;
+        listener.closeConnectionsIdleFor(late ? LATE_IDLE_CLOSE_MS : IDLE_CLOSE_MS);
     }
 
     private void logCounts() {
-        if (System.nanoTime() - countsLoggedNanos > COUNTS_LOG_INTERVAL_MS * 1_000_000) {
-            countsLoggedNanos = System.nanoTime();
+        if (System.nanoTime() - lastCountsLogNanos > COUNTS_LOG_INTERVAL_MS * 1_000_000) {
+            lastCountsLogNanos = System.nanoTime();
             metrics.logCounts(listener == null ? 0 : listener.size());
         }
     }
@@ -494,23 +526,26 @@
     private void probe(Action.Probe probe) {
         try {
             probes.execute(() -> prober.probe(probe));
-        } catch (RejectedExecutionException | OutOfMemoryError e) { // a probe without an end stays out
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // the policy waits for the end of each probe
             decisions.reportProbeEnded(probe, Outcome.CANCELLED, 0, null);
         }
     }
 
     private static Thread daemonThread(String name, Runnable work) {
-        Thread t = new Thread(null, work, name, THREAD_STACK_BYTES);
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(null, work, name, THREAD_STACK_BYTES);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    /** So many threads; work beyond them waits for one, as connections that make room for others are closing. */
-    private static ExecutorService queuedThreadPool(String name, int most) {
+    /**
+     * Creates a pool whose tasks wait in a queue when all threads are in use: a connection that is evicted for a new
+     * one keeps its thread until it has closed.
+     */
+    private static ExecutorService queuedThreadPool(String name, int maxThreads) {
         AtomicInteger count = new AtomicInteger();
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
-                most,
-                most,
+                maxThreads,
+                maxThreads,
                 10,
                 TimeUnit.SECONDS,
                 new LinkedBlockingQueue<>(MAX_WAITING_CONNECTIONS),
@@ -519,11 +554,11 @@
         return pool;
     }
 
-    private static ExecutorService daemonThreads(String name, int most) {
+    private static ExecutorService daemonThreads(String name, int maxThreads) {
         AtomicInteger count = new AtomicInteger();
         return new ThreadPoolExecutor(
                 0,
-                most,
+                maxThreads,
                 10,
                 TimeUnit.SECONDS,
                 new SynchronousQueue<>(),
--- a/src/main/java/maplespread/Lifecycle.java
+++ b/src/main/java/maplespread/Lifecycle.java
@@ -3,82 +3,84 @@
 import org.tinylog.Logger;
 
 /**
- * The program's phases, from start to exit. They move forward only, save for the ways back from a reload and
- * from a drain by call.
+ * The program's phases, from start to exit. A phase is never entered again, except for the return from a reload and
+ * from an operator's drain.
  */
 public final class Lifecycle {
-    /**
-     * STARTING: the configuration is read, nothing is open. SERVING: all is on. RELOADING: as before it,
-     * while a new configuration is read, checked and applied. QUIESCED: drained by call; not ready, but
-     * accepting and serving as ever, while connections end with their answers. DRAINING: told to end; no
-     * longer ready, still accepting for a moment, and still serving the connections that are open. FINISHING:
-     * these end, what was taken is finished. STOPPED: all taken work has been answered, or its time is over.
-     */
+    /** A phase of the program, in the order in which the phases are entered. */
     public enum Phase {
+        /** The configuration is read; no socket is open. */
         STARTING,
+        /** Ready and serving. */
         SERVING,
+        /** As in the phase before, while a new configuration is read, checked and applied. */
         RELOADING,
+        /** Drained by an operator: not ready, but accepting and serving; each connection closes after its response. */
         QUIESCED,
+        /** Shutting down: not ready, but accepting for a short time and serving the open connections. */
         DRAINING,
+        /** The open connections close and the accepted requests are completed. */
         FINISHING,
+        /** Every accepted request has its response, or the time for the shutdown is over. */
         STOPPED
     }
 
     private Phase phase = Phase.STARTING;
-    private Phase settled = Phase.SERVING; // where a reload goes back to
+    /** The phase that a reload returns to: SERVING or QUIESCED. */
+    private Phase servicePhase = Phase.SERVING;
 
     public synchronized Phase phase() {
         return phase;
     }
 
-    /** Whether clients are to be sent here. */
+    /** Whether the dispatcher is ready for new clients. */
     public boolean serving() {
-        return in(Phase.SERVING);
+        return isIn(Phase.SERVING);
     }
 
-    /** Whether clients have been sent away by call. */
+    /** Whether an operator has drained the dispatcher. */
     public boolean quiesced() {
-        return in(Phase.QUIESCED);
+        return isIn(Phase.QUIESCED);
     }
 
-    /** Whether clients that come are taken. */
+    /** Whether new clients are accepted. */
     public boolean accepting() {
         return serving() || quiesced();
     }
 
-    /** Whether connections end with their answers: after a drain by call, and when finishing. */
+    /** Whether each connection closes after its response: during an operator's drain, and from FINISHING on. */
     public synchronized boolean closingConnections() {
-        return settled == Phase.QUIESCED || phase.ordinal() >= Phase.FINISHING.ordinal();
+        return servicePhase == Phase.QUIESCED || phase.ordinal() >= Phase.FINISHING.ordinal();
     }
 
-    private synchronized boolean in(Phase asked) {
-        return phase == asked || phase == Phase.RELOADING && settled == asked;
+    private synchronized boolean isIn(Phase queried) {
+        return phase == queried || phase == Phase.RELOADING && servicePhase == queried;
     }
 
-    /** Sends clients away; true where they are, also from before. False outside of service. */
+    /** Starts an operator's drain; true also if one is in progress, false before and after service. */
     public synchronized boolean quiesce() {
-        return settle(Phase.QUIESCED);
+        return changeServicePhase(Phase.QUIESCED);
     }
 
-    /** Has clients come again; true where they may, also from before. False outside of service. */
+    /** Ends an operator's drain; true also if there is none, false before and after service. */
     public synchronized boolean resume() {
-        return settle(Phase.SERVING);
+        return changeServicePhase(Phase.SERVING);
     }
 
-    private boolean settle(Phase now) {
+    private boolean changeServicePhase(Phase next) {
         if (!accepting()) {
             return false;
         }
-        if (!in(now)) {
-            Logger.info("{} after {}, by call", now, settled);
-            settled = now;
-            phase = phase == Phase.RELOADING ? phase : now;
+        if (!isIn(next)) {
+            Logger.info("{} after {}, by call", next, servicePhase);
+            servicePhase = next;
+            phase = phase == Phase.RELOADING ? phase : next;
             notifyAll();
         }
         return true;
     }
 
-    /** Moves on; false where the phase has been reached before. */
+    /** Enters a later phase; false if that phase, or a later one, has been reached. */
     public synchronized boolean enter(Phase next) {
         if (next.ordinal() <= phase.ordinal()) {
             return false;
@@ -89,7 +91,7 @@
         return true;
     }
 
-    /** Does a reload's work. A shutdown that began before it, or begins meanwhile, goes on all the same. */
+    /** Runs a reload. A shutdown in progress, or one that begins during the reload, continues. */
     public void reload(Runnable work) {
         synchronized (this) {
             phase = accepting() ? Phase.RELOADING : phase;
@@ -99,14 +101,14 @@
         } finally {
             synchronized (this) {
                 if (phase == Phase.RELOADING) {
-                    phase = settled;
+                    phase = servicePhase;
                     Logger.info("{} again", phase);
                 }
             }
         }
     }
 
-    /** Waits until the phase is reached. */
+    /** Blocks until the phase, or a later one, is reached. */
     public synchronized void await(Phase awaited) throws InterruptedException {
         while (phase.ordinal() < awaited.ordinal()) {
             wait();
--- a/src/main/java/maplespread/Main.java
+++ b/src/main/java/maplespread/Main.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 
 /**
- * The way in. {@code serve}, {@code drill} and {@code rehearse} are started here as they were always called,
- * so that a start loads nothing of the command line's library; all else is {@link maplespread.cli.Cli}'s.
+ * The entry point of the program. Starts {@code serve}, {@code drill} and {@code rehearse} directly, so that a start
+ * loads no class of the command line library, and passes all other arguments to {@link maplespread.cli.Cli}.
  */
 public final class Main {
     private Main() {}
 
-    /** Exits 2 on a wrong call or configuration, 1 on malformed input or a taken address. */
+    /** Exits with 2 on invalid arguments or configuration, with 1 on malformed input or an address in use. */
     public static void main(String[] args) throws IOException {
         String command = args.length == 0 ? "" : args[0];
         if (command.equals("serve") && args.length == 3 && args[1].equals("--operator")) {
--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -18,31 +18,35 @@
 import org.tinylog.Logger;
 
 /**
- * What {@link Main} and the command line both start: {@code serve} is one real dispatcher; {@code drill} runs {@link
- * maplespread.simulator.SimulatorAdapter} on standard input and output; {@code rehearse} is a dispatcher that serves itself
- * one request and ends, so that the build can record an archive of the classes loaded.
+ * The commands that {@link Main} and the command line both start. {@code serve} runs one dispatcher. {@code drill} runs
+ * {@link maplespread.simulator.SimulatorAdapter} on standard input and output. {@code rehearse} runs a dispatcher that
+ * sends itself one request and exits, so that the build can record an archive of the classes loaded.
  */
 public final class Start {
     private Start() {}
 
-    /** One dispatcher until it is told to end; {@code operator}: the operators' file, or null. */
-    public static void serve(String operator) {
-        serve(operator, (server, config) -> {});
+    /**
+     * Runs one dispatcher until the process is asked to terminate.
+     *
+     * @param operatorFile the path of the operators' file, or null
+     */
+    public static void serve(String operatorFile) {
+        serve(operatorFile, (server, config) -> {});
     }
 
-    /** One dispatcher that sends itself one request, and ends. */
+    /** Runs one dispatcher that sends itself one request and exits. */
     public static void rehearse() {
         serve(null, Start::rehearse);
     }
 
-    private static void serve(String file, BiConsumer<DispatcherServer, Config> started) {
+    private static void serve(String operatorFile, BiConsumer<DispatcherServer, Config> onStarted) {
         Hangups hangups = new Hangups();
         onHangup(hangups);
         try {
             Map<String, String> env = System.getenv();
             OperatorConfig operator = OperatorConfig.NONE;
-            if (file != null && !file.isEmpty()) {
-                operator = OperatorReader.file(file);
+            if (operatorFile != null && !operatorFile.isEmpty()) {
+                operator = OperatorReader.file(operatorFile);
                 if (operator.jsonLog()) {
                     Event.asJson();
                 }
@@ -57,11 +61,14 @@
 
                 @Override
                 public OperatorConfig operator() throws ConfigException {
-                    return file == null || file.isEmpty() ? OperatorConfig.NONE : OperatorReader.file(file);
+                    return operatorFile == null || operatorFile.isEmpty()
+                            ? OperatorConfig.NONE
+                            : OperatorReader.file(operatorFile);
                 }
             });
-            hangups.to(server::reload);
-            // The JVM ends when its hooks have: this one waits for the taken work, and makes the status 0.
+            hangups.setHandler(server::reload);
+            // The JVM exits once its shutdown hooks have returned. This hook waits for the accepted requests and sets
+            // the exit status to 0.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
@@ -70,7 +77,7 @@
                             },
                             "shutdown"));
             server.start();
-            started.accept(server, config);
+            onStarted.accept(server, config);
             server.lifecycle().await(Lifecycle.Phase.STOPPED);
         } catch (ConfigException e) {
             System.err.println("configuration: " + e.getMessage());
@@ -84,74 +91,75 @@
     }
 
     /**
-     * Asks the dispatcher once and ends it. The build has this run recorded in a class archive, from which a
-     * start on a part of a core takes its classes: a restart is an outage for as long as it lasts.
+     * Sends the dispatcher one request and exits. The build records this run in a class archive, so that a start with a
+     * fraction of a core loads its classes from there: a restart is an outage for as long as it lasts.
      */
     private static void rehearse(DispatcherServer server, Config config) {
-        for (String call : new String[] {"GET /admin/health", "GET /admin/stats"}) {
-            try (HttpConnection link = HttpConnection.dial(server.adminAddress(), 1000)) {
-                link.send((call + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-                link.receive(HttpParser.response(1 << 16, (bytes, at, length) -> {}), 1000);
+        for (String adminRequest : new String[] {"GET /admin/health", "GET /admin/stats"}) {
+            try (HttpConnection connection = HttpConnection.dial(server.adminAddress(), 1000)) {
+                connection.send((adminRequest + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                connection.receive(HttpParser.response(1 << 16, (bytes, at, length) -> {}), 1000);
             } catch (IOException | IllegalStateException e) {
-                Logger.warn("the rehearsal's call was cut short: {}", e.getMessage());
+                Logger.warn("the rehearsal's admin request failed: {}", e.getMessage());
             }
         }
-        try (HttpConnection link = HttpConnection.dial(server.address(), 1000)) {
+        try (HttpConnection connection = HttpConnection.dial(server.address(), 1000)) {
             Config.Names names = config.names();
-            String lane = names.classes().get(0);
+            String requestClass = names.classes().get(0);
             String tenant =
                     names.tenants().isEmpty() ? "" : "X-Org: " + names.tenants().get(0) + "\r\n";
-            for (String request : new String[] {"GET /ready", "POST /" + lane + "/x"}) {
-                link.send((request + " HTTP/1.1\r\nHost: h\r\nX-Txn: r\r\nX-Lane: " + lane + "\r\n" + tenant
-                                + "Idempotency-Key: r\r\nX-Remaining-Ms: 200\r\nContent-Length: 0\r\n\r\n")
+            for (String request : new String[] {"GET /ready", "POST /" + requestClass + "/x"}) {
+                connection.send((request + " HTTP/1.1\r\nHost: h\r\nX-Txn: r\r\nX-Lane: " + requestClass + "\r\n"
+                                + tenant + "Idempotency-Key: r\r\nX-Remaining-Ms: 200\r\nContent-Length: 0\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
-                HttpParser answer = HttpParser.response(1 << 16, (bytes, at, length) -> {});
-                link.receive(answer, 1000);
-                if (answer.head().status() < 500) { // no worker is known
+                HttpParser response = HttpParser.response(1 << 16, (bytes, at, length) -> {});
+                connection.receive(response, 1000);
+                if (response.head().status()
+                        < 500) { // the rehearsal has no workers, so the expected status is an error
                     Logger.warn(
-                            "the rehearsal of {} was answered {}",
+                            "the rehearsal's request {} received the unexpected status {}",
                             request,
-                            answer.head().status());
+                            response.head().status());
                 }
             }
         } catch (IOException e) {
-            Logger.warn("the rehearsal was cut short: {}", e.getMessage());
+            Logger.warn("the rehearsal's connection failed: {}", e.getMessage());
         }
         System.exit(0);
     }
 
-    /** Signals that come before there is anybody to hear them are kept: several count as one. */
+    /** Keeps a SIGHUP that arrives before its handler is set; several such signals count as one. */
     static final class Hangups implements Runnable {
-        private Runnable heard;
-        private boolean early;
+        private Runnable handler;
+        private boolean pendingSignal;
 
         @Override
         public synchronized void run() {
-            early |= heard == null;
-            if (heard != null) {
-                heard.run();
+            pendingSignal |= handler == null;
+            if (handler != null) {
+                handler.run();
             }
         }
 
-        synchronized void to(Runnable work) {
-            heard = work;
-            if (early) {
-                work.run();
+        synchronized void setHandler(Runnable newHandler) {
+            handler = newHandler;
+            if (pendingSignal) {
+                newHandler.run();
             }
         }
     }
 
-    /** Guards against the JVM's own answer to SIGHUP, which is to exit: the first thing that a start does. */
-    static void onHangup(Runnable work) {
-        HangupSignal.handle(work, warning -> Logger.warn("{}", warning));
+    /** Replaces the JVM's default handling of SIGHUP, which is to exit. A start does this first. */
+    static void onHangup(Runnable handler) {
+        HangupSignal.handle(handler, warning -> Logger.warn("{}", warning));
     }
 
-    /** The decisions on the simulator's wire. */
+    /** Runs the decision service over the simulator's protocol on standard input and output. */
     public static void drill() throws IOException {
         try (PrintStream out = new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, "UTF-8")) {
             new SimulatorAdapter(System.in, out).run();
-        } catch (SimulatorAdapter.Malformed bad) {
-            System.err.println(bad.getMessage());
+        } catch (SimulatorAdapter.Malformed e) {
+            System.err.println(e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -17,40 +17,42 @@
 import org.tinylog.Logger;
 
 /**
- * One client connection. Its own thread reads requests one after the other and goes on reading while one is in flight, so
- * that a client's leaving is seen; the request itself runs on a thread of its own ({@link RequestExecution}). Other threads
- * may end it: the one that accepts, the ticker and the shutdown's.
+ * One client connection. Its own thread reads requests one after the other and keeps reading while a request is in
+ * flight, to detect that the client has left; the request itself runs on another thread ({@link RequestExecution}). The
+ * listener, the ticker and the shutdown may close the connection from their own threads.
  */
 final class ClientConnection implements Runnable {
     private static final long NANOS_PER_MS = 1_000_000;
+    /** Interval in milliseconds at which a waiting connection checks whether it should close. */
     private static final long POLL_MS = 1000;
-    /** The same while the process ends or drains. */
+    /** The same interval while the dispatcher drains or shuts down. */
     private static final long DRAINING_POLL_MS = 200;
-    /** For the one request of a connection beyond the limit. */
+    /** Time limit in milliseconds for the only request of a connection beyond the limit. */
     private static final long OVER_LIMIT_READ_MS = 200;
-    /** For the client's unread bytes before the close: enough to pass over 60 MB. */
+    /** Time limit in milliseconds for discarding the client's unread bytes before the close: enough for 60 MB. */
     private static final long LINGER_MS = 2000;
     /**
-     * Retry-After of what is rejected for lack of capacity here (connections, requests, threads, large bodies) without
-     * asking the policy; such rejections have no reason in the metrics.
+     * Retry-After, in milliseconds, of requests that are rejected without a policy decision because this dispatcher
+     * lacks connections, request permits, threads or permits for large bodies. The metrics count no reason for such
+     * rejections.
      */
     private static final double NO_CAPACITY_RETRY_AFTER_MS = 250;
-    /** Unacceptable requests in a row, after which the connection ends. */
+    /** Number of consecutive unacceptable requests after which the connection is closed. */
     private static final int MAX_CONSECUTIVE_FAULTS = 4;
-    /** The pause after an unacceptable request, doubled with each in a row. */
-    private static final long FAULT_PAUSE_MS = 25;
+    /** Base in milliseconds of the delay after an unacceptable request; the delay doubles with each consecutive one. */
+    private static final long FAULT_DELAY_MS = 25;
 
     private static final int READ_BUFFER_BYTES = 256;
 
-    /** What the connection holds, for the threads that may end it. */
+    /** The connection's phase, for the threads that may close the connection. */
     private enum Phase {
-        /** No byte of a request has been read. */
+        /** No byte of the next request has been read. */
         IDLE,
-        /** A request has begun and is not whole. */
+        /** A request has been read in part. */
         READING,
-        /** A whole request is held. */
+        /** A complete request is held. */
         IN_FLIGHT,
-        /** It makes room for another connection: what it has brought is rejected, and no more is read. */
+        /** The connection is evicted: a request read so far is rejected, and nothing more is read. */
         CLOSING
     }
 
@@ -60,99 +62,105 @@
     private final Config.Times times;
     private final boolean overLimit;
     private final long connectedNanos = System.nanoTime();
-    /** When it last had anything to do. */
-    private volatile long quietSinceNanos = connectedNanos;
-    /** It has brought an acceptable request. */
-    private volatile boolean useful;
-    /** The response owed; null where no whole request is held. */
+    /** The time at which a request last began or ended, or the connection was accepted. */
+    private volatile long lastActivityNanos = connectedNanos;
+    /** Whether the connection has brought an acceptable request. */
+    private volatile boolean validated;
+    /** The response to the request held; null if no complete request is held. */
     private volatile ClientResponse current;
-    /** It closes by itself, between requests. */
+    /** Whether the connection's thread closes the connection between two requests. */
     private volatile boolean closesWhenIdle;
-    /** Guarded by this connection's monitor, with the response owed. */
+    /** The connection's phase. Guarded, together with {@link #current}, by this connection's monitor. */
     private Phase phase = Phase.IDLE;
 
     private boolean answeredBefore;
-    /** The request's bytes had come before they were waited for. */
-    private boolean requestWaited;
+    /** Whether bytes of the request had arrived before the connection waited for them. */
+    private boolean arrivedEarly;
 
     private int consecutiveFaults;
 
-    /** {@code overLimit}: beyond the number of connections, so its one request is rejected. */
+    /**
+     * Creates a connection that {@link #run} serves.
+     *
+     * @param overLimit whether the connection exceeds the limit, so that its only request is rejected
+     */
     ClientConnection(HttpConnection connection, ServingContext context, boolean overLimit) {
         this.connection = connection;
         this.context = context;
-        this.decisions = context.dispatcher();
+        this.decisions = context.decisions();
         this.times = context.config().times();
         this.overLimit = overLimit;
     }
 
-    // ------------------------------------------------------------ for other threads
+    // ------------------------------------------------------------ called by other threads
 
-    /** Whether it has ever brought a request that was acceptable. */
-    boolean useful() {
-        return useful;
+    /** Whether the connection has brought an acceptable request. */
+    boolean isValidated() {
+        return validated;
     }
 
-    /** Whether it may yet turn out to bring nothing acceptable. */
-    boolean untried() {
-        Phase present = phase();
-        return !useful && (present == Phase.IDLE || present == Phase.READING);
+    /** Whether the connection has brought no acceptable request so far and holds no complete request. */
+    boolean awaitsFirstRequest() {
+        Phase currentPhase = phase();
+        return !validated && (currentPhase == Phase.IDLE || currentPhase == Phase.READING);
     }
 
     boolean closing() {
         return phase() == Phase.CLOSING;
     }
 
-    /** With its response a request is over, though this connection's thread may still wait for its client's bytes. */
+    /** Returns the phase; IDLE once the response is written, even if the connection's thread still waits for bytes. */
     private synchronized Phase phase() {
-        return phase == Phase.IN_FLIGHT && current.given() ? Phase.IDLE : phase;
+        return phase == Phase.IN_FLIGHT && current.completed() ? Phase.IDLE : phase;
     }
 
-    /** False where it is closing. */
-    private synchronized boolean enter(Phase next, ClientResponse owed) {
+    /** Enters a phase; false if the connection is closing. */
+    private synchronized boolean enter(Phase next, ClientResponse response) {
         if (phase == Phase.CLOSING) {
             return false;
         }
         phase = next;
-        current = owed;
+        current = response;
         return true;
     }
 
-    long quietSinceNanos() {
-        return quietSinceNanos;
+    long lastActivityNanos() {
+        return lastActivityNanos;
     }
 
-    /** Whether nothing has come on it that waits to be read, and no part of a useful client's request. */
-    boolean silent() {
-        return (phase() == Phase.IDLE || untried()) && !connection.pending();
+    /** Whether the connection has no unread bytes, and no part of a request unless it is not validated. */
+    boolean isEvictable() {
+        return (phase() == Phase.IDLE || awaitsFirstRequest()) && !connection.pending();
     }
 
-    /** Whether no part of a request has come: it may end with nobody the worse for it. */
-    boolean quiet() {
+    /** Whether no part of a request has arrived, so that closing the connection loses none. */
+    boolean isIdle() {
         return phase() == Phase.IDLE && !connection.pending();
     }
 
-    /** Ends a response that the client does not take in. */
-    void cutIfStuck() {
-        connection.cutIfStuck(times.clientReadMs());
+    /** Closes the connection if the client does not read its response. */
+    void closeIfWriteStalled() {
+        connection.closeIfWriteStalled(times.clientReadMs());
     }
 
     /**
-     * Has it close when it next waits for a request and nothing of one has come. Its own thread sees to that: what comes at
-     * this moment, in pieces too, is read whole and answered. To end its reading from outside would leave the rest of such
-     * a request unread.
+     * Requests that the connection close when it next waits for a request and no byte of one has arrived. The
+     * connection's own thread closes it, so a request that arrives at this moment, even in pieces, is read completely
+     * and answered. Ending the reading from another thread would leave the rest of such a request unread.
      */
     void closeWhenIdle() {
         closesWhenIdle = true;
     }
 
     /**
-     * Closes it at once to make room for another; false where a request has come meanwhile. What crosses it is unread, or
-     * rejected: once its reading has ended here, a client's leaving could not be seen.
+     * Closes the connection at once to make room for another. Bytes that arrive at the same time stay unread, or their
+     * request is rejected: once reading has ended, a client that leaves could not be detected.
+     *
+     * @return false if a request has arrived meanwhile
      */
     synchronized boolean closeNow() {
-        Phase present = phase();
-        if (present != Phase.IDLE && (useful || present != Phase.READING)) {
+        Phase currentPhase = phase();
+        if (currentPhase != Phase.IDLE && (validated || currentPhase != Phase.READING)) {
             return false;
         }
         phase = Phase.CLOSING;
@@ -160,32 +168,32 @@
         return true;
     }
 
-    /** Fails the request that it holds: it may have run, and its end will not be seen here. */
+    /** Answers the request held as failed: it may have run, and this process will not learn how it ends. */
     void fail() {
-        ClientResponse owed = current;
-        if (owed != null && !owed.given()) {
-            owed.failed(502, "the dispatcher ends");
+        ClientResponse response = current;
+        if (response != null && !response.completed()) {
+            response.failed(502, "the dispatcher is shutting down");
         }
     }
 
-    /** Rejects whatever it brings, unread: for when no thread is left that could read it. */
+    /** Rejects the next request without reading it, as no thread is available to read it. */
     void rejectUnread() {
         context.metrics().connectionRejectedUnread();
         new ClientResponse(connection, () -> true, context.metrics()).rejected(NO_CAPACITY_RETRY_AFTER_MS);
         connection.close();
     }
 
-    // ------------------------------------------------------------ its own thread
+    // ------------------------------------------------------------ called by the connection's own thread
 
     @Override
     public void run() {
         try {
-            boolean stays = true;
-            while (stays) {
-                stays = handleNext();
+            boolean keepOpen = true;
+            while (keepOpen) {
+                keepOpen = handleNext();
             }
         } catch (IOException e) {
-            // the client has gone, and nothing was owed to it
+            // the client has left, and no response is due
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException | Error e) { // one failing connection must not end the process
@@ -195,47 +203,47 @@
         }
     }
 
-    /** Reads one request and sees to its response; whether the connection goes on. */
+    /** Reads one request and has it answered; returns whether the connection stays open. */
     private boolean handleNext() throws IOException, InterruptedException {
         ByteArrayOutputStream body = new ByteArrayOutputStream(READ_BUFFER_BYTES);
         HttpParser parser = HttpParser.request(body::write);
-        requestWaited = connection.buffer().hasRemaining();
+        arrivedEarly = connection.buffer().hasRemaining();
         if (!awaitFirstByte()) {
             return false;
         }
-        // The first request is to be whole soon after connecting, whatever the client does in between.
+        // The time limit of the first request starts when the client connects, not at the request's first byte.
         long beginNanos = answeredBefore ? System.nanoTime() : connectedNanos;
-        long wholeByNanos = beginNanos + readMs() * NANOS_PER_MS;
+        long completeByNanos = beginNanos + readMs() * NANOS_PER_MS;
         ClientResponse response =
                 new ClientResponse(connection, () -> !parser.done() || closesAfter(parser.head()), context.metrics());
-        quietSinceNanos = System.nanoTime();
-        if (!readAndAnswer(parser, body, wholeByNanos, response)) {
+        lastActivityNanos = System.nanoTime();
+        if (!readAndAnswer(parser, body, completeByNanos, response)) {
             return false;
         }
-        boolean stays = enter(Phase.IDLE, null);
+        boolean keepOpen = enter(Phase.IDLE, null);
         if (response.closed()) {
             linger();
             return false;
         }
         answeredBefore = true;
-        quietSinceNanos = System.nanoTime();
-        return stays || connection.buffer().hasRemaining(); // what has been read is answered
+        lastActivityNanos = System.nanoTime();
+        return keepOpen || connection.buffer().hasRemaining(); // a request that has been read is answered
     }
 
-    /** False where the connection is to end at once. */
+    /** Reads a request and answers it; false if the connection must close at once. */
     private boolean readAndAnswer(
-            HttpParser parser, ByteArrayOutputStream body, long wholeByNanos, ClientResponse response)
+            HttpParser parser, ByteArrayOutputStream body, long completeByNanos, ClientResponse response)
             throws IOException, InterruptedException {
-        boolean largePermit = false;
+        boolean hasLargeBodyPermit = false;
         try {
             if (!enter(Phase.READING, null)) {
                 response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
                 return false;
             }
-            connection.receiveBy(parser, wholeByNanos, true);
+            connection.receiveBy(parser, completeByNanos, true);
             if (parser.bodyLength() > ServingContext.LARGE_BODY_BYTES) {
-                largePermit = context.largeBodyPermits().tryAcquire();
-                if (!largePermit) {
+                hasLargeBodyPermit = context.largeBodyPermits().tryAcquire();
+                if (!hasLargeBodyPermit) {
                     rejectLargeBody(parser.head(), response);
                     return false;
                 }
@@ -243,31 +251,31 @@
             if (!parser.done() && parser.head().lists("Expect", "100-continue")) {
                 connection.send(HttpWriter.response(100).bytes());
             }
-            connection.receiveBy(parser, wholeByNanos, false);
+            connection.receiveBy(parser, completeByNanos, false);
             if (!enter(Phase.IN_FLIGHT, response)) {
                 response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
                 return false;
             }
-            answerWhole(parser.head(), body, response);
+            answerComplete(parser.head(), body, response);
         } catch (HttpException e) {
-            // After malformed framing nothing on the connection can be trusted; a mere wrong value may go on.
+            // After malformed framing the connection cannot be used further; after an invalid value it can.
             rejectFaulty(response, e.status(), e.getMessage());
         } catch (SocketTimeoutException e) {
-            response.plain(408, "request not whole in time");
+            response.plainText(408, "request incomplete within the time limit");
         } catch (EOFException e) {
             if (!closing()) {
-                throw e; // its client has left
+                throw e; // the client has left
             }
             response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
         } finally {
-            if (largePermit) {
+            if (hasLargeBodyPermit) {
                 context.largeBodyPermits().release();
             }
         }
         return true;
     }
 
-    /** The body stays unread, so the connection ends with the response. */
+    /** Rejects a request with a large body. The body stays unread, so the connection closes after the response. */
     private void rejectLargeBody(HttpHead head, ClientResponse response) {
         String requestClass = head.get("X-Lane");
         if (context.config().names().place(requestClass) >= 0) {
@@ -277,10 +285,10 @@
         linger();
     }
 
-    private void answerWhole(HttpHead head, ByteArrayOutputStream body, ClientResponse response)
+    private void answerComplete(HttpHead head, ByteArrayOutputStream body, ClientResponse response)
             throws IOException, InterruptedException {
         long lastByteUs = decisions.nowUs();
-        requestWaited |= connection.stood();
+        arrivedEarly |= connection.dataWasWaiting();
         if (hasUnexpectedBytes()) {
             failFraming(response);
         } else if (!answerReadiness(head, response)) {
@@ -288,14 +296,14 @@
         }
     }
 
-    /** Answers a request that no worker may see. */
-    private void rejectFaulty(ClientResponse response, int status, String why) {
+    /** Answers a request that must not reach a worker. */
+    private void rejectFaulty(ClientResponse response, int status, String message) {
         consecutiveFaults++;
         context.metrics().faultyRequest();
-        response.failed(status, why);
+        response.failed(status, message);
     }
 
-    /** Ends the connection on bytes out of turn; false where the request had its response before. */
+    /** Answers unexpected bytes with an error and closes the connection; false if the response was written before. */
     private boolean failFraming(ClientResponse response) {
         boolean first = response.framingBroken("one request at a time");
         if (first) {
@@ -318,15 +326,15 @@
     }
 
     /**
-     * Waits for a request's first byte. A connection that has brought nothing acceptable yet is not waited for as long as
-     * a useful one: crowds that connect, or ask once, and stay would take all the room.
+     * Waits for a request's first byte. The wait is shorter for a connection that is not validated: many clients that
+     * connect, or send one request, and then stay connected would exhaust the connection limit.
      */
     private boolean awaitFirstByte() throws IOException, InterruptedException {
         if (consecutiveFaults > 0) {
-            Thread.sleep(FAULT_PAUSE_MS << consecutiveFaults);
+            Thread.sleep(FAULT_DELAY_MS << consecutiveFaults);
         }
         if (connection.buffer().hasRemaining()) {
-            return true; // what has been read is taken, closing or not
+            return true; // bytes that have been read are handled even if the connection is closing
         }
         long waitMs = idleMs();
         long endNanos = System.nanoTime() + waitMs * NANOS_PER_MS;
@@ -337,7 +345,7 @@
             try {
                 return connection.fill(Math.min(leftMs, pollMs()));
             } catch (SocketTimeoutException e) {
-                // look again
+                // check again whether to close
             }
         }
         return false;
@@ -347,7 +355,7 @@
         if (overLimit) {
             return OVER_LIMIT_READ_MS;
         }
-        return useful ? times.clientIdleMs() : times.clientReadMs();
+        return validated ? times.clientIdleMs() : times.clientReadMs();
     }
 
     private long pollMs() {
@@ -355,9 +363,9 @@
     }
 
     /**
-     * Whether bytes have come beyond the request. The protocol has one at a time, so either the client floods, or it means
-     * another length than it stated: then neither part is what it seems. Empty lines are passed over, as some clients end
-     * their bodies with one.
+     * Whether bytes have arrived beyond the request. The protocol allows one request at a time, so either the client
+     * floods the connection, or the body has another length than stated and neither part can be trusted. Empty lines
+     * are skipped, as some clients end their bodies with one.
      */
     private boolean hasUnexpectedBytes() throws IOException {
         do {
@@ -374,8 +382,8 @@
     }
 
     /**
-     * Answers a readiness check; false where the request is none. A cached list that discovery has not confirmed counts as
-     * ready, though requests are rejected by it until it is confirmed.
+     * Answers a readiness check; false if the request is not one. The dispatcher counts as ready with a cached list
+     * that discovery has not confirmed, though it rejects requests until the list is confirmed.
      */
     private boolean answerReadiness(HttpHead head, ClientResponse response) {
         if (!head.target().equals("/ready")) {
@@ -384,15 +392,15 @@
         if (!head.method().equals("GET")) {
             response.failed(405, "GET only");
         } else if (!context.state().serving().getAsBoolean() || !decisions.canServe()) {
-            response.plain(503, "not ready");
+            response.plainText(503, "not ready");
         } else {
-            String why = context.state().notReadyReason().get();
-            response.plain(why == null ? 200 : 503, why == null ? "ready" : "not ready: " + why);
+            String reason = context.state().notReadyReason().get();
+            response.plainText(reason == null ? 200 : 503, reason == null ? "ready" : "not ready: " + reason);
         }
         return true;
     }
 
-    /** Admits the request, hands it to a thread of its own and watches the client until it has its response. */
+    /** Admits the request, runs it on a request thread and watches the client until the response is written. */
     private void accept(ClientRequest request, ClientResponse response) throws IOException, InterruptedException {
         if (overLimit || !context.requestPermits().tryAcquire()) {
             response.accepted(request, context.hooks().listener());
@@ -405,14 +413,14 @@
             rejectFaulty(response, 409, "this X-Txn was used before");
             return;
         }
-        useful = true;
+        validated = true;
         consecutiveFaults = 0;
-        if (requestWaited && connection.ended()) { // watching would see it too late
+        if (arrivedEarly && connection.peerHasClosed()) { // the watch would detect that the client has left too late
             response.drop();
             complete(requestId);
             return;
         }
-        // A forwarded request's wait began at the dispatcher that has its client.
+        // The dispatcher that holds the client's connection records a forwarded request's waiting time.
         response.accepted(
                 request, request.isForwarded() ? null : context.hooks().listener());
         RequestExecution execution = new RequestExecution(context, request, response);
@@ -424,7 +432,7 @@
                     complete(requestId);
                 }
             });
-        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is to be had
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is available
             complete(requestId);
             response.rejected(NO_CAPACITY_RETRY_AFTER_MS);
             return;
@@ -437,10 +445,10 @@
         context.requestPermits().release();
     }
 
-    /** Reads on while the request is in flight: an end here means that the client has left. */
+    /** Keeps reading while the request is in flight: the end of the stream means that the client has left. */
     private void watchClient(InFlightRequest request, ClientResponse response)
             throws IOException, InterruptedException {
-        while (!response.given()) {
+        while (!response.completed()) {
             try {
                 if (!connection.fill(pollMs())) {
                     clientLeft(request, response);
@@ -450,11 +458,11 @@
                     if (failFraming(response)) {
                         reportClientLeft(request);
                     }
-                    response.awaitGiven(); // else it was on its way: this is the next request
+                    response.awaitCompleted(); // if the response was being written, the bytes are the next request
                     return;
                 }
             } catch (SocketTimeoutException e) {
-                // look again
+                // check again for the response
             } catch (IOException e) {
                 clientLeft(request, response);
                 return;
@@ -463,7 +471,7 @@
     }
 
     private void clientLeft(InFlightRequest request, ClientResponse response) {
-        if (!response.given()) {
+        if (!response.completed()) {
             response.drop();
             reportClientLeft(request);
         }
@@ -477,7 +485,7 @@
         decisions.reportClientLeft(request);
     }
 
-    /** Lets the response arrive before the connection closes: unread bytes would reset it. */
+    /** Discards unread bytes before the connection closes, as they would reset it before the response arrives. */
     private void linger() {
         long endNanos = System.nanoTime() + LINGER_MS * NANOS_PER_MS;
         try {
@@ -488,7 +496,7 @@
                 }
             }
         } catch (IOException e) {
-            // gone or silent
+            // the client has left or sends nothing more
         }
     }
 }
--- a/src/main/java/maplespread/caller/ClientListener.java
+++ b/src/main/java/maplespread/caller/ClientListener.java
@@ -12,77 +12,82 @@
 import org.tinylog.Logger;
 
 /**
- * Accepts client connections and keeps their number within its limit. Accepting runs on a thread of its own; the other
- * methods may be called by any thread.
+ * Accepts client connections and keeps their number within its limit. A thread of its own accepts; the other methods
+ * may be called by any thread. A connection counts as validated once it has brought an acceptable request.
  */
 public final class ClientListener implements Runnable {
     private static final int POLL_MS = 100;
-    /** The listener closes when nobody has come for so long, */
+    /** Time in milliseconds without a new connection after which a closing listener closes. */
     private static final int LAST_ACCEPT_MS = 50;
-    /** or after this, though newcomers do not end. */
+    /** Maximum time in milliseconds that a closing listener still waits for new connections. */
     private static final long MAX_LAST_ACCEPT_MS = 200;
 
-    /** How often, a millisecond apart, room is looked for while bytes are on their way to be read. */
+    /** Maximum number of further eviction attempts, one millisecond apart, while connections have unread bytes. */
     private static final int MAX_ROOM_RETRIES = 5;
-    /** Silence counts so many times where no acceptable request ever came. */
-    private static final int UNTRIED_FACTOR = 10;
+    /** Factor on the idle time of a connection that is not validated, when connections are compared for eviction. */
+    private static final int UNVALIDATED_IDLE_FACTOR = 10;
 
-    private static final int ACCEPT_FAULT_PAUSE_MS = 20;
+    private static final int ACCEPT_RETRY_DELAY_MS = 20;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    private final ServerSocket server;
+    private final ServerSocket serverSocket;
     private final ServingContext context;
     private final ExecutorService connectionThreads;
-    /** A few, for connections beyond the limit. */
+    /** A small pool for connections beyond the limit. */
     private final ExecutorService overLimitThreads;
 
     private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
-    /** When the last connection that had brought an acceptable request ended. */
-    private volatile long lastUsefulEndNanos = System.nanoTime() - Long.MAX_VALUE / 2;
+    /** The time at which a validated connection last ended; far in the past if none has. */
+    private volatile long lastValidatedEndNanos = System.nanoTime() - Long.MAX_VALUE / 2;
 
     private volatile boolean closing;
     private volatile boolean closed;
 
-    /** {@code overLimitThreads}: for connections beyond the limit, each of which has one request rejected. */
+    /**
+     * Creates a listener; {@link #run} starts accepting.
+     *
+     * @param overLimitThreads the threads for connections beyond the limit, each of which has one request rejected
+     */
     public ClientListener(
-            ServerSocket server,
+            ServerSocket serverSocket,
             ServingContext context,
             ExecutorService connectionThreads,
             ExecutorService overLimitThreads) {
-        this.server = server;
+        this.serverSocket = serverSocket;
         this.context = context;
         this.connectionThreads = connectionThreads;
         this.overLimitThreads = overLimitThreads;
     }
 
     /**
-     * The kernel's accept already counts as taken, so every connection is accepted and read, to the last one in the queue
-     * when the listener closes; what exceeds the limit is answered with a rejection. On a loaded machine a connection that
-     * is open for its client comes into the queue some milliseconds later: the last look waits for it, save where
-     * newcomers do not end, as beside the process that takes over.
+     * Accepts connections until the listener is closed. A connection is open for its client once the kernel has
+     * accepted it, so every connection is accepted and read, up to the last one in the queue when the listener closes;
+     * connections beyond the limit are answered with a rejection. On a loaded machine a connection that is open for its
+     * client enters the queue some milliseconds later, so the last accept waits for it. That wait is bounded, since new
+     * connections may never cease while the process that takes over listens on the same address.
      */
     @Override
     public void run() {
         long closingSinceNanos = 0;
         while (true) {
-            boolean last = closing;
-            if (last && closingSinceNanos == 0) {
+            boolean lastAccept = closing;
+            if (lastAccept && closingSinceNanos == 0) {
                 closingSinceNanos = System.nanoTime();
             }
             try {
-                server.setSoTimeout(last ? lastAcceptMs(closingSinceNanos) : POLL_MS);
-                serve(server.accept());
+                serverSocket.setSoTimeout(lastAccept ? lastAcceptMs(closingSinceNanos) : POLL_MS);
+                serve(serverSocket.accept());
             } catch (SocketTimeoutException e) {
-                if (last) {
+                if (lastAccept) {
                     break;
                 }
-            } catch (IOException | RuntimeException | Error e) { // out of descriptors, say: it must go on
+            } catch (IOException | RuntimeException | Error e) { // for example out of descriptors; accepting must go on
                 Logger.warn("accept failed: {}", e.getMessage());
-                pause(ACCEPT_FAULT_PAUSE_MS);
+                sleep(ACCEPT_RETRY_DELAY_MS);
             }
         }
         try {
-            server.close();
+            serverSocket.close();
         } catch (IOException e) {
             Logger.warn("closing the listener failed: {}", e.getMessage());
         }
@@ -90,8 +95,8 @@
     }
 
     private static int lastAcceptMs(long closingSinceNanos) {
-        boolean longEnough = System.nanoTime() - closingSinceNanos > MAX_LAST_ACCEPT_MS * NANOS_PER_MS;
-        return longEnough ? 1 : LAST_ACCEPT_MS;
+        boolean limitReached = System.nanoTime() - closingSinceNanos > MAX_LAST_ACCEPT_MS * NANOS_PER_MS;
+        return limitReached ? 1 : LAST_ACCEPT_MS;
     }
 
     private void serve(Socket socket) throws IOException {
@@ -99,10 +104,10 @@
         try {
             connection = new HttpConnection(socket);
         } catch (IOException e) {
-            socket.close(); // it has been reset meanwhile
+            socket.close(); // the client has reset the connection
             throw e;
         }
-        evictIdleUseful();
+        evictIdleValidated();
         boolean withinLimit = makeRoom();
         ClientConnection client = new ClientConnection(connection, context, !withinLimit);
         connections.add(client);
@@ -110,137 +115,148 @@
             try {
                 client.run();
             } finally {
-                if (client.useful()) {
-                    lastUsefulEndNanos = System.nanoTime();
+                if (client.isValidated()) {
+                    lastValidatedEndNanos = System.nanoTime();
                 }
                 connections.remove(client);
             }
         };
         try {
             (withinLimit ? connectionThreads : overLimitThreads).execute(work);
-        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is left to read it
+        } catch (RejectedExecutionException | OutOfMemoryError e) { // no thread is available to read the connection
             connections.remove(client);
             client.rejectUnread();
         }
     }
 
     /**
-     * Makes room for one more connection at the cost of one that holds no whole request: the longest silent, where silence
-     * counts {@link #UNTRIED_FACTOR} times for one that never brought an acceptable request. Accepting must not wait: useful
-     * clients stand in the same queue as a crowd, and their time runs. Closing an idle connection of a useful client costs
-     * it a new one, closing a newcomer's costs its first request, whose bytes are on their way.
+     * Makes room for one more connection by evicting one that holds no complete request: the one idle longest, where
+     * the idle time of a connection that is not validated counts {@link #UNVALIDATED_IDLE_FACTOR} times. Accepting must
+     * not block: well-behaved clients wait in the same queue as a flood of connections, and their deadlines approach. A
+     * client whose idle validated connection is closed has to connect again; a new client loses its first request,
+     * whose bytes are on their way.
+     *
+     * @return whether the new connection is within the limit
      */
     private boolean makeRoom() {
         if (connections.size() < context.limits().get().clientConnections()) {
             return true;
         }
-        boolean evicted = evictLongestSilent(1, UNTRIED_FACTOR);
+        boolean evicted = evictLongestIdle(1, UNVALIDATED_IDLE_FACTOR);
         for (int i = 0;
-                i < MAX_ROOM_RETRIES && !evicted && connections.stream().anyMatch(ClientConnection::untried);
+                i < MAX_ROOM_RETRIES && !evicted && connections.stream().anyMatch(ClientConnection::awaitsFirstRequest);
                 i++) {
-            pause(1); // bytes have come, and will now be read
-            evicted = evictLongestSilent(1, UNTRIED_FACTOR);
+            sleep(1); // until the bytes that have arrived are read
+            evicted = evictLongestIdle(1, UNVALIDATED_IDLE_FACTOR);
         }
         return evicted;
     }
 
     /**
-     * Ends the longest idle useful connection where there are many. A third of the descriptors is all that clients may
-     * hold: connections that they keep and do not use would leave them none for their next requests.
+     * Evicts the longest idle validated connection if there are too many. Clients may hold a third of the descriptors
+     * in all: connections that they keep open without using them would leave none for their next requests.
      */
-    private void evictIdleUseful() {
-        long useful = connections.stream()
-                .filter(client -> client.useful() && !client.closing())
+    private void evictIdleValidated() {
+        long validatedCount = connections.stream()
+                .filter(client -> client.isValidated() && !client.closing())
                 .count();
-        if (useful > context.limits().get().servedClientConnections()) {
-            evictLongestSilent(1, 0);
+        if (validatedCount > context.limits().get().servedClientConnections()) {
+            evictLongestIdle(1, 0);
         }
     }
 
-    /** Ends the longest silent; another where a request came to it in that moment. False where there is none. */
-    private boolean evictLongestSilent(int usefulFactor, int untriedFactor) {
-        ClientConnection silent = longestSilent(usefulFactor, untriedFactor);
-        while (silent != null && !silent.closeNow()) {
-            silent = longestSilent(usefulFactor, untriedFactor);
+    /**
+     * Evicts the connection idle longest, or the next one if a request has just arrived on it.
+     *
+     * @return false if no connection can be evicted
+     */
+    private boolean evictLongestIdle(int validatedFactor, int unvalidatedFactor) {
+        ClientConnection candidate = findLongestIdle(validatedFactor, unvalidatedFactor);
+        while (candidate != null && !candidate.closeNow()) {
+            candidate = findLongestIdle(validatedFactor, unvalidatedFactor);
         }
-        if (silent != null) {
+        if (candidate != null) {
             context.metrics().connectionEvicted();
         }
-        return silent != null;
+        return candidate != null;
     }
 
-    private ClientConnection longestSilent(int usefulFactor, int untriedFactor) {
+    private ClientConnection findLongestIdle(int validatedFactor, int unvalidatedFactor) {
         long nowNanos = System.nanoTime();
-        ClientConnection found = null;
-        long longest = 0;
+        ClientConnection longestIdle = null;
+        long longestNanos = 0;
         for (ClientConnection client : connections) {
-            long silence = (nowNanos - client.quietSinceNanos()) * (client.useful() ? usefulFactor : untriedFactor);
-            if (silence > longest && !client.closing() && client.silent()) {
-                found = client;
-                longest = silence;
+            long idleNanos = (nowNanos - client.lastActivityNanos())
+                    * (client.isValidated() ? validatedFactor : unvalidatedFactor);
+            if (idleNanos > longestNanos && !client.closing() && client.isEvictable()) {
+                longestIdle = client;
+                longestNanos = idleNanos;
             }
         }
-        return found;
+        return longestIdle;
     }
 
-    /** How many client connections are open. */
+    /** Returns the number of open client connections. */
     public int size() {
         return connections.size();
     }
 
-    /** Ends the connections whose clients do not read their responses, and forgets expired ids. */
+    /** Closes the connections whose clients do not read their responses, and removes expired request ids. */
     public void sweep() {
-        connections.forEach(ClientConnection::cutIfStuck);
+        connections.forEach(ClientConnection::closeIfWriteStalled);
         context.recentIds().removeExpired();
     }
 
-    /** Stops accepting once the queue is empty. */
+    /** Requests that the listener stop accepting once its queue is empty; returns at once. */
     public void close() {
         closing = true;
     }
 
-    /** Whether nothing is accepted any more. */
+    /** Whether the listener has stopped accepting. */
     public boolean closed() {
         return closed;
     }
 
     /**
-     * Whether a connection is open, or a useful one was within {@code graceMs} milliseconds: others may be on their way.
+     * Whether a connection is open, or a validated one has ended within the last {@code graceMs} milliseconds: its
+     * client may be connecting again.
      */
     public boolean hasRecentClients(long graceMs) {
-        return !connections.isEmpty() || System.nanoTime() - lastUsefulEndNanos < graceMs * NANOS_PER_MS;
+        return !connections.isEmpty() || System.nanoTime() - lastValidatedEndNanos < graceMs * NANOS_PER_MS;
     }
 
     /**
-     * Has the connections end that wait for a request; whether none is left, and none can come. What is accepted last may
-     * come between the two looks, so the one at the listener is the first.
+     * Closes the connections that wait for a request. The last connection may be accepted while this method runs, so it
+     * reads the listener's state before the connections.
+     *
+     * @return whether no connection is left and no further one can be accepted
      */
     public boolean closeIdleConnections() {
         boolean acceptsNone = closed;
         for (ClientConnection client : connections) {
-            if (client.quiet()) {
+            if (client.isIdle()) {
                 client.closeWhenIdle();
             }
         }
         return acceptsNone && connections.isEmpty();
     }
 
-    /** Has the connections end that have been quiet for {@code quietMs} milliseconds. */
-    public void endQuiet(long quietMs) {
-        long beforeNanos = System.nanoTime() - quietMs * NANOS_PER_MS;
+    /** Closes the connections that have been idle for {@code idleMs} milliseconds. */
+    public void closeConnectionsIdleFor(long idleMs) {
+        long idleSinceNanos = System.nanoTime() - idleMs * NANOS_PER_MS;
         for (ClientConnection client : connections) {
-            if (client.quiet() && client.quietSinceNanos() - beforeNanos < 0) {
+            if (client.isIdle() && client.lastActivityNanos() - idleSinceNanos < 0) {
                 client.closeWhenIdle();
             }
         }
     }
 
-    /** Answers what is still in flight as failed. */
+    /** Answers the requests still in flight as failed. */
     public void failAll() {
         connections.forEach(ClientConnection::fail);
     }
 
-    private static void pause(long pauseMs) {
+    private static void sleep(long pauseMs) {
         try {
             Thread.sleep(pauseMs);
         } catch (InterruptedException e) {
--- a/src/main/java/maplespread/caller/ClientRequest.java
+++ b/src/main/java/maplespread/caller/ClientRequest.java
@@ -13,34 +13,39 @@
 import maplespread.worker.WorkerRequest;
 
 /**
- * Checks a client's request and reads what decisions need of it. What fails here is an {@link HttpException} with its status
- * and reaches no worker. Nothing of the client's own head goes on but what was checked here: a worker closes on a head that
- * it cannot read, and a field may mean something else to it than to this parser.
+ * Validates a client's request and reads the values that decisions need. An invalid request fails with an
+ * {@link HttpException} that holds the response's status, and reaches no worker. Only validated header fields are sent
+ * on: a worker closes the connection on a head that it cannot parse, and may interpret a field differently than this
+ * parser.
  */
 final class ClientRequest {
     private static final long MAX_REMAINING_MS = 3_600_000;
-    /** For the response's way to the client, so that one at the deadline still arrives in time. */
+    /** Time in microseconds reserved for the transit of a response, so that one at the deadline arrives in time. */
     private static final long RESPONSE_TRANSIT_US = 5_000;
 
     private static final int MAX_TARGET_CHARS = 2048;
-    /** The fields that a request keeps when it is forwarded to another dispatcher. */
+    /** The header fields that a request keeps when it is forwarded to another dispatcher. */
     private static final List<String> FORWARDED_FIELDS =
             List.of("X-Lane", "X-Org", "X-Estimate", "X-Labels", "X-Entity", "Idempotency-Key");
 
-    /** What is sent to a worker. */
+    /** The request as it is sent to a worker. */
     final WorkerRequest message;
-    /** The request as decisions see it. */
+    /** The request as the decision service sees it. */
     final InFlightRequest inFlight;
 
     private final HttpHead head;
     private final String tenant;
     private final Map<String, Double> labels;
-    /** Slots that it takes at a worker. */
+    /** The number of slots that the request occupies at a worker. */
     private double slots = 1;
-    /** Memory units that it takes at a worker. */
+    /** The number of memory units that the request occupies at a worker. */
     private double memory;
 
-    /** {@code lastByteUs}: when the request's last byte had come, on {@code DecisionService.nowUs}. */
+    /**
+     * Validates a request.
+     *
+     * @param lastByteUs the time at which the request's last byte arrived, on {@code DecisionService.nowUs}
+     */
     ClientRequest(ServingContext context, HttpHead head, byte[] body, long lastByteUs) throws HttpException {
         this.head = head;
         Config config = context.config();
@@ -80,7 +85,7 @@
     }
 
     private int checkClass(Config config) throws HttpException {
-        int classIndex = config.names().place(firstPart(head.target()));
+        int classIndex = config.names().place(firstPathSegment(head.target()));
         if (classIndex < 0) {
             throw new HttpException(404, "no such path");
         }
@@ -90,11 +95,11 @@
         if (!head.method().equals("POST")) {
             throw new HttpException(405, "jobs come by POST");
         }
-        int named = config.names().place(required("X-Lane"));
-        if (named < 0) {
+        int headerIndex = config.names().place(required("X-Lane"));
+        if (headerIndex < 0) {
             throw new HttpException(404, "no such class");
         }
-        if (named != classIndex) {
+        if (headerIndex != classIndex) {
             throw new HttpException(400, "X-Lane and path differ");
         }
         return classIndex;
@@ -121,7 +126,7 @@
         return Long.parseLong(remaining);
     }
 
-    /** Labels that are not known here are allowed: the protocol may add some. */
+    /** Reads the labels. Unknown labels are allowed, as the protocol may add some. */
     private Map<String, Double> readLabels() throws HttpException {
         Map<String, Double> values = new HashMap<>();
         String text = atMostOne("X-Labels");
@@ -157,8 +162,9 @@
     }
 
     /**
-     * A class with idempotency keys is safe to retry only because its workers drop a repeat of the key: a worker that never
-     * sees the key runs the request twice, and one that sees another key takes it for another request.
+     * Adds the idempotency key, unchanged. Requests of a class with idempotency keys are safe to retry only because the
+     * workers discard a request whose key repeats: a worker that does not receive the key runs the request twice, and
+     * one that receives another key treats it as another request.
      */
     private void addIdempotencyKey(List<String[]> fields, Idempotency idempotency) throws HttpException {
         String key = atMostOne("Idempotency-Key");
@@ -175,7 +181,11 @@
         addField(fields, "Idempotency-Key", key);
     }
 
-    /** The request as the sequencer sees it. {@code nowUs}: on {@code DecisionService.nowUs}. */
+    /**
+     * Returns the request as the sequencer sees it.
+     *
+     * @param nowUs the current time, on {@code DecisionService.nowUs}
+     */
     RequestSequencer.SequencedRequest sequenced(long nowUs) {
         List<String[]> fields = new ArrayList<>();
         for (String name : FORWARDED_FIELDS) {
@@ -195,12 +205,12 @@
                 (inFlight.deadlineUs() - nowUs) / 1000);
     }
 
-    /** Whether it comes from another dispatcher, which has the client. */
+    /** Whether the request was forwarded by another dispatcher, which holds the client's connection. */
     boolean isForwarded() {
         return head.get(RequestSequencer.FORWARDED_BY_HEADER) != null;
     }
 
-    private static String firstPart(String target) {
+    private static String firstPathSegment(String target) {
         int end = 1;
         while (end < target.length() && "/?".indexOf(target.charAt(end)) < 0) {
             end++;
@@ -223,9 +233,9 @@
         return value;
     }
 
-    private static double number(String text, String name, double otherwise) throws HttpException {
+    private static double number(String text, String name, double defaultValue) throws HttpException {
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!text.strip().matches("[0-9]{1,12}(\\.[0-9]{1,9})?")) {
             throw new HttpException(400, name + " out of range");
--- a/src/main/java/maplespread/caller/ClientResponse.java
+++ b/src/main/java/maplespread/caller/ClientResponse.java
@@ -13,94 +13,108 @@
 import maplespread.metrics.Metrics.ResponseCode;
 
 /**
- * The one final response to a request. Any thread may give it: the first one to claim it writes it, and nobody after that.
+ * The final response to a request. Any thread may write it: the first thread to claim it does, and all later calls are
+ * without effect.
  */
 final class ClientResponse {
     private final HttpConnection connection;
     private final BooleanSupplier closesConnection;
     private final Metrics metrics;
     private final AtomicBoolean claimed = new AtomicBoolean();
-    private final CountDownLatch completed = new CountDownLatch(1);
+    private final CountDownLatch completion = new CountDownLatch(1);
     private volatile boolean connectionClosed;
-    /** The class of the accepted request; null: none was accepted. */
+    /** The class of the accepted request; null if no request was accepted. */
     private volatile String acceptedClass;
 
+    /** The worker that the request was last sent to; null if it was sent to none. */
     private volatile String lastWorker;
-    /** Notified of the request's completion, once; null: nobody is. */
+    /** The listener to notify, once, of the request's completion, or null. */
     private volatile RequestListener listener;
-    /** What the listener gave for the request. */
+    /** The handle that the listener returned for the request. */
     private volatile long listenerHandle;
-    /** Written before the class. */
+    /** The time at which the request was accepted. Written before {@link #acceptedClass}, which publishes it. */
     private long acceptedNanos;
 
-    /** {@code closesConnection}: whether the connection ends with this response, asked when it is given. */
+    /**
+     * Creates the response to one request.
+     *
+     * @param closesConnection whether the connection closes after this response; evaluated when the response is written
+     */
     ClientResponse(HttpConnection connection, BooleanSupplier closesConnection, Metrics metrics) {
         this.connection = connection;
         this.closesConnection = closesConnection;
         this.metrics = metrics;
     }
 
-    /** A request of this class has been accepted: its end is counted, once, by whoever gives the response. */
+    /** Records that a request of this class has been accepted; its completion is counted once, with the response. */
     void accepted(String requestClass) {
         acceptedNanos = System.nanoTime();
         acceptedClass = requestClass;
         metrics.requestAccepted();
     }
 
-    /** The same, and {@code notified} is told of it and of its completion; null: nobody is. */
+    /**
+     * Records that the request has been accepted.
+     *
+     * @param notified notified of the request and of its completion, or null
+     */
     void accepted(ClientRequest request, RequestListener notified) {
         accepted(request.message.requestClass());
         listener = notified;
         listenerHandle = notified == null ? 0 : notified.requestAccepted(request.inFlight);
     }
 
-    /** The request is sent to this worker now. */
+    /** Records that the request is being sent to this worker. */
     void attempted(String worker) {
         lastWorker = worker;
     }
 
     private void notifyCompleted(RequestListener.Result result) {
         RequestListener notified = listener;
-        listener = null; // once, though ending the connection fails
+        listener = null; // notified once, even if closing the connection fails
         if (notified != null) {
             notified.requestCompleted(listenerHandle, result, lastWorker);
         }
     }
 
-    /** 200 with the worker's result. */
+    /** Writes a 200 with the worker's result. */
     void served(byte[] result) {
-        give(ResponseCode.SUCCESS, HttpWriter.response(200), result);
+        write(ResponseCode.SUCCESS, HttpWriter.response(200), result);
     }
 
-    /** 503: a retry is safe, after {@code retryAfterMs} milliseconds where that is above 0. */
+    /**
+     * Writes a 503, which states that a retry is safe.
+     *
+     * @param retryAfterMs the delay before the retry in milliseconds; 0 for none
+     */
     void rejected(double retryAfterMs) {
         HttpWriter head = HttpWriter.response(503);
         if (retryAfterMs > 0) {
             head.field("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
         }
-        give(ResponseCode.BUSY, head, line("busy"));
+        write(ResponseCode.BUSY, head, line("busy"));
     }
 
-    /** An error with its sentence. */
-    void failed(int status, String why) {
+    /** Writes an error with a message. */
+    void failed(int status, String message) {
         HttpWriter head = HttpWriter.response(status);
         if (status == 405) {
-            head.field("Allow", why.contains("POST") ? "POST" : "GET");
+            head.field("Allow", message.contains("POST") ? "POST" : "GET");
         }
-        give(ResponseCode.FAILURE, head, line(why));
+        write(ResponseCode.FAILURE, head, line(message));
     }
 
-    /** 502: it may have run, and may yet run. */
-    void inDoubt(String why) {
+    /** Writes a 502 for a request that may have run or may still run. */
+    void inDoubt(String message) {
         HttpWriter head = HttpWriter.response(502).field(RequestSequencer.ORDER_REASON_HEADER, "in-doubt");
-        give(ResponseCode.FAILURE, head, line(why));
+        write(ResponseCode.FAILURE, head, line(message));
     }
 
-    /** The response of another dispatcher or of the sequencer, unchanged. */
+    /** Writes the response of another dispatcher or of the sequencer, unchanged. */
     void relayed(RequestSequencer.FinalResponse finalResponse) {
         HttpWriter head = HttpWriter.response(finalResponse.status());
         finalResponse.fields().forEach(field -> head.field(field[0], field[1]));
-        give(codeOf(finalResponse.status()), head, finalResponse.body());
+        write(codeOf(finalResponse.status()), head, finalResponse.body());
     }
 
     private static ResponseCode codeOf(int status) {
@@ -111,17 +125,17 @@
         };
     }
 
-    /** A line of text under a status. */
-    void plain(int status, String text) {
-        give(ResponseCode.FAILURE, HttpWriter.response(status), line(text));
+    /** Writes a line of text with a status. */
+    void plainText(int status, String text) {
+        write(ResponseCode.FAILURE, HttpWriter.response(status), line(text));
     }
 
-    /** 400, as the client has broken the framing; the connection ends. False where a response came before. */
-    boolean framingBroken(String why) {
-        return give(ResponseCode.FAILURE, HttpWriter.response(400), line(why), true);
+    /** Writes a 400 for malformed framing and closes the connection; false if a response was written before. */
+    boolean framingBroken(String message) {
+        return write(ResponseCode.FAILURE, HttpWriter.response(400), line(message), true);
     }
 
-    /** Ends the matter without a response: the client has left. */
+    /** Completes the request without a response, as the client has left. */
     void drop() {
         if (claimed.compareAndSet(false, true)) {
             metrics.clientLeft();
@@ -130,26 +144,26 @@
         }
     }
 
-    /** Whether it has been written, or dropped. */
-    boolean given() {
-        return completed.getCount() == 0;
+    /** Whether the response has been written or dropped. */
+    boolean completed() {
+        return completion.getCount() == 0;
     }
 
-    /** Whether the connection has ended with it. */
+    /** Whether the connection closes after the response. */
     boolean closed() {
         return connectionClosed;
     }
 
-    /** Blocks until it has been written, or dropped. */
-    void awaitGiven() throws InterruptedException {
-        completed.await();
+    /** Blocks until the response has been written or dropped. */
+    void awaitCompleted() throws InterruptedException {
+        completion.await();
     }
 
-    private void give(ResponseCode code, HttpWriter head, byte[] body) {
-        give(code, head, body, false);
+    private void write(ResponseCode code, HttpWriter head, byte[] body) {
+        write(code, head, body, false);
     }
 
-    private boolean give(ResponseCode code, HttpWriter head, byte[] body, boolean forceClose) {
+    private boolean write(ResponseCode code, HttpWriter head, byte[] body, boolean forceClose) {
         if (!claimed.compareAndSet(false, true)) {
             return false;
         }
@@ -164,7 +178,7 @@
             if (close) {
                 connection.endSending();
             }
-        } catch (IOException e) { // the client has gone
+        } catch (IOException e) { // the client has left
             notifyCompleted(RequestListener.Result.CLIENT_LEFT);
             connection.close();
         } finally {
@@ -185,7 +199,7 @@
         if (acceptedClass != null) {
             metrics.requestCompleted();
         }
-        completed.countDown();
+        completion.countDown();
     }
 
     private static byte[] line(String text) {
--- a/src/main/java/maplespread/caller/RequestExecution.java
+++ b/src/main/java/maplespread/caller/RequestExecution.java
@@ -11,13 +11,14 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one accepted request to its final response: waits for its turn where requests have an order, asks for decisions,
- * runs attempts. Runs on a request thread, while the connection's own thread watches whether the client leaves.
+ * Runs one accepted request to its final response: waits for its permit where requests are ordered, asks the decision
+ * service what to do and runs attempts. Runs on a request thread, while the connection's own thread detects whether the
+ * client leaves.
  */
 final class RequestExecution implements Runnable {
     private static final RateLimitedLogger UNSERVED_LOG = new RateLimitedLogger();
 
-    /** The permit of requests that have no order: always valid. */
+    /** The permit of requests that are not ordered: always valid. */
     private static final RequestSequencer.Permit UNORDERED = new RequestSequencer.Permit() {
         @Override
         public boolean isValid() {
@@ -43,12 +44,12 @@
     private final ClientRequest request;
     private final ClientResponse response;
     private RequestSequencer.Permit permit = UNORDERED;
-    /** The permit has been released, or there is none to release. */
+    /** Whether the permit has been released, or none is left to release. */
     private boolean permitReleased;
 
     RequestExecution(ServingContext context, ClientRequest request, ClientResponse response) {
         this.context = context;
-        this.decisions = context.dispatcher();
+        this.decisions = context.decisions();
         this.request = request;
         this.response = response;
     }
@@ -66,16 +67,16 @@
             decisions.reportClientLeft(request.inFlight);
         } finally {
             if (!permitReleased) {
-                permit.attemptCompleted(Outcome.RESET); // whether it ran is not known
+                permit.attemptCompleted(Outcome.RESET); // the request may have run
                 permit.release(false);
             }
-            if (!response.given()) {
+            if (!response.completed()) {
                 response.failed(500, "internal error");
             }
         }
     }
 
-    /** Waits for the request's turn; false where it has ended without one. */
+    /** Waits for the request's permit; false if the request has ended without one. */
     private boolean acquirePermit() throws InterruptedException {
         if (context.hooks().sequencer() == null) {
             return true;
@@ -89,7 +90,7 @@
             return false;
         }
         permit = acquired;
-        if (response.given()) { // its client has left meanwhile
+        if (response.completed()) { // the client has left meanwhile
             releasePermit(false);
             return false;
         }
@@ -105,12 +106,12 @@
         while (true) {
             if (!permit.isValid()) {
                 decisions.reportClientLeft(request.inFlight);
-                permitLost();
+                endWithoutPermit();
                 return;
             }
             Decision decision = decisions.decide(request.inFlight);
             if (!(decision instanceof Attempt attempt)) {
-                end(decision);
+                endUnserved(decision);
                 return;
             }
             if (runAttempt(attempt)) {
@@ -119,16 +120,16 @@
         }
     }
 
-    /** The permit was lost before the request could be sent, or between two attempts. */
-    private void permitLost() {
+    /** Ends the request after its permit was lost, before the first attempt or between two attempts. */
+    private void endWithoutPermit() {
         if (releasePermit(false) == RequestSequencer.Completion.NEVER_RAN) {
             respond(permit.permitLostResponse());
         } else {
-            response.inDoubt("it may have run, and its turn was lost");
+            response.inDoubt("the request may have run, and its ordering permit was lost");
         }
     }
 
-    private void end(Decision decision) {
+    private void endUnserved(Decision decision) {
         boolean inDoubt = releasePermit(false) == RequestSequencer.Completion.IN_DOUBT;
         if (decision instanceof Decision.Rejected rejected) {
             recordUnserved(rejected.reason());
@@ -136,14 +137,14 @@
         } else if (decision instanceof Decision.Failed failed) {
             recordUnserved(failed.reason());
             if (inDoubt) {
-                response.inDoubt("it may have run, or may yet run");
+                response.inDoubt("the request may have run, or may still run");
             } else {
-                response.failed(502, "no worker served it");
+                response.failed(502, "no worker served the request");
             }
-        } // else the client has left
+        } // otherwise the client has left, and no response is due
     }
 
-    /** Rejections under load are only counted; each other reason is worth a line. */
+    /** Counts a request that was not served and logs the reason, except for rejections under load. */
     private void recordUnserved(RejectionReason reason) {
         context.metrics().requestUnserved(reason);
         if (reason != RejectionReason.OVERLOADED) {
@@ -159,17 +160,17 @@
         response.relayed(finalResponse);
     }
 
-    /** Runs one attempt; whether it served the request. */
+    /** Runs one attempt; returns whether the attempt served the request. */
     private boolean runAttempt(Attempt attempt) {
         AttemptResult result = null;
-        Outcome outcome = Outcome.RESET; // should running it fail
+        Outcome outcome = Outcome.RESET; // the outcome if running the attempt throws
         response.attempted(attempt.worker());
         try {
             result = context.attemptRunner().run(attempt, request.message);
             outcome = result.outcome;
             permit.attemptCompleted(outcome);
             if (outcome == Outcome.SERVED) {
-                permit.release(true); // the next request of its key need not wait for this client
+                permit.release(true); // before the response: the key's next request need not wait for this client
                 response.served(result.body);
             }
         } finally {
--- a/src/main/java/maplespread/caller/RequestSequencer.java
+++ b/src/main/java/maplespread/caller/RequestSequencer.java
@@ -7,23 +7,29 @@
 import maplespread.worker.WorkerRequest;
 
 /**
- * Decides when a request may run where requests have an order: it may have to wait for its turn, or be forwarded to another
- * dispatcher. Called on request threads, but for {@link #clientLeft}.
+ * Decides when a request may run where the requests of a key are ordered: a request may have to wait for its permit, or
+ * be forwarded to another dispatcher. Called on request threads, except for {@link #clientLeft}.
  */
 public interface RequestSequencer {
-    /** The response header that says why a request had no turn, or that it may have run out of its turn. */
+    /** The response header that states why a request got no permit, or that the request may have run out of order. */
     String ORDER_REASON_HEADER = "X-Order";
 
     /**
-     * The request header of a request forwarded by a dispatcher: its name, and the epoch that it knows. Such a request is
-     * not forwarded again. The header takes a right away and gives none, so that who forges it harms itself alone.
+     * The header of a request forwarded by a dispatcher: the dispatcher's name and the epoch known to it. A request
+     * with this header is not forwarded again. The header only restricts a request, so a client that forges the header
+     * harms only itself.
      */
     String FORWARDED_BY_HEADER = "X-Handed-By";
 
     /**
-     * A request as its client sent it. {@code tenant}, {@code entity}: null where it has none; {@code fields}: the head's
-     * that the protocol knows, but for the id and the time, each a name and a value; {@code forwardedBy}: the value of
-     * {@link #FORWARDED_BY_HEADER}, or null; {@code remainingMs}: milliseconds until it must be answered.
+     * A request as its client sent it.
+     *
+     * @param tenant the tenant, or null
+     * @param entity the entity, or null
+     * @param fields the header fields known to the protocol except for the id and the remaining time, each a name and a
+     * value
+     * @param forwardedBy the value of {@link #FORWARDED_BY_HEADER}, or null
+     * @param remainingMs the time in milliseconds until the request must be answered
      */
     record SequencedRequest(
             WorkerRequest message,
@@ -35,44 +41,48 @@
             String forwardedBy,
             long remainingMs) {}
 
-    /** How a request that held a permit ended. */
+    /** What is known, at its end, of a request that held a permit. */
     enum Completion {
-        /** No worker has run it. */
+        /** No worker has run the request. */
         NEVER_RAN,
-        /** It has ended, and what that means for others of its key is settled. */
+        /** The request has ended, and the effect on other requests of its key is known. */
         ENDED,
-        /** It may still run, or what its end means for others of its key could not be made sure of. */
+        /** The request may still run, or the effect of its end on other requests of its key is unknown. */
         IN_DOUBT
     }
 
-    /** What becomes of a request that asks for its turn. */
+    /** The result of a request's wait for a permit. */
     sealed interface SequencingResult permits Permit, FinalResponse, ClientLeft {}
 
-    /** Its response; {@code idConsumed}: its id may not be used again. */
+    /**
+     * The request ends with this response.
+     *
+     * @param idConsumed whether the request's id may not be used again
+     */
     record FinalResponse(int status, List<String[]> fields, byte[] body, boolean idConsumed)
             implements SequencingResult {}
 
-    /** Its client has left. */
+    /** The client has left. */
     record ClientLeft() implements SequencingResult {}
 
-    /** Its turn has come, and lasts until the permit is released or lost. */
+    /** Allows the request to run, until the permit is released or lost. */
     non-sealed interface Permit extends SequencingResult {
-        /** Whether it may be sent at this moment. */
+        /** Whether the request may be sent now. */
         boolean isValid();
 
-        /** An attempt has ended. */
+        /** Reports the end of an attempt. */
         void attemptCompleted(Outcome outcome);
 
-        /** The request has ended, and is answered next; to be called once. */
+        /** Reports the end of the request, before its response is written. Called once. */
         Completion release(boolean served);
 
-        /** The response where the permit was lost and the request never ran. */
+        /** Returns the response for a request that never ran because its permit was lost. */
         FinalResponse permitLostResponse();
     }
 
-    /** Blocks until the request's turn, or until its time is over. */
+    /** Blocks until the request has its permit, or until its deadline. */
     SequencingResult acquire(SequencedRequest request) throws InterruptedException;
 
-    /** Its client has left; a request in flight keeps its permit. Called on the connection's thread. */
+    /** Reports that the client has left; a request in flight keeps its permit. Called on the connection's thread. */
     void clientLeft(InFlightRequest request);
 }
--- a/src/main/java/maplespread/caller/ServingContext.java
+++ b/src/main/java/maplespread/caller/ServingContext.java
@@ -12,11 +12,14 @@
 import maplespread.worker.AttemptRunner;
 
 /**
- * What all client connections share. {@code limits}: how much may be held at present.
+ * The objects that all client connections share.
+ *
+ * @param currentConfig the configuration in force
+ * @param limits the limits in force
  */
 public record ServingContext(
-        Supplier<Config> current,
-        DecisionService dispatcher,
+        Supplier<Config> currentConfig,
+        DecisionService decisions,
         AttemptRunner attemptRunner,
         ExecutorService requestThreads,
         Supplier<Config.Limits> limits,
@@ -27,10 +30,12 @@
         ServiceState state,
         RequestHooks hooks) {
     /**
-     * The process's state, asked anew each time. {@code serving}: false from the start of the shutdown on; {@code
-     * notReadyReason}: why the endpoint list is not to be relied on, or null; {@code closingConnections}: whether
-     * connections are to end after their present requests; {@code shutdownDeadlineUs}: no request may last beyond it, on
-     * {@code DecisionService.nowUs}.
+     * The process's state, evaluated at each use.
+     *
+     * @param serving whether the dispatcher is ready for clients; false during a drain and a shutdown
+     * @param notReadyReason why the endpoint list cannot be relied on, or null
+     * @param closingConnections whether each connection closes after its current request
+     * @param shutdownDeadlineUs the time that no request may outlast, on {@code DecisionService.nowUs}
      */
     public record ServiceState(
             BooleanSupplier serving,
@@ -38,18 +43,23 @@
             BooleanSupplier closingConnections,
             LongSupplier shutdownDeadlineUs) {}
 
-    /** {@code listener}: notified of each request, or null; {@code sequencer}: gives requests their turn, or null. */
+    /**
+     * The optional features' hooks into request processing.
+     *
+     * @param listener notified of each request, or null
+     * @param sequencer orders requests, or null
+     */
     public record RequestHooks(RequestListener listener, RequestSequencer sequencer) {}
 
-    /** Bodies above this length are few at once, so that all fit the heap. */
+    /** Length in bytes above which a body needs one of a few permits, so that all bodies together fit the heap. */
     static final int LARGE_BODY_BYTES = 8 * 1024;
 
     private static final int MAX_LARGE_BODIES = 48;
 
-    /** With all permits free. */
+    /** Creates a context with all permits available. */
     public ServingContext(
-            Supplier<Config> current,
-            DecisionService dispatcher,
+            Supplier<Config> currentConfig,
+            DecisionService decisions,
             AttemptRunner attemptRunner,
             ExecutorService requestThreads,
             Supplier<Config.Limits> limits,
@@ -57,21 +67,21 @@
             ServiceState state,
             RequestHooks hooks) {
         this(
-                current,
-                dispatcher,
+                currentConfig,
+                decisions,
                 attemptRunner,
                 requestThreads,
                 limits,
                 new ConcurrencyLimit(() -> limits.get().requestsInFlight()),
                 new Semaphore(MAX_LARGE_BODIES),
-                new RecentRequestIds(() -> current.get().times().longestDeadlineMs()),
+                new RecentRequestIds(() -> currentConfig.get().times().longestDeadlineMs()),
                 metrics,
                 state,
                 hooks);
     }
 
-    /** The configuration in force; asked once for each request, which keeps to it. */
+    /** Returns the configuration in force; read once for each request, which uses it to its end. */
     Config config() {
-        return current.get();
+        return currentConfig.get();
     }
 }
--- a/src/main/java/maplespread/http/HttpConnection.java
+++ b/src/main/java/maplespread/http/HttpConnection.java
@@ -8,21 +8,23 @@
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
 
-/** A blocking socket with its input buffer. Every read has a time limit. */
+/** A blocking socket with an input buffer. Every read has a time limit. */
 public final class HttpConnection implements Closeable {
-    private static final int BUFFER = 8 * 1024;
+    private static final int BUFFER_BYTES = 8 * 1024;
     private final Socket socket;
-    private volatile long writingSince;
+    /** The start of the write in progress, or of the last one. */
+    private volatile long writeStartNanos;
+
     private volatile boolean writing;
-    private boolean stood;
-    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER).flip();
+    private boolean dataWasWaiting;
+    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES).flip();
 
     public HttpConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
     }
 
-    /** Connects within the limit. */
+    /** Connects within {@code limitMs} milliseconds. */
     public static HttpConnection dial(InetSocketAddress address, long limitMs) throws IOException {
         Socket socket = new Socket();
         try {
@@ -34,27 +36,27 @@
         }
     }
 
-    /** Bytes that came and were not taken in yet. */
+    /** Returns the bytes that have been read from the socket and not consumed yet. */
     public ByteBuffer buffer() {
         return buffer;
     }
 
-    /** Whether bytes have come that nobody has read yet; asks the system, so other threads may ask too. */
+    /** Whether the socket has unread bytes. Asks the kernel, so any thread may call this. */
     public boolean pending() {
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            return false; // it has ended
+            return false; // the connection has ended
         }
     }
 
-    /** Whether what was read last had come before anybody waited for it; since when is not known. */
-    public boolean stood() {
-        return stood;
+    /** Whether the bytes read last had arrived before the read began; for how long they had waited is not known. */
+    public boolean dataWasWaiting() {
+        return dataWasWaiting;
     }
 
-    /** Whether the peer has ended its sending by now; where nothing has come, it takes a millisecond. */
-    public boolean ended() {
+    /** Whether the peer has ended its sending; blocks for a millisecond if nothing has arrived. */
+    public boolean peerHasClosed() {
         try {
             return !fill(1);
         } catch (SocketTimeoutException silent) {
@@ -64,37 +66,37 @@
         }
     }
 
-    /** Waits for more bytes; false when the peer has ended its sending. */
+    /** Waits for bytes unless some are buffered; false if the peer has ended its sending. */
     public boolean fill(long limitMs) throws IOException {
         if (buffer.hasRemaining()) {
             return true;
         }
         socket.setSoTimeout((int) Math.max(1, Math.min(limitMs, Integer.MAX_VALUE)));
-        stood = pending();
-        int n = socket.getInputStream().read(buffer.array(), 0, buffer.capacity());
-        if (n < 0) {
+        dataWasWaiting = pending();
+        int count = socket.getInputStream().read(buffer.array(), 0, buffer.capacity());
+        if (count < 0) {
             return false;
         }
-        buffer.position(0).limit(n);
+        buffer.position(0).limit(count);
         return true;
     }
 
-    /** Reads until the message is whole; the limit is on all of it. */
+    /** Reads until the message is complete; the limit applies to the whole message. */
     public void receive(HttpParser parser, long limitMs) throws IOException {
         receiveBy(parser, System.nanoTime() + limitMs * 1_000_000, false);
     }
 
     /**
-     * Reads until the message, or only its head, is whole. The time is on the whole of it: guards against
-     * peers that send a byte now and then.
+     * Reads until the message, or only its head, is complete. The limit applies to the whole message and not to each
+     * read, as a peer may send a byte now and then.
      */
     public void receiveBy(HttpParser parser, long endNanos, boolean headOnly) throws IOException {
         while (!parser.feed(buffer) && !(headOnly && parser.headDone())) {
-            long left = (endNanos - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
-                throw new SocketTimeoutException("message not whole in time");
+            long remainingMs = (endNanos - System.nanoTime()) / 1_000_000;
+            if (remainingMs <= 0) {
+                throw new SocketTimeoutException("message incomplete within the time limit");
             }
-            if (!fill(left)) {
+            if (!fill(remainingMs)) {
                 if (parser.endsWithClose()) {
                     return;
                 }
@@ -103,9 +105,9 @@
         }
     }
 
-    /** Writes the bytes in one go, so that head and body share their fate. */
+    /** Writes the bytes with one call, so that head and body are sent together. */
     public void send(byte[] bytes) throws IOException {
-        writingSince = System.nanoTime();
+        writeStartNanos = System.nanoTime();
         writing = true;
         try {
             socket.getOutputStream().write(bytes);
@@ -114,21 +116,21 @@
         }
     }
 
-    /** Closes the connection if a write has lasted longer: guards against a peer that does not read. */
-    public void cutIfStuck(long limitMs) {
-        if (writing && System.nanoTime() - writingSince > limitMs * 1_000_000) {
+    /** Closes the connection if a write has lasted longer than {@code limitMs}, as when the peer does not read. */
+    public void closeIfWriteStalled(long limitMs) {
+        if (writing && System.nanoTime() - writeStartNanos > limitMs * 1_000_000) {
             close();
         }
     }
 
     /**
-     * Whether an idle connection has ended or brought bytes nobody asked for. Guards against a request that
-     * is written to a connection which the peer has closed: it would end as a reset that may have run.
+     * Whether an idle connection has ended or has received unexpected bytes. A request written to a connection that the
+     * peer has closed would end in a reset after which the request may have run.
      */
     public boolean stale() {
         try {
             fill(1);
-            return true; // an end, or bytes out of turn
+            return true; // the end, or unexpected bytes
         } catch (SocketTimeoutException silent) {
             return false;
         } catch (IOException e) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /** Ends the sending only: what was written still arrives. */
+    /** Shuts down the output only; bytes already written are still delivered. */
     public void endSending() {
         try {
             socket.shutdownOutput();
@@ -145,7 +147,7 @@
         }
     }
 
-    /** Makes a blocked or later read see the end. */
+    /** Shuts down the input; a blocked read and all later reads return the end of the stream. */
     public void endReading() {
         try {
             socket.shutdownInput();
@@ -159,7 +161,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // nothing is left to be done with it
+            // the socket cannot be used any more
         }
     }
 }
--- a/src/main/java/maplespread/http/HttpException.java
+++ b/src/main/java/maplespread/http/HttpException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A message that cannot be accepted, with the status that a server answers to it. */
+/** Thrown for a message that cannot be accepted; holds the status with which a server answers it. */
 public final class HttpException extends IOException {
     private static final long serialVersionUID = 1;
     private final int status;
--- a/src/main/java/maplespread/http/HttpHead.java
+++ b/src/main/java/maplespread/http/HttpHead.java
@@ -9,7 +9,8 @@
     String method = "";
     String target = "";
     int status;
-    boolean oldVersion; // HTTP/1.0
+    /** Whether the version is HTTP/1.0. */
+    boolean http10;
 
     public String method() {
         return method;
@@ -23,12 +24,12 @@
         return status;
     }
 
-    /** Name and value of each field, in order, names as they came. */
+    /** Returns the name and value of each field in order, the names as received. */
     public List<String[]> fields() {
         return fields;
     }
 
-    /** The value of a field, or null; a field that stands more than once gives its first value. */
+    /** Returns the first value of a field, or null. */
     public String get(String name) {
         for (String[] f : fields) {
             if (f[0].equalsIgnoreCase(name)) {
@@ -46,7 +47,7 @@
         return n;
     }
 
-    /** Whether a comma-separated field, in any of its lines, lists this token. */
+    /** Whether a comma-separated field contains the token in any of its lines. */
     public boolean lists(String name, String token) {
         for (String[] f : fields) {
             if (f[0].equalsIgnoreCase(name)) {
@@ -62,6 +63,6 @@
 
     /** Whether the connection may carry another message after this one. */
     public boolean keepsAlive() {
-        return oldVersion ? lists("Connection", "keep-alive") : !lists("Connection", "close");
+        return http10 ? lists("Connection", "keep-alive") : !lists("Connection", "close");
     }
 }
--- a/src/main/java/maplespread/http/HttpWriter.java
+++ b/src/main/java/maplespread/http/HttpWriter.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Puts one message together as a single run of bytes. */
+/** Builds one message as a single byte array. */
 public final class HttpWriter {
     private final StringBuilder head = new StringBuilder(256);
 
@@ -23,16 +23,17 @@
         return this;
     }
 
-    /** The whole message, with the body's length stated. */
+    /** Returns the complete message with its Content-Length and body. */
     public byte[] body(byte[] body) {
-        byte[] top = field("Content-Length", Integer.toString(body.length)).bytes();
-        byte[] all = new byte[top.length + body.length];
-        System.arraycopy(top, 0, all, 0, top.length);
-        System.arraycopy(body, 0, all, top.length, body.length);
-        return all;
+        byte[] headBytes =
+                field("Content-Length", Integer.toString(body.length)).bytes();
+        byte[] message = new byte[headBytes.length + body.length];
+        System.arraycopy(headBytes, 0, message, 0, headBytes.length);
+        System.arraycopy(body, 0, message, headBytes.length, body.length);
+        return message;
     }
 
-    /** The whole message, for one that has no body. */
+    /** Returns the complete message without a body. */
     public byte[] bytes() {
         return (head + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/maplespread/http/LineSplitter.java
+++ b/src/main/java/maplespread/http/LineSplitter.java
@@ -3,20 +3,20 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Cuts a streamed body into lines of text; empty ones are handed on too, as signs of life. */
+/** Splits a streamed body into lines of text. Empty lines are delivered too, as heartbeats. */
 public final class LineSplitter implements HttpParser.Body {
-    /** Takes one line. */
+    /** Receives the lines. */
     public interface LineConsumer {
         void take(String line) throws HttpException;
     }
 
-    private final int longest;
-    private final LineConsumer taker;
+    private final int maxLineBytes;
+    private final LineConsumer consumer;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
 
-    public LineSplitter(int longest, LineConsumer taker) {
-        this.longest = longest;
-        this.taker = taker;
+    public LineSplitter(int maxLineBytes, LineConsumer consumer) {
+        this.maxLineBytes = maxLineBytes;
+        this.consumer = consumer;
     }
 
     @Override
@@ -28,11 +28,11 @@
                 start = i + 1;
                 String text = line.toString(StandardCharsets.UTF_8);
                 line.reset();
-                taker.take(text.strip());
+                consumer.take(text.strip());
             }
         }
         line.write(from, start, at + length - start);
-        if (line.size() > longest) {
+        if (line.size() > maxLineBytes) {
             throw new HttpException(413, "line too long");
         }
     }
--- a/src/main/java/maplespread/http/RateLimitedLogger.java
+++ b/src/main/java/maplespread/http/RateLimitedLogger.java
@@ -3,37 +3,41 @@
 import java.util.function.Supplier;
 import org.tinylog.Logger;
 
-/** Lines that a bad peer or a bad hour could cause without end: one a second at most, and how many were held back. */
+/** Logs lines that a faulty peer or an overload could cause without bound: at most one a second, counting the rest. */
 public final class RateLimitedLogger {
     private static final long PERIOD_NANOS = 1_000_000_000L;
     private long lastNanos = System.nanoTime() - PERIOD_NANOS;
-    private int held;
+    private int suppressed;
 
     public void warn(String text) {
-        String line = next(() -> text);
+        String line = nextLine(() -> text);
         if (line != null) {
             Logger.warn("{}", line);
         }
     }
 
-    /** {@code line}: made only where it is written. */
+    /**
+     * Logs a line unless it is suppressed.
+     *
+     * @param line evaluated only if the line is logged
+     */
     public void info(Supplier<?> line) {
-        String text = next(line);
+        String text = nextLine(line);
         if (text != null) {
             Logger.info("{}", text);
         }
     }
 
-    /** The line with the count of those held back; null where it is held back too. */
-    private synchronized String next(Supplier<?> line) {
+    /** Returns the line with the count of lines suppressed before it; null if the line is suppressed too. */
+    private synchronized String nextLine(Supplier<?> line) {
         long now = System.nanoTime();
         if (now - lastNanos < PERIOD_NANOS) {
-            held++;
+            suppressed++;
             return null;
         }
-        String more = held > 0 ? " (and " + held + " like it)" : "";
+        String suffix = suppressed > 0 ? " (and " + suppressed + " like it)" : "";
         lastNanos = now;
-        held = 0;
-        return line.get() + more;
+        suppressed = 0;
+        return line.get() + suffix;
     }
 }
--- a/src/main/java/maplespread/http/package-info.java
+++ b/src/main/java/maplespread/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 over blocking sockets: a parser that takes messages in as they arrive, a writer, a connection with time limits.
- * What is ambiguous is refused. A parser or connection belongs to one thread, but for the calls that end it. Imports nothing
- * of this program.
+ * HTTP/1.1 over blocking sockets: an incremental parser, a writer and a connection with time limits. Ambiguous messages
+ * are rejected. A parser or connection is used by one thread, except for the methods that close it. Imports no other
+ * package of this program.
  */
 package maplespread.http;
--- a/src/main/java/maplespread/worker/AttemptResult.java
+++ b/src/main/java/maplespread/worker/AttemptResult.java
@@ -6,18 +6,17 @@
 import maplespread.http.HttpParser;
 
 /**
- * How an attempt ended. {@link #finish} is to be called once its outcome has been passed on, by the thread that ran the
- * attempt.
+ * The result of an attempt. The thread that ran the attempt calls {@link #finish} once the outcome has been reported.
  */
 public final class AttemptResult {
-    /** Milliseconds for the final chunk after the final line. */
+    /** Time limit in milliseconds for the final chunk after the final line. */
     private static final long FINAL_CHUNK_MS = 50;
 
-    /** How it ended. */
+    /** How the attempt ended. */
     public final Outcome outcome;
-    /** The worker's result; null unless it served. */
+    /** The worker's result; null unless the request was served. */
     public final byte[] body;
-    /** The load report that came with it, or null. */
+    /** The load report that came with the response, or null. */
     public final WorkerLoad load;
 
     private final ConnectionPool pool;
@@ -39,12 +38,12 @@
         this.parser = parser;
     }
 
-    /** One whose connection carries no other request. */
+    /** Returns a result whose connection is not used again. */
     static AttemptResult of(Outcome outcome) {
         return new AttemptResult(outcome, null, null, null, null, null);
     }
 
-    /** One whose connection may carry another request, once its response is whole. */
+    /** Returns a result whose connection may be used again once its response is complete. */
     static AttemptResult of(
             Outcome outcome,
             byte[] body,
@@ -55,19 +54,19 @@
         return new AttemptResult(outcome, body, load, pool, connection, parser);
     }
 
-    /** Keeps the connection where the response ends with its whole final chunk in time, else closes it. */
+    /** Returns the connection to the pool if the response's final chunk arrives in time, and closes it otherwise. */
     public void finish() {
         if (connection == null) {
             return;
         }
-        if (endsWhole()) {
+        if (isResponseComplete()) {
             pool.release(connection);
         } else {
             pool.close(connection);
         }
     }
 
-    private boolean endsWhole() {
+    private boolean isResponseComplete() {
         try {
             connection.connection.receive(parser, FINAL_CHUNK_MS);
         } catch (IOException e) {
--- a/src/main/java/maplespread/worker/AttemptRunner.java
+++ b/src/main/java/maplespread/worker/AttemptRunner.java
@@ -21,11 +21,11 @@
 import maplespread.policy.EndpointListState;
 
 /**
- * Runs attempts: one request to one worker each, sent once and never again by itself. An attempt runs on its caller's
- * thread; any thread may cancel it.
+ * Runs attempts: each sends one request to one worker, once, and is never repeated by this class. An attempt runs on
+ * its caller's thread; any thread may cancel it.
  */
 public final class AttemptRunner {
-    /** Bytes of a line: a result of 64 KiB, escaped. */
+    /** Maximum length of a line in bytes: room for a result of 64 KiB, escaped. */
     private static final int MAX_LINE_BYTES = 256 * 1024;
 
     private static final long MAX_RESPONSE_BYTES = 1 << 20;
@@ -39,7 +39,7 @@
     private final RateLimitedLogger unconfirmedLog = new RateLimitedLogger();
     private final Map<Attempt, RunningAttempt> running = new ConcurrentHashMap<>();
 
-    /** Runs attempts over the pool's connections and reports their progress to the decisions. */
+    /** Creates a runner that uses the pool's connections and reports progress to the decision service. */
     public AttemptRunner(Supplier<Config> config, ConnectionPool pool, DecisionService decisions, Metrics metrics) {
         this.config = config;
         this.pool = pool;
@@ -47,24 +47,24 @@
         this.metrics = metrics;
     }
 
-    /** Gives an attempt up by closing its connection; it still returns a result. */
+    /** Cancels an attempt by closing its connection; {@link #run} still returns a result. */
     public void cancel(Attempt attempt) {
-        RunningAttempt found = running.get(attempt);
-        if (found != null) {
-            found.cancel();
+        RunningAttempt state = running.get(attempt);
+        if (state != null) {
+            state.cancel();
         }
     }
 
-    /** Cuts off attempts past their deadlines whose workers do not take the request in: no read limit ends a write. */
+    /** Closes the connections of attempts past their deadlines that are still writing: writes have no time limit. */
     public void sweep() {
         running.forEach((attempt, state) -> {
             if (remainingMs(attempt) < 0) {
-                state.cutIfStuck();
+                state.closeIfWriteStalled();
             }
         });
     }
 
-    /** Sends the request and blocks until the attempt's end, at most until the request's deadline. */
+    /** Sends the request and blocks until the attempt ends, at most until the request's deadline. */
     public AttemptResult run(Attempt attempt, WorkerRequest request) {
         RunningAttempt state = new RunningAttempt();
         running.put(attempt, state);
@@ -84,7 +84,7 @@
             return AttemptResult.of(state.cancelled() ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
         state.use(connection.connection);
-        // Asked again: a drain that was notified while the connection came up allows nothing new to that worker.
+        // Checked again, as a drain notified while the connection was established forbids new requests to the worker.
         long remainingMs = remainingMs(attempt);
         SendCheck check = decisions.checkSend(attempt);
         if (check != SendCheck.ALLOWED || state.cancelled() || remainingMs <= 0) {
@@ -105,16 +105,16 @@
     }
 
     private void logNotSent(Attempt attempt, WorkerRequest request, SendCheck check, boolean cancelled) {
-        Object why = check;
+        Object notSentReason = check;
         if (check == SendCheck.ALLOWED) {
-            why = cancelled ? "CANCELLED" : "OUT_OF_TIME";
+            notSentReason = cancelled ? "CANCELLED" : "OUT_OF_TIME";
         }
-        Object reason = why;
+        Object reason = notSentReason;
         notSentLog.info(
                 () -> Event.of("attempt.not_sent", "request", request.id(), "worker", attempt.worker(), "why", reason));
     }
 
-    /** Writes the request once; returns how the attempt ended where its last byte was never written, else null. */
+    /** Writes the request once; returns the attempt's outcome if the last byte was not written, otherwise null. */
     private Outcome send(
             Attempt attempt,
             WorkerRequest request,
@@ -129,7 +129,7 @@
             connection.connection.send(head.body(request.body()));
         } catch (IOException e) {
             pool.close(connection);
-            if (state.cancelled()) { // cut off here: it tells nothing of the worker
+            if (state.cancelled()) { // closed by this dispatcher, so no sign of a fault of the worker
                 return Outcome.NEVER_SENT;
             }
             pool.recordUse(connection, true);
@@ -158,22 +158,22 @@
         ResponseWait wait = new ResponseWait(attempt);
         try {
             while (lines.outcome == null) {
-                boolean whole = parser.feed(connection.connection.buffer());
+                boolean complete = parser.feed(connection.connection.buffer());
                 if (parser.headDone() && parser.head().status() != 200) {
                     return rejection(connection, parser);
                 }
                 if (lines.outcome != null) {
                     break;
                 }
-                if (whole) { // the response ended before its final line
+                if (complete) { // the response ended before its final line
                     pool.close(connection);
                     return AttemptResult.of(Outcome.RESET);
                 }
                 if (!connection.connection.fill(wait.remainingMs())) {
-                    return broken(connection, wait.heard);
+                    return connectionBroken(connection, wait.received);
                 }
-                if (!wait.heard) {
-                    wait.heard = true;
+                if (!wait.received) {
+                    wait.received = true;
                     pool.recordUse(connection, false);
                 }
             }
@@ -188,20 +188,21 @@
                 pool.close(connection);
                 return AttemptResult.of(Outcome.CANCELLED);
             }
-            return broken(connection, wait.heard);
+            return connectionBroken(connection, wait.received);
         }
     }
 
-    /** How long the next bytes of a response may take. */
+    /** The time limit for the next bytes of a response. */
     private final class ResponseWait {
         private final Attempt attempt;
         private final long firstByteByMs;
-        /** Whether any byte has come. */
-        private boolean heard;
+        /** Whether any byte has been received. */
+        private boolean received;
 
         /**
-         * A worker's head comes when it has taken the request, long before the end: without it the connection or the
-         * worker is silent. Only what may be repeated can be given up for that.
+         * A worker sends the head of its response when it has accepted the request, long before the end. If the head is
+         * missing, the connection or the worker is unresponsive. Only attempts that may be repeated time out for that
+         * reason.
          */
         ResponseWait(Attempt attempt) {
             this.attempt = attempt;
@@ -212,7 +213,7 @@
 
         long remainingMs() throws SocketTimeoutException {
             long remainingMs = AttemptRunner.this.remainingMs(attempt);
-            if (!heard) {
+            if (!received) {
                 remainingMs = Math.min(remainingMs, firstByteByMs - nowMs());
             }
             if (remainingMs <= 0) {
@@ -222,7 +223,7 @@
         }
     }
 
-    /** Only a marked 503 or 504 proves that the request never ran. */
+    /** Returns the result for a status other than 200. Only a marked 503 or 504 proves that the request never ran. */
     private AttemptResult rejection(ConnectionPool.PooledConnection connection, HttpParser parser) {
         HttpHead head = parser.head();
         boolean marked = "1".equals(head.get("X-Turned-Away"));
@@ -243,18 +244,18 @@
             return AttemptResult.of(Outcome.CANCELLED);
         }
         if (connection.reused) {
-            pool.recordUnexpectedBytes(); // they may belong to the response before
+            pool.recordUnexpectedBytes(); // the bytes may belong to the previous response
         }
-        malformedLog.warn("malformed answer of worker " + attempt.worker() + ": " + error.getMessage());
+        malformedLog.warn("malformed response from worker " + attempt.worker() + ": " + error.getMessage());
         return AttemptResult.of(Outcome.RESET);
     }
 
-    private AttemptResult broken(ConnectionPool.PooledConnection connection, boolean heard) {
+    private AttemptResult connectionBroken(ConnectionPool.PooledConnection connection, boolean received) {
         pool.close(connection);
-        if (!heard) {
+        if (!received) {
             pool.recordUse(connection, true);
         }
-        return AttemptResult.of(connection.reused && !heard ? Outcome.STALE_CONNECTION_RESET : Outcome.RESET);
+        return AttemptResult.of(connection.reused && !received ? Outcome.STALE_CONNECTION_RESET : Outcome.RESET);
     }
 
     private static long nowMs() {
--- a/src/main/java/maplespread/worker/ConnectionPool.java
+++ b/src/main/java/maplespread/worker/ConnectionPool.java
@@ -13,22 +13,24 @@
 import maplespread.http.HttpConnection;
 
 /**
- * The connections to workers: each carries one request at a time; idle ones wait here for the next. Idle ones may use what
- * those in use leave of the descriptors that are for both, as a new connection costs a handshake, at the worker too; a new
- * one beyond that closes the one that has idled longest. Thread-safe; connects and closes outside its monitor.
+ * The connections to workers. Each connection carries one request at a time; idle connections are kept for the next
+ * request, as a new connection costs a handshake, also at the worker. Connections in use and idle connections share a
+ * limit on descriptors: idle connections may use what those in use leave, and a new connection beyond the limit closes
+ * the one idle longest. Thread-safe; connects and closes outside its monitor.
  */
 public final class ConnectionPool {
-    /** A connection, and what the pool knows of it. */
+    /** A connection and its state in the pool. */
     static final class PooledConnection {
         final HttpConnection connection;
         final String address;
-        /** It has carried a request before. */
+        /** Whether the connection has carried a request before. */
         boolean reused;
-        /** It counts among those in use. */
+        /** Whether the connection counts as in use. */
         boolean inUse = true;
 
+        /** The time at which the connection last became idle. */
         long idleSinceNanos;
-        /** How long it had idled before its present use. */
+        /** How long the connection was idle before its current use. */
         long idledNanos;
 
         PooledConnection(HttpConnection connection, String address) {
@@ -37,7 +39,7 @@
         }
     }
 
-    /** Makes connections: the system's way, or a test's that has them come late. */
+    /** Opens connections; tests substitute one that delays them. */
     public interface Dialer {
         /** Connects within {@code limitMs} milliseconds. */
         HttpConnection dial(InetSocketAddress to, long limitMs) throws IOException;
@@ -45,11 +47,11 @@
 
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long MIN_TRUSTED_IDLE_NANOS = 100_000_000L;
-    /** Share by which one use moves the estimate of how many reused connections break: about thirty uses count. */
+    /** Weight of one use in the moving average of the break share, so that about thirty uses count. */
     private static final double BREAK_ESTIMATE_STEP = 0.03;
-    /** Share of broken reused connections from which on they are not used for what must not run twice. */
+    /** Break share above which reused connections do not carry requests that must not run twice. */
     private static final double MAX_TRUSTED_BREAK_SHARE = 0.01;
-    /** The trusted idle time grows by one part in this many with each use that did not break. */
+    /** Divisor of the trusted idle time; the quotient is added to it after each use that did not break. */
     private static final int TRUST_GROWTH_DIVISOR = 50;
 
     private final Supplier<Config> config;
@@ -57,19 +59,24 @@
     private final Dialer dialer;
     private final Map<String, ArrayDeque<PooledConnection>> idle = new HashMap<>();
     private int idleCount;
-    /** Those in use, or being connected. */
+    /** Number of connections in use or being established. */
     private int inUseCount;
-    /** How long an idle connection is trusted not to have been closed by the other side. */
+    /** How long an idle connection is assumed not to have been closed by the other side. */
     private long trustedIdleNanos;
 
+    /** Moving average of the share of reused connections that broke, 0 to 1. */
     private double breakShare;
 
-    /** {@code limits}: how much may be held at present. */
+    /**
+     * Creates an empty pool.
+     *
+     * @param limits the limits in force
+     */
     public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> limits) {
         this(config, limits, HttpConnection::dial);
     }
 
-    /** With another way to make connections. */
+    /** Creates an empty pool whose connections are opened by {@code dialer}. */
     public ConnectionPool(Supplier<Config> config, Supplier<Config.Limits> limits, Dialer dialer) {
         this.config = config;
         this.limits = limits;
@@ -82,8 +89,11 @@
     }
 
     /**
-     * An idle connection to the address, the one used last, or a new one; connects within {@code limitMs}. {@code
-     * atMostOnce}: what it is for must not run twice, so a reused one will not do while such break under requests.
+     * Returns the most recently used idle connection to the address, or a new one.
+     *
+     * @param limitMs the time limit for connecting in milliseconds
+     * @param atMostOnce whether the request must not run twice; such a request gets no reused connection while those
+     * break
      */
     PooledConnection acquire(String address, long limitMs, boolean atMostOnce) throws IOException {
         PooledConnection reusable = takeUsable(address, atMostOnce);
@@ -91,26 +101,26 @@
     }
 
     private PooledConnection takeUsable(String address, boolean atMostOnce) {
-        while (!(atMostOnce && reusedOnesBreak())) {
-            PooledConnection found = takeIdle(address);
-            if (found == null) {
+        while (!(atMostOnce && areReusedConnectionsUnreliable())) {
+            PooledConnection candidate = takeIdle(address);
+            if (candidate == null) {
                 return null;
             }
-            found.idledNanos = System.nanoTime() - found.idleSinceNanos;
-            if (found.idledNanos < trustedIdleNanos() && !found.connection.stale()) {
-                return found;
+            candidate.idledNanos = System.nanoTime() - candidate.idleSinceNanos;
+            if (candidate.idledNanos < trustedIdleNanos() && !candidate.connection.stale()) {
+                return candidate;
             }
-            if (found.connection.buffer().hasRemaining()) {
+            if (candidate.connection.buffer().hasRemaining()) {
                 recordUnexpectedBytes();
             }
-            close(found);
+            close(candidate);
         }
         return null;
     }
 
     private PooledConnection connect(String address, long limitMs) throws IOException {
         InetSocketAddress target = EndpointParser.parseAddress(address);
-        PooledConnection evicted = beginConnecting();
+        PooledConnection evicted = beginConnect();
         if (evicted != null) {
             evicted.connection.close();
         }
@@ -118,7 +128,7 @@
             long dialMs = Math.min(limitMs, config.get().times().dialMs());
             return new PooledConnection(dialer.dial(target, dialMs), address);
         } catch (IOException | RuntimeException | Error e) {
-            connectingFailed();
+            connectFailed();
             throw e;
         }
     }
@@ -148,48 +158,48 @@
         return removed;
     }
 
-    /** Counts a new connection; returns the longest idle one where there would be too many, to be closed for it. */
-    private synchronized PooledConnection beginConnecting() {
+    /** Counts a new connection; returns the connection idle longest, to be closed, if there would be too many. */
+    private synchronized PooledConnection beginConnect() {
         inUseCount++;
         if (idleCount <= idleCapacity()) {
             return null;
         }
         String address = null;
-        long sinceNanos = 0;
+        long oldestSinceNanos = 0;
         for (Map.Entry<String, ArrayDeque<PooledConnection>> entry : idle.entrySet()) {
             long oldestNanos = entry.getValue().peekFirst().idleSinceNanos;
-            if (address == null || oldestNanos < sinceNanos) {
+            if (address == null || oldestNanos < oldestSinceNanos) {
                 address = entry.getKey();
-                sinceNanos = oldestNanos;
+                oldestSinceNanos = oldestNanos;
             }
         }
         return address == null ? null : removeIdle(address, true);
     }
 
-    /** How many may be idle beside those in use. */
+    /** Returns how many connections may be idle in addition to those in use. */
     private int idleCapacity() {
-        Config.Limits present = limits.get();
-        return Math.max(present.idleWorkerConnections(), present.workerConnections() - inUseCount);
+        Config.Limits currentLimits = limits.get();
+        return Math.max(currentLimits.idleWorkerConnections(), currentLimits.workerConnections() - inUseCount);
     }
 
-    private synchronized void connectingFailed() {
+    private synchronized void connectFailed() {
         inUseCount--;
     }
 
-    /** Closes a connection that {@link #acquire} gave and that carries no more; again, it does nothing. */
+    /** Closes a connection acquired with {@link #acquire}; without effect on a connection closed before. */
     void close(PooledConnection connection) {
         connection.connection.close();
         synchronized (this) {
-            noLongerInUse(connection);
+            markUnused(connection);
         }
     }
 
-    private void noLongerInUse(PooledConnection connection) {
+    private void markUnused(PooledConnection connection) {
         inUseCount -= connection.inUse ? 1 : 0;
         connection.inUse = false;
     }
 
-    private synchronized boolean reusedOnesBreak() {
+    private synchronized boolean areReusedConnectionsUnreliable() {
         return breakShare > MAX_TRUSTED_BREAK_SHARE;
     }
 
@@ -198,9 +208,9 @@
     }
 
     /**
-     * Learns from a request on a reused connection whether it broke before a byte came back. Workers, and machines
-     * between, may close idle connections sooner than the settings say; such a request may have run. The trusted idle
-     * time halves at a break and grows back slowly.
+     * Records whether a request on a reused connection broke before a byte of the response arrived. Workers and network
+     * devices in between may close idle connections earlier than the settings say, and such a request may have run. The
+     * trusted idle time is halved after a break and grows back slowly.
      */
     synchronized void recordUse(PooledConnection connection, boolean broke) {
         if (!connection.reused) {
@@ -217,18 +227,19 @@
     }
 
     /**
-     * Bytes came on a reused connection that nobody had asked for. A rejection names no request: one that follows
-     * another response, and comes a moment later, would prove of the next request that it never ran. So what must not
-     * run twice gets new connections for a while, as where reused ones break.
+     * Records that unexpected bytes arrived on a reused connection. A rejection does not identify its request: a
+     * rejection that arrives late, after another response, would be read as proof that the next request never ran.
+     * Requests that must not run twice therefore get new connections for a while, as after breaks of reused
+     * connections.
      */
     synchronized void recordUnexpectedBytes() {
         breakShare = (1 - BREAK_ESTIMATE_STEP) * breakShare + BREAK_ESTIMATE_STEP;
     }
 
-    /** Takes a connection back after a whole response. */
+    /** Returns a connection to the pool after a complete response. */
     void release(PooledConnection connection) {
         synchronized (this) {
-            noLongerInUse(connection);
+            markUnused(connection);
             if (idleCount < idleCapacity()) {
                 connection.idleSinceNanos = System.nanoTime();
                 connection.reused = true;
@@ -242,8 +253,9 @@
     }
 
     /**
-     * Closes what has idled for two thirds of the time after which a worker's machine closes it (a request written after
-     * that ends as a reset that may have run), and what leads to a worker no longer listed.
+     * Closes the connections to workers that are no longer listed, and those that have been idle for two thirds of the
+     * time after which a worker's host closes them: a request written later ends in a reset after which it may have
+     * run.
      */
     public void closeExpired(Collection<String> listedAddresses) {
         ArrayDeque<PooledConnection> expired = new ArrayDeque<>();
--- a/src/main/java/maplespread/worker/PeerForwarder.java
+++ b/src/main/java/maplespread/worker/PeerForwarder.java
@@ -9,24 +9,24 @@
 import maplespread.http.HttpWriter;
 
 /**
- * Forwards a request to another dispatcher as a client would: sent once, and never again by itself. Blocks its caller's
- * thread; any thread may cancel.
+ * Forwards a request to another dispatcher, as a client would, once and without retries. Blocks its caller's thread;
+ * any thread may cancel.
  */
 public final class PeerForwarder {
     private static final long MAX_RESPONSE_BYTES = 1 << 20;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** How forwarding ended. */
+    /** How the forwarding ended. */
     public enum Status {
-        /** The peer answered. */
+        /** The peer responded. */
         ANSWERED,
-        /** No whole request has reached the peer: it never ran, a retry is safe. */
+        /** No complete request has reached the peer: the request never ran, and a retry is safe. */
         NOT_SENT,
-        /** It may have run. */
+        /** The request may have run. */
         LOST
     }
 
-    /** What came of it; the parts of a response only where the peer answered. */
+    /** The result of forwarding a request; it holds a response only if the peer responded. */
     public record Result(Status status, int httpStatus, List<String[]> fields, byte[] body) {
         private static Result unanswered(Status status) {
             return new Result(status, 0, List.of(), new byte[0]);
@@ -36,12 +36,12 @@
     private final ConnectionPool pool;
     private final Map<Object, ConnectionPool.PooledConnection> running = new ConcurrentHashMap<>();
 
-    /** Forwards over the pool's connections. */
+    /** Creates a forwarder that uses the pool's connections. */
     public PeerForwarder(ConnectionPool pool) {
         this.pool = pool;
     }
 
-    /** Ends a forwarding whose client has left: the peer sees its client leave. */
+    /** Cancels the forwarding of a request whose client has left; the peer detects that its own client has left. */
     public void cancel(Object handle) {
         ConnectionPool.PooledConnection connection = running.get(handle);
         if (connection != null) {
@@ -49,7 +49,11 @@
         }
     }
 
-    /** Blocks for {@code limitMs} milliseconds at most; {@code handle}: by which {@link #cancel} finds it. */
+    /**
+     * Forwards a request and blocks for at most {@code limitMs} milliseconds.
+     *
+     * @param handle identifies the request for {@link #cancel}
+     */
     public Result run(Object handle, String address, HttpWriter request, byte[] body, long limitMs) {
         long endNanos = System.nanoTime() + limitMs * NANOS_PER_MS;
         ConnectionPool.PooledConnection connection;
@@ -63,7 +67,7 @@
         try {
             try {
                 connection.connection.send(request.body(body));
-            } catch (IOException e) { // its last byte was never written
+            } catch (IOException e) { // the last byte was not written
                 pool.recordUse(connection, true);
                 return Result.unanswered(Status.NOT_SENT);
             }
--- a/src/main/java/maplespread/worker/Prober.java
+++ b/src/main/java/maplespread/worker/Prober.java
@@ -13,25 +13,25 @@
 import maplespread.http.HttpParser;
 import maplespread.http.HttpWriter;
 
-/** Probes a worker for its load report and hands on what came of it. Blocks its caller's thread. */
+/** Probes a worker for its load report and reports the result to the decision service. Blocks its caller's thread. */
 public final class Prober {
-    /** Bytes of a response. */
+    /** Maximum size of a response in bytes. */
     private static final int MAX_RESPONSE_BYTES = 16 * 1024;
 
     private final Supplier<Config> config;
     private final ConnectionPool pool;
     private final DecisionService decisions;
 
-    /** Probes over the pool's connections. */
+    /** Creates a prober that uses the pool's connections. */
     public Prober(Supplier<Config> config, ConnectionPool pool, DecisionService decisions) {
         this.config = config;
         this.pool = pool;
         this.decisions = decisions;
     }
 
-    /** Probes once; every probe ends in one report to the decisions. */
+    /** Sends one probe; every probe ends with exactly one report to the decision service. */
     public void probe(Action.Probe probe) {
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         WorkerLoad load = null;
         Outcome outcome;
         ConnectionPool.PooledConnection connection = null;
@@ -52,12 +52,12 @@
             }
         } catch (SocketTimeoutException e) {
             outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
-        } catch (IOException | RuntimeException | Error e) { // unreported, the policy would wait for ever
+        } catch (IOException | RuntimeException | Error e) { // without a report the policy would wait for ever
             outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.RESET;
         }
         if (connection != null) {
             pool.close(connection);
         }
-        decisions.reportProbeEnded(probe, outcome, (System.nanoTime() - start) / 1e6, load);
+        decisions.reportProbeEnded(probe, outcome, (System.nanoTime() - startNanos) / 1e6, load);
     }
 }
--- a/src/main/java/maplespread/worker/RunningAttempt.java
+++ b/src/main/java/maplespread/worker/RunningAttempt.java
@@ -2,20 +2,20 @@
 
 import maplespread.http.HttpConnection;
 
-/** An attempt in flight, as far as other threads may end it. Guarded by its own monitor. */
+/** The state of an attempt in flight through which other threads can end it. Guarded by its own monitor. */
 final class RunningAttempt {
     private HttpConnection connection;
     private boolean cancelled;
 
-    /** The connection that it goes over from now on; closed at once where the attempt was cancelled before. */
-    synchronized void use(HttpConnection used) {
-        connection = used;
+    /** Sets the attempt's connection; closes the connection at once if the attempt was cancelled before. */
+    synchronized void use(HttpConnection newConnection) {
+        connection = newConnection;
         if (cancelled) {
-            used.close();
+            newConnection.close();
         }
     }
 
-    /** Closes its connection, which wakes the thread that waits on it. */
+    /** Closes the attempt's connection, which wakes the thread that waits on it. */
     synchronized void cancel() {
         cancelled = true;
         if (connection != null) {
@@ -23,10 +23,10 @@
         }
     }
 
-    /** Ends a write that the worker does not take in; a read ends by its own limit. */
-    synchronized void cutIfStuck() {
+    /** Closes the connection if a write is in progress, as when the worker does not read; reads have time limits. */
+    synchronized void closeIfWriteStalled() {
         if (connection != null) {
-            connection.cutIfStuck(0);
+            connection.closeIfWriteStalled(0);
         }
     }
 
--- a/src/main/java/maplespread/worker/WorkerStreamReader.java
+++ b/src/main/java/maplespread/worker/WorkerStreamReader.java
@@ -11,17 +11,17 @@
 import maplespread.http.HttpException;
 
 /**
- * Reads the lines in which a worker reports on one request, and load reports. One request's lines are read by one thread.
+ * Parses the lines in which a worker reports on one request, and load reports. Used by one thread.
  */
 final class WorkerStreamReader {
-    /** Notified when the request has started at its worker (share 0), or has done a share of its work, 0 to 1. */
+    /** Notified when the worker has started the request (share 0), or has completed a share of its work, 0 to 1. */
     interface ProgressListener {
         void progressed(boolean started, double share);
     }
 
     private static final String TEXT_PREFIX = "TEXT ";
 
-    /** The wire and the settings name some figures differently; the settings' names count. */
+    /** Names in the settings of the figures that have another name on the wire, by the name on the wire. */
     private static final Map<String, String> SETTINGS_NAMES =
             Map.of("inflight", "active", "queue", "waiting", "util", "cpu", "latency_ms", "avg_ms", "eps", "err_rps");
 
@@ -29,7 +29,7 @@
     private final ProgressListener listener;
     /** How the request ended; null until its final line. */
     Outcome outcome;
-    /** The result; null unless it served. */
+    /** The result; null unless the request was served. */
     byte[] result;
     /** The load report of the final line, or null. */
     WorkerLoad load;
@@ -39,7 +39,11 @@
         this.listener = listener;
     }
 
-    /** Takes one line; an {@link HttpException} where it cannot be read, or is of another request. */
+    /**
+     * Handles one line.
+     *
+     * @throws HttpException if the line is malformed or belongs to another request
+     */
     void line(String text) throws HttpException {
         if (text.isEmpty() || outcome != null) {
             return;
@@ -47,7 +51,7 @@
         try {
             JsonObject line = JsonParser.parseString(text).getAsJsonObject();
             if (!line.get("id").getAsString().equals(id)) {
-                throw new HttpException(502, "a line of another job");
+                throw new HttpException(502, "line of another request");
             }
             switch (line.get("state").getAsString()) {
                 case "started" -> listener.progressed(true, 0);
@@ -59,12 +63,12 @@
                 case "failed" -> outcome = Outcome.ERROR;
                 case "returned" -> outcome = Outcome.REJECTED;
                 case "lost" -> outcome = Outcome.RESET;
-                default -> throw new HttpException(502, "an unknown state");
+                default -> throw new HttpException(502, "unknown state in a line");
             }
             if (outcome != null && line.has("load") && line.get("load").isJsonObject()) {
                 load = loadOf(line.getAsJsonObject("load"));
             }
-        } catch (RuntimeException e) { // Gson has several for what is malformed
+        } catch (RuntimeException e) { // Gson throws several types for malformed input
             throw new HttpException(502, "malformed line");
         }
     }
@@ -73,7 +77,7 @@
         return result.isJsonPrimitive() ? result.getAsString() : result.toString();
     }
 
-    /** A report as a body or a header: an object, or TEXT name=value, ...; null where it is neither. */
+    /** Parses the load report of a body or a header, a JSON object or TEXT name=value, ...; null if it is neither. */
     static WorkerLoad load(String text) {
         if (text == null || text.isBlank()) {
             return null;
@@ -81,7 +85,7 @@
         String plain = text.strip();
         try {
             return plain.startsWith("{") ? fromJson(plain) : fromText(plain);
-        } catch (RuntimeException e) { // Gson has several for what is malformed
+        } catch (RuntimeException e) { // Gson throws several types for malformed input
             return null;
         }
     }
