--- a/src/test/java/maplespread/DeployTest.java
+++ b/src/test/java/maplespread/DeployTest.java
@@ -7,9 +7,9 @@
 import org.junit.Test;
 
 public class DeployTest {
-    /** Guards the quick start: run must name the class archive that the build makes. */
+    /** The run command must name the class archive that the build creates; otherwise the start loads no archive. */
     @Test
-    public void runTakesTheArchiveThatTheBuildMakes() throws Exception {
+    public void runUsesTheArchiveThatTheBuildCreates() throws Exception {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         String script = Files.readString(Path.of("deploy/archive.sh"));
         assertTrue(deploy, deploy.contains("&& sh deploy/archive.sh\""));
--- a/src/test/java/maplespread/GoldenOutput.java
+++ b/src/test/java/maplespread/GoldenOutput.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 
 /**
- * Compares text that is seen outside the process with a file under {@code src/test/resources/golden}. Run with
- * {@code -Dgolden.record=true} a test writes its file and fails, so that nothing passes by recording.
+ * Compares text that is visible outside the process with a file under {@code src/test/resources/golden}. With
+ * {@code -Dgolden.record=true} a test writes its file and then fails, so that no test passes by recording.
  */
 public final class GoldenOutput {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
--- a/src/test/java/maplespread/LayersTest.java
+++ b/src/test/java/maplespread/LayersTest.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The layers, as the packages' own pages state them. */
+/** Checks the dependencies between packages that their package-info files state. */
 class LayersTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void onlyTheWayInKnowsTheCommandLine() {
+    void onlyTheEntryPointDependsOnTheCommandLine() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("maplespread.cli..")
@@ -57,9 +57,9 @@
                 .check(ALL);
     }
 
-    /** One place names the optional parts, so that one that is off cannot be loaded by another way. */
+    /** Only one package names the optional features, so that no other code can load a feature that is off. */
     @Test
-    void thePartsAreNamedInOnePlaceAndKnowNoServer() {
+    void featuresAreNamedInOnePackageAndDoNotDependOnTheServer() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("maplespread.feature")
@@ -76,10 +76,10 @@
                 .check(ALL);
     }
 
-    /** What decides has no sockets, files, clock or threads: it is driven by events and tested with seeds. */
+    /** Decision code has no sockets, files, clock or threads: events drive it, and tests run it with seeds. */
     @Test
-    void whatDecidesDoesNoInputOrOutput() {
-        String[] pure = {
+    void decisionCodeDoesNoInputOrOutput() {
+        String[] decisionPackages = {
             "maplespread.policy",
             "maplespread.registry",
             "maplespread.registry.wire",
@@ -96,7 +96,7 @@
         };
         noClasses()
                 .that()
-                .resideInAnyPackage(pure)
+                .resideInAnyPackage(decisionPackages)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -113,7 +113,7 @@
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAnyPackage(pure)
+                .resideInAnyPackage(decisionPackages)
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(
@@ -127,7 +127,7 @@
         for (String clock : List.of("currentTimeMillis", "nanoTime")) {
             noClasses()
                     .that()
-                    .resideInAnyPackage(pure)
+                    .resideInAnyPackage(decisionPackages)
                     .should()
                     .callMethod(System.class, clock)
                     .check(ALL);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void theModuleKnowsNoHostAndTheFacadeNoProtocol() {
+    void thePolicyDependsOnNoOtherPackageAndTheFacadeOnNoProtocol() {
         classes()
                 .that()
                 .resideInAPackage("maplespread.policy")
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void sourcesOfRoutesAreEnteredByOneInterface() {
+    void endpointSourcesAreReachedByOneInterface() {
         noClasses()
                 .that()
                 .resideInAnyPackage("maplespread.caller..", "maplespread.worker..", "maplespread.facade..")
@@ -163,9 +163,9 @@
                 .check(ALL);
     }
 
-    /** Order is entered by one interface: who serves clients knows nothing of slots, leases and the group. */
+    /** The code that serves clients reaches ordering by one interface, without slots, leases or the group. */
     @Test
-    void orderIsEnteredByOneInterface() {
+    void orderingIsReachedByOneInterface() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -183,9 +183,9 @@
                 .check(ALL);
     }
 
-    /** Each package says what it owns, on which threads, and what it may import. */
+    /** Each package has a package-info that states what it owns, its threads and what it may import. */
     @Test
-    void packagesSayWhatTheyOwn() throws IOException {
+    void everyPackageHasAPackageInfo() throws IOException {
         Path root = Path.of("src/main/java/maplespread");
         List<Path> lacking = new ArrayList<>();
         int packages = 0;
@@ -206,9 +206,9 @@
         assertTrue(packages >= 44, () -> "the packages were found");
     }
 
-    /** A rule over a package that is gone would hold for ever. */
+    /** A rule about a package that no longer exists would always pass. */
     @Test
-    void theRulesNamePackagesThatExist() throws IOException {
+    void rulesNameExistingPackages() throws IOException {
         String rules = Files.readString(Path.of("src/test/java/maplespread/LayersTest.java"));
         Matcher names =
                 Pattern.compile("\"(maplespread(?:\\.[a-z]+)+)(?:\\.\\.)?\"").matcher(rules);
--- a/src/test/java/maplespread/NamesTest.java
+++ b/src/test/java/maplespread/NamesTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** One program serves any deployment: the names of classes and tenants come from the settings alone. */
+/** The program is independent of the deployment: names of classes and tenants come only from the settings. */
 class NamesTest {
     private static final Pattern TOML = Pattern.compile("\\[\\[(?:class|tenant)]]\\s+name = \"([^\"]+)\"");
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Of the example's settings and of the deployments that are kept here. */
+    /** Returns the names in the example's settings and in the deployments of this repository. */
     private static Set<String> names() throws Exception {
         Set<String> names = new TreeSet<>();
         var settings = JsonParser.parseString(Files.readString(Path.of("example/config.json")))
@@ -48,12 +48,12 @@
     }
 
     @Test
-    void noDeploymentsNameStandsInWhatServeLoads() throws Exception {
+    void noCodeLoadedByServeNamesADeploymentsClassOrTenant() throws Exception {
         Set<String> names = names();
         assertTrue(names.size() > 8, () -> "names were found: " + names);
         List<String> found = new ArrayList<>();
         for (Path file : files("src/main/java", ".java")) {
-            if (file.toString().contains("/lab/")) { // examples and measurements, never loaded
+            if (file.toString().contains("/lab/")) { // examples and measurements, which serve never loads
                 continue;
             }
             Matcher m = LITERAL.matcher(Files.readString(file));
--- a/src/test/java/maplespread/PagesTest.java
+++ b/src/test/java/maplespread/PagesTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages for readers of the code name classes, members and packages that exist. */
+/** Checks that the documentation names only classes, members and packages that exist. */
 class PagesTest {
     private static final Path SOURCES = Path.of("src/main/java");
     private static final Pattern CODE = Pattern.compile("`([^`\n]+)`");
@@ -43,7 +43,7 @@
         return types;
     }
 
-    /** Whether a page's word in code style names a type or package that does not exist. */
+    /** Whether a word in code style names a type, member or package that does not exist. */
     private static boolean missing(String word, Set<String> types) {
         if (PACKAGE.matcher(word).matches()) {
             return !Files.isDirectory(SOURCES.resolve(word.replace('.', '/')));
@@ -96,13 +96,13 @@
     }
 
     @Test
-    void theArchitectureNamesWhatExists() throws IOException {
+    void architecturePageNamesExistingCode() throws IOException {
         assertEquals(List.of(), missingIn(Files.readAllLines(Path.of("docs/architecture.md"))));
     }
 
-    /** The old names stand without code style. */
+    /** Former names in the glossary are not in code style, so they are not checked. */
     @Test
-    void theGlossaryNamesWhatExists() throws IOException {
+    void glossaryNamesExistingCode() throws IOException {
         assertEquals(List.of(), missingIn(Files.readAllLines(Path.of("docs/glossary.md"))));
     }
 }
--- a/src/test/java/maplespread/PlainStartTest.java
+++ b/src/test/java/maplespread/PlainStartTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class PlainStartTest {
-    /** Without operators' keys and a console nothing of these is loaded, nor of the command line. */
+    /** Without an operators' file and an admin address, a start loads no class of the features or the command line. */
     @Test
-    void whatIsOffIsNotLoaded(@TempDir Path dir) throws Exception {
+    void disabledFeaturesAreNotLoaded(@TempDir Path dir) throws Exception {
         Path loaded = dir.resolve("loaded");
         Process process = Program.start(
                 "rehearse",
--- a/src/test/java/maplespread/SignalsTest.java
+++ b/src/test/java/maplespread/SignalsTest.java
@@ -15,23 +15,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals that reach a process at its start: the configuration is a pipe, so the story holds it there. */
+/** Signals that reach a process at its start. The configuration is a named pipe, so a test controls when it is read. */
 class SignalsTest {
-    private static final long LIMIT_S = 60;
+    private static final long TIME_LIMIT_S = 60;
 
-    private static void run(String... call) throws Exception {
-        assertEquals(0, new ProcessBuilder(call).inheritIO().start().waitFor(), String.join(" ", call));
+    private static void run(String... commandLine) throws Exception {
+        assertEquals(0, new ProcessBuilder(commandLine).inheritIO().start().waitFor(), String.join(" ", commandLine));
     }
 
-    /** The process, whose configuration is a pipe. */
+    /** Starts a process that reads its configuration from the pipe. */
     private static Process serve(Path pipe, Path log) throws Exception {
         run("mkfifo", pipe.toString());
         return Program.start(
                 "serve", Map.of("BALANCER_CONFIG", pipe.toString(), "BALANCER_LISTEN", "127.0.0.1:0"), log);
     }
 
-    /** The pipe, once the process has opened it too, and waits for what comes. */
-    private static OutputStream opened(Path pipe) throws Exception {
+    /** Opens the pipe for writing, which blocks until the process has opened it for reading. */
+    private static OutputStream openPipe(Path pipe) throws Exception {
         return CompletableFuture.supplyAsync(() -> {
                     try {
                         return Files.newOutputStream(pipe);
@@ -39,34 +39,34 @@
                         throw new AssertionError(e);
                     }
                 })
-                .get(LIMIT_S, TimeUnit.SECONDS);
+                .get(TIME_LIMIT_S, TimeUnit.SECONDS);
     }
 
-    private static void until(Process process, Path log, String text) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+    private static void awaitLog(Process process, Path log, String text) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIME_LIMIT_S);
         while (!Files.readString(log).contains(text)) {
             assertTrue(process.isAlive() && System.nanoTime() < end, () -> "no " + text + " in " + log);
             process.waitFor(10, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A process that is told to end while it reads its configuration ends, and opens nothing. */
+    /** A process that receives SIGTERM while it reads its configuration must exit without opening a socket. */
     @Test
-    void aTermBeforeTheConfigurationIsReadEndsTheProcess(@TempDir Path dir) throws Exception {
+    void sigtermBeforeTheConfigurationIsReadEndsTheProcess(@TempDir Path dir) throws Exception {
         Path log = dir.resolve("log");
         Process process = serve(dir.resolve("config.json"), log);
-        try (OutputStream held = opened(dir.resolve("config.json"))) {
+        try (OutputStream pipe = openPipe(dir.resolve("config.json"))) {
             process.destroy(); // SIGTERM
-            assertTrue(process.waitFor(LIMIT_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(TIME_LIMIT_S, TimeUnit.SECONDS));
         } finally {
             process.destroyForcibly();
         }
         assertFalse(Files.readString(log).contains(" serves on "));
     }
 
-    /** Whoever starts it with SIGHUP ignored is told, as no new configuration would ever be taken up. */
+    /** A process started with SIGHUP ignored must warn, as no reload would ever take place. */
     @Test
-    void anIgnoredHangupIsTold(@TempDir Path dir) throws Exception {
+    void anIgnoredSighupIsLogged(@TempDir Path dir) throws Exception {
         Path log = dir.resolve("log");
         Process process = Program.startUnder(
                 List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"),
@@ -74,30 +74,30 @@
                 Map.of("BALANCER_CONFIG", "example/config.json", "BALANCER_LISTEN", "127.0.0.1:0"),
                 log);
         try {
-            until(process, log, " serves on ");
+            awaitLog(process, log, " serves on ");
             assertTrue(Files.readString(log).contains("SIGHUP was ignored"));
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Guards a process that is being started against its end, and the new configuration against its loss. */
+    /** A SIGHUP during the start must neither end the process nor be lost: a reload follows the start. */
     @Test
-    void aHangupBeforeTheConfigurationIsReadIsHeard(@TempDir Path dir) throws Exception {
+    void sighupBeforeTheConfigurationIsReadCausesAReload(@TempDir Path dir) throws Exception {
         Path pipe = dir.resolve("config.json");
         Path log = dir.resolve("log");
         byte[] text = Files.readAllBytes(Path.of("example/config.json"));
         Process process = serve(pipe, log);
         try {
-            try (OutputStream first = opened(pipe)) {
+            try (OutputStream first = openPipe(pipe)) {
                 run("kill", "-HUP", Long.toString(process.pid()));
                 first.write(text);
             }
-            until(process, log, " serves on ");
-            try (OutputStream again = opened(pipe)) { // for the reload, after the start
+            awaitLog(process, log, " serves on ");
+            try (OutputStream again = openPipe(pipe)) { // the reload reads the pipe again
                 again.write(text);
             }
-            until(process, log, "configuration: read anew");
+            awaitLog(process, log, "configuration: read anew");
         } finally {
             process.destroyForcibly();
         }
--- a/src/test/java/maplespread/StartTest.java
+++ b/src/test/java/maplespread/StartTest.java
@@ -8,13 +8,13 @@
 import org.junit.Test;
 
 public class StartTest {
-    /** Guards against the end of the process, which is what the JVM does on SIGHUP when nobody hears it. */
+    /** Without a handler the JVM exits on SIGHUP. */
     @Test
-    public void aHangupIsHeardAndEndsNothing() throws Exception {
-        CountDownLatch heard = new CountDownLatch(1);
-        Start.onHangup(heard::countDown);
-        String self = Long.toString(ProcessHandle.current().pid());
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", self).start().waitFor());
-        assertTrue(heard.await(10, TimeUnit.SECONDS));
+    public void sighupIsHandledAndDoesNotEndTheProcess() throws Exception {
+        CountDownLatch handled = new CountDownLatch(1);
+        Start.onHangup(handled::countDown);
+        String processId = Long.toString(ProcessHandle.current().pid());
+        assertEquals(0, new ProcessBuilder("kill", "-HUP", processId).start().waitFor());
+        assertTrue(handled.await(10, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/maplespread/http/HttpParserTest.java
+++ b/src/test/java/maplespread/http/HttpParserTest.java
@@ -20,9 +20,9 @@
         return ByteBuffer.wrap(text.getBytes());
     }
 
-    /** Whatever the pieces in which a message comes, it reads the same, and no byte of the next is taken. */
+    /** However a message is split, the parser reads the same message and consumes no byte of the next one. */
     @Test
-    public void aMessageReadsTheSameInAnyPieces() throws Exception {
+    public void aMessageParsesTheSameHoweverItIsSplit() throws Exception {
         for (int cut = 0; cut <= CHUNKED.length(); cut++) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             HttpParser parser = HttpParser.request(body::write);
@@ -35,9 +35,9 @@
         }
     }
 
-    /** Guards against bodies without end and sizes that overflow. */
+    /** Bodies of unbounded length and chunk sizes that overflow must be rejected before their bytes arrive. */
     @Test
-    public void chunksBeyondTheLimitAreRefusedBeforeTheyCome() {
+    public void chunksBeyondTheLimitAreRejectedBeforeTheyArrive() {
         for (String size : new String[] {"10001", "ffffffff", "FFFFFFFFF", "-1", "0x1", ""}) {
             HttpParser parser = HttpParser.request((b, at, n) -> {});
             HttpException e = assertThrows(
@@ -49,9 +49,9 @@
         }
     }
 
-    /** Guards a marked refusal: its page must not be read as a stream. */
+    /** The page of a marked rejection must not be read as a stream. */
     @Test
-    public void theBodyOfAnErrorIsPassedOver() throws Exception {
+    public void theBodyOfAnErrorIsSkipped() throws Exception {
         HttpParser parser = HttpParser.response(100, (b, at, n) -> {
             throw new HttpException(502, "read");
         });
@@ -59,14 +59,14 @@
     }
 
     @Test
-    public void anAnswerWithoutALengthEndsWithItsConnection() throws Exception {
+    public void aResponseWithoutALengthEndsWithItsConnection() throws Exception {
         HttpParser parser = HttpParser.response(100, (b, at, n) -> {});
         assertFalse(parser.feed(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
         assertTrue(parser.endsWithClose());
     }
 
     @Test
-    public void linesAreCutWhereverTheBytesAre() throws Exception {
+    public void linesAreSplitHoweverTheBytesArrive() throws Exception {
         List<String> got = new ArrayList<>();
         LineSplitter lines = new LineSplitter(10, got::add);
         for (byte b : "one\n\ntwo\r\nthr".getBytes()) {
--- a/src/test/java/maplespread/worker/ConnectionPoolTest.java
+++ b/src/test/java/maplespread/worker/ConnectionPoolTest.java
@@ -20,12 +20,12 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** Connections to sixty workers, with room for fewer idle ones than that beside a full house. */
+/** A pool for sixty workers that keeps fewer idle connections than workers when all other connections are in use. */
 public class ConnectionPoolTest {
     private static final int WORKERS = 60;
     private final List<ServerSocket> workers = new ArrayList<>();
     private Config config;
-    private ConnectionPool links;
+    private ConnectionPool pool;
 
     @Before
     public void open() throws Exception {
@@ -34,8 +34,10 @@
                         .replace("192", "144")
                         .replace("1024", "384"),
                 Map.of());
-        assertTrue("a fixed pool would not hold them", config.limits().idleWorkerConnections() < WORKERS);
-        links = new ConnectionPool(() -> config, config::limits);
+        assertTrue(
+                "the reserved idle connections must be fewer than the workers",
+                config.limits().idleWorkerConnections() < WORKERS);
+        pool = new ConnectionPool(() -> config, config::limits);
         for (int i = 0; i < WORKERS; i++) {
             workers.add(new ServerSocket(0, 1024, InetAddress.getLoopbackAddress()));
         }
@@ -49,7 +51,7 @@
     }
 
     private ConnectionPool.PooledConnection get(int worker) throws IOException {
-        return links.acquire("127.0.0.1:" + workers.get(worker % WORKERS).getLocalPort(), 5000, false);
+        return pool.acquire("127.0.0.1:" + workers.get(worker % WORKERS).getLocalPort(), 5000, false);
     }
 
     private List<ConnectionPool.PooledConnection> get(int from, int to) throws IOException {
@@ -60,19 +62,19 @@
         return all;
     }
 
-    /** Thirty-two places for sixty workers made every second job dial, each a handshake at its worker too. */
+    /** With a fixed limit of 32 idle connections for 60 workers every second request opened a new connection. */
     @Test
-    public void aQuietDispatcherKeepsAConnectionToEachWorker() throws Exception {
+    public void anIdleDispatcherKeepsAConnectionToEachWorker() throws Exception {
         List<ConnectionPool.PooledConnection> first = get(0, WORKERS);
-        first.forEach(links::release);
+        first.forEach(pool::release);
         assertEquals(first, get(0, WORKERS));
     }
 
     @Test
-    public void newOnesEndTheLongestIdleAndNoMoreThanFitAreOpen() throws Exception {
+    public void newConnectionsCloseTheLongestIdleAndStayWithinTheLimit() throws Exception {
         List<ConnectionPool.PooledConnection> idle = get(0, WORKERS);
-        idle.forEach(links::release);
-        List<ConnectionPool.PooledConnection> busy = get(WORKERS, WORKERS + 1); // the first worker's, taken again
+        idle.forEach(pool::release);
+        List<ConnectionPool.PooledConnection> busy = get(WORKERS, WORKERS + 1); // the first worker's connection, reused
         assertEquals(idle.get(0), busy.get(0));
         while (busy.size()
                 < config.limits().workerConnections() - config.limits().idleWorkerConnections()) {
@@ -81,29 +83,29 @@
         Set<ConnectionPool.PooledConnection> open = new HashSet<>(busy);
         for (int i = 1; i <= config.limits().idleWorkerConnections(); i++) {
             ConnectionPool.PooledConnection latest = get(WORKERS - i);
-            assertEquals("the last used are kept", idle.get(WORKERS - i), latest);
+            assertEquals("the most recently used connections are kept", idle.get(WORKERS - i), latest);
             open.add(latest);
         }
         assertEquals(config.limits().workerConnections(), open.size());
-        assertFalse("the longest idle has ended", idle.contains(get(1)));
+        assertFalse("the connection idle longest is closed", idle.contains(get(1)));
     }
 
     @Test
-    public void whatIsClosedOrCouldNotBeHadLeavesItsPlace() throws Exception {
+    public void closedAndFailedConnectionsNoLongerCount() throws Exception {
         workers.get(1).close();
         for (int i = 0; i < 3 * config.limits().workerConnections(); i++) {
-            ConnectionPool.PooledConnection link = get(0);
-            links.close(link);
-            links.close(link);
+            ConnectionPool.PooledConnection connection = get(0);
+            pool.close(connection);
+            pool.close(connection);
             try {
                 get(1);
-            } catch (IOException refused) {
+            } catch (IOException expected) {
                 continue;
             }
-            throw new AssertionError("nobody listens there");
+            throw new AssertionError("connecting to a closed port must fail");
         }
         List<ConnectionPool.PooledConnection> all = get(2, WORKERS);
-        all.forEach(links::release);
+        all.forEach(pool::release);
         assertEquals(all, get(2, WORKERS));
     }
 }
