--- a/src/main/java/maplespread/Start.java
+++ b/src/main/java/maplespread/Start.java
@@ -114,8 +114,7 @@
                         .getBytes(StandardCharsets.ISO_8859_1));
                 HttpParser response = HttpParser.response(1 << 16, (bytes, at, length) -> {});
                 connection.receive(response, 1000);
-                if (response.head().status()
-                        < 500) { // the rehearsal has no workers, so the expected status is an error
+                if (response.head().status() < 500) { // without workers an error is expected
                     Logger.warn(
                             "the rehearsal's request {} received the unexpected status {}",
                             request,
--- a/src/main/java/maplespread/caller/RequestSequencer.java
+++ b/src/main/java/maplespread/caller/RequestSequencer.java
@@ -26,8 +26,7 @@
      *
      * @param tenant the tenant, or null
      * @param entity the entity, or null
-     * @param fields the header fields known to the protocol except for the id and the remaining time, each a name and a
-     * value
+     * @param fields the known header fields except for the id and the remaining time, each a name and a value
      * @param forwardedBy the value of {@link #FORWARDED_BY_HEADER}, or null
      * @param remainingMs the time in milliseconds until the request must be answered
      */
--- a/src/main/java/maplespread/worker/ConnectionPool.java
+++ b/src/main/java/maplespread/worker/ConnectionPool.java
@@ -92,7 +92,7 @@
      * Returns the most recently used idle connection to the address, or a new one.
      *
      * @param limitMs the time limit for connecting in milliseconds
-     * @param atMostOnce whether the request must not run twice; such a request gets no reused connection while those
+     * @param atMostOnce whether the request must not run twice; if so, no reused connection is returned while those
      * break
      */
     PooledConnection acquire(String address, long limitMs, boolean atMostOnce) throws IOException {
