--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -172,7 +172,7 @@
     void fail() {
         ClientResponse response = current;
         if (response != null && !response.completed()) {
-            response.failed(502, "the dispatcher is shutting down");
+            response.failed(502, "the dispatcher ends");
         }
     }
 
@@ -261,7 +261,7 @@
             // After malformed framing the connection cannot be used further; after an invalid value it can.
             rejectFaulty(response, e.status(), e.getMessage());
         } catch (SocketTimeoutException e) {
-            response.plainText(408, "request incomplete within the time limit");
+            response.plainText(408, "request not whole in time");
         } catch (EOFException e) {
             if (!closing()) {
                 throw e; // the client has left
--- a/src/main/java/maplespread/caller/RequestExecution.java
+++ b/src/main/java/maplespread/caller/RequestExecution.java
@@ -125,7 +125,7 @@
         if (releasePermit(false) == RequestSequencer.Completion.NEVER_RAN) {
             respond(permit.permitLostResponse());
         } else {
-            response.inDoubt("the request may have run, and its ordering permit was lost");
+            response.inDoubt("it may have run, and its turn was lost");
         }
     }
 
@@ -137,9 +137,9 @@
         } else if (decision instanceof Decision.Failed failed) {
             recordUnserved(failed.reason());
             if (inDoubt) {
-                response.inDoubt("the request may have run, or may still run");
+                response.inDoubt("it may have run, or may yet run");
             } else {
-                response.failed(502, "no worker served the request");
+                response.failed(502, "no worker served it");
             }
         } // otherwise the client has left, and no response is due
     }
