--- a/src/main/java/maplespread/consensus/Acceptor.java
+++ b/src/main/java/maplespread/consensus/Acceptor.java
@@ -5,8 +5,8 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * An elector's vote: it promises ballots and accepts states under them, as in CASPaxos. While it recovers it takes
- * part in a bootstrap only.
+ * The acceptor role of an elector in CASPaxos: promises ballots and accepts states under them. During recovery it
+ * participates only in a bootstrap.
  */
 final class Acceptor {
     private final NodeState state;
@@ -19,13 +19,13 @@
         this.recovery = recovery;
     }
 
-    /** Promises the ballot and reports what was accepted so far, or refuses a ballot below the promised one. */
+    /** Promises the ballot and reports the accepted state, or rejects a ballot below the promised one. */
     void prepare(ConsensusMessage request) {
         if (!request.bootstrap() && !mayPromise(request)) {
             return;
         }
         if (request.ballot().compareTo(state.promised()) < 0) {
-            refuse(request);
+            reject(request);
             return;
         }
         state.promise(request.ballot());
@@ -39,15 +39,16 @@
         return state.accepted() != null || outbox.hasSameSettings(request);
     }
 
-    /** Accepts the proposed state, or refuses it where the promise or the quorum behind it does not hold. */
+    /** Accepts the proposed state. Rejects it if a higher ballot was promised or the promise quorum is outdated. */
     void accept(ConsensusMessage request) {
-        // An elector that recovers may have forgotten what it promised, but not a promise that the quorum counts.
+        // A recovering elector may have lost its earlier promises. If the promise quorum lists this incarnation, the
+        // promise was made by this process and still holds.
         boolean promiseCounted = request.bootstrap() && request.promiseQuorum().containsKey(state.self());
         if (state.recovering() && !promiseCounted) {
             return;
         }
         if (!isQuorumCurrent(request.promiseQuorum()) || request.ballot().compareTo(state.promised()) < 0) {
-            refuse(request);
+            reject(request);
             return;
         }
         state.accept(new AcceptedState(request.ballot(), request.accepted().state()));
@@ -57,12 +58,12 @@
         outbox.send(request.sender(), Kind.ACCEPTED, request.ballot(), null);
     }
 
-    /** Promises of an ended incarnation may be forgotten: a round that rests on one must begin anew. */
+    /** False if an incarnation in the quorum has ended: its promise may be lost, so the round must be restarted. */
     private boolean isQuorumCurrent(Map<String, Long> quorum) {
         return quorum.entrySet().stream().allMatch(entry -> state.isCurrent(entry.getKey(), entry.getValue()));
     }
 
-    private void refuse(ConsensusMessage request) {
+    private void reject(ConsensusMessage request) {
         outbox.send(request.sender(), Kind.REFUSE, request.ballot(), null);
     }
 }
--- a/src/main/java/maplespread/consensus/ConfigurationChange.java
+++ b/src/main/java/maplespread/consensus/ConfigurationChange.java
@@ -5,25 +5,25 @@
 import java.util.Optional;
 
 /**
- * The electors of a state and of the one that follows it. They change by one name at a time; while a change is not known
- * to be decided, the previous list stays in force beside the new one.
+ * The elector configuration of the next state. It changes by one elector at a time. Until a change is known target be
+ * decided, the previous list stays in force beside the new one (joint consensus).
  *
- * @param previousElectors the list that the new one takes the place of; empty when no change is under way
- * @param electors the list in force, or the new one
- * @param electorsVersion grows by one with each change
+ * @param previousElectors the list that is being replaced; empty if no change is in progress
+ * @param electors the current list, or the new one during a change
+ * @param electorsVersion incremented with each change
  */
 record ConfigurationChange(List<String> previousElectors, List<String> electors, long electorsVersion) {
     /**
-     * The electors after a state. The previous list ends only over a state that is known to be decided, as a majority
-     * of it then has accepted the new one: whoever asks the previous electors alone would else never hear of those
-     * after them. The next step begins only after that.
+     * The configuration that follows a state. The previous list is dropped only if the state is known to be decided,
+     * because a majority of the previous electors has then accepted the new list. Otherwise, a proposer that contacts
+     * only the previous electors would never learn of the new ones. The next step starts after the list was dropped.
      *
-     * @param target the electors to move to, if any
+     * @param target the electors to move to; empty if no change is requested
      */
     static ConfigurationChange after(RegisterState base, boolean baseIsDecided, Optional<List<String>> target) {
         VersionedValue value = base.value();
-        boolean stepAllowed = base.previousElectors().isEmpty();
-        if (stepAllowed && target.isPresent() && !ElectorLists.sameElectors(value.electors(), target.get())) {
+        boolean noChangeInProgress = base.previousElectors().isEmpty();
+        if (noChangeInProgress && target.isPresent() && !ElectorLists.sameElectors(value.electors(), target.get())) {
             return new ConfigurationChange(
                     value.electors(), step(value.electors(), target.get()), value.electorsVersion() + 1);
         }
@@ -31,20 +31,23 @@
         return new ConfigurationChange(previous, value.electors(), value.electorsVersion());
     }
 
-    /** One elector more, or, where there is none to add, one less. */
-    static List<String> step(List<String> from, List<String> to) {
-        List<String> next = new ArrayList<>(from);
-        for (String name : to) {
-            if (!from.contains(name)) {
+    /** Adds one missing elector of the target list, or removes one surplus elector if none is missing. */
+    static List<String> step(List<String> current, List<String> target) {
+        List<String> next = new ArrayList<>(current);
+        for (String name : target) {
+            if (!current.contains(name)) {
                 next.add(name);
                 return next;
             }
         }
-        next.remove(from.stream().filter(name -> !to.contains(name)).findFirst().orElseThrow());
+        next.remove(current.stream()
+                .filter(name -> !target.contains(name))
+                .findFirst()
+                .orElseThrow());
         return next;
     }
 
-    /** Whether the state's electors stay as they are. */
+    /** Whether this configuration equals that of the given state. */
     boolean keeps(RegisterState base) {
         return previousElectors.equals(base.previousElectors())
                 && electors.equals(base.value().electors());
--- a/src/main/java/maplespread/consensus/ConsensusNode.java
+++ b/src/main/java/maplespread/consensus/ConsensusNode.java
@@ -8,12 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * One member of the group that decides the register's value: elector, proposer and learner at once. Ties the parts
- * together, hands them the messages, and calls them in a fixed order as time passes. Its owner passes the time in, in
- * milliseconds of a clock that never goes back, and calls it from one thread at a time.
+ * One member of the group that decides the replicated value; it acts as elector, proposer and learner. Dispatches
+ * messages to its parts and runs them in a fixed order on each tick. The owner supplies the time, in milliseconds of a
+ * monotonic clock, and must not call it from several threads at once.
  */
 public final class ConsensusNode {
-    /** Most bytes of a value's text, as UTF-8. */
+    /** Maximum size of a value's text in UTF-8, in bytes. */
     public static final int MAX_TEXT_BYTES = 48 * 1024;
 
     private final NodeState state;
@@ -25,12 +25,13 @@
     private final OrphanedChangeFinisher orphanedChanges;
 
     /**
-     * A node that knows nothing yet.
+     * Creates a node without any state; it starts in recovery.
      *
-     * @param incarnation Unix milliseconds of this process' start, above that of every earlier one under this name
-     * @param seed of the random source that spreads retries and picks receivers
-     * @param now the time in milliseconds of the node's clock
-     * @param transport takes what the node sends and reports, during calls of it
+     * @param incarnation start time of this process in Unix milliseconds; must exceed that of every earlier process with
+     *     the same name
+     * @param seed seed of the random source for backoff times and the choice of receivers
+     * @param now current time, in milliseconds of the node's clock
+     * @param transport receives the messages, values and events of the node, during calls of the node
      */
     public ConsensusNode(
             ConsensusSettings settings, long incarnation, long seed, long now, ConsensusTransport transport) {
@@ -44,19 +45,19 @@
         orphanedChanges = new OrphanedChangeFinisher(state, proposer, random);
     }
 
-    /** The last value known to be decided; null: none. */
+    /** The latest value known to be decided; null if there is none. */
     public VersionedValue decidedValue() {
         return state.decidedValue();
     }
 
-    /** Whether this incarnation has not yet read what a majority knows, and does not vote. */
+    /** Whether this incarnation has not yet read the state of a majority and therefore does not vote. */
     public boolean recovering() {
         return state.recovering();
     }
 
     /**
-     * What this elector has accepted last, decided or not; null while it recovers or knows of nothing. Once a value is
-     * decided, most electors have accepted it or a later one.
+     * The value that this elector accepted last, decided or not; null during recovery or if it has accepted none. Once a
+     * value is decided, a majority of the electors has accepted it or a later one.
      */
     public VersionedValue acceptedValue() {
         return state.recovering() || state.accepted() == null
@@ -64,12 +65,12 @@
                 : state.accepted().state().value();
     }
 
-    /** The electors as this member knows them; two lists while they change: each must have a majority. */
+    /** The electors known to this member: one list, or two during a change, each of which then needs a majority. */
     public List<List<String>> electors() {
         return state.electorLists();
     }
 
-    /** Names the members of the fleet, electors or not: they are asked during recovery, and sent what is decided. */
+    /** Sets the members of the fleet, electors or not. Recovery queries them, and decisions are sent to them. */
     public void members(Collection<String> names) {
         state.setMembers(names);
     }
@@ -77,9 +78,10 @@
     // ------------------------------------------------------------ calls
 
     /**
-     * Has a change of the value decided.
+     * Submits a change of the value.
      *
-     * @param giveUpAt when it ends with {@link ChangeResult.Outcome#NO_MAJORITY}, in milliseconds of the node's clock
+     * @param giveUpAt time at which an undecided change ends with {@link ChangeResult.Outcome#NO_MAJORITY}, in
+     *     milliseconds of the node's clock
      * @param callback called once with the result, during a call of this node
      */
     public void change(long now, Mutation mutation, long giveUpAt, Consumer<ChangeResult> callback) {
@@ -87,32 +89,32 @@
     }
 
     /**
-     * Moves to other electors, one at a time, new ones first.
+     * Replaces the electors, one at a time; new ones are added before old ones are removed.
      *
-     * @param next the electors to be, each named once
-     * @throws IllegalArgumentException if there are none, or one is named twice
+     * @param next the future electors, each named once
+     * @throws IllegalArgumentException if the list is empty or names an elector twice
      */
     public void electors(long now, List<String> next, long giveUpAt, Consumer<ChangeResult> callback) {
-        List<String> target = requireDistinct(next);
+        List<String> target = requireDistinctElectors(next);
         submit(now, PendingChange.ofElectors(target, proposer.nextNumber(), giveUpAt, callback));
     }
 
     /**
-     * Begins a new epoch over the newest value that anybody who answers has, with a majority of the named electors,
-     * those that recover included. Only for when no majority of the electors in force can be read any more: what nobody
-     * who answers knows is lost.
+     * Begins a new epoch with the newest value that any responding member holds. A majority of the given electors must
+     * vote for it, which includes electors in recovery. Intended only for the case that the state of a majority of the
+     * current electors can no longer be read: a value that no responding member holds is lost.
      *
-     * @param wallMs Unix milliseconds, the least epoch
-     * @param electors of the new epoch, each named once
-     * @throws IllegalArgumentException if there are none, or one is named twice
+     * @param wallMs current time in Unix milliseconds; the minimum of the new epoch
+     * @param electors the electors of the new epoch, each named once
+     * @throws IllegalArgumentException if the list is empty or names an elector twice
      */
     public void bootstrap(
             long now, long wallMs, List<String> electors, long giveUpAt, Consumer<ChangeResult> callback) {
-        List<String> target = requireDistinct(electors);
+        List<String> target = requireDistinctElectors(electors);
         submit(now, PendingChange.ofBootstrap(target, wallMs, proposer.nextNumber(), giveUpAt, callback));
     }
 
-    private static List<String> requireDistinct(List<String> electors) {
+    private static List<String> requireDistinctElectors(List<String> electors) {
         if (electors.isEmpty() || Set.copyOf(electors).size() < electors.size()) {
             throw new IllegalArgumentException("electors must be named, each once: " + electors);
         }
@@ -126,7 +128,11 @@
 
     // ------------------------------------------------------------ time
 
-    /** Does what is due; returns when to be called again at the latest, in milliseconds of the node's clock. */
+    /**
+     * Performs the work that is due.
+     *
+     * @return the time by which to call this method again, in milliseconds of the node's clock
+     */
     public long tick(long now) {
         recovery.tick(now);
         proposer.expire(now);
@@ -146,7 +152,7 @@
 
     // ------------------------------------------------------------ messages
 
-    /** Takes a message of another member, which is known to have sent it. */
+    /** Handles a message of another member. The sender named in it must have been verified. */
     public void receive(long now, ConsensusMessage message) {
         if (message.sender().equals(state.self())) {
             warnNameTakenTwice(message.incarnation());
@@ -169,7 +175,7 @@
         learnIncarnations(message.crashVector());
         learnIncarnations(message.promiseQuorum());
         if (message.incarnation() < state.newestIncarnation(message.sender(), Long.MAX_VALUE)) {
-            return; // that incarnation has ended
+            return; // sent by an earlier incarnation, which has ended
         }
         state.observe(message.promisedBallot());
         switch (message.kind()) {
@@ -179,7 +185,7 @@
             case PROMISE -> proposer.promised(now, message);
             case ACCEPT -> acceptor.accept(message);
             case ACCEPTED -> proposer.accepted(now, message);
-            case REFUSE -> proposer.refused(now, message);
+            case REFUSE -> proposer.rejected(now, message);
             case DECIDED -> learner.decided(message.accepted());
             case DECIDED_BALLOT -> learner.compare(message);
         }
@@ -191,7 +197,7 @@
 
     private void learnIncarnation(String name, long incarnation) {
         if (state.learnIncarnation(name, incarnation) && name.equals(state.self())) {
-            warnNameTakenTwice(incarnation); // no vote of this incarnation counts any more
+            warnNameTakenTwice(incarnation); // votes of this incarnation no longer count
         }
     }
 
@@ -199,7 +205,7 @@
         outbox.warnOnce("consensus.name_taken_twice", "boot", incarnation);
     }
 
-    /** The state, the round that is open and the recovery, for logs. */
+    /** The state, the open round and the recovery, for logs. */
     @Override
     public String toString() {
         return state + " pending " + proposer.pendingCount() + " recovery " + recovery;
--- a/src/main/java/maplespread/consensus/NodeState.java
+++ b/src/main/java/maplespread/consensus/NodeState.java
@@ -10,11 +10,11 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * What this incarnation of a member has promised, accepted and learned, shared by the parts of its node. Nothing of it
- * outlives the process: {@link Recovery} reads it back from the other electors.
+ * The promises, accepted state and decided state of this incarnation of a member, shared by the parts of its node. Kept
+ * in memory only: after a restart, {@link Recovery} restores it from the other electors.
  */
 final class NodeState {
-    /** Above this number, incarnations of names that are no longer in use are forgotten. */
+    /** Maximum number of recorded incarnations; above it, those of names no longer in use are removed. */
     private static final int MAX_INCARNATIONS = 512;
 
     private final ConsensusSettings settings;
@@ -43,7 +43,7 @@
         return settings.name();
     }
 
-    /** Unix milliseconds at which this process began; tells it apart from earlier ones of the same name. */
+    /** Start time of this process in Unix milliseconds; distinguishes it from earlier processes of the same name. */
     long incarnation() {
         return incarnation;
     }
@@ -61,12 +61,12 @@
 
     // ------------------------------------------------------------ votes and decisions
 
-    /** Whether the votes of earlier incarnations have not been read back yet: until then this one does not vote. */
+    /** Whether the votes of earlier incarnations are not yet restored; until then this one does not vote. */
     boolean recovering() {
         return recovering;
     }
 
-    /** The highest ballot that this elector has promised: it refuses every lower one. */
+    /** The highest ballot that this elector has promised; it rejects lower ones. */
     Ballot promised() {
         return promised;
     }
@@ -75,28 +75,28 @@
         promised = ballot;
     }
 
-    /** What this elector has voted for last, decided or not; null: nothing. */
+    /** The state that this elector accepted last, decided or not; null if none. */
     AcceptedState accepted() {
         return accepted;
     }
 
-    /** Accepts under a ballot, which promises that ballot as well. */
+    /** Accepts a state under its ballot, which implies a promise of that ballot. */
     void accept(AcceptedState next) {
         promised = next.ballot();
         accepted = next;
     }
 
-    /** The latest state known to be decided; null: none. */
+    /** The latest state known to be decided; null if none. */
     AcceptedState decided() {
         return decided;
     }
 
-    /** The value of the latest decided state; null: none is known. */
+    /** The value of the latest state known to be decided; null if none. */
     VersionedValue decidedValue() {
         return decided == null ? null : decided.state().value();
     }
 
-    /** The ballot of the latest decided state. */
+    /** The ballot of the latest state known to be decided, or {@link Ballot#NONE}. */
     Ballot decidedBallot() {
         return decided == null ? Ballot.NONE : decided.ballot();
     }
@@ -105,7 +105,7 @@
         decided = next;
     }
 
-    /** Takes a decided state as if it had been accepted here, and promises no earlier ballot after it. */
+    /** Adopts a decided state as accepted by this elector, and raises the promise to its ballot. */
     void acceptDecided(AcceptedState next) {
         if (AcceptedState.isLater(next, accepted)) {
             accepted = next;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Ends the recovery with what the electors have reported. */
+    /** Ends the recovery with the state and the promise that the electors reported. */
     void recover(AcceptedState reported, Ballot highestPromise) {
         accepted = reported;
         promised = highestPromise;
@@ -129,7 +129,7 @@
         highestBallot = Ballot.max(highestBallot, ballot);
     }
 
-    /** The round that this member has open as a proposer; null: none. */
+    /** The current round of this member as a proposer; null if none. */
     Round openRound() {
         return openRound;
     }
@@ -140,57 +140,61 @@
 
     // ------------------------------------------------------------ electors
 
-    /** The lists that must each have a majority for what is read from, or written over, a state; null: no state. */
+    /**
+     * The elector lists of which a read or a replacement of a state needs a majority each.
+     *
+     * @param basis the state; null stands for the electors of the settings
+     */
     List<List<String>> electorLists(AcceptedState basis) {
         return basis == null ? List.of(settings.electors()) : basis.state().electorLists();
     }
 
-    /** The lists in force as far as this member knows. */
+    /** The elector lists of the latest state known to this member. */
     List<List<String>> electorLists() {
         return electorLists(AcceptedState.isLater(accepted, decided) ? accepted : decided);
     }
 
-    /** The electors of the latest decided state, or of the settings while none is known. */
+    /** The electors of the latest decided state, or of the settings if none is known. */
     Set<String> decidedElectors() {
         return ElectorLists.names(electorLists(decided));
     }
 
     // ------------------------------------------------------------ incarnations
 
-    /** Whether this is later than every incarnation of that name known so far; if so, remembers it. */
-    boolean learnIncarnation(String name, long seen) {
-        if (seen <= newestIncarnation(name, 0)) {
+    /** Records an incarnation; returns whether it is later than every one known for that name. */
+    boolean learnIncarnation(String name, long reportedIncarnation) {
+        if (reportedIncarnation <= newestIncarnation(name, 0)) {
             return false;
         }
-        newestIncarnations.put(name, seen);
+        newestIncarnations.put(name, reportedIncarnation);
         if (newestIncarnations.size() > MAX_INCARNATIONS) {
             forgetUnusedNames(name);
         }
         return true;
     }
 
-    private void forgetUnusedNames(String justSeen) {
+    private void forgetUnusedNames(String justLearned) {
         Set<String> used = ElectorLists.names(electorLists(accepted));
         used.addAll(otherMembers);
         used.addAll(settings.electors());
         used.add(self());
-        used.add(justSeen);
+        used.add(justLearned);
         newestIncarnations.keySet().retainAll(used);
     }
 
-    /** Whether this is the newest known incarnation of that name: votes of earlier ones count for nothing. */
-    boolean isCurrent(String name, long seen) {
-        return newestIncarnation(name, 0) == seen;
+    /** Whether this is the newest known incarnation of that name; votes of earlier ones are not counted. */
+    boolean isCurrent(String name, long reportedIncarnation) {
+        return newestIncarnation(name, 0) == reportedIncarnation;
     }
 
-    /** The newest incarnation known of that name, or the given number where none is known. */
-    long newestIncarnation(String name, long otherwise) {
-        return newestIncarnations.getOrDefault(name, otherwise);
+    /** The newest known incarnation of that name, or the given default if none is known. */
+    long newestIncarnation(String name, long defaultIncarnation) {
+        return newestIncarnations.getOrDefault(name, defaultIncarnation);
     }
 
     /**
-     * The crash vector: the newest known incarnations of all whose votes may count. Other members are left out, so that
-     * the size of a message does not grow with the fleet.
+     * The crash vector: the newest known incarnation of each member whose vote may count. Other members are omitted so
+     * that the message size does not grow with the fleet.
      */
     Map<String, Long> crashVector() {
         Set<String> names = ElectorLists.names(electorLists(accepted));
@@ -205,7 +209,7 @@
         return vector;
     }
 
-    /** For logs, and to tell two states apart in tests. */
+    /** For logs, and for the comparison of states in tests. */
     @Override
     public String toString() {
         List<Object> parts = new ArrayList<>();
--- a/src/main/java/maplespread/consensus/Proposer.java
+++ b/src/main/java/maplespread/consensus/Proposer.java
@@ -10,15 +10,15 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * Has this member's pending changes decided, one after another, in rounds: a round collects promises of its ballot,
- * applies the change to the newest state that they report, and has the electors accept the outcome. A round that fails
- * is followed by another after a random backoff.
+ * Runs this member's pending changes to a decision, one at a time, in rounds. A round collects promises for its ballot,
+ * applies the change to the newest state reported in them, and asks the electors to accept the result. A failed round
+ * is retried after a random backoff.
  */
 final class Proposer {
-    /** The round timeout doubles this often at most, before its bound in the settings is applied. */
+    /** Maximum number of times the round timeout is doubled, before the limit from the settings is applied. */
     private static final int MAX_TIMEOUT_DOUBLINGS = 10;
 
-    /** A bootstrap round waits this many retry intervals for answers; members that recover answer, too. */
+    /** Timeout of a bootstrap round, in multiples of the maximum retry interval; recovering members answer as well. */
     private static final int BOOTSTRAP_ROUND_INTERVALS = 2;
 
     private final NodeState state;
@@ -27,7 +27,11 @@
     private final SplittableRandom random;
     private final ArrayDeque<PendingChange> pending = new ArrayDeque<>();
     private long changeCount;
+
+    /** Rounds that failed in a row; reset when a round is closed without failure. */
     private long failedRounds;
+
+    /** Earliest start of the next round, in milliseconds of the node's clock. */
     private long retryNotBefore;
 
     Proposer(NodeState state, Outbox outbox, Learner learner, SplittableRandom random) {
@@ -37,7 +41,7 @@
         this.random = random;
     }
 
-    /** The number of the next change, in the order of the calls. */
+    /** Returns the number of the next change. Numbers ascend in the order of the calls. */
     long nextNumber() {
         return ++changeCount;
     }
@@ -56,7 +60,7 @@
 
     // ------------------------------------------------------------ time
 
-    /** Ends the changes whose time is over; they may be decided all the same. */
+    /** Completes the changes whose deadline has passed with NO_MAJORITY; they may still be decided later. */
     void expire(long now) {
         for (PendingChange change : List.copyOf(pending)) {
             if (now < change.giveUpAt()) {
@@ -65,7 +69,7 @@
             if (change == pending.peek()) {
                 closeRound();
             }
-            if (pending.remove(change)) { // else a callback of another one has ended it
+            if (pending.remove(change)) { // false if the callback of another change has completed it
                 change.complete(expired());
             }
         }
@@ -78,7 +82,7 @@
                 new QuorumLostException("no majority of " + state.electorLists(state.decided()) + " decided in time"));
     }
 
-    /** Goes on with the open round where a bootstrap has waited for slow members, or where it has timed out. */
+    /** Proposes in a bootstrap round that has waited long enough for slow members, and fails a round that timed out. */
     void checkRound(long now) {
         Round round = state.openRound();
         if (round != null && round.isPreparing() && pending.peek().isBootstrap()) {
@@ -89,22 +93,22 @@
         }
     }
 
-    /** Begins a round where a change waits and the backoff is over. */
+    /** Begins a round if none is open, a change is pending and the backoff has elapsed. */
     void startIfDue(long now) {
         if (state.openRound() == null && !pending.isEmpty() && now >= retryNotBefore) {
             begin(now, false);
         }
     }
 
-    /** When to be called again at the latest, in milliseconds of the node's clock. */
+    /** The time by which the next tick is needed, in milliseconds of the node's clock. */
     long nextTickAt(long now) {
         long next = Long.MAX_VALUE;
         for (PendingChange change : pending) {
             next = Math.min(next, change.giveUpAt());
         }
         if (state.openRound() != null) {
-            boolean waitsForSlow = pending.peek().isBootstrap();
-            long roundAt = waitsForSlow
+            boolean waitsForSlowMembers = pending.peek().isBootstrap();
+            long roundAt = waitsForSlowMembers
                     ? now + state.settings().retryMs()
                     : state.openRound().endsAt();
             return Math.min(next, roundAt);
@@ -119,7 +123,11 @@
 
     // ------------------------------------------------------------ rounds
 
-    /** {@code newEpoch}: nobody is known to keep a state, so that what is decided begins an epoch of its own. */
+    /**
+     * Begins a round for the oldest pending change.
+     *
+     * @param newEpoch whether the round begins a new epoch because no elector has reported a state
+     */
     private void begin(long now, boolean newEpoch) {
         PendingChange change = pending.peek();
         Ballot ballot = nextBallot(change, newEpoch);
@@ -132,20 +140,20 @@
         if (change.isBootstrap()) {
             receivers.addAll(change.targetElectors().orElseThrow());
             receivers.addAll(state.otherMembers());
-            receivers.add(state.self()); // it may be no elector, and alone in knowing the value
+            receivers.add(state.self()); // may hold the only copy of the value without being an elector
         }
         prepare(receivers);
     }
 
     private Ballot nextBallot(PendingChange change, boolean newEpoch) {
-        Ballot after = Ballot.max(state.highestBallot(), state.promised());
-        long epoch = after.epoch();
+        Ballot highest = Ballot.max(state.highestBallot(), state.promised());
+        long epoch = highest.epoch();
         if (change.isBootstrap()) {
             epoch = Math.max(change.bootstrapEpoch(), epoch + 1);
         } else if (newEpoch) {
             epoch = Math.max(newestElectorIncarnation(), epoch + 1);
         }
-        long number = epoch > after.epoch() ? 1 : after.round() + 1;
+        long number = epoch > highest.epoch() ? 1 : highest.round() + 1;
         return new Ballot(epoch, number, state.self(), state.incarnation());
     }
 
@@ -156,7 +164,7 @@
                 .orElse(0);
     }
 
-    /** Asks those for a promise who were not asked in this round. */
+    /** Sends a PREPARE to each receiver that has not been sent one in this round. */
     private void prepare(Set<String> receivers) {
         Round round = state.openRound();
         boolean bootstrap = pending.peek().isBootstrap();
@@ -180,7 +188,7 @@
 
     // ------------------------------------------------------------ answers
 
-    /** An elector has promised the round's ballot. */
+    /** Handles a promise of the round's ballot by an elector. */
     void promised(long now, ConsensusMessage promise) {
         Round round = state.openRound();
         if (round != null && round.isPreparing() && round.isAnsweredBy(promise)) {
@@ -189,7 +197,7 @@
         }
     }
 
-    /** An elector has accepted what the round proposes. */
+    /** Handles the acceptance of the round's proposal by an elector. */
     void accepted(long now, ConsensusMessage acceptance) {
         Round round = state.openRound();
         if (round != null && !round.isPreparing() && round.isAnsweredBy(acceptance)) {
@@ -198,23 +206,23 @@
         }
     }
 
-    /** An elector has refused the round: it fails at once where the others are no majority. */
-    void refused(long now, ConsensusMessage refusal) {
+    /** Handles a rejection by an elector. The round fails at once if the remaining electors form no majority. */
+    void rejected(long now, ConsensusMessage rejection) {
         Round round = state.openRound();
-        if (round == null || !round.isAnsweredBy(refusal)) {
+        if (round == null || !round.isAnsweredBy(rejection)) {
             return;
         }
-        round.refusals().add(refusal.sender());
+        round.rejections().add(rejection.sender());
         List<List<String>> lists = requiredLists(round);
-        Set<String> left = new HashSet<>(round.contacted());
-        left.addAll(ElectorLists.names(lists));
-        left.removeAll(round.refusals());
-        if (!ElectorLists.haveMajorities(lists, left)) {
+        Set<String> remaining = new HashSet<>(round.contacted());
+        remaining.addAll(ElectorLists.names(lists));
+        remaining.removeAll(round.rejections());
+        if (!ElectorLists.haveMajorities(lists, remaining)) {
             fail(now);
         }
     }
 
-    /** The lists that must each have a majority for the round to go on. */
+    /** The elector lists of which the round needs a majority each in order to proceed. */
     private List<List<String>> requiredLists(Round round) {
         if (!round.isPreparing()) {
             return round.proposed().electorLists();
@@ -235,9 +243,9 @@
         AcceptedState newest = round.newestReported();
         List<List<String>> lists = listsToPrepare(change, newest);
         prepare(ElectorLists.names(lists));
-        boolean waitsForSlow = change.isBootstrap()
+        boolean waitsForSlowMembers = change.isBootstrap()
                 && now - round.startedAt() < state.settings().maxRetryMs();
-        if (!ElectorLists.haveMajorities(lists, round.promises().keySet()) || waitsForSlow) {
+        if (!ElectorLists.haveMajorities(lists, round.promises().keySet()) || waitsForSlowMembers) {
             return;
         }
         if (newest == null && !change.isBootstrap() && !round.newEpoch()) {
@@ -269,7 +277,7 @@
         base.electorLists().forEach(added::removeAll);
         boolean addedAnswer = change.isBootstrap() || voters.containsAll(added);
         if (!ElectorLists.haveMajorities(next.electorLists(), voters) || !addedAnswer) {
-            prepare(receivers); // an elector that does not answer must not be added
+            prepare(receivers); // an elector must have answered before it is added
             return;
         }
         round.propose(next);
@@ -300,7 +308,7 @@
         }
     }
 
-    /** Sends the decision to the electors, and to all members unless it is known already, as after a read. */
+    /** Sends the decision to the electors, and to all other members unless it is already known, as after a read. */
     private void announce(AcceptedState decision) {
         boolean known = state.decided() != null && state.decided().state().equals(decision.state());
         learner.decided(decision);
--- a/src/main/java/maplespread/consensus/Recovery.java
+++ b/src/main/java/maplespread/consensus/Recovery.java
@@ -9,23 +9,28 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * Reads back, at the start of an incarnation, what the incarnations before it may have voted for: diskless recovery by
- * crash vectors (Michael, Ports, Sharma, Szekeres, DISC 2017). It ends once other members that form a majority of all
- * electors in force have reported: whatever was decided is among the reports, and whoever answered tells all others
- * that the earlier incarnations have ended.
+ * Restores, at the start of an incarnation, the votes that earlier incarnations may have cast: diskless recovery with
+ * crash vectors (Michael, Ports, Sharma, Szekeres, DISC 2017). Recovery ends once other members that form a majority of
+ * the current electors have reported. Their reports include every decided state, and from then on their crash vectors
+ * inform the other members that the earlier incarnations have ended.
  */
 final class Recovery {
-    /** In retry intervals: from then on a majority that does not recover is reported as lost. */
+    /** Time after which a majority still in recovery is reported as lost, in multiples of the maximum retry interval. */
     private static final int LOST_AFTER_INTERVALS = 4;
 
-    /** Never equal to an incarnation. */
+    /** Placeholder that differs from every incarnation. */
     private static final long NO_INCARNATION = -1;
 
     private final NodeState state;
     private final Outbox outbox;
     private final long startedAt;
+
+    /** The latest response of each member, by name. */
     private final Map<String, ConsensusMessage> responses = new TreeMap<>();
+
+    /** The incarnation of each member that reported no accepted state and the same configured electors, by name. */
     private final Map<String, Long> emptyIncarnations = new TreeMap<>();
+
     private long nextRequestAt;
     private long requestIntervalMs;
 
@@ -37,25 +42,25 @@
         requestIntervalMs = state.settings().retryMs();
     }
 
-    /** Asks the electors again where it is time to, and ends the recovery where enough have answered. */
+    /** Repeats the requests when they are due, and completes the recovery once enough members have answered. */
     void tick(long now) {
         if (!state.recovering()) {
             return;
         }
         if (now >= nextRequestAt) {
-            requestStates();
+            requestVotes();
             requestIntervalMs = Math.min(state.settings().maxRetryMs(), 2 * requestIntervalMs);
             nextRequestAt = now + requestIntervalMs;
         }
         tryComplete(now);
     }
 
-    /** When to be called again at the latest, in milliseconds of the node's clock. */
+    /** The time by which the next tick is needed, in milliseconds of the node's clock. */
     long nextTickAt() {
         return state.recovering() ? nextRequestAt : Long.MAX_VALUE;
     }
 
-    private void requestStates() {
+    private void requestVotes() {
         Set<String> receivers = state.decidedElectors();
         receivers.addAll(state.settings().electors());
         receivers.addAll(state.otherMembers());
@@ -63,14 +68,14 @@
         receivers.forEach(receiver -> outbox.send(receiver, Kind.RECOVERY_REQUEST, Ballot.NONE, null));
     }
 
-    /** Reports this member's votes to one that recovers. */
+    /** Sends this member's votes to a recovering member. */
     void answer(ConsensusMessage request) {
         ConsensusMessage response = outbox.message(
                 Kind.RECOVERY_RESPONSE, Ballot.NONE, false, request.incarnation(), Map.of(), state.accepted());
         outbox.send(request.sender(), response);
     }
 
-    /** Takes a report, if it answers a request of this very incarnation. */
+    /** Handles a response if it answers a request of this incarnation; others are ignored. */
     void responded(ConsensusMessage response) {
         if (!state.recovering() || response.requesterIncarnation() != state.incarnation()) {
             return;
@@ -114,7 +119,7 @@
         return highest;
     }
 
-    /** The others whose report counts: they have recovered, and the same electors are in force for them. */
+    /** The other members whose report counts: they are not recovering and use the same electors. */
     private Set<String> recoveredElectors(AcceptedState newest) {
         Set<String> recovered = new TreeSet<>();
         for (ConsensusMessage response : responses.values()) {
@@ -127,8 +132,8 @@
     }
 
     /**
-     * Whether every elector of the settings has reported to this incarnation that it had accepted nothing. Whatever one
-     * of them accepted since, it accepted knowing of this incarnation.
+     * Whether every configured elector has reported to this incarnation that it had accepted no state. Anything that an
+     * elector accepted after its report, it accepted with knowledge of this incarnation.
      */
     private boolean isFirstStart() {
         List<String> electors = state.settings().electors();
@@ -146,7 +151,13 @@
         return names;
     }
 
-    /** From here on this incarnation votes. {@code how} names the way in the log. */
+    /**
+     * Completes the recovery; this incarnation votes from now on.
+     *
+     * @param newest the restored accepted state; null if there is none
+     * @param highestPromise the restored promise
+     * @param how how the state was restored, for the log
+     */
     void complete(AcceptedState newest, Ballot highestPromise, String how) {
         state.recover(newest, highestPromise);
         responses.clear();
--- a/src/main/java/maplespread/consensus/Round.java
+++ b/src/main/java/maplespread/consensus/Round.java
@@ -7,19 +7,25 @@
 import java.util.TreeSet;
 import maplespread.consensus.RegisterState.AcceptedState;
 
-/** A proposer's attempt under one ballot: promises are collected first, then acceptances of the proposed state. */
+/** A proposer's round under one ballot: collects promises first, then acceptances of the proposed state. */
 final class Round {
     private final Ballot ballot;
     private final boolean newEpoch;
     private final long startedAt;
     private final long endsAt;
     private final Set<String> contacted = new TreeSet<>();
-    private final Set<String> refusals = new HashSet<>();
+    private final Set<String> rejections = new HashSet<>();
     private final Map<String, ConsensusMessage> promises = new TreeMap<>();
     private final Map<String, Long> acceptances = new TreeMap<>();
     private RegisterState proposed;
 
-    /** {@code newEpoch}: the ballot's epoch is above every one seen, so that a first value may begin in it. */
+    /**
+     * Creates a round that awaits promises.
+     *
+     * @param newEpoch whether the ballot's epoch is above every known one, so that the first value may be proposed in it
+     * @param startedAt start of the round, in milliseconds of the node's clock
+     * @param endsAt time at which the round fails for lack of answers, in milliseconds of the node's clock
+     */
     Round(Ballot ballot, boolean newEpoch, long startedAt, long endsAt) {
         this.ballot = ballot;
         this.newEpoch = newEpoch;
@@ -39,32 +45,32 @@
         return startedAt;
     }
 
-    /** When it has failed for lack of answers, in milliseconds of the node's clock. */
+    /** Time at which the round fails for lack of answers, in milliseconds of the node's clock. */
     long endsAt() {
         return endsAt;
     }
 
-    /** Who was asked for a promise. */
+    /** The members that were sent a PREPARE. */
     Set<String> contacted() {
         return contacted;
     }
 
-    /** Who has refused the ballot. */
-    Set<String> refusals() {
-        return refusals;
+    /** The electors that have rejected the round. */
+    Set<String> rejections() {
+        return rejections;
     }
 
-    /** By the elector that sent it. */
+    /** The promises received, by the name of their sender. */
     Map<String, ConsensusMessage> promises() {
         return promises;
     }
 
-    /** The incarnation of each elector that has accepted. */
+    /** The incarnation of each elector that has accepted the proposal, by name. */
     Map<String, Long> acceptances() {
         return acceptances;
     }
 
-    /** The state that the electors were asked to accept; null: promises are still awaited. */
+    /** The state that the electors were asked to accept; null while promises are awaited. */
     RegisterState proposed() {
         return proposed;
     }
@@ -77,22 +83,22 @@
         return proposed == null;
     }
 
-    /** Whether this message answers the round. */
+    /** Whether this message answers a request of this round. */
     boolean isAnsweredBy(ConsensusMessage message) {
         return ballot.equals(message.ballot());
     }
 
-    /** Promises of ended incarnations count for nothing, as the next one may have forgotten them. */
+    /** Drops the promises of ended incarnations: the later incarnation may not know of them. */
     void dropEndedPromises(NodeState state) {
         promises.values().removeIf(promise -> !state.isCurrent(promise.sender(), promise.incarnation()));
     }
 
-    /** Acceptances of ended incarnations count for nothing either. */
+    /** Drops the acceptances of ended incarnations, for the same reason. */
     void dropEndedAcceptances(NodeState state) {
         acceptances.entrySet().removeIf(entry -> !state.isCurrent(entry.getKey(), entry.getValue()));
     }
 
-    /** The newest state that a promise reports; null: none reports any. */
+    /** The newest accepted state reported in a promise; null if none. */
     AcceptedState newestReported() {
         AcceptedState newest = null;
         for (ConsensusMessage promise : promises.values()) {
@@ -101,14 +107,14 @@
         return newest;
     }
 
-    /** The incarnations whose promises the proposal rests on. */
+    /** The incarnations whose promises the proposal is based on, by name. */
     Map<String, Long> promiseQuorum() {
         Map<String, Long> quorum = new TreeMap<>();
         promises.forEach((name, promise) -> quorum.put(name, promise.incarnation()));
         return quorum;
     }
 
-    /** Who has promised and does not recover. */
+    /** The electors that have promised and are not in recovery. */
     Set<String> recoveredPromisers() {
         Set<String> recovered = new HashSet<>();
         promises.forEach((name, promise) -> {
@@ -122,6 +128,6 @@
     @Override
     public String toString() {
         return ballot + " promises " + promises.values() + " proposed " + proposed + " acceptances " + acceptances
-                + " refusals " + refusals;
+                + " rejections " + rejections;
     }
 }
--- a/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
+++ b/src/main/java/maplespread/consensus/client/ReplicatedRegister.java
@@ -23,22 +23,22 @@
 import maplespread.membership.client.ClusterTransport;
 
 /**
- * The value that the fleet agrees on, for callers that may block. The group's receiving thread and one that ticks enter
- * the {@link ConsensusNode} under one lock, this object's; a third thread notifies listeners.
+ * Blocking access to the replicated value. The group's receiving thread and a tick thread call the
+ * {@link ConsensusNode} under the lock of this object; a third thread notifies the listeners.
  */
 public final class ReplicatedRegister implements Closeable {
-    /** The group's channel that carries the messages. */
+    /** Number of the group's channel for consensus messages. */
     public static final int CHANNEL = 1;
 
     private static final long THREAD_STACK_BYTES = 144 * 1024;
 
-    /** How much later than its time a result may come before the caller is told that there is none. */
+    /** Extra time after the deadline of a change in which the node may still deliver the result. */
     private static final long RESULT_GRACE_MS = 1000;
 
     private static final long MAX_TICK_INTERVAL_MS = 1000;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** One call of the node at the present time. */
+    /** A call of the node with the current time. */
     private interface NodeCall {
         void run(long now, Consumer<ChangeResult> callback);
     }
@@ -53,7 +53,11 @@
     private final Thread listenerThread;
     private boolean closed;
 
-    /** Takes the group's channel {@link #CHANNEL}; {@code seed}: of the random source that spreads retries. */
+    /**
+     * Registers for the group's channel {@link #CHANNEL} and starts the threads.
+     *
+     * @param seed seed of the random source for backoff times and the choice of receivers
+     */
     public ReplicatedRegister(ConsensusSettings settings, ClusterTransport cluster, long seed) {
         this.settings = settings;
         this.cluster = cluster;
@@ -63,11 +67,11 @@
         listenerThread = startDaemon("agreement news", this::notifyListeners);
     }
 
-    /** Sends the node's messages to the group. Called under the lock. */
+    /** Sends the node's messages to the group. Called while the lock of the register is held. */
     private final class NodeTransport implements ConsensusTransport {
         @Override
         public void send(String receiver, ConsensusMessage message) {
-            cluster.send(CHANNEL, receiver, codec.encode(receiver, message)); // what is not sent counts as lost
+            cluster.send(CHANNEL, receiver, codec.encode(receiver, message)); // a failed send counts as a lost message
         }
 
         @Override
@@ -94,7 +98,7 @@
 
     // ------------------------------------------------------------ threads
 
-    /** On the group's receiving thread. */
+    /** Handles a packet. Called on the group's receiving thread. */
     private void receive(String sender, byte[] payload) {
         byte[] reply;
         synchronized (this) {
@@ -163,7 +167,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return noMajority(e);
-        } catch (ExecutionException | TimeoutException e) { // closed meanwhile, or paused
+        } catch (ExecutionException | TimeoutException e) { // closed in the meantime, or a process pause
             return noMajority(e);
         }
     }
@@ -173,29 +177,29 @@
     }
 
     /**
-     * Blocks until a change is decided or rejected, or the time is over. The mutation runs under the lock: it must not
-     * block.
+     * Submits a change and blocks until it is decided, rejected or timed out. The mutation runs while the lock is held
+     * and must not block.
      *
-     * @param waitMs the time in milliseconds
+     * @param waitMs the timeout in milliseconds
      * @throws IllegalStateException if the register is closed
      */
     public ChangeResult change(Mutation mutation, long waitMs) {
         return call(waitMs, (now, callback) -> node.change(now, mutation, now + waitMs, callback));
     }
 
-    /** Moves to these electors, one at a time; blocks and throws as {@link #change} does. */
+    /** Replaces the electors, one at a time; blocks and throws like {@link #change}. */
     public ChangeResult electors(List<String> next, long waitMs) {
         return call(waitMs, (now, callback) -> node.electors(now, next, now + waitMs, callback));
     }
 
-    /** An operator's call after a majority has restarted at once; see {@link ConsensusNode#bootstrap}. */
+    /** For operators, after a majority of the electors has restarted at once; see {@link ConsensusNode#bootstrap}. */
     public ChangeResult bootstrap(List<String> electors, long waitMs) {
         return call(
                 waitMs,
                 (now, callback) -> node.bootstrap(now, System.currentTimeMillis(), electors, now + waitMs, callback));
     }
 
-    /** Bootstraps with the electors in force as far as they are known, else with those of the settings. */
+    /** Bootstraps with the electors of the last known value, or with those of the settings if none is known. */
     public ChangeResult bootstrap(long waitMs) {
         VersionedValue known = decidedValue();
         return bootstrap(known == null ? settings.electors() : known.electors(), waitMs);
@@ -203,17 +207,17 @@
 
     // ------------------------------------------------------------ state
 
-    /** The last decided value that this instance has learned; null: none yet. */
+    /** The latest decided value that this instance has learned; null if none. */
     public synchronized VersionedValue decidedValue() {
         return node.decidedValue();
     }
 
-    /** Whether this process has not yet read what a majority knows, and does not vote. */
+    /** Whether this process has not yet read the state of a majority and therefore does not vote. */
     public synchronized boolean recovering() {
         return node.recovering();
     }
 
-    /** How values were sent to other members so far. */
+    /** Counts of the values sent to other members, whole or by reference. */
     public synchronized MessageCodec.Counts valuesSent() {
         return codec.counts();
     }
@@ -223,17 +227,17 @@
         return node.acceptedValue();
     }
 
-    /** The electors as this member knows them; two lists while they change. */
+    /** The electors known to this member: one list, or two during a change. */
     public synchronized List<List<String>> electors() {
         return node.electors();
     }
 
-    /** Notified of each value learned, in order, on a thread that does nothing else. */
+    /** Adds a listener that is notified of each learned value, in order, on a dedicated thread. */
     public void addListener(Consumer<VersionedValue> listener) {
         listeners.add(listener);
     }
 
-    /** Ends the threads; calls that wait end with {@link ChangeResult.Outcome#NO_MAJORITY}. */
+    /** Stops the threads. Blocked calls return {@link ChangeResult.Outcome#NO_MAJORITY} after their timeout. */
     @Override
     public void close() {
         synchronized (this) {
