--- a/src/main/java/maplespread/consensus/Ballot.java
+++ b/src/main/java/maplespread/consensus/Ballot.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * A round's place in the order of all rounds. The proposer and its incarnation make it unique.
+ * The ballot number of a round, totally ordered. The proposer and its incarnation make it unique.
  *
- * @param epoch compared first, so that a bootstrap overrules everything before it
- * @param round counted within the epoch
- * @param proposer the name of the member that proposes
- * @param incarnation of that member, in Unix milliseconds
+ * @param epoch compared first, so that a bootstrap takes precedence over all earlier ballots
+ * @param round number of the round within the epoch
+ * @param proposer name of the proposing member
+ * @param incarnation incarnation of that member, in Unix milliseconds
  */
 public record Ballot(long epoch, long round, String proposer, long incarnation) implements Comparable<Ballot> {
-    /** Below every ballot of a round. */
+    /** Lower than the ballot of any round. */
     static final Ballot NONE = new Ballot(0, 0, "", 0);
 
     private static final Comparator<Ballot> ORDER = Comparator.comparingLong(Ballot::epoch)
--- a/src/main/java/maplespread/consensus/ChangeRejectedException.java
+++ b/src/main/java/maplespread/consensus/ChangeRejectedException.java
@@ -2,7 +2,7 @@
 
 import maplespread.errors.FleetException;
 
-/** A change does not fit the value as it is. */
+/** Thrown by a mutation that does not apply to the current value. */
 public class ChangeRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/maplespread/consensus/ConsensusMessage.java
+++ b/src/main/java/maplespread/consensus/ConsensusMessage.java
@@ -6,20 +6,20 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * What one member sends another.
+ * A message from one member to another.
  *
- * @param kind what it asks or answers
- * @param sender the name of the member that sends it
+ * @param kind the kind of request, answer or announcement
+ * @param sender name of the sending member
  * @param incarnation the sender's incarnation, in Unix milliseconds
- * @param crashVector the newest incarnation of each member that the sender knows of and whose votes may count
- * @param ballot of the round that it belongs to; {@link Ballot#NONE} outside of rounds
+ * @param crashVector the newest incarnation known to the sender, of each member whose votes may count
+ * @param ballot ballot of the round or of the reported decision; {@link Ballot#NONE} if the message has neither
  * @param promisedBallot the highest ballot that the sender has promised
- * @param recovering whether the sender recovers and does not vote
+ * @param recovering whether the sender is in recovery and does not vote
  * @param bootstrap whether the round is a bootstrap
- * @param requesterIncarnation in a recovery response: the incarnation that asked; else 0
- * @param configuredElectors the electors of the sender's settings
- * @param promiseQuorum in an accept request: the incarnations whose promises the proposal rests on
- * @param accepted the state that is reported or proposed; null: none
+ * @param requesterIncarnation the incarnation that sent the request, in a recovery response; 0 in other messages
+ * @param configuredElectors the electors in the sender's settings
+ * @param promiseQuorum the incarnations whose promises the proposal is based on, by name; empty outside of ACCEPT
+ * @param accepted the reported, proposed or decided state; null if none
  */
 public record ConsensusMessage(
         Kind kind,
@@ -34,25 +34,25 @@
         List<String> configuredElectors,
         Map<String, Long> promiseQuorum,
         AcceptedState accepted) {
-    /** The kinds of messages; their order is part of the format. */
+    /** The kinds of messages. Their order is part of the wire format. */
     public enum Kind {
-        /** Of a member that recovers: asks what the receiver has promised and accepted. */
+        /** Sent by a recovering member: asks what the receiver has promised and accepted. */
         RECOVERY_REQUEST,
         /** Reports what the sender has promised and accepted. */
         RECOVERY_RESPONSE,
-        /** Of a proposer: asks for a promise of its ballot. */
+        /** Sent by a proposer: asks for a promise of its ballot. */
         PREPARE,
-        /** Promises the ballot and reports what was accepted so far. */
+        /** Promises the ballot and reports the accepted state. */
         PROMISE,
-        /** Of a proposer: asks to accept the state that it carries. */
+        /** Sent by a proposer: asks the receiver to accept the state in the message. */
         ACCEPT,
-        /** The state was accepted. */
+        /** Confirms that the sender has accepted the state. */
         ACCEPTED,
-        /** Refuses a PREPARE or an ACCEPT, as a higher ballot was promised or the quorum behind it does not hold. */
+        /** Rejects a PREPARE or ACCEPT because a higher ballot was promised or the promise quorum is outdated. */
         REFUSE,
         /** Announces a decided state. */
         DECIDED,
-        /** Reports the ballot of the latest decision that the sender knows, without the state. */
+        /** Reports the ballot of the latest decision known to the sender, without the state. */
         DECIDED_BALLOT
     }
 
@@ -63,7 +63,7 @@
         configuredElectors = List.copyOf(configuredElectors);
     }
 
-    /** The same message with this state. */
+    /** Returns a copy of this message with the given state. */
     ConsensusMessage withAccepted(AcceptedState next) {
         return new ConsensusMessage(
                 kind,
--- a/src/main/java/maplespread/consensus/ConsensusNode.java
+++ b/src/main/java/maplespread/consensus/ConsensusNode.java
@@ -27,8 +27,8 @@
     /**
      * Creates a node without any state; it starts in recovery.
      *
-     * @param incarnation start time of this process in Unix milliseconds; must exceed that of every earlier process with
-     *     the same name
+     * @param incarnation start time of this process in Unix milliseconds; must exceed that of every earlier process
+     *     with the same name
      * @param seed seed of the random source for backoff times and the choice of receivers
      * @param now current time, in milliseconds of the node's clock
      * @param transport receives the messages, values and events of the node, during calls of the node
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The value that this elector accepted last, decided or not; null during recovery or if it has accepted none. Once a
-     * value is decided, a majority of the electors has accepted it or a later one.
+     * The value that this elector accepted last, decided or not; null during recovery or if it has accepted none. Once
+     * a value is decided, a majority of the electors has accepted it or a later one.
      */
     public VersionedValue acceptedValue() {
         return state.recovering() || state.accepted() == null
--- a/src/main/java/maplespread/consensus/ConsensusSettings.java
+++ b/src/main/java/maplespread/consensus/ConsensusSettings.java
@@ -6,10 +6,9 @@
  * The settings of a node.
  *
  * @param name this member's name
- * @param electors the electors at the first start, and until a decided value names others; each named once
- * @param retryMs how long the first round of a change waits for answers, in milliseconds; each further round waits
- *     twice as long
- * @param maxRetryMs the longest such wait, and the unit of all other intervals, in milliseconds
+ * @param electors the electors from the first start until a decided value names others; each named once
+ * @param retryMs timeout of the first round of a change, in milliseconds; doubled for each further round
+ * @param maxRetryMs maximum timeout of a round, in milliseconds; all other intervals are multiples of it
  */
 public record ConsensusSettings(String name, List<String> electors, long retryMs, long maxRetryMs) {
     private static final long LOCAL_RETRY_MS = 50;
@@ -18,7 +17,7 @@
     /**
      * Checks and copies the electors.
      *
-     * @throws IllegalArgumentException if there are none, or one is named twice
+     * @throws IllegalArgumentException if the list is empty or names an elector twice
      */
     public ConsensusSettings {
         electors = List.copyOf(electors);
--- a/src/main/java/maplespread/consensus/ConsensusTransport.java
+++ b/src/main/java/maplespread/consensus/ConsensusTransport.java
@@ -1,13 +1,17 @@
 package maplespread.consensus;
 
-/** Takes what a node sends and reports. Called during calls of the node; must not call it back. */
+/** Receives the messages, values and events of a node. Called during calls of the node; must not call the node. */
 public interface ConsensusTransport {
-    /** Sends a message to another member; it may be lost, delayed, repeated or overtaken. */
+    /** Sends a message to another member. The message may be lost, delayed, duplicated or reordered. */
     void send(String receiver, ConsensusMessage message);
 
-    /** A value is known to be decided that is later than the one known so far. */
+    /** Called when the node learns a decided value that is later than the one known before. */
     void learned(VersionedValue value);
 
-    /** Something for the log: its name, then names and values in turn. */
+    /**
+     * Logs an event.
+     *
+     * @param pairs the names and values of the fields, alternating
+     */
     void event(boolean warning, String name, Object... pairs);
 }
--- a/src/main/java/maplespread/consensus/Digest.java
+++ b/src/main/java/maplespread/consensus/Digest.java
@@ -11,7 +11,7 @@
  * @param low the next 64 bits
  */
 record Digest(long high, long low) {
-    /** The length in a message. */
+    /** Length of a digest in a message. */
     static final int BYTES = 16;
 
     static Digest of(byte[] content) {
--- a/src/main/java/maplespread/consensus/ElectorLists.java
+++ b/src/main/java/maplespread/consensus/ElectorLists.java
@@ -5,13 +5,13 @@
 import java.util.TreeSet;
 
 /**
- * Quorums over one list of electors, or over two while the electors change: each list then needs a majority of
- * its own.
+ * Quorums over one list of electors, or over two lists during a change of electors, each of which then needs a
+ * majority.
  */
 final class ElectorLists {
     private ElectorLists() {}
 
-    /** All names in these lists, in alphabetical order, as a new set that may be modified. */
+    /** All names in these lists, in alphabetical order, as a new modifiable set. */
     static Set<String> names(List<List<String>> lists) {
         Set<String> names = new TreeSet<>();
         lists.forEach(names::addAll);
@@ -27,7 +27,7 @@
         return 2 * list.stream().filter(voters::contains).count() > list.size();
     }
 
-    /** Whether both lists name the same electors, in whatever order. */
+    /** Whether both lists name the same electors, in any order. */
     static boolean sameElectors(List<String> first, List<String> second) {
         return Set.copyOf(first).equals(Set.copyOf(second));
     }
--- a/src/main/java/maplespread/consensus/FieldReader.java
+++ b/src/main/java/maplespread/consensus/FieldReader.java
@@ -9,8 +9,8 @@
 import maplespread.consensus.RegisterState.AppliedChange;
 
 /**
- * Reads the fields of a message from bytes that may be damaged: every method throws a {@link RuntimeException} where
- * the bytes end too early or name something that does not exist.
+ * Reads the fields of a message from bytes that may be corrupt. Every method throws a {@link RuntimeException} if the
+ * bytes end too early or contain an invalid value.
  */
 final class FieldReader {
     private final ByteBuffer in;
@@ -33,8 +33,8 @@
 
     String getText() {
         int length = in.getInt();
-        if (length < 0 || length > in.remaining()) { // checked before memory is allocated for it
-            throw new IllegalArgumentException("a text of " + length + " bytes");
+        if (length < 0 || length > in.remaining()) { // checked before the array is allocated
+            throw new IllegalArgumentException("text length " + length + " is negative or exceeds the remaining bytes");
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
@@ -43,7 +43,7 @@
 
     List<String> getTexts() {
         List<String> texts = new ArrayList<>();
-        for (int left = in.getInt(); left > 0; left--) {
+        for (int remaining = in.getInt(); remaining > 0; remaining--) {
             texts.add(getText());
         }
         return texts;
@@ -51,7 +51,7 @@
 
     Map<String, Long> getIncarnations() {
         Map<String, Long> incarnations = new TreeMap<>();
-        for (int left = in.getInt(); left > 0; left--) {
+        for (int remaining = in.getInt(); remaining > 0; remaining--) {
             String name = getText();
             incarnations.put(name, in.getLong());
         }
@@ -69,10 +69,10 @@
         return new Digest(in.getLong(), in.getLong());
     }
 
-    /** A number of digests that takes one byte, then these. */
+    /** Reads the number of digests as one byte, then the digests. */
     List<Digest> getDigests() {
         List<Digest> digests = new ArrayList<>();
-        for (int left = in.get(); left > 0; left--) {
+        for (int remaining = in.get(); remaining > 0; remaining--) {
             digests.add(getDigest());
         }
         return digests;
@@ -85,7 +85,7 @@
         VersionedValue value = new VersionedValue(epoch, version, getText(), electorsVersion, getTexts());
         List<String> previousElectors = getTexts();
         List<AppliedChange> applied = new ArrayList<>();
-        for (int left = in.getInt(); left > 0; left--) {
+        for (int remaining = in.getInt(); remaining > 0; remaining--) {
             applied.add(new AppliedChange(getText(), in.getLong(), in.getLong(), in.getLong()));
         }
         return new RegisterState(value, previousElectors, applied);
--- a/src/main/java/maplespread/consensus/FieldWriter.java
+++ b/src/main/java/maplespread/consensus/FieldWriter.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 import maplespread.consensus.RegisterState.AppliedChange;
 
-/** Writes the fields of a message into bytes, most significant byte first. */
+/** Writes the fields of a message as bytes, in big-endian order. */
 final class FieldWriter {
     private static final int INITIAL_BYTES = 512;
 
     private byte[] bytes = new byte[INITIAL_BYTES];
     private int length;
 
-    private void reserve(int added) {
+    private void ensureCapacity(int added) {
         if (length + added > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + added));
         }
     }
 
     FieldWriter putByte(int value) {
-        reserve(Byte.BYTES);
+        ensureCapacity(Byte.BYTES);
         bytes[length++] = (byte) value;
         return this;
     }
 
     FieldWriter putInt(int value) {
-        reserve(Integer.BYTES);
+        ensureCapacity(Integer.BYTES);
         for (int shift = Integer.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             bytes[length++] = (byte) (value >>> shift);
         }
@@ -37,11 +37,11 @@
         return putInt((int) (value >>> Integer.SIZE)).putInt((int) value);
     }
 
-    /** The number of bytes, then the text as UTF-8. */
+    /** Writes the number of bytes, then the text as UTF-8. */
     FieldWriter putText(String text) {
         byte[] encoded = text.getBytes(StandardCharsets.UTF_8);
         putInt(encoded.length);
-        reserve(encoded.length);
+        ensureCapacity(encoded.length);
         System.arraycopy(encoded, 0, bytes, length, encoded.length);
         length += encoded.length;
         return this;
--- a/src/main/java/maplespread/consensus/Learner.java
+++ b/src/main/java/maplespread/consensus/Learner.java
@@ -7,32 +7,37 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * Keeps the latest decided state, and compares it with one elector and one other member now and then: whoever of the
- * two lacks a decision is sent it. So a decision reaches every member though its first announcement was lost.
+ * Maintains the latest decided state, and periodically compares its ballot with one elector and one other member; the
+ * side that lacks a decision is sent it. A decision thus reaches every member even if its announcement was lost.
  */
 final class Learner {
-    /** Comparisons that follow a decision at the shorter interval. */
-    private static final int ROUNDS_AFTER_DECISION = 6;
+    /** Number of comparisons at the shorter interval after a decision. */
+    private static final int COMPARISONS_AFTER_DECISION = 6;
 
-    /** Bounds of the interval between comparisons when nothing was decided lately, in retry intervals. */
+    /** Minimum interval between comparisons without a recent decision, in multiples of the maximum retry interval. */
     private static final long MIN_IDLE_INTERVALS = 2;
 
+    /** Maximum interval between comparisons without a recent decision, in multiples of the maximum retry interval. */
     private static final long MAX_IDLE_INTERVALS = 10;
 
     private final NodeState state;
     private final Outbox outbox;
     private final SplittableRandom random;
-    private int roundsAfterDecision;
-    private long nextRoundAt;
+
+    /** Remaining comparisons at the shorter interval. */
+    private int comparisonsAfterDecision;
+
+    /** Time of the next comparison, in milliseconds of the node's clock. */
+    private long nextComparisonAt;
 
     Learner(NodeState state, Outbox outbox, SplittableRandom random, long now) {
         this.state = state;
         this.outbox = outbox;
         this.random = random;
-        nextRoundAt = now + state.settings().maxRetryMs();
+        nextComparisonAt = now + state.settings().maxRetryMs();
     }
 
-    /** A state is known to be decided: it counts as accepted here, and no earlier ballot is promised after it. */
+    /** Handles a decided state: adopts it as accepted and as the latest decision, if later, and raises the promise. */
     void decided(AcceptedState next) {
         state.acceptDecided(next);
         state.observe(next.ballot());
@@ -40,7 +45,7 @@
         VersionedValue before = state.decidedValue();
         if (value.isLaterThan(before)) {
             state.setDecided(next);
-            roundsAfterDecision = ROUNDS_AFTER_DECISION;
+            comparisonsAfterDecision = COMPARISONS_AFTER_DECISION;
             if (before != null) {
                 reportChanges(before, value);
             }
@@ -68,33 +73,33 @@
         }
     }
 
-    /** Compares with others where it is time to. */
+    /** Starts a comparison with other members when one is due. */
     void tick(long now) {
-        if (roundsAfterDecision > 0) {
-            nextRoundAt = Math.min(nextRoundAt, now + state.settings().maxRetryMs());
+        if (comparisonsAfterDecision > 0) {
+            nextComparisonAt = Math.min(nextComparisonAt, now + state.settings().maxRetryMs());
         }
-        if (now < nextRoundAt) {
+        if (now < nextComparisonAt) {
             return;
         }
-        nextRoundAt = now + nextIntervalMs();
+        nextComparisonAt = now + nextIntervalMs();
         compareWithOneOf(new ArrayList<>(state.otherMembers()));
         List<String> electors = new ArrayList<>(state.decidedElectors());
         electors.remove(state.self());
         compareWithOneOf(electors);
     }
 
-    /** When to be called again at the latest, in milliseconds of the node's clock. */
+    /** The time by which the next tick is needed, in milliseconds of the node's clock. */
     long nextTickAt() {
-        return nextRoundAt;
+        return nextComparisonAt;
     }
 
     /**
-     * Short after a decision. Later the longer, the more members there are for each elector, so that the messages an
-     * elector receives do not grow with the fleet.
+     * The interval to the next comparison. It is short after a decision; otherwise it grows with the number of members
+     * per elector, so that the message rate of an elector does not grow with the fleet.
      */
     private long nextIntervalMs() {
-        if (roundsAfterDecision > 0) {
-            roundsAfterDecision--;
+        if (comparisonsAfterDecision > 0) {
+            comparisonsAfterDecision--;
             return state.settings().maxRetryMs();
         }
         int membersPerElector =
@@ -110,12 +115,15 @@
         }
     }
 
-    /** Another member reports which ballot it knows as decided: whichever side is behind is sent the state. */
+    /**
+     * Compares the decided ballot reported by another member with that of this member. Sends the state if the other
+     * member is behind, or requests it by a report of this member's ballot.
+     */
     void compare(ConsensusMessage report) {
-        int order = report.ballot().compareTo(state.decidedBallot());
-        if (order < 0) {
+        int comparison = report.ballot().compareTo(state.decidedBallot());
+        if (comparison < 0) {
             outbox.send(report.sender(), Kind.DECIDED, state.decidedBallot(), state.decided());
-        } else if (order > 0) {
+        } else if (comparison > 0) {
             outbox.send(report.sender(), Kind.DECIDED_BALLOT, state.decidedBallot(), null);
         }
     }
--- a/src/main/java/maplespread/consensus/MessageCodec.java
+++ b/src/main/java/maplespread/consensus/MessageCodec.java
@@ -11,32 +11,31 @@
 import maplespread.consensus.StateCache.BoundedMap;
 
 /**
- * Turns one member's messages into bytes and back, with states by reference: a state goes whole only to a member that is
- * not known to hold it, else by its digest. A receiver that cannot resolve a digest drops the message, which counts as
- * lost, and requests the state; the sender then repeats its last message to that member, with the state whole.
+ * Encodes and decodes the messages of one member, with states by reference: a state is sent whole only to a member that
+ * is not known to hold it, otherwise as its digest. A receiver that cannot resolve a digest drops the message, which
+ * counts as lost, and requests the state; the sender then repeats its last message to that member with the whole state.
  *
- * <p>Members of an earlier version, which know no references, are sent whole states, and send them. Not safe for use by
- * several threads at once.
+ * <p>Members of an earlier version, which does not support references, send and are sent whole states. Not thread-safe.
  */
 public final class MessageCodec {
-    /** Stands in place of a message's version, and is followed by the digest of the requested state. */
+    /** First byte of a state request, in place of a message's version; the digest of the requested state follows. */
     private static final byte STATE_REQUEST = 2;
 
     private static final int STATE_REQUEST_BYTES = 1 + Digest.BYTES;
     private static final int MAX_PEERS = 1024;
 
-    /** Most digests that a message names as held by its sender. */
+    /** Maximum number of digests that a message lists as held by its sender. */
     private static final int MAX_ANNOUNCED_HOLDINGS = 2;
 
-    /** Most digests that are remembered as held by one peer. */
+    /** Maximum number of digests that are recorded as held by one peer. */
     private static final int MAX_PEER_HOLDINGS = 4;
 
     /**
-     * What a packet contained.
+     * The result of decoding a packet.
      *
-     * @param message null where there is none that can be used
-     * @param reply a packet to be sent back to the sender; null: none
-     * @param readable whether the packet was of a known form
+     * @param message the message; null if the packet contains no usable one
+     * @param reply a packet to send back to the sender; null if none
+     * @param readable whether the packet had a known format
      */
     public record Received(ConsensusMessage message, byte[] reply, boolean readable) {
         private static final Received UNREADABLE = new Received(null, null, false);
@@ -52,19 +51,21 @@
     }
 
     /**
-     * How states were sent so far. An admin answer prints these names.
+     * Counts of the states sent. The component names are part of an admin response.
      *
-     * @param whole how many were sent whole
-     * @param byReference how many were sent by digest alone
-     * @param repeated how many of these were sent again whole, as the receiver could not resolve the digest
+     * @param whole number of states sent whole
+     * @param byReference number of states sent as a digest only
+     * @param repeated number of the latter that were sent again whole because the receiver could not resolve the digest
      */
     public record Counts(long whole, long byReference, long repeated) {}
 
-    /** What is known of a member's newest incarnation. */
+    /** The known properties of a member's newest incarnation. */
     private static final class Peer {
         private final long incarnation;
         private final Set<Digest> holdings = new LinkedHashSet<>();
         private boolean understandsReferences;
+
+        /** The last message sent with a digest in place of its state; null if none, or if already repeated. */
         private ConsensusMessage lastByReference;
 
         Peer(long incarnation) {
@@ -86,7 +87,7 @@
     private long byReference;
     private long repeated;
 
-    /** The packet that brings a message to this receiver. */
+    /** Encodes a message as a packet for this receiver. */
     public byte[] encode(String receiver, ConsensusMessage message) {
         Peer peer = peers.get(receiver);
         boolean understandsReferences = peer != null && peer.understandsReferences;
@@ -109,7 +110,7 @@
         return MessageFormat.encode(message, null, holdings);
     }
 
-    /** How states were sent so far. */
+    /** Counts of the states sent so far. */
     public Counts counts() {
         return new Counts(whole, byReference, repeated);
     }
@@ -118,7 +119,7 @@
         return states.latest(MAX_ANNOUNCED_HOLDINGS);
     }
 
-    /** What a packet of this sender contains. A message that names another sender is returned as it is. */
+    /** Decodes a packet of this sender. A message that names another sender is returned unresolved. */
     public Received decode(String sender, byte[] packet) {
         if (packet.length > 0 && packet[0] == STATE_REQUEST) {
             return repeatWhole(sender, packet);
@@ -154,7 +155,7 @@
         return Received.of(message.withAccepted(new AcceptedState(parsed.referenceBallot(), state)));
     }
 
-    /** What is known of a member's newest incarnation; null where this one has ended. */
+    /** Returns the entry of a member's newest incarnation; null if the given incarnation has ended. */
     private Peer currentPeer(String name, long incarnation) {
         Peer peer = peers.get(name);
         if (peer == null || peer.incarnation < incarnation) {
@@ -170,7 +171,7 @@
         return out.array();
     }
 
-    /** The last message to a member that could not resolve its reference, with the state whole. */
+    /** Answers a state request: repeats the last message sent to this member by reference, with the whole state. */
     private Received repeatWhole(String sender, byte[] request) {
         if (request.length != STATE_REQUEST_BYTES) {
             return Received.UNREADABLE;
@@ -182,7 +183,7 @@
         }
         ConsensusMessage last = peer.lastByReference;
         if (!states.digestOf(last.accepted().state()).equals(digest)) {
-            return Received.NOTHING; // a later message has taken its place
+            return Received.NOTHING; // replaced by a later message
         }
         peer.holdings.remove(digest);
         peer.lastByReference = null;
--- a/src/main/java/maplespread/consensus/MessageFormat.java
+++ b/src/main/java/maplespread/consensus/MessageFormat.java
@@ -8,13 +8,13 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * The binary form of messages. Members of an earlier version, which know no references, can read a message that has
- * neither a reference nor holdings: of the flags they look at the first three alone.
+ * The binary format of messages. Members of an earlier version, which does not support references, evaluate only the
+ * first three flags and can read a message that has neither a reference nor holdings.
  */
 final class MessageFormat {
     private static final byte VERSION = 1;
 
-    /** The sender recovers. */
+    /** The sender is in recovery. */
     private static final int FLAG_RECOVERING = 1;
 
     /** The round is a bootstrap. */
@@ -33,12 +33,12 @@
     private static final int FLAG_HOLDINGS = 32;
 
     /**
-     * A message as it was received.
+     * A decoded message.
      *
-     * @param message without its state where that came by reference
+     * @param message the message, without its state if that was sent by reference
      * @param understandsReferences whether the sender understands references
-     * @param reference the digest of the state; null: there is no state, or it came whole
-     * @param referenceBallot the ballot under which the state was accepted; null: there is no state
+     * @param reference the digest of the state; null if there is no state or it was sent whole
+     * @param referenceBallot the ballot under which the state was accepted; null if there is no state
      * @param holdings digests of states that the sender holds
      */
     record ParsedMessage(
@@ -51,10 +51,10 @@
     private MessageFormat() {}
 
     /**
-     * A message in bytes.
+     * Encodes a message.
      *
-     * @param reference sent in place of the state; null: the state is sent whole
-     * @param holdings digests of states that this member holds; empty for receivers that understand no references
+     * @param reference the digest sent in place of the state; null to send the state whole
+     * @param holdings digests of states that this member holds; empty for receivers that do not understand references
      */
     static byte[] encode(ConsensusMessage message, Digest reference, Collection<Digest> holdings) {
         FieldWriter out = new FieldWriter();
@@ -96,12 +96,12 @@
         return flags;
     }
 
-    /** A state in bytes, as it stands in a message: its digest is taken of these. */
+    /** Encodes a state as in a message; its digest is computed from these bytes. */
     static byte[] encode(RegisterState state) {
         return new FieldWriter().putState(state).toBytes();
     }
 
-    /** The message in these bytes; empty where they are none. */
+    /** Decodes a message; empty if the bytes are not a valid message. */
     static Optional<ParsedMessage> decode(byte[] bytes) {
         try {
             FieldReader reader = new FieldReader(bytes);
@@ -111,7 +111,7 @@
             ParsedMessage parsed = read(reader);
             boolean stateTwice = parsed.reference() != null && parsed.message().accepted() != null;
             return reader.hasRemaining() || stateTwice ? Optional.empty() : Optional.of(parsed);
-        } catch (RuntimeException e) { // the bytes end too early, or name no kind
+        } catch (RuntimeException e) { // the bytes end too early or contain an unknown kind
             return Optional.empty();
         }
     }
@@ -127,10 +127,10 @@
         long requester = in.getLong();
         List<String> electors = in.getTexts();
         Map<String, Long> quorum = in.getIncarnations();
-        Ballot stateBallot = has(flags, FLAG_STATE | FLAG_REFERENCE) ? in.getBallot() : null;
-        AcceptedState accepted = has(flags, FLAG_STATE) ? new AcceptedState(stateBallot, in.getState()) : null;
-        Digest reference = has(flags, FLAG_REFERENCE) ? in.getDigest() : null;
-        List<Digest> holdings = has(flags, FLAG_HOLDINGS) ? in.getDigests() : List.of();
+        Ballot stateBallot = hasAnyOf(flags, FLAG_STATE | FLAG_REFERENCE) ? in.getBallot() : null;
+        AcceptedState accepted = hasAnyOf(flags, FLAG_STATE) ? new AcceptedState(stateBallot, in.getState()) : null;
+        Digest reference = hasAnyOf(flags, FLAG_REFERENCE) ? in.getDigest() : null;
+        List<Digest> holdings = hasAnyOf(flags, FLAG_HOLDINGS) ? in.getDigests() : List.of();
         ConsensusMessage message = new ConsensusMessage(
                 kind,
                 sender,
@@ -138,17 +138,18 @@
                 crashVector,
                 ballot,
                 promised,
-                has(flags, FLAG_RECOVERING),
-                has(flags, FLAG_BOOTSTRAP),
+                hasAnyOf(flags, FLAG_RECOVERING),
+                hasAnyOf(flags, FLAG_BOOTSTRAP),
                 requester,
                 electors,
                 quorum,
                 accepted);
-        return new ParsedMessage(message, has(flags, FLAG_UNDERSTANDS_REFERENCES), reference, stateBallot, holdings);
+        return new ParsedMessage(
+                message, hasAnyOf(flags, FLAG_UNDERSTANDS_REFERENCES), reference, stateBallot, holdings);
     }
 
-    /** Whether any of these flags is set. */
-    private static boolean has(int flags, int wanted) {
+    /** Whether any of the wanted flags is set. */
+    private static boolean hasAnyOf(int flags, int wanted) {
         return (flags & wanted) != 0;
     }
 }
--- a/src/main/java/maplespread/consensus/Mutation.java
+++ b/src/main/java/maplespread/consensus/Mutation.java
@@ -2,18 +2,19 @@
 
 import maplespread.errors.FleetException;
 
-/** A change of the register's value, as a function from the newest value to the text that follows it. */
+/** A change of the replicated value, as a function from the newest value to the next text. */
 @FunctionalInterface
 public interface Mutation {
-    /** Reads the newest value and leaves it as it is. */
+    /** Reads the newest value without changing it. */
     Mutation READ = VersionedValue::text;
 
     /**
-     * Returns the next text; the same text makes it a read. May be called several times, also with values that are never
-     * decided: it must have no other effect.
+     * Returns the next text; if the text is unchanged, the change amounts to a read. Must be free of side effects,
+     * because it may be called several times, including with values that are never decided.
      *
      * @param current the newest value
-     * @throws FleetException if the change does not fit the value; it is then rejected, and the result carries the error
+     * @throws FleetException if the change does not apply to the value; it is then rejected, and the result contains
+     *     the error
      */
     String apply(VersionedValue current) throws FleetException;
 }
--- a/src/main/java/maplespread/consensus/OrphanedChangeFinisher.java
+++ b/src/main/java/maplespread/consensus/OrphanedChangeFinisher.java
@@ -4,11 +4,11 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * Finds that this elector has accepted a state which is not known to be decided for a while: its proposer may have
- * died. A read by this member then finishes it.
+ * Detects an accepted state of this elector that has not become known as decided for some time, for example because its
+ * proposer has crashed. This member then submits a read, which completes the change.
  */
 final class OrphanedChangeFinisher {
-    /** How long the read may take, in retry intervals. */
+    /** Timeout of the read, in multiples of the maximum retry interval. */
     private static final int READ_INTERVALS = 4;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -16,7 +16,10 @@
     private final NodeState state;
     private final Proposer proposer;
     private final SplittableRandom random;
-    /** When the wait begins: a random time ahead, so that not all electors act at once. */
+    /**
+     * Start of the wait, in milliseconds of the node's clock; {@link #NEVER} if no state is pending. Set a random time
+     * ahead so that not all electors act at once.
+     */
     private long waitFrom = NEVER;
 
     OrphanedChangeFinisher(NodeState state, Proposer proposer, SplittableRandom random) {
@@ -25,7 +28,7 @@
         this.random = random;
     }
 
-    /** Submits the read where it is time to. */
+    /** Submits the read when it is due. */
     void tick(long now) {
         long intervalMs = state.settings().maxRetryMs();
         if (!isUndecided() || !proposer.isIdle()) {
--- a/src/main/java/maplespread/consensus/Outbox.java
+++ b/src/main/java/maplespread/consensus/Outbox.java
@@ -9,8 +9,8 @@
 import maplespread.consensus.RegisterState.AcceptedState;
 
 /**
- * Builds this member's messages and sends them; those that it sends to itself wait here until the node takes them.
- * Events go the same way, warnings once for each of their kind and subject.
+ * Creates and sends this member's messages; messages to itself are queued until the node polls them. Also forwards
+ * events to the transport.
  */
 final class Outbox {
     private final NodeState state;
@@ -23,7 +23,7 @@
         this.transport = transport;
     }
 
-    /** A message that reports this member's state as it is now. */
+    /** Creates a message that includes this member's current state. */
     ConsensusMessage message(
             Kind kind,
             Ballot ballot,
@@ -46,7 +46,11 @@
                 accepted);
     }
 
-    /** Sends a message of the kinds that carry a ballot and, perhaps, a state; null: without one. */
+    /**
+     * Sends a message of a kind that has only a ballot and an optional state.
+     *
+     * @param accepted the state; null if none
+     */
     void send(String receiver, Kind kind, Ballot ballot, AcceptedState accepted) {
         send(receiver, message(kind, ballot, false, 0, Map.of(), accepted));
     }
@@ -59,7 +63,7 @@
         }
     }
 
-    /** The oldest message that this member has sent to itself and not taken yet; null: none. */
+    /** Removes and returns the oldest queued message of this member to itself; null if none. */
     ConsensusMessage pollLoopback() {
         return loopback.poll();
     }
@@ -76,14 +80,14 @@
         transport.event(true, event, pairs);
     }
 
-    /** Warns unless the same event with the same fields was reported before. */
+    /** Logs a warning unless the same event was logged with the same fields before. */
     void warnOnce(String event, Object... pairs) {
         if (issuedWarnings.add(event + List.of(pairs))) {
             warn(event, pairs);
         }
     }
 
-    /** Whether the sender's settings name the same electors as this member's; warns where they do not. */
+    /** Whether the sender's settings name the same electors as this member's; logs a warning if not. */
     boolean hasSameSettings(ConsensusMessage message) {
         List<String> own = state.settings().electors();
         if (ElectorLists.sameElectors(message.configuredElectors(), own)) {
--- a/src/main/java/maplespread/consensus/PendingChange.java
+++ b/src/main/java/maplespread/consensus/PendingChange.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What a caller has asked for, until it has its result. One is in work at a time; it may take several rounds. */
+/** A submitted change without a result yet. One change is processed at a time, possibly in several rounds. */
 final class PendingChange {
     private final Mutation mutation;
     private final Optional<List<String>> targetElectors;
@@ -43,7 +43,7 @@
         return new PendingChange(Mutation.READ, Optional.of(target), false, number, giveUpAt, callback);
     }
 
-    /** A bootstrap with these electors, whose value has at least this epoch. */
+    /** A bootstrap with these electors; the new value has at least the given epoch. */
     static PendingChange ofBootstrap(
             List<String> electors, long epoch, long number, long giveUpAt, Consumer<ChangeResult> callback) {
         PendingChange change =
@@ -52,7 +52,7 @@
         return change;
     }
 
-    /** A change of the value, or {@link Mutation#READ} where only electors change. */
+    /** The change of the value; {@link Mutation#READ} if only the electors change. */
     Mutation mutation() {
         return mutation;
     }
@@ -66,28 +66,28 @@
         return bootstrap;
     }
 
-    /** Counts the changes of this incarnation. */
+    /** Sequence number among the changes of this incarnation. */
     long number() {
         return number;
     }
 
-    /** When its caller is told that no majority has decided it, in milliseconds of the node's clock. */
+    /** Time at which an undecided change ends without a majority, in milliseconds of the node's clock. */
     long giveUpAt() {
         return giveUpAt;
     }
 
-    /** Least epoch of what a bootstrap writes; the epoch that it wrote, once it was attempted. */
+    /** Minimum epoch of a bootstrap; after the first attempt, the epoch of that attempt. */
     long bootstrapEpoch() {
         return bootstrapEpoch;
     }
 
-    /** Whether votes were asked for a state that has this change in it: it may be decided without its proposer. */
+    /** Whether a state with this change was proposed; the change may then be decided without its proposer. */
     boolean attempted() {
         return attempted;
     }
 
-    /** A first attempt proposes this change on top of the value; later ones do not count. */
-    void attemptOn(VersionedValue base) {
+    /** Records the value that the first attempt of this change is based on; later attempts are not recorded. */
+    void recordAttempt(VersionedValue base) {
         if (!attempted) {
             attempted = true;
             firstAttemptEpoch = base.epoch();
@@ -95,8 +95,8 @@
         }
     }
 
-    /** A first attempt bootstraps under this epoch; later ones do not count. */
-    void attemptBootstrap(long epoch) {
+    /** Records the epoch of the first attempt of a bootstrap; later attempts are not recorded. */
+    void recordBootstrapAttempt(long epoch) {
         if (!attempted) {
             attempted = true;
             bootstrapEpoch = epoch;
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Whether so much has been decided since the first attempt that the value need not list this change any more, though
-     * it may be in it.
+     * Whether so many changes were decided since the first attempt that the value may include this change without
+     * listing it any more.
      */
     boolean isUntraceableIn(VersionedValue value) {
         return attempted
@@ -113,7 +113,7 @@
                         || value.version() - firstAttemptVersion >= RegisterState.MAX_APPLIED_CHANGES);
     }
 
-    /** What the mutation threw when it was applied last; null: it did not. */
+    /** The exception that the mutation threw when it was last applied; null if none. */
     Exception rejection() {
         return rejection;
     }
@@ -122,7 +122,7 @@
         rejection = error;
     }
 
-    /** Whether a decided state leaves nothing to do; a move of electors may need further steps. */
+    /** Whether the change is complete in a decided state; a replacement of electors may need further steps. */
     boolean isCompleteIn(RegisterState decided) {
         return bootstrap
                 || targetElectors.isEmpty()
@@ -130,7 +130,7 @@
                         && ElectorLists.sameElectors(decided.value().electors(), targetElectors.get());
     }
 
-    /** The result where a state with this change in it was decided. */
+    /** The result after a state with this change was decided, or with the value that its rejection is based on. */
     ChangeResult resultIn(VersionedValue value) {
         return new ChangeResult(
                 rejection != null ? ChangeResult.Outcome.REJECTED : ChangeResult.Outcome.DECIDED, value, rejection);
--- a/src/main/java/maplespread/consensus/QuorumLostException.java
+++ b/src/main/java/maplespread/consensus/QuorumLostException.java
@@ -2,7 +2,7 @@
 
 import maplespread.errors.FleetException;
 
-/** No majority of the electors answered in time: the change may yet be decided, or not. */
+/** No majority of the electors answered in time; the change may still be decided later, or never. */
 public final class QuorumLostException extends FleetException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/maplespread/consensus/Recovery.java
+++ b/src/main/java/maplespread/consensus/Recovery.java
@@ -15,7 +15,7 @@
  * inform the other members that the earlier incarnations have ended.
  */
 final class Recovery {
-    /** Time after which a majority still in recovery is reported as lost, in multiples of the maximum retry interval. */
+    /** Time until a majority in recovery is reported as lost, in multiples of the maximum retry interval. */
     private static final int LOST_AFTER_INTERVALS = 4;
 
     /** Placeholder that differs from every incarnation. */
--- a/src/main/java/maplespread/consensus/RegisterState.java
+++ b/src/main/java/maplespread/consensus/RegisterState.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * The replicated state of the register: the value, and what is needed to change it safely.
+ * The replicated value with the data needed to change it safely.
  *
  * @param value the value with its electors
- * @param previousElectors the electors before, while a change of them is not known to be decided; else empty
- * @param appliedChanges the last change of each of the latest proposers, newest last, so that one which is tried again
- *     is not applied twice
+ * @param previousElectors the previous electors, while a change of electors is not known to be decided; otherwise empty
+ * @param appliedChanges the last change of each recent proposer, newest last; prevents a retried change from being
+ *     applied twice
  */
 public record RegisterState(VersionedValue value, List<String> previousElectors, List<AppliedChange> appliedChanges) {
-    /** Most proposers whose last change is remembered. */
+    /** Maximum number of proposers whose last change is recorded. */
     static final int MAX_APPLIED_CHANGES = 64;
 
     /**
-     * A change that is in the value.
+     * A change that the value includes.
      *
-     * @param proposer the member that proposed it
-     * @param incarnation of that member, in Unix milliseconds
-     * @param number of the change, counted by that incarnation
-     * @param version that the change made
+     * @param proposer the member that proposed the change
+     * @param incarnation incarnation of that member, in Unix milliseconds
+     * @param number sequence number of the change within that incarnation
+     * @param version version of the value that the change produced
      */
     public record AppliedChange(String proposer, long incarnation, long number, long version) {
         private boolean isOf(String name, long ofIncarnation, long ofNumber) {
@@ -33,10 +33,10 @@
      * A state that an elector has accepted.
      *
      * @param ballot the ballot under which it was accepted
-     * @param state what was accepted
+     * @param state the accepted state
      */
     public record AcceptedState(Ballot ballot, RegisterState state) {
-        /** Whether the first was accepted under a higher ballot than the second; null: nothing was accepted. */
+        /** Whether the first was accepted under a higher ballot than the second; null stands for no accepted state. */
         static boolean isLater(AcceptedState first, AcceptedState second) {
             return first != null && (second == null || first.ballot.compareTo(second.ballot) > 0);
         }
@@ -48,17 +48,17 @@
         appliedChanges = List.copyOf(appliedChanges);
     }
 
-    /** Each of these lists must have a majority for what is read from, or written over, this state. */
+    /** The elector lists of which a read or a replacement of this state needs a majority each. */
     List<List<String>> electorLists() {
         return previousElectors.isEmpty() ? List.of(value.electors()) : List.of(previousElectors, value.electors());
     }
 
-    /** Whether this change is known to be in the value. */
+    /** Whether the applied changes list this change. */
     boolean hasApplied(String proposer, long incarnation, long number) {
         return appliedChanges.stream().anyMatch(change -> change.isOf(proposer, incarnation, number));
     }
 
-    /** The applied changes with one more, in place of an earlier one of its proposer. */
+    /** Returns the applied changes with the given one, which replaces an earlier one of the same proposer. */
     List<AppliedChange> withApplied(AppliedChange added) {
         List<AppliedChange> next = new ArrayList<>(appliedChanges);
         next.removeIf(change -> change.proposer.equals(added.proposer));
--- a/src/main/java/maplespread/consensus/Round.java
+++ b/src/main/java/maplespread/consensus/Round.java
@@ -22,7 +22,7 @@
     /**
      * Creates a round that awaits promises.
      *
-     * @param newEpoch whether the ballot's epoch is above every known one, so that the first value may be proposed in it
+     * @param newEpoch whether the ballot's epoch is above every known one, so that a first value may be proposed
      * @param startedAt start of the round, in milliseconds of the node's clock
      * @param endsAt time at which the round fails for lack of answers, in milliseconds of the node's clock
      */
--- a/src/main/java/maplespread/consensus/StateCache.java
+++ b/src/main/java/maplespread/consensus/StateCache.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The states that this member has used last, by digest. */
+/** The most recently used states of this member, by digest. */
 final class StateCache {
     private static final int MAX_STATES = 8;
 
     private final Map<Digest, RegisterState> states = new BoundedMap<>(MAX_STATES);
 
-    /** A map that drops the entry which was used least recently. */
+    /** A map that evicts the least recently used entry. */
     static final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
         private static final long serialVersionUID = 1;
         private static final int INITIAL_CAPACITY = 16;
@@ -30,17 +30,17 @@
         }
     }
 
-    /** The state with this digest; null: it is not held. */
+    /** The state with this digest; null if it is not cached. */
     RegisterState get(Digest digest) {
         return states.get(digest);
     }
 
-    /** The digest of a state, which is held from now on. The same object is not digested twice. */
+    /** Returns the digest of a state and caches the state. The digest of a cached object is not computed again. */
     Digest digestOf(RegisterState state) {
         for (Map.Entry<Digest, RegisterState> entry : states.entrySet()) {
-            if (entry.getValue() == state) { // by identity: to compare texts would cost as much as a digest
+            if (entry.getValue() == state) { // by identity: comparing texts costs as much as a digest
                 Digest digest = entry.getKey();
-                states.get(digest); // marks it as used
+                states.get(digest); // marks the entry as used
                 return digest;
             }
         }
@@ -49,7 +49,7 @@
         return digest;
     }
 
-    /** The digests of the states used last, the latest one last. */
+    /** The digests of the most recently used states, in ascending order of use. */
     List<Digest> latest(int maxDigests) {
         List<Digest> digests = new ArrayList<>(states.keySet());
         return digests.subList(Math.max(0, digests.size() - maxDigests), digests.size());
--- a/src/main/java/maplespread/consensus/StateTransition.java
+++ b/src/main/java/maplespread/consensus/StateTransition.java
@@ -6,12 +6,12 @@
 import maplespread.consensus.RegisterState.AppliedChange;
 import maplespread.errors.FleetException;
 
-/** What a pending change makes of the newest state that a majority has reported: a state to propose, or its end. */
+/** The effect of a pending change on the newest state reported by a majority: a proposal, or the end of the change. */
 sealed interface StateTransition {
-    /** The electors are to be asked to accept this state. */
+    /** A state to be proposed to the electors. */
     record Proposal(RegisterState next) implements StateTransition {}
 
-    /** Nothing is to be proposed: the change ends with this result. */
+    /** The change ends with this result, without a proposal. */
     record Ended(ChangeResult result) implements StateTransition {}
 
     /** Applies a change of the value or of the electors to a state. */
@@ -27,7 +27,7 @@
             if (change.isUntraceableIn(value)) {
                 return new Ended(untraceable(state));
             }
-            text = mutated(change, value);
+            text = applyMutation(change, value);
         }
         boolean textChanged = !text.equals(value.text());
         if (!textChanged && electors.keeps(base)) {
@@ -37,15 +37,15 @@
         long version = value.version() + 1;
         if (textChanged) {
             applied = base.withApplied(new AppliedChange(state.self(), state.incarnation(), change.number(), version));
-            change.attemptOn(value);
+            change.recordAttempt(value);
         }
         VersionedValue next =
                 new VersionedValue(value.epoch(), version, text, electors.electorsVersion(), electors.electors());
         return new Proposal(new RegisterState(next, electors.previousElectors(), applied));
     }
 
-    /** The text after the change; the same text where it is rejected, which is reported once that text is decided. */
-    private static String mutated(PendingChange change, VersionedValue value) {
+    /** The text after the change; unchanged if the change is rejected, which is reported once that text is decided. */
+    private static String applyMutation(PendingChange change, VersionedValue value) {
         try {
             String text = change.mutation().apply(value);
             int bytes = text.getBytes(StandardCharsets.UTF_8).length;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** No majority was lost: the change cannot be traced among others, so whether it is decided is not known either. */
+    /** The result of a change whose outcome is unknown as the value need not list it any more. No quorum was lost. */
     private static ChangeResult untraceable(NodeState state) {
         return new ChangeResult(
                 ChangeResult.Outcome.NO_MAJORITY,
@@ -68,10 +68,10 @@
     }
 
     /**
-     * What a bootstrap begins with.
+     * Applies a bootstrap to the newest reported state.
      *
-     * @param newest the newest state that anybody has reported; null: none
-     * @param base the state to go on from, empty where none was reported
+     * @param newest the newest state that any member has reported; null if none
+     * @param base the state to continue from; an empty state if none was reported
      */
     static StateTransition bootstrap(
             PendingChange change, AcceptedState newest, RegisterState base, Round round, NodeState state) {
@@ -88,7 +88,7 @@
             return new Ended(bootstrapNotNeeded(state));
         }
         long epoch = round.ballot().epoch();
-        change.attemptBootstrap(epoch);
+        change.recordBootstrapAttempt(epoch);
         VersionedValue next =
                 new VersionedValue(epoch, value.version() + 1, value.text(), value.electorsVersion() + 1, electors);
         return new Proposal(new RegisterState(next, List.of(), base.appliedChanges()));
@@ -98,7 +98,7 @@
         return new ChangeResult(
                 ChangeResult.Outcome.REJECTED,
                 state.decidedValue(),
-                new ChangeRejectedException( // operators' words: sighted is recovered, founded is bootstrapped
+                new ChangeRejectedException( // terms of the admin API: sighted = recovered, founded = bootstrapped
                         "a majority of the electors is sighted",
                         "changes are decided as always",
                         "nothing need be founded; electors are changed by call"));
--- a/src/main/java/maplespread/consensus/ValueTooLargeException.java
+++ b/src/main/java/maplespread/consensus/ValueTooLargeException.java
@@ -2,7 +2,7 @@
 
 import maplespread.errors.FleetException;
 
-/** A value does not fit into one packet. */
+/** The text of a value exceeds the maximum size, which ensures that a message fits into one packet. */
 public final class ValueTooLargeException extends FleetException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/maplespread/consensus/VersionedValue.java
+++ b/src/main/java/maplespread/consensus/VersionedValue.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The register's value at one version.
+ * The replicated value at one version.
  *
- * @param epoch begins with Unix milliseconds and grows with each first start or bootstrap; compared before the version
- * @param version grows by one with each change
- * @param text the value itself, at most {@link ConsensusNode#MAX_TEXT_BYTES} bytes as UTF-8
- * @param electorsVersion grows with each change of the electors
- * @param electors the members whose majority decides
+ * @param epoch starts at Unix milliseconds and grows with each first start or bootstrap; compared before the version
+ * @param version incremented with each change
+ * @param text the content, at most {@link ConsensusNode#MAX_TEXT_BYTES} bytes as UTF-8
+ * @param electorsVersion incremented with each change of the electors
+ * @param electors the members of which a majority decides
  */
 public record VersionedValue(long epoch, long version, String text, long electorsVersion, List<String> electors) {
     /** Copies the list. */
@@ -17,7 +17,7 @@
         electors = List.copyOf(electors);
     }
 
-    /** Whether this is later than the other; null: there is no other. */
+    /** Whether this value is later than the other; null stands for no value. */
     public boolean isLaterThan(VersionedValue other) {
         if (other == null) {
             return true;
--- a/src/main/java/maplespread/consensus/package-info.java
+++ b/src/main/java/maplespread/consensus/package-info.java
@@ -1,13 +1,13 @@
 /**
- * One value that the fleet agrees on, decided by a majority of electors, without a disk: a register by CASPaxos (Rystsov
- * 2018), made safe against electors that restart empty by crash vectors (Michael, Ports, Sharma, Szekeres, DISC 2017).
+ * Diskless consensus on one replicated value, decided by a majority of electors: CASPaxos (Rystsov 2018), with crash
+ * vectors (Michael, Ports, Sharma, Szekeres, DISC 2017) for safety when electors restart without state.
  *
- * <p>{@link maplespread.consensus.ConsensusNode} ties the parts together: {@code Acceptor} votes, {@code Proposer} has
- * changes decided, {@code Learner} keeps and spreads decisions, {@code Recovery} reads votes back after a restart, and
- * {@code ConfigurationChange} moves the electors. They share one {@code NodeState}.
- * {@link maplespread.consensus.MessageCodec} turns messages into bytes.
+ * <p>{@link maplespread.consensus.ConsensusNode} combines the parts: {@code Acceptor} votes, {@code Proposer} runs
+ * changes to a decision, {@code Learner} maintains and distributes decisions, {@code Recovery} restores votes after a
+ * restart, and {@code ConfigurationChange} replaces the electors. The parts share one {@code NodeState}.
+ * {@link maplespread.consensus.MessageCodec} encodes and decodes messages.
  *
- * <p>Owns the votes of this instance, its proposals and the last value it knows. No sockets, files, clock or threads:
- * time is passed in, and one thread at a time calls in. May import {@code errors} alone.
+ * <p>Owns the votes and proposals of this instance and the latest value known to it. Uses no sockets, files, clock or
+ * threads: callers supply the time and call from one thread at a time. May import {@code errors} only.
  */
 package maplespread.consensus;
