--- a/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
+++ b/src/test/java/maplespread/consensus/ConsensusGoldenTest.java
@@ -21,7 +21,7 @@
 import maplespread.testing.Transcript;
 import org.junit.jupiter.api.Test;
 
-/** The bytes, texts and order of messages as they were before names and files changed. */
+/** The bytes, texts and order of messages equal the recorded ones. */
 class ConsensusGoldenTest {
     private static final List<String> ELECTORS = List.of("a", "b", "caf\u00e9");
     private static final Ballot BALLOT = new Ballot(1_700_000_000_123L, 4, "b", 1_700_000_000_001L);
@@ -33,7 +33,7 @@
             ELECTORS,
             List.of(new AppliedChange("p", 11, 12, 13), new AppliedChange("q", 21, 22, 23)));
 
-    private static ConsensusMessage message(Kind kind, boolean flag, AcceptedState held) {
+    private static ConsensusMessage message(Kind kind, boolean flag, AcceptedState accepted) {
         return new ConsensusMessage(
                 kind,
                 "a",
@@ -46,7 +46,7 @@
                 99,
                 ELECTORS,
                 new TreeMap<>(Map.of("b", 4L, "caf\u00e9", 5L)),
-                held);
+                accepted);
     }
 
     private static String hex(byte[] bytes) {
@@ -59,9 +59,9 @@
         Digest digest = Digest.of(MessageFormat.encode(PLAIN));
         for (Kind kind : Kind.values()) {
             int kindNumber = kind.ordinal();
-            for (RegisterState kept : Arrays.asList(null, PLAIN, MOVING)) {
-                AcceptedState held = kept == null ? null : new AcceptedState(BALLOT, kept);
-                ConsensusMessage sent = message(kind, kindNumber % 2 == 0, held);
+            for (RegisterState state : Arrays.asList(null, PLAIN, MOVING)) {
+                AcceptedState accepted = state == null ? null : new AcceptedState(BALLOT, state);
+                ConsensusMessage sent = message(kind, kindNumber % 2 == 0, accepted);
                 byte[] bytes = MessageFormat.encode(sent, null, List.of());
                 assertEquals(sent, MessageFormat.decode(bytes).orElseThrow().message());
                 lines.add(kindNumber + " " + hex(bytes));
@@ -77,31 +77,31 @@
     }
 
     @Test
-    void whatIsNoMessageIsNotRead() {
+    void invalidMessagesAreNotDecoded() {
         byte[] bytes = MessageFormat.encode(message(Kind.PREPARE, true, null), null, List.of());
         byte[] version = bytes.clone();
         version[0] = 3;
         byte[] kind = bytes.clone();
         kind[1] = (byte) Kind.values().length;
-        for (byte[] broken : List.of(
+        for (byte[] corrupt : List.of(
                 new byte[0], version, kind, Arrays.copyOf(bytes, bytes.length - 1), Arrays.copyOf(bytes, 999))) {
-            assertEquals(Optional.empty(), MessageFormat.decode(broken));
+            assertEquals(Optional.empty(), MessageFormat.decode(corrupt));
         }
     }
 
-    /** Whole values, references, a request for a value and its repetition, between two members. */
+    /** Whole states, references, a state request and the repeated message, between two members. */
     @Test
     void aConversationKeepsItsBytes() throws IOException {
         List<String> lines = new ArrayList<>();
         MessageCodec first = new MessageCodec();
         MessageCodec second = new MessageCodec();
         for (int round = 0; round < 3; round++) {
-            byte[] there = first.encode("b", fromMember("a", 1));
-            lines.add("there " + hex(there));
-            second.decode("a", there);
-            byte[] back = second.encode("a", fromMember("b", 1));
-            lines.add("back " + hex(back));
-            first.decode("b", back);
+            byte[] sentBytes = first.encode("b", fromMember("a", 1));
+            lines.add("there " + hex(sentBytes));
+            second.decode("a", sentBytes);
+            byte[] answerBytes = second.encode("a", fromMember("b", 1));
+            lines.add("back " + hex(answerBytes));
+            first.decode("b", answerBytes);
         }
         MessageCodec restarted = new MessageCodec();
         byte[] request =
@@ -112,12 +112,12 @@
         GoldenFile.check("consensus/conversation.txt", lines);
     }
 
-    private static ConsensusMessage fromMember(String name, long boot) {
+    private static ConsensusMessage fromMember(String name, long incarnation) {
         Ballot ballot = new Ballot(1, 2, "a", 3);
         return new ConsensusMessage(
                 Kind.ACCEPT,
                 name,
-                boot,
+                incarnation,
                 Map.of(),
                 ballot,
                 Ballot.NONE,
@@ -151,7 +151,7 @@
 
     private record Packet(String from, String to, byte[] bytes) {}
 
-    /** Five members, a network that loses and reorders, restarts, moved electors and bootstraps, by one seed. */
+    /** A seeded history of five members with message loss and reordering, restarts, elector changes and bootstraps. */
     private static final class History {
         final SplittableRandom random;
         final Transcript transcript = new Transcript();
@@ -160,7 +160,7 @@
         final List<Packet> packets = new ArrayList<>();
         final int lossPercent;
         long now = 1;
-        long boots = 1000;
+        long lastIncarnation = 1000;
 
         History(long seed) {
             random = new SplittableRandom(seed);
@@ -172,24 +172,26 @@
             MessageCodec codec = new MessageCodec();
             codecs.put(name, codec);
             ConsensusSettings settings = new ConsensusSettings(name, MEMBERS.subList(0, 3), 50, 500);
-            nodes.put(name, new ConsensusNode(settings, ++boots, boots, now, new ConsensusTransport() {
-                @Override
-                public void send(String to, ConsensusMessage message) {
-                    byte[] bytes = codec.encode(to, message);
-                    transcript.add("send", now, name, to, bytes);
-                    packets.add(new Packet(name, to, bytes));
-                }
+            nodes.put(
+                    name,
+                    new ConsensusNode(settings, ++lastIncarnation, lastIncarnation, now, new ConsensusTransport() {
+                        @Override
+                        public void send(String to, ConsensusMessage message) {
+                            byte[] bytes = codec.encode(to, message);
+                            transcript.add("send", now, name, to, bytes);
+                            packets.add(new Packet(name, to, bytes));
+                        }
 
-                @Override
-                public void learned(VersionedValue value) {
-                    transcript.add("learned", name, text(value));
-                }
+                        @Override
+                        public void learned(VersionedValue value) {
+                            transcript.add("learned", name, text(value));
+                        }
 
-                @Override
-                public void event(boolean warning, String event, Object... pairs) {
-                    transcript.add("event", name, warning, recordedName(event), Arrays.asList(pairs));
-                }
-            }));
+                        @Override
+                        public void event(boolean warning, String event, Object... pairs) {
+                            transcript.add("event", name, warning, recordedName(event), Arrays.asList(pairs));
+                        }
+                    }));
             nodes.get(name).members(MEMBERS);
         }
 
@@ -200,7 +202,7 @@
                             + value.electors();
         }
 
-        Consumer<ChangeResult> done(String name) {
+        Consumer<ChangeResult> recordResult(String name) {
             return result -> transcript.add(
                     "result" + result.outcome().ordinal(),
                     now,
@@ -209,7 +211,7 @@
                     result.error() == null ? "" : result.error().getMessage());
         }
 
-        void arrive(Packet packet) {
+        void deliverOrLose(Packet packet) {
             if (random.nextInt(100) < lossPercent) {
                 return;
             }
@@ -232,19 +234,21 @@
             ConsensusNode node = nodes.get(name);
             long giveUpAt = now + random.nextLong(GIVE_UP_MS);
             switch (random.nextInt(12)) {
-                case 0 -> node.change(now, Mutation.READ, giveUpAt, done(name));
-                case 1 -> node.change(now, value -> refuse(), giveUpAt, done(name));
-                case 2 -> node.change(now, value -> "x".repeat(ConsensusNode.MAX_TEXT_BYTES + 1), giveUpAt, done(name));
+                case 0 -> node.change(now, Mutation.READ, giveUpAt, recordResult(name));
+                case 1 -> node.change(now, value -> rejectChange(), giveUpAt, recordResult(name));
+                case 2 ->
+                    node.change(
+                            now, value -> "x".repeat(ConsensusNode.MAX_TEXT_BYTES + 1), giveUpAt, recordResult(name));
                 case 3 -> {
                     int from = random.nextInt(3);
-                    node.electors(now, MEMBERS.subList(from, from + 3), giveUpAt, done(name));
+                    node.electors(now, MEMBERS.subList(from, from + 3), giveUpAt, recordResult(name));
                 }
-                case 4 -> node.bootstrap(now, 1000 + now, MEMBERS.subList(0, 3), giveUpAt, done(name));
-                default -> node.change(now, value -> value.text() + step + ' ', giveUpAt, done(name));
+                case 4 -> node.bootstrap(now, 1000 + now, MEMBERS.subList(0, 3), giveUpAt, recordResult(name));
+                default -> node.change(now, value -> value.text() + step + ' ', giveUpAt, recordResult(name));
             }
         }
 
-        private static String refuse() throws FleetException {
+        private static String rejectChange() throws FleetException {
             throw new ChangeRejectedException("not this value", "all", "wait");
         }
 
@@ -259,7 +263,7 @@
                 } else if (choice < 54 || packets.isEmpty()) {
                     tickAll(random.nextLong(choice < 18 ? 400 : 30));
                 } else {
-                    arrive(packets.remove(random.nextInt(Math.min(4, packets.size()))));
+                    deliverOrLose(packets.remove(random.nextInt(Math.min(4, packets.size()))));
                 }
             }
             nodes.forEach((name, node) -> transcript.add(
@@ -282,7 +286,7 @@
         GoldenFile.check("consensus/histories.txt", lines);
     }
 
-    /** The name that an event had when the histories were recorded. */
+    /** Maps an event to the name that it had when the histories were recorded. */
     private static String recordedName(String event) {
         return switch (event) {
             case "consensus.recovered" -> "agreement.sighted";
--- a/src/test/java/maplespread/consensus/CrashVectorTest.java
+++ b/src/test/java/maplespread/consensus/CrashVectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Votes of an ended incarnation arrive after the next one has read what the others know: message by message. */
+/** Votes of an ended incarnation that arrive after the next one has recovered are not counted. */
 class CrashVectorTest {
     private record Packet(String to, ConsensusMessage message) {}
 
@@ -21,11 +21,11 @@
     private final Map<String, ConsensusNode> nodes = new TreeMap<>();
     private final List<Packet> packets = new ArrayList<>();
     private final List<String> decided = new ArrayList<>();
-    private long now, boots = 1000;
+    private long now, lastIncarnation = 1000;
 
     private void start(String name) {
-        ConsensusSettings set = new ConsensusSettings(name, ELECTORS, 100_000, 100_000);
-        nodes.put(name, new ConsensusNode(set, ++boots, 1, now, new ConsensusTransport() {
+        ConsensusSettings settings = new ConsensusSettings(name, ELECTORS, 100_000, 100_000);
+        nodes.put(name, new ConsensusNode(settings, ++lastIncarnation, 1, now, new ConsensusTransport() {
             @Override
             public void send(String to, ConsensusMessage message) {
                 packets.add(new Packet(to, message));
@@ -41,7 +41,7 @@
         nodes.get(name).tick(now);
     }
 
-    /** Has these arrive, and what comes of them where it fits too. */
+    /** Delivers the matching messages, including matching ones that are sent in response. */
     private void deliver(Predicate<Packet> which) {
         for (int i = 0; i < packets.size(); ) {
             if (which.test(packets.get(i))) {
@@ -58,7 +58,7 @@
         deliver(p -> p.message().kind() == kind && p.message().sender().equals(from) && p.to().equals(to));
     }
 
-    private long under(Kind kind) {
+    private long countInFlight(Kind kind) {
         return packets.stream().filter(p -> p.message().kind() == kind).count();
     }
 
@@ -66,7 +66,7 @@
         nodes.get(by).change(now, v -> v.text() + by, now + 1_000_000, r -> decided.add(by));
     }
 
-    /** Only electors receive its requests: a proposer must learn of the new incarnation by their votes. */
+    /** Delivers recovery requests only to electors: a proposer must learn of the new incarnation from their votes. */
     private void restart(String name) {
         start(name);
         deliver(p -> p.message().kind() == Kind.RECOVERY_REQUEST && ELECTORS.contains(p.to())
@@ -96,28 +96,28 @@
         deliver(Kind.ACCEPT, "p", "a");
         deliver(Kind.ACCEPTED, "c", "p");
         deliver(Kind.ACCEPTED, "a", "p");
-        assertEquals(List.of("a"), decided, "c has forgotten it");
+        assertEquals(List.of("a"), decided, "c has lost its acceptance");
         deliver(Kind.ACCEPT, "p", "b");
         deliver(p -> p.message().kind() == Kind.ACCEPTED);
-        assertEquals(List.of("a", "p"), decided, "a and b have not");
+        assertEquals(List.of("a", "p"), decided, "a and b have accepted it");
     }
 
     @Test
-    void aPromiseOfAnEndedIncarnationCountsForNothing() {
+    void aPromiseOfAnEndedIncarnationIsNotCounted() {
         append("p");
         deliver(Kind.PREPARE, "p", "c");
         restart("c");
         deliver(Kind.PREPARE, "p", "a");
         deliver(Kind.PROMISE, "c", "p");
         deliver(Kind.PROMISE, "a", "p");
-        assertEquals(0, under(Kind.ACCEPT), "c has forgotten its promise");
+        assertEquals(0, countInFlight(Kind.ACCEPT), "c has lost its promise");
         deliver(Kind.PREPARE, "p", "b");
         deliver(p -> p.message().kind() == Kind.PROMISE);
-        assertEquals(3, under(Kind.ACCEPT));
+        assertEquals(3, countInFlight(Kind.ACCEPT));
     }
 
     @Test
-    void aRoundThatRestsOnAnEndedIncarnationIsRefused() {
+    void aRoundWithAPromiseOfAnEndedIncarnationIsRejected() {
         append("p");
         deliver(Kind.PREPARE, "p", "a");
         deliver(Kind.PREPARE, "p", "c");
@@ -125,21 +125,21 @@
         restart("c");
         deliver(Kind.ACCEPT, "p", "a");
         deliver(Kind.ACCEPT, "p", "c");
-        assertEquals(2, under(Kind.REFUSE));
+        assertEquals(2, countInFlight(Kind.REFUSE));
     }
 
-    /** What a majority has promised and accepted, an incarnation that begins has read. */
+    /** A new incarnation restores what a majority has promised and accepted. */
     @Test
     void promisesAndValuesOutliveARestart() {
         append("p");
-        append("q"); // the same round: q is above p
+        append("q"); // same round number: the ballot of q is above that of p
         deliver(Kind.PREPARE, "q", "a");
         deliver(Kind.PREPARE, "q", "c");
         deliver(p -> p.message().kind() == Kind.PROMISE);
         restart("c");
         deliver(Kind.PREPARE, "p", "c");
-        assertEquals(1, under(Kind.REFUSE), "it promised q");
-        assertEquals(0, under(Kind.PROMISE));
+        assertEquals(1, countInFlight(Kind.REFUSE), "c has restored the promise to q");
+        assertEquals(0, countInFlight(Kind.PROMISE));
     }
 
     @Test
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void anIncarnationWithoutAnswersGoesOnRecovering() {
+    void anIncarnationWithoutAnswersKeepsRecovering() {
         start("c");
         now += 300_000;
         nodes.get("c").tick(now);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aRejectionIsReportedOnceTheStateItRestsOnIsDecided() {
+    void aRejectionIsReportedOnceItsBaseStateIsDecided() {
         append("p");
         deliver(p -> p.message().kind() == Kind.PREPARE || p.message().kind() == Kind.PROMISE);
         deliver(Kind.ACCEPT, "p", "a");
@@ -185,7 +185,7 @@
                         now + 1_000_000,
                         results::add);
         deliver(p -> p.message().kind() == Kind.PREPARE || p.message().kind() == Kind.PROMISE);
-        assertEquals(List.of(), results, "nobody has decided it yet");
+        assertEquals(List.of(), results, "the base state is not decided yet");
         deliver(p -> true);
         assertEquals("ap", results.get(0).value().text());
     }
--- a/src/test/java/maplespread/consensus/MessageCodecTest.java
+++ b/src/test/java/maplespread/consensus/MessageCodecTest.java
@@ -17,33 +17,45 @@
 
 class MessageCodecTest {
     private static final String LONG = "x".repeat(2_000);
-    private static final int SHORT = 600; // bytes: less than any message with the long text
+    /** In bytes; less than the size of any message with the long text. */
+    private static final int SHORT = 600;
 
-    private static RegisterState kept(long version, String text) {
+    private static RegisterState state(long version, String text) {
         return new RegisterState(new VersionedValue(1, version, text, 0, List.of("a", "b")), List.of(), List.of());
     }
 
-    private static ConsensusMessage message(String from, long boot, RegisterState kept) {
+    private static ConsensusMessage message(String from, long incarnation, RegisterState state) {
         Ballot at = new Ballot(1, 2, "a", 3);
-        AcceptedState held = kept == null ? null : new AcceptedState(at, kept);
+        AcceptedState accepted = state == null ? null : new AcceptedState(at, state);
         return new ConsensusMessage(
-                Kind.ACCEPT, from, boot, Map.of(), at, Ballot.NONE, false, true, 7, List.of("a", "b"), Map.of(), held);
+                Kind.ACCEPT,
+                from,
+                incarnation,
+                Map.of(),
+                at,
+                Ballot.NONE,
+                false,
+                true,
+                7,
+                List.of("a", "b"),
+                Map.of(),
+                accepted);
     }
 
-    /** Both know each other, and each knows that the other holds the value. */
-    private static void acquainted(MessageCodec a, MessageCodec b, RegisterState kept) {
+    /** Exchanges messages until each codec knows that the other holds the state. */
+    private static void exchangeStates(MessageCodec a, MessageCodec b, RegisterState state) {
         for (int i = 0; i < 2; i++) {
-            b.decode("a", a.encode("b", message("a", 1, kept)));
-            a.decode("b", b.encode("a", message("b", 1, kept)));
+            b.decode("a", a.encode("b", message("a", 1, state)));
+            a.decode("b", b.encode("a", message("b", 1, state)));
         }
     }
 
     @Test
-    void aValueGoesWholeUntilThePeerIsKnownToHoldIt() {
+    void aStateIsSentWholeUntilThePeerIsKnownToHoldIt() {
         MessageCodec a = new MessageCodec();
         MessageCodec b = new MessageCodec();
-        ConsensusMessage sent = message("a", 1, kept(1, LONG));
-        for (int i = 0; i < 3; i++) { // no sign that any has arrived
+        ConsensusMessage sent = message("a", 1, state(1, LONG));
+        for (int i = 0; i < 3; i++) { // no response yet
             assertTrue(a.encode("b", sent).length > LONG.length());
         }
         assertEquals(sent, b.decode("a", a.encode("b", sent)).message());
@@ -53,79 +65,79 @@
         assertEquals(sent, b.decode("a", reference).message());
     }
 
-    /** Its earlier incarnation held the value, this one does not: nothing wrong is read, and the value comes at once. */
+    /** A restarted peer has lost the state: the reference is not resolved wrongly, and the state is sent on request. */
     @Test
-    void whoCannotResolveAReferenceRequestsTheValue() {
+    void aReceiverThatCannotResolveAReferenceRequestsTheState() {
         MessageCodec a = new MessageCodec();
-        RegisterState kept = kept(1, LONG);
-        acquainted(a, new MessageCodec(), kept);
-        MessageCodec again = new MessageCodec();
-        ConsensusMessage sent = message("a", 1, kept);
-        MessageCodec.Received received = again.decode("a", a.encode("b", sent));
+        RegisterState state = state(1, LONG);
+        exchangeStates(a, new MessageCodec(), state);
+        MessageCodec restarted = new MessageCodec();
+        ConsensusMessage sent = message("a", 1, state);
+        MessageCodec.Received received = restarted.decode("a", a.encode("b", sent));
         assertNull(received.message());
         assertNotNull(received.reply());
         byte[] whole = a.decode("b", received.reply()).reply();
-        assertEquals(sent, again.decode("a", whole).message());
+        assertEquals(sent, restarted.decode("a", whole).message());
         assertNull(a.decode("b", received.reply()).reply(), "a repeated request is answered once");
-        assertTrue(a.encode("b", sent).length > LONG.length(), "it is known not to hold it");
+        assertTrue(a.encode("b", sent).length > LONG.length(), "the peer is known not to hold it");
     }
 
     @Test
     void aNewIncarnationOfAPeerHoldsNothing() {
         MessageCodec a = new MessageCodec();
-        RegisterState kept = kept(1, LONG);
-        acquainted(a, new MessageCodec(), kept);
-        assertTrue(a.encode("b", message("a", 1, kept)).length < SHORT);
+        RegisterState state = state(1, LONG);
+        exchangeStates(a, new MessageCodec(), state);
+        assertTrue(a.encode("b", message("a", 1, state)).length < SHORT);
         a.decode("b", new MessageCodec().encode("a", message("b", 2, null)));
-        assertTrue(a.encode("b", message("a", 1, kept)).length > LONG.length());
-        a.decode("b", new MessageCodec().encode("a", message("b", 1, kept))); // late, of the run that is over
-        assertTrue(a.encode("b", message("a", 1, kept)).length > LONG.length());
+        assertTrue(a.encode("b", message("a", 1, state)).length > LONG.length());
+        a.decode("b", new MessageCodec().encode("a", message("b", 1, state))); // delayed, from the ended incarnation
+        assertTrue(a.encode("b", message("a", 1, state)).length > LONG.length());
     }
 
-    /** A member of the version before looks at the first three flags alone, and sets no other. */
+    /** A member of the previous version evaluates and sets only the first three flags. */
     @Test
-    void aMemberOfTheVersionBeforeIsSentWholeValuesWithoutHoldings() {
+    void aMemberOfThePreviousVersionIsSentWholeStatesWithoutHoldings() {
         MessageCodec a = new MessageCodec();
-        RegisterState kept = kept(1, LONG);
-        byte[] blind = MessageFormat.encode(message("b", 1, kept), null, List.of());
-        ConsensusMessage w = message("b", 1, kept);
-        byte[] other = MessageFormat.encode(
+        RegisterState state = state(1, LONG);
+        byte[] withoutReferences = MessageFormat.encode(message("b", 1, state), null, List.of());
+        ConsensusMessage message = message("b", 1, state);
+        byte[] withOtherFlags = MessageFormat.encode(
                 new ConsensusMessage(
-                        w.kind(),
+                        message.kind(),
                         "b",
                         1,
-                        w.crashVector(),
-                        w.ballot(),
-                        w.promisedBallot(),
+                        message.crashVector(),
+                        message.ballot(),
+                        message.promisedBallot(),
                         true,
                         true,
                         7,
-                        w.configuredElectors(),
-                        w.promiseQuorum(),
-                        w.accepted()),
+                        message.configuredElectors(),
+                        message.promiseQuorum(),
+                        message.accepted()),
                 null,
                 List.of());
         int flags = 0;
-        while (blind[flags] == other[flags]) {
+        while (withoutReferences[flags] == withOtherFlags[flags]) {
             flags++;
         }
-        blind[flags] &= 7;
-        assertEquals(w, a.decode("b", blind).message());
-        byte[] answer = a.encode("b", message("a", 1, kept));
+        withoutReferences[flags] &= 7;
+        assertEquals(message, a.decode("b", withoutReferences).message());
+        byte[] answer = a.encode("b", message("a", 1, state));
         assertTrue(answer.length > LONG.length());
         assertTrue(MessageFormat.decode(answer).orElseThrow().holdings().isEmpty());
         assertNull(MessageFormat.decode(answer).orElseThrow().reference());
     }
 
     @Test
-    void whatIsNoMessageIsNotReadable() {
+    void invalidPacketsAreNotReadable() {
         MessageCodec a = new MessageCodec();
         assertFalse(a.decode("b", new byte[0]).readable());
         assertFalse(a.decode("b", new byte[] {2, 1, 1}).readable(), "a request without its digest");
         assertFalse(a.decode("b", new byte[] {9}).readable());
         byte[] unknown = new byte[17];
         unknown[0] = 2;
-        assertNull(a.decode("b", unknown).reply(), "a request of one who was sent nothing");
+        assertNull(a.decode("b", unknown).reply(), "a request from a peer that was sent nothing");
         assertEquals(
                 "a",
                 a.decode("b", new MessageCodec().encode("b", message("a", 1, null)))
@@ -134,66 +146,66 @@
     }
 
     /**
-     * Packets are lost, repeated and passed by later ones, members begin anew, and there are more values than are
-     * kept: each message that is read is one that was sent, and once the network is sound the newest one arrives.
+     * Packets are lost, duplicated and reordered, members restart, and there are more states than are cached. Each
+     * decoded message was sent before, and the newest one arrives once the network works again.
      */
     @Test
-    void whatIsReadWasSentWhateverTheNetworkDoes() {
+    void decodedMessagesWereSentDespiteNetworkFaults() {
         String[] names = {"a", "b", "c"};
         int references = 0;
         for (int seed = 0; seed < 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Map<String, MessageCodec> codecs = new HashMap<>();
-            Map<String, Long> boots = new HashMap<>();
+            Map<String, Long> incarnations = new HashMap<>();
             for (String n : names) {
                 codecs.put(n, new MessageCodec());
-                boots.put(n, 1L);
+                incarnations.put(n, 1L);
             }
             List<ConsensusMessage> sent = new ArrayList<>();
-            List<Packet> open = new ArrayList<>();
+            List<Packet> inFlight = new ArrayList<>();
             for (int step = 0; step < 200; step++) {
                 String from = names[random.nextInt(3)];
                 String to = names[(List.of(names).indexOf(from) + 1 + random.nextInt(2)) % 3];
                 if (random.nextInt(40) == 0) {
                     codecs.put(from, new MessageCodec());
-                    boots.merge(from, 1L, Long::sum);
+                    incarnations.merge(from, 1L, Long::sum);
                 }
                 int version = random.nextInt(12);
-                ConsensusMessage w = message(from, boots.get(from), kept(version, LONG + version));
-                sent.add(w);
-                byte[] bytes = codecs.get(from).encode(to, w);
+                ConsensusMessage message = message(from, incarnations.get(from), state(version, LONG + version));
+                sent.add(message);
+                byte[] bytes = codecs.get(from).encode(to, message);
                 references += bytes.length < SHORT ? 1 : 0;
-                open.add(new Packet(from, to, bytes));
-                while (open.size() > random.nextInt(6)) {
-                    Packet p = open.remove(random.nextInt(open.size()));
+                inFlight.add(new Packet(from, to, bytes));
+                while (inFlight.size() > random.nextInt(6)) {
+                    Packet p = inFlight.remove(random.nextInt(inFlight.size()));
                     int fate = random.nextInt(10);
                     for (int copy = fate == 0 ? 1 : 0; copy < (fate == 1 ? 2 : 1); copy++) {
-                        deliver(codecs, p, open, sent);
+                        deliver(codecs, p, inFlight, sent);
                     }
                 }
             }
-            ConsensusMessage last = message("a", boots.get("a"), kept(99, LONG));
+            ConsensusMessage last = message("a", incarnations.get("a"), state(99, LONG));
             sent.add(last);
-            open.clear();
-            open.add(new Packet("a", "b", codecs.get("a").encode("b", last)));
-            ConsensusMessage got = null;
-            while (!open.isEmpty()) {
-                ConsensusMessage w = deliver(codecs, open.remove(0), open, sent);
-                got = w == null ? got : w;
+            inFlight.clear();
+            inFlight.add(new Packet("a", "b", codecs.get("a").encode("b", last)));
+            ConsensusMessage received = null;
+            while (!inFlight.isEmpty()) {
+                ConsensusMessage message = deliver(codecs, inFlight.remove(0), inFlight, sent);
+                received = message == null ? received : message;
             }
-            assertEquals(last, got, "seed " + seed);
+            assertEquals(last, received, "seed " + seed);
         }
-        assertTrue(references > 1_000, references + " messages went by reference");
+        assertTrue(references > 1_000, references + " messages were sent by reference");
     }
 
     private record Packet(String from, String to, byte[] bytes) {}
 
     private static ConsensusMessage deliver(
-            Map<String, MessageCodec> codecs, Packet p, List<Packet> open, List<ConsensusMessage> sent) {
+            Map<String, MessageCodec> codecs, Packet p, List<Packet> inFlight, List<ConsensusMessage> sent) {
         MessageCodec.Received received = codecs.get(p.to).decode(p.from, p.bytes);
         assertTrue(received.readable());
         if (received.reply() != null) {
-            open.add(new Packet(p.to, p.from, received.reply()));
+            inFlight.add(new Packet(p.to, p.from, received.reply()));
         }
         if (received.message() != null) {
             assertTrue(sent.contains(received.message()), "never sent: " + received.message());
--- a/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
+++ b/src/test/java/maplespread/consensus/ScriptedMessagesTest.java
@@ -16,15 +16,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Words one by one, by scripts: the shortest that were found in which a guard that is left out breaks what
- * is promised. Members are single letters. Steps: {@code up ab} starts them, empty; {@code down a}; {@code
- * p+x} appends; {@code p:part=x} writes a section; {@code p=abc} moves the electors there; {@code p!abc}
- * founds with these; {@code again p} ends its try and its rest, {@code rest p} its rest alone; {@code KIND
- * a bc} has such messages from a to each arrive, {@code last KIND a b} the newest, {@code copy KIND a b}
- * leaves one under way; {@code ask p ab} stands for PREPARE and its answers, {@code put p ab} for ACCEPT,
- * {@code see c ab} for ASK; {@code lose} drops all; {@code among ab} has all between these arrive; {@code
- * first 3} the oldest three; {@code freeze p}, {@code thaw p}, whose messages wait; {@code peace}: all
- * arrives and time goes on until all are told.
+ * Scripted message deliveries: the shortest known scripts in which the omission of one safety check leads to a
+ * violation. Member names are single letters. The steps of a script are:
+ *
+ * <ul>
+ *   <li>{@code up ab} starts members without state; {@code down a} stops a member.
+ *   <li>{@code p+x} appends to the text; {@code p:part=x} writes a section; {@code p=abc} replaces the electors; {@code
+ *       p!abc} bootstraps with these electors.
+ *   <li>{@code again p} ends the round of p and its backoff; {@code rest p} ends only the backoff.
+ *   <li>{@code KIND a bc} delivers the messages of this kind from a to b and c; {@code last KIND a b} delivers the
+ *       newest; {@code copy KIND a b} delivers it and leaves a duplicate in flight.
+ *   <li>{@code ask p ab} delivers PREPARE and its answers; {@code put p ab} ACCEPT and its answers; {@code see c ab}
+ *       RECOVERY_REQUEST and its answers.
+ *   <li>{@code lose} drops all messages in flight; {@code among ab} delivers all between these members; {@code first 3}
+ *       delivers the oldest three.
+ *   <li>{@code freeze p} pauses a member and holds its messages back; {@code thaw p} resumes it.
+ *   <li>{@code peace} delivers everything and advances the time until all changes have a result.
+ * </ul>
  */
 class ScriptedMessagesTest {
     private static final int EVERY = Integer.getInteger("every", 16);
@@ -32,51 +40,55 @@
 
     private record Packet(String to, ConsensusMessage message) {}
 
-    /** One play of a script. */
-    private static final class Play {
-        final List<String> file;
+    /** One run of a script. */
+    private static final class ScriptRun {
+        final List<String> configuredElectors;
         final Map<String, ConsensusNode> nodes = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
         final List<Packet> packets = new ArrayList<>();
         final Set<String> frozen = new HashSet<>();
-        final TreeMap<Long, TreeMap<Long, VersionedValue>> seen = new TreeMap<>();
-        final List<String> told = new ArrayList<>(), faults = new ArrayList<>();
-        long boots = 1000, wall = 1_000_000;
-        final TreeMap<String, Integer> waiting = new TreeMap<>(); // for results, in runs that are up
-        int left;
+        final TreeMap<Long, TreeMap<Long, VersionedValue>> valuesByEpoch = new TreeMap<>();
+        final List<String> results = new ArrayList<>(), faults = new ArrayList<>();
+        long lastIncarnation = 1000, wall = 1_000_000;
+        /** The number of calls without a result, by member that is up. */
+        final TreeMap<String, Integer> waiting = new TreeMap<>();
+        /** The part of the last {@code first} step's count for which there was no message. */
+        int missingMessages;
 
-        Play(String electors) {
-            file = List.of(electors.split(""));
+        ScriptRun(String electors) {
+            configuredElectors = List.of(electors.split(""));
         }
 
-        Play run(String script) {
+        ScriptRun run(String script) {
             for (String step : script.split("; *")) {
                 String[] s = step.split(" ");
                 switch (s[0]) {
-                    case "up" -> each(s[1], this::start);
+                    case "up" -> forEachName(s[1], this::start);
                     case "down" ->
-                        each(s[1], n -> {
+                        forEachName(s[1], n -> {
                             nodes.remove(n);
                             waiting.remove(n);
                         });
                     case "again" ->
-                        each(s[1], n -> {
+                        forEachName(s[1], n -> {
                             tick(n, STEP);
                             tick(n, STEP);
                         });
-                    case "rest" -> each(s[1], n -> tick(n, STEP));
+                    case "rest" -> forEachName(s[1], n -> tick(n, STEP));
                     case "lose" -> packets.clear();
                     case "first" -> {
-                        for (left = Integer.parseInt(s[1]); left > 0 && !packets.isEmpty(); left--) {
-                            arrive(packets.remove(0));
+                        for (missingMessages = Integer.parseInt(s[1]);
+                                missingMessages > 0 && !packets.isEmpty();
+                                missingMessages--) {
+                            deliver(packets.remove(0));
                         }
                     }
-                    case "freeze" -> each(s[1], frozen::add);
-                    case "thaw" -> each(s[1], frozen::remove);
-                    case "among" -> all(p -> s[1].contains(p.to) && s[1].contains(p.message.sender()));
-                    case "ask" -> both(Kind.PREPARE, Kind.PROMISE, s);
-                    case "put" -> both(Kind.ACCEPT, Kind.ACCEPTED, s);
-                    case "see" -> both(Kind.RECOVERY_REQUEST, Kind.RECOVERY_RESPONSE, s);
+                    case "freeze" -> forEachName(s[1], frozen::add);
+                    case "thaw" -> forEachName(s[1], frozen::remove);
+                    case "among" -> deliverAll(p -> s[1].contains(p.to) && s[1].contains(p.message.sender()));
+                    case "ask" -> deliverRoundTrip(Kind.PREPARE, Kind.PROMISE, s);
+                    case "put" -> deliverRoundTrip(Kind.ACCEPT, Kind.ACCEPTED, s);
+                    case "see" -> deliverRoundTrip(Kind.RECOVERY_REQUEST, Kind.RECOVERY_RESPONSE, s);
                     case "last", "copy" -> {
                         List<Packet> fit = packets.stream()
                                 .filter(p -> fits(p, s[1], s[2], s[3]))
@@ -85,12 +97,12 @@
                         if (s[0].equals("last")) {
                             packets.remove(packets.lastIndexOf(p));
                         }
-                        arrive(p);
+                        deliver(p);
                     }
-                    case "peace" -> peace();
+                    case "peace" -> deliverUntilSettled();
                     default -> {
                         if (s.length == 3) {
-                            all(p -> fits(p, s[0], s[1], s[2]));
+                            deliverAll(p -> fits(p, s[0], s[1], s[2]));
                         } else {
                             call(step);
                         }
@@ -100,7 +112,7 @@
             return this;
         }
 
-        private static void each(String names, java.util.function.Consumer<String> what) {
+        private static void forEachName(String names, java.util.function.Consumer<String> what) {
             List.of(names.split("")).forEach(what);
         }
 
@@ -108,8 +120,8 @@
             return p.message.kind().name().equals(kind) && from.contains(p.message.sender()) && to.contains(p.to);
         }
 
-        private void both(Kind there, Kind back, String[] s) {
-            all(p -> fits(p, there.name(), s[1], s[2]) || fits(p, back.name(), s[2], s[1]));
+        private void deliverRoundTrip(Kind there, Kind back, String[] s) {
+            deliverAll(p -> fits(p, there.name(), s[1], s[2]) || fits(p, back.name(), s[2], s[1]));
         }
 
         private void call(String step) {
@@ -118,10 +130,11 @@
             long at = times.get(step.substring(0, 1));
             waiting.merge(step.substring(0, 1), 1, Integer::sum);
             java.util.function.Consumer<ChangeResult> done = r -> {
-                told.add(step + ' ' + r.outcome() + (r.error() instanceof FleetException e ? " " + e.problem() : ""));
+                results.add(
+                        step + ' ' + r.outcome() + (r.error() instanceof FleetException e ? " " + e.problem() : ""));
                 waiting.merge(step.substring(0, 1), -1, (a, b) -> a + b == 0 ? null : a + b);
                 if (r.outcome() == ChangeResult.Outcome.DECIDED) {
-                    saw(r.value());
+                    checkSequence(r.value());
                 }
             };
             switch (step.charAt(1)) {
@@ -138,23 +151,26 @@
         }
 
         private void start(String name) {
-            ConsensusSettings set = new ConsensusSettings(name, file, STEP, STEP);
+            ConsensusSettings settings = new ConsensusSettings(name, configuredElectors, STEP, STEP);
             times.putIfAbsent(name, 0L);
             waiting.remove(name);
-            nodes.put(name, new ConsensusNode(set, ++boots, boots, times.get(name), new ConsensusTransport() {
-                @Override
-                public void send(String to, ConsensusMessage message) {
-                    packets.add(new Packet(to, message));
-                }
+            nodes.put(
+                    name,
+                    new ConsensusNode(
+                            settings, ++lastIncarnation, lastIncarnation, times.get(name), new ConsensusTransport() {
+                                @Override
+                                public void send(String to, ConsensusMessage message) {
+                                    packets.add(new Packet(to, message));
+                                }
 
-                @Override
-                public void learned(VersionedValue value) {
-                    saw(value);
-                }
+                                @Override
+                                public void learned(VersionedValue value) {
+                                    checkSequence(value);
+                                }
 
-                @Override
-                public void event(boolean warning, String event, Object... pairs) {}
-            }));
+                                @Override
+                                public void event(boolean warning, String event, Object... pairs) {}
+                            }));
             nodes.forEach((n, core) -> core.members(nodes.keySet()));
             nodes.get(name).tick(times.get(name));
         }
@@ -163,18 +179,18 @@
             nodes.get(name).tick(times.merge(name, ms, Long::sum));
         }
 
-        private void arrive(Packet p) {
+        private void deliver(Packet p) {
             if (nodes.containsKey(p.to)) {
                 nodes.get(p.to).receive(times.get(p.to), p.message);
             }
         }
 
-        private void all(Predicate<Packet> which) {
+        private void deliverAll(Predicate<Packet> which) {
             for (int i = 0; i < packets.size(); ) {
                 Packet p = packets.get(i);
                 if (which.test(p) && !frozen.contains(p.to) && !frozen.contains(p.message.sender())) {
                     packets.remove(i);
-                    arrive(p);
+                    deliver(p);
                     i = 0;
                 } else {
                     i++;
@@ -182,13 +198,13 @@
             }
         }
 
-        private void peace() {
+        private void deliverUntilSettled() {
             for (int i = 0; i < 2 || i < 60 && !settled(); i++) {
-                all(p -> true);
+                deliverAll(p -> true);
                 for (String n : List.copyOf(nodes.keySet())) {
                     if (!frozen.contains(n)) {
                         tick(n, STEP);
-                        all(p -> true);
+                        deliverAll(p -> true);
                     }
                 }
             }
@@ -207,15 +223,15 @@
                                     && n.electors().size() == 1);
         }
 
-        /** Decided values of one life are one sequence, each text beginning with the one before. */
-        private void saw(VersionedValue v) {
-            TreeMap<Long, VersionedValue> life = seen.computeIfAbsent(v.epoch(), e -> new TreeMap<>());
-            VersionedValue other = life.putIfAbsent(v.version(), v);
+        /** Checks that the decided values of an epoch form one sequence in which each text extends the previous one. */
+        private void checkSequence(VersionedValue v) {
+            TreeMap<Long, VersionedValue> epochValues = valuesByEpoch.computeIfAbsent(v.epoch(), e -> new TreeMap<>());
+            VersionedValue other = epochValues.putIfAbsent(v.version(), v);
             if (other != null && !other.equals(v)) {
                 faults.add(other + " and " + v);
             }
             VersionedValue before = null;
-            for (VersionedValue one : life.values()) {
+            for (VersionedValue one : epochValues.values()) {
                 if (before != null && !one.text().startsWith("{") && !one.text().startsWith(before.text())) {
                     faults.add(one + " does not follow " + before);
                 }
@@ -228,16 +244,16 @@
         }
 
         VersionedValue last() {
-            return seen.lastEntry().getValue().lastEntry().getValue();
+            return valuesByEpoch.lastEntry().getValue().lastEntry().getValue();
         }
     }
 
     private static final String BEGIN = "; peace; a+0; peace; ";
 
-    /** Electors; the script; which results are told by its end; the text and the electors after peace. */
-    private static final String[][] GUARDS = {
+    /** Description; electors; script; results at the end of the script; text and electors after {@code peace}. */
+    private static final String[][] SAFETY_CHECK_SCRIPTS = {
         {
-            "one list, not two, while electors change: two moves that remove different ones",
+            "a single list is used during a change of electors: two changes remove different electors",
             "abcd",
             "up abcdpq" + BEGIN + "p=bcd; ask p bcd; put p d; q=abc; ask q abc; put q ab; again p; ask p cd; "
                     + "put p cd",
@@ -246,7 +262,7 @@
             ""
         },
         {
-            "old electors end over what is not known as decided",
+            "the previous electors are dropped over a state that is not known to be decided",
             "a",
             "up abp" + BEGIN + "b=b; ask b a; lose; again b; ask b a; lose; again b; ask b a; lose; again b; "
                     + "ask b a; lose; p+x; PREPARE p a; REFUSE a p; rest p; ask p a; put p a",
@@ -255,7 +271,7 @@
             "b"
         },
         {
-            "a step begins while another is under way",
+            "an elector change begins while another is in progress",
             "a",
             "up abcp" + BEGIN + "b=bc; ask b ac; lose; again b; ask b ac; lose; again b; ask b ac; put b c; "
                     + "lose; p+x; PREPARE p a; REFUSE a p; rest p; ask p a; put p a",
@@ -264,7 +280,7 @@
             "bc"
         },
         {
-            "what is decided raises no promise: the only one left forgets it for an older try",
+            "a decision does not raise the promise: the only remaining elector replaces it by an older proposal",
             "abc",
             "up abcpq" + BEGIN + "p+x; ask p ab; q+y; ask q ab; put q ab; DECIDED q c; ACCEPT p c; down pq; "
                     + "lose; up ab; lose; c!abc",
@@ -273,7 +289,7 @@
             "abc"
         },
         {
-            "a blind one joins a life whose try does not rest on its promise",
+            "a recovering elector joins an epoch whose round is not based on its promise",
             "abc",
             "up abcpq" + BEGIN + "up bcpq; lose; p!abc; ask p ab; rest p; q!abc; ask q bc; rest q; up c; "
                     + "PREPARE p c; put p ac; put q ab; b+y",
@@ -282,7 +298,7 @@
             "abc"
         },
         {
-            "a late vote of a run that is over takes the place of the next run's",
+            "a delayed vote of an ended incarnation replaces that of the next incarnation",
             "abc",
             "up abcp" + BEGIN + "p+x; copy PREPARE p c; up c; see c ab; PREPARE p c; last PROMISE c p; "
                     + "PROMISE c p; ask p a; put p ac",
@@ -291,7 +307,7 @@
             "abc"
         },
         {
-            "a life begins in the epoch of one that is known",
+            "a new epoch equals a known epoch",
             "abc",
             "up abcp" + BEGIN + "up abc; lose; again abc; among abc; again abc; among abc; p+x; ask p abc; "
                     + "put p abc; ask p abc; put p abc",
@@ -300,7 +316,7 @@
             "abc"
         },
         {
-            "a life begins in an epoch that is known by a ballot alone, and above all runs",
+            "a new epoch equals one that is known only from a ballot and is above all incarnations",
             "abc",
             "up abcp" + BEGIN + "up ab; lose; p!abc; peace; up abc; lose; p+z; PREPARE p a; lose; "
                     + "again abc; among abc; again abc; among abc; a+x; among abc; a+y; among abc",
@@ -309,7 +325,7 @@
             "abc"
         },
         {
-            "a life begins below the epoch of one that nobody asked knows",
+            "a new epoch is below one that is unknown to the queried members",
             "abc",
             "up abcp" + BEGIN + "freeze p; up abc; lose; again abc; among abc; again abc; among abc; a+x; "
                     + "among abc; thaw p",
@@ -318,7 +334,7 @@
             "abc"
         },
         {
-            "who founds is no elector and alone in knowing the value",
+            "the bootstrapping member is no elector and holds the only copy of the value",
             "abc",
             "up abcpq" + BEGIN + "up abcq; lose; p!abc",
             "",
@@ -328,22 +344,22 @@
     };
 
     @Test
-    void noScriptBreaksWhatIsPromised() {
-        for (String[] row : GUARDS) {
-            Play play = new Play(row[1]).run(row[2]);
-            String told = String.join(", ", play.told.subList(1, play.told.size()));
-            play.run("peace");
-            assertEquals(List.of(), play.faults, row[0]);
-            assertEquals(row[3], told, row[0]);
-            assertEquals(Map.of(), play.waiting, row[0] + play.told);
-            assertEquals(row[4], play.last().text(), row[0] + play.told);
-            String now = play.electors();
+    void scriptsCauseNoViolation() {
+        for (String[] row : SAFETY_CHECK_SCRIPTS) {
+            ScriptRun scriptRun = new ScriptRun(row[1]).run(row[2]);
+            String results = String.join(", ", scriptRun.results.subList(1, scriptRun.results.size()));
+            scriptRun.run("peace");
+            assertEquals(List.of(), scriptRun.faults, row[0]);
+            assertEquals(row[3], results, row[0]);
+            assertEquals(Map.of(), scriptRun.waiting, row[0] + scriptRun.results);
+            assertEquals(row[4], scriptRun.last().text(), row[0] + scriptRun.results);
+            String now = scriptRun.electors();
             assertTrue(row[5].isEmpty() || row[5].equals(now), row[0] + " electors " + now);
         }
     }
 
-    /** What is begun; what befalls it after each number of messages; the text and the electors after peace. */
-    private static final String[][] MOVES = {
+    /** Initial calls; the steps that follow after each number of messages; text and electors after {@code peace}. */
+    private static final String[][] ELECTOR_CHANGE_SCRIPTS = {
         {"p=cde", "up a", "0", "cde"},
         {"p=cde", "up b; q+y", "0y", "cde"},
         {"p=cde", "up c", "0", "cde"},
@@ -360,41 +376,42 @@
         {"p=cde; q=abe", "freeze a; peace; thaw a; up b", "0", ""},
     };
 
-    /** Lists that move by more than one, with a restart, a newcomer of the same name, a frozen proposer. */
+    /** Replaces several electors, with a restart, a new member of the same name, or a paused proposer at any point. */
     @Test
-    void electorsMoveWhateverHappensAfterWhicheverMessage() {
-        int plays = 0;
-        for (String[] row : MOVES) {
-            int left = 0;
-            for (int messages = 0; left == 0; messages += EVERY, plays++) {
+    void electorsAreReplacedDespiteAFaultAfterAnyMessage() {
+        int scriptRuns = 0;
+        for (String[] row : ELECTOR_CHANGE_SCRIPTS) {
+            int missingMessages = 0;
+            for (int messages = 0; missingMessages == 0; messages += EVERY, scriptRuns++) {
                 String at = row[0] + ", " + messages + " messages, " + row[1];
-                Play play = new Play("abc").run("up abcdepq" + BEGIN + row[0] + "; first " + messages);
-                left = play.left; // more than there were: the last one
-                play.run(row[1] + "; peace");
-                assertEquals(List.of(), play.faults, at);
-                String now = play.electors();
-                assertTrue(row[3].isEmpty() || row[3].equals(now), at + ": electors " + now + play.told);
-                assertEquals(row[2], play.last().text(), at);
+                ScriptRun scriptRun = new ScriptRun("abc").run("up abcdepq" + BEGIN + row[0] + "; first " + messages);
+                missingMessages = scriptRun.missingMessages; // above 0 once all messages were delivered
+                scriptRun.run(row[1] + "; peace");
+                assertEquals(List.of(), scriptRun.faults, at);
+                String now = scriptRun.electors();
+                assertTrue(row[3].isEmpty() || row[3].equals(now), at + ": electors " + now + scriptRun.results);
+                assertEquals(row[2], scriptRun.last().text(), at);
                 assertTrue(
-                        play.waiting.isEmpty()
-                                && play.settled()
-                                && play.told.stream().allMatch(t -> t.endsWith("DECIDED")),
-                        at + play.told);
+                        scriptRun.waiting.isEmpty()
+                                && scriptRun.settled()
+                                && scriptRun.results.stream().allMatch(t -> t.endsWith("DECIDED")),
+                        at + scriptRun.results);
             }
         }
-        System.out.println(plays + " plays");
-        assertTrue(plays * EVERY > 40 * MOVES.length, plays + " plays");
+        System.out.println(scriptRuns + " scripts");
+        assertTrue(scriptRuns * EVERY > 40 * ELECTOR_CHANGE_SCRIPTS.length, scriptRuns + " scripts");
     }
 
-    /** Whichever messages of two changes come first: neither undoes the other's section, nor harms it. */
+    /** Concurrent writes of two sections preserve each other's section in every message order. */
     @Test
-    void sectionsThatAreWrittenAtOnceAreBothKept() {
-        int left = 0, messages = 0;
-        for (; left == 0; messages++) {
-            Play play = new Play("abc").run("up abcpq; peace; p:release=1; q:partition=2; first " + messages);
-            left = play.left;
-            play.run("p:release=3; q:relief=BIG; q:relief=4; peace");
-            String text = play.last().text();
+    void concurrentlyWrittenSectionsAreBothPreserved() {
+        int missingMessages = 0, messages = 0;
+        for (; missingMessages == 0; messages++) {
+            ScriptRun scriptRun =
+                    new ScriptRun("abc").run("up abcpq; peace; p:release=1; q:partition=2; first " + messages);
+            missingMessages = scriptRun.missingMessages;
+            scriptRun.run("p:release=3; q:relief=BIG; q:relief=4; peace");
+            String text = scriptRun.last().text();
             assertEquals(
                     List.of("3", "2", "4"),
                     java.util.stream.Stream.of("release", "partition", "relief")
@@ -402,11 +419,11 @@
                             .toList(),
                     messages + " messages");
             assertTrue(
-                    play.faults.isEmpty()
-                            && play.waiting.isEmpty()
-                            && play.told.contains("q:relief=BIG "
+                    scriptRun.faults.isEmpty()
+                            && scriptRun.waiting.isEmpty()
+                            && scriptRun.results.contains("q:relief=BIG "
                                     + "REJECTED the section relief would have 15362 bytes, of 15360 at most"),
-                    play.told + "");
+                    scriptRun.results + "");
         }
         assertTrue(messages > 30, messages + " messages");
     }
--- a/src/test/java/maplespread/consensus/client/RegisterTest.java
+++ b/src/test/java/maplespread/consensus/client/RegisterTest.java
@@ -21,11 +21,11 @@
 import maplespread.membership.client.ClusterTransport;
 import org.junit.jupiter.api.Test;
 
-/** Registers of four instances over UDP. */
+/** Replicated registers of four instances over UDP. */
 class RegisterTest {
-    private static final long SOON = 60_000;
+    private static final long TIMEOUT_MS = 60_000;
     private static final List<String> ELECTORS = List.of("g0", "g1", "g2");
-    private final List<String> at = new ArrayList<>();
+    private final List<String> addresses = new ArrayList<>();
     private final ClusterTransport[] groups = new ClusterTransport[4];
     private final ReplicatedRegister[] registers = new ReplicatedRegister[4];
 
@@ -36,7 +36,8 @@
     }
 
     private void start(int i) throws Exception {
-        groups[i] = new ClusterTransport(MembershipSettings.of("g" + i, at.get(i), at.subList(0, 2)), keys(), i);
+        groups[i] = new ClusterTransport(
+                MembershipSettings.of("g" + i, addresses.get(i), addresses.subList(0, 2)), keys(), i);
         registers[i] = new ReplicatedRegister(ConsensusSettings.of("g" + i, ELECTORS), groups[i], i);
     }
 
@@ -46,7 +47,7 @@
     }
 
     private static void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + SOON * 1_000_000;
+        long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "never came: " + what);
             try {
@@ -58,79 +59,85 @@
     }
 
     @Test
-    void whatOneDecidesAllKnowAndARunThatBeginsReadsItBeforeItVotes() throws Exception {
-        List<DatagramSocket> free = new ArrayList<>(); // all at once, so that none comes twice
+    void aDecidedValueReachesAllMembersAndARestartedOneRecoversItBeforeItVotes() throws Exception {
+        List<DatagramSocket> free = new ArrayList<>(); // opened together so that all ports differ
         for (int i = 0; i < 4; i++) {
             free.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
-            at.add("127.0.0.1:" + free.get(i).getLocalPort());
+            addresses.add("127.0.0.1:" + free.get(i).getLocalPort());
         }
         free.forEach(DatagramSocket::close);
         for (int i = 0; i < 4; i++) {
             start(i);
         }
-        LinkedBlockingQueue<VersionedValue> heard = new LinkedBlockingQueue<>();
-        registers[2].addListener(heard::add);
-        String most = "x".repeat(ConsensusNode.MAX_TEXT_BYTES - 1);
-        ChangeResult first = registers[3].change(v -> most, SOON); // of one that is no elector
+        LinkedBlockingQueue<VersionedValue> received = new LinkedBlockingQueue<>();
+        registers[2].addListener(received::add);
+        String longest = "x".repeat(ConsensusNode.MAX_TEXT_BYTES - 1);
+        ChangeResult first = registers[3].change(v -> longest, TIMEOUT_MS); // by a member that is not an elector
         assertEquals(ChangeResult.Outcome.DECIDED, first.outcome(), first.toString());
-        await("the word to all", () -> registers[0].decidedValue() != null && registers[1].decidedValue() != null);
-        assertEquals(first.value(), heard.take());
-        ChangeResult refused = registers[0].change(
+        await(
+                "the decision at other electors",
+                () -> registers[0].decidedValue() != null && registers[1].decidedValue() != null);
+        assertEquals(first.value(), received.take());
+        ChangeResult rejected = registers[0].change(
                 v -> {
                     throw new ChangeRejectedException("taken", "all else", "wait");
                 },
-                SOON);
-        assertEquals("taken", ((ChangeRejectedException) refused.error()).problem());
-        assertEquals(first.value(), refused.value());
+                TIMEOUT_MS);
+        assertEquals("taken", ((ChangeRejectedException) rejected.error()).problem());
+        assertEquals(first.value(), rejected.value());
         stop(1);
-        start(1); // under the same name, and empty
-        await("sight", () -> !registers[1].recovering());
-        stop(0); // so that the new run's vote is needed
-        ChangeResult second = registers[2].change(v -> v.text() + "y", SOON);
-        assertEquals(most + "y", second.value().text());
-        assertEquals(second.value(), registers[1].change(Mutation.READ, SOON).value());
+        start(1); // under the same name, without state
+        await("recovery", () -> !registers[1].recovering());
+        stop(0); // so that the vote of the new incarnation is needed
+        ChangeResult second = registers[2].change(v -> v.text() + "y", TIMEOUT_MS);
+        assertEquals(longest + "y", second.value().text());
+        assertEquals(
+                second.value(), registers[1].change(Mutation.READ, TIMEOUT_MS).value());
         for (int i = 1; i < 4; i++) {
             stop(i);
         }
     }
 
-    /** The channel carries what fits, by name, and says so where it cannot. */
+    /**
+     * A channel delivers payloads up to the maximum size to a member by name, also if the member listens on another
+     * address than it advertises. A failed send is reported.
+     */
     @Test
-    void aChannelCarriesUpToItsMostAndListensElsewhereThanItSays() throws Exception {
-        try (DatagramSocket between = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+    void aChannelDeliversUpToItsMaximumPayloadToAnAdvertisedAddress() throws Exception {
+        try (DatagramSocket forwarder = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            int listen = free.getLocalPort();
+            int listenPort = free.getLocalPort();
             free.close();
-            String front = "127.0.0.1:" + between.getLocalPort();
-            Thread forwards = new Thread(() -> {
+            String advertised = "127.0.0.1:" + forwarder.getLocalPort();
+            Thread forwarding = new Thread(() -> {
                 byte[] buffer = new byte[65_536];
                 try {
                     while (true) {
                         java.net.DatagramPacket p = new java.net.DatagramPacket(buffer, buffer.length);
-                        between.receive(p);
-                        p.setSocketAddress(new InetSocketAddress("127.0.0.1", listen));
-                        between.send(p);
+                        forwarder.receive(p);
+                        p.setSocketAddress(new InetSocketAddress("127.0.0.1", listenPort));
+                        forwarder.send(p);
                     }
                 } catch (java.io.IOException e) {
-                    return; // closed at the test's end
+                    return; // closed at the end of the test
                 }
             });
-            forwards.setDaemon(true);
-            forwards.start();
-            LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            MembershipSettings set = MembershipSettings.of("a", front, List.of());
-            try (ClusterTransport a = new ClusterTransport(set, "127.0.0.1:" + listen, keys(), 1);
+            forwarding.setDaemon(true);
+            forwarding.start();
+            LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
+            MembershipSettings settings = MembershipSettings.of("a", advertised, List.of());
+            try (ClusterTransport a = new ClusterTransport(settings, "127.0.0.1:" + listenPort, keys(), 1);
                     DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
                 int port = other.getLocalPort();
                 other.close();
-                set = MembershipSettings.of("b", "127.0.0.1:" + port, List.of(front));
-                try (ClusterTransport b = new ClusterTransport(set, keys(), 2)) {
-                    a.registerChannel(2, (from, bytes) -> heard.add(from + ' ' + bytes.length));
+                settings = MembershipSettings.of("b", "127.0.0.1:" + port, List.of(advertised));
+                try (ClusterTransport b = new ClusterTransport(settings, keys(), 2)) {
+                    a.registerChannel(2, (from, bytes) -> received.add(from + ' ' + bytes.length));
                     await(
-                            "the way there",
+                            "the delivery",
                             () -> b.send(2, "a", new byte[ClusterTransport.MAX_PAYLOAD_BYTES])
-                                    && !heard.isEmpty()); // a packet may be lost, also here
-                    assertEquals("b " + ClusterTransport.MAX_PAYLOAD_BYTES, heard.take());
+                                    && !received.isEmpty()); // a packet may be lost even on loopback
+                    assertEquals("b " + ClusterTransport.MAX_PAYLOAD_BYTES, received.take());
                     assertTrue(!b.send(2, "a", new byte[ClusterTransport.MAX_PAYLOAD_BYTES + 1]), "too long");
                     assertTrue(!b.send(2, "c", new byte[1]), "not known");
                 }
