--- a/src/main/java/maplespread/release/DrainPermission.java
+++ b/src/main/java/maplespread/release/DrainPermission.java
@@ -3,35 +3,34 @@
 import maplespread.release.ReleaseRejectedException.Reason;
 import maplespread.release.RolloutState.PlannedOutage;
 
-/** Whether a member may be drained, by the agreed state. */
+/** Decides by the agreed state whether a member may be drained. */
 public final class DrainPermission {
     private DrainPermission() {}
 
     /**
-     * Whether the outage {@code number} of this member's incarnation is still granted and its drain may begin. An
-     * outage of a release is called back by a halt, and once the release goes in another direction than it was granted
-     * for.
+     * Whether the outage {@code number} of this member's incarnation is still granted and its drain may begin. A halt
+     * withdraws the permission for an outage of a release, as does a change of the release's direction after the grant.
      */
     public static boolean isPermitted(RolloutState state, String member, long incarnation, long number) {
         PlannedOutage outage = state.plannedOutages().get(member);
         return outage != null
                 && outage.number() == number
                 && outage.incarnation() == incarnation
-                && (outage.release().isEmpty() || isReleaseAsGranted(state, outage));
+                && (outage.release().isEmpty() || isPhaseOfGrant(state, outage));
     }
 
     /** The outage's {@code why} holds the name of the phase in which it was granted. */
-    private static boolean isReleaseAsGranted(RolloutState state, PlannedOutage outage) {
+    private static boolean isPhaseOfGrant(RolloutState state, PlannedOutage outage) {
         return state.halt() == null
                 && state.inProgress()
                 && outage.why().equals(state.release().activePhase().name());
     }
 
     /**
-     * Returns where the member may be drained: its outage is granted, or neither a release, a limit nor a halt is in
+     * Checks that the member may be drained: its outage is granted, or neither a release, a limit nor a halt is in
      * force.
      *
-     * @throws ReleaseRejectedException why not
+     * @throws ReleaseRejectedException where the member must not be drained, with the reason
      */
     public static void require(RolloutState state, String member) throws ReleaseRejectedException {
         PlannedOutage outage = state.plannedOutages().get(member);
--- a/src/main/java/maplespread/release/FaultCommands.java
+++ b/src/main/java/maplespread/release/FaultCommands.java
@@ -5,11 +5,14 @@
 import maplespread.release.RolloutState.KnownMember;
 import maplespread.release.RolloutState.UnplannedOutage;
 
-/** What an instance reports of members that fail or recover, and the halt that it decides on by itself. */
+/** Commands by which an instance reports members that failed or recovered, and halts a release automatically. */
 public final class FaultCommands {
     private FaultCommands() {}
 
-    /** Halts the release in progress; nothing where it is halted, or an operator has acted since the proposer looked. */
+    /**
+     * Halts the release in progress. Changes nothing where it is halted already, or where {@code controlVersion} is
+     * outdated because an operator has acted since the proposer evaluated the state.
+     */
     public static ReleaseCommand haltAutomatically(String by, String why, long controlVersion) {
         return state -> {
             boolean applies = state.inProgress() && state.halt() == null && state.controlVersion() == controlVersion;
@@ -18,9 +21,12 @@
     }
 
     /**
-     * Members seen unavailable without a granted outage, and members seen serving: their unplanned outage is over, and
-     * a later incarnation of theirs may be another version. {@code stabilityVersion}:
-     * {@link RolloutState#stabilityVersion()} of the state that the proposer knew when it looked.
+     * Records unplanned outages and recoveries.
+     *
+     * @param stabilityVersion {@link RolloutState#stabilityVersion()} of the state that the proposer knew when it
+     *     observed the fleet
+     * @param unavailable members seen unavailable without a granted outage
+     * @param serving members seen serving; their unplanned outages end, and a later incarnation may run another version
      */
     public static ReleaseCommand recordObservations(
             String by, long stabilityVersion, Collection<String> unavailable, Collection<Member> serving) {
--- a/src/main/java/maplespread/release/InstanceCommands.java
+++ b/src/main/java/maplespread/release/InstanceCommands.java
@@ -12,17 +12,17 @@
 import maplespread.release.RolloutState.Release;
 
 /**
- * What an instance proposes to carry a release forward. {@code by} is the proposing instance; {@code
- * stabilityVersion} is {@link RolloutState#stabilityVersion()} of the state that it knew when it looked at the fleet:
- * an older one is rejected, as is the proposal of an instance that was paused in between.
+ * Commands that an instance proposes to advance a release. {@code by} is the proposing instance. {@code
+ * stabilityVersion} is {@link RolloutState#stabilityVersion()} of the state that the instance knew when it observed the
+ * fleet; an outdated version is rejected, which also rejects the proposal of an instance that was paused in between.
  */
 public final class InstanceCommands {
-    /** A member that has come back this often without the wanted version halts the release. */
+    /** The release halts when a member has returned this often without the target version. */
     private static final int MAX_ATTEMPTS = 3;
 
     private InstanceCommands() {}
 
-    /** Grants an outage to a member whose turn it is in the release in progress. */
+    /** Grants an outage to a pending member of the current step. */
     public static ReleaseCommand grantOutage(String by, String member, long stabilityVersion, FleetView view) {
         return state -> {
             Preconditions.requireInProgress(state);
@@ -52,12 +52,12 @@
         };
     }
 
-    /** The member that was granted the outage {@code number} was seen serving and warm in a later incarnation. */
+    /** Ends the outage {@code number}, whose member was seen serving and warm in a later incarnation. */
     public static ReleaseCommand confirmReturn(String by, long number, Member seen) {
         return state -> {
             PlannedOutage outage = state.plannedOutages().get(seen.id());
             if (outage == null || outage.number() != number) {
-                return state; // another instance was first
+                return state; // Another instance has confirmed this return.
             }
             if (seen.incarnation() <= outage.incarnation() || !seen.serving() || !seen.warm()) {
                 throw new ReleaseRejectedException(
@@ -75,11 +75,11 @@
             if (!ofRelease || !returned.pendingMembers().contains(seen.id())) {
                 return returned;
             }
-            return countAttempt(by, returned, seen, state.controlVersion());
+            return countFailedAttempt(by, returned, seen, state.controlVersion());
         };
     }
 
-    /** A member that tells no version is taken to be what the release wanted it to become. */
+    /** A member that reports no version is assumed to have changed in the direction of the release. */
     private static boolean isUpdatedAfterReturn(RolloutState state, Member seen, KnownMember known, boolean ofRelease) {
         if (ofRelease && !MemberUpdates.isComparedByVersion(state, seen)) {
             return state.release().activePhase() != Phase.ROLLING_BACK;
@@ -87,8 +87,8 @@
         return MemberUpdates.isUpdated(state, seen, known.updated());
     }
 
-    /** The member is back, but not as the release wants it. */
-    private static RolloutState countAttempt(String by, RolloutState returned, Member seen, long controlVersion)
+    /** Counts a return without the target version; halts the release at {@link #MAX_ATTEMPTS}. */
+    private static RolloutState countFailedAttempt(String by, RolloutState returned, Member seen, long controlVersion)
             throws ReleaseRejectedException {
         TreeMap<String, Integer> attempts = new TreeMap<>(returned.release().attempts());
         int count = attempts.merge(seen.id(), 1, Integer::sum);
@@ -103,9 +103,9 @@
     }
 
     /**
-     * The outage {@code number} ends unused, or its member serves on in the same incarnation. Only to be proposed once
-     * {@link RolloutAction.CancelDrain} has been carried out: from then on a drain by this outage is refused where it
-     * would be carried out.
+     * Ends the outage {@code number} whose member was not drained, or serves again in the same incarnation. May be
+     * proposed only after {@link RolloutAction.CancelDrain} was carried out: from then on, whoever would carry out a
+     * drain by this outage rejects it.
      */
     public static ReleaseCommand relinquishOutage(String by, long number) {
         return state -> {
@@ -118,7 +118,7 @@
         };
     }
 
-    /** The release has reached its end, as the proposer sees it: nobody is out for it, all members are as wanted. */
+    /** Finishes a release that has no outage left and whose members all have their target version. */
     public static ReleaseCommand finish(String by, FleetView view) {
         return state -> {
             if (!state.inProgress()) {
@@ -132,7 +132,7 @@
             }
             Release release = state.release();
             if (release.activePhase() != Phase.ABANDONING) {
-                requireAllAsWanted(state, view);
+                requireAllAtTarget(state, view);
                 requireAllKnown(state, view);
             }
             RolloutStateBuilder next = new RolloutStateBuilder(state);
@@ -153,39 +153,40 @@
         };
     }
 
-    private static void requireAllAsWanted(RolloutState state, FleetView view) throws ReleaseRejectedException {
-        boolean wanted = state.release().activePhase() == Phase.RUNNING;
+    private static void requireAllAtTarget(RolloutState state, FleetView view) throws ReleaseRejectedException {
+        boolean targetUpdated = state.release().activePhase() == Phase.RUNNING;
         for (List<String> step : state.release().steps()) {
             for (String name : step) {
-                if (!isAsWanted(state, name, view, wanted)) {
+                if (!isAtTarget(state, name, view, targetUpdated)) {
                     throw new ReleaseRejectedException(Reason.NOT_DUE, name + " is not yet seen as it should be");
                 }
             }
         }
     }
 
-    private static boolean isAsWanted(RolloutState state, String name, FleetView view, boolean wanted) {
+    private static boolean isAtTarget(RolloutState state, String name, FleetView view, boolean targetUpdated) {
         KnownMember known = state.members().get(name);
         return view.member(name)
                 .filter(Member::serving)
                 .filter(seen -> !state.unplannedOutages().containsKey(name))
                 .filter(seen -> seen.incarnation() >= known.incarnation())
-                .filter(seen -> MemberUpdates.isUpdated(state, seen, wanted) == wanted)
-                .filter(seen -> known.updated() == wanted)
+                .filter(seen -> MemberUpdates.isUpdated(state, seen, targetUpdated) == targetUpdated)
+                .filter(seen -> known.updated() == targetUpdated)
                 .isPresent();
     }
 
     private static void requireAllKnown(RolloutState state, FleetView view) throws ReleaseRejectedException {
         for (Member member : view.members()) {
             if (member.serving() && !state.members().containsKey(member.id())) {
-                throw new ReleaseRejectedException(Reason.NOT_DUE, member.id() + " has come, and is not told yet");
+                throw new ReleaseRejectedException(
+                        Reason.NOT_DUE, member.id() + " is serving but not yet recorded as a member");
             }
         }
     }
 
     /**
-     * Adds members that were not known, and takes up changes of a warm capacity. A later incarnation at the address of
-     * a member of another name has replaced that one: it takes over its outage and its turn in the release.
+     * Adds unknown members and updates warm capacities. A later incarnation at the address of a known member with
+     * another name replaces that member: it inherits the outage and the position in the release.
      */
     public static ReleaseCommand updateMembers(String by, long stabilityVersion, Collection<Member> seen) {
         return state -> {
@@ -220,8 +221,8 @@
     }
 
     /**
-     * Shows that somebody has reached a majority, so that an instance that was cut off does not take the others to have
-     * been cut off too. Counts once for each {@code seenHeartbeats}.
+     * Shows that an instance has reached a majority, so that an instance that was cut off does not assume that all
+     * others were cut off too. Increments the counter at most once for each value of {@code seenHeartbeats}.
      */
     public static ReleaseCommand recordHeartbeat(long seenHeartbeats) {
         return state -> {
--- a/src/main/java/maplespread/release/OperatorCommands.java
+++ b/src/main/java/maplespread/release/OperatorCommands.java
@@ -14,14 +14,14 @@
 import maplespread.release.RolloutState.UnplannedOutage;
 
 /**
- * What an operator can ask for. {@code by} is who asks, for the state's log. {@code controlVersion} is
+ * Commands of operators. {@code by} names the operator in the state's log. {@code controlVersion} is
  * {@link RolloutState#controlVersion()} as the operator saw it, so that a call that arrives late, or twice, does not
- * undo what was decided since.
+ * undo a later decision.
  */
 public final class OperatorCommands {
     private OperatorCommands() {}
 
-    /** Replaces the standing limits; {@code limits}: null removes them. */
+    /** Replaces the standing limits; null removes them. */
     public static ReleaseCommand setLimits(String by, Limits limits) {
         return state -> {
             if (Objects.equals(limits, state.limits())) {
@@ -34,8 +34,9 @@
     }
 
     /**
-     * Begins a release; proposed again with the same plan it changes nothing. {@code view}: tells the members that the
-     * release starts from, and the service level that it is compared with.
+     * Begins a release. Changes nothing while a release with the same plan is in progress.
+     *
+     * @param view the members that the release starts from, and its baseline service level
      */
     public static ReleaseCommand begin(String by, ReleasePlan plan, FleetView view) {
         return state -> {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Clears the marks of the release before; members that are at the target version already are marked. */
+    /** Marks exactly those members as updated that have the target version already. */
     private static void markUpdatedMembers(RolloutStateBuilder next, ReleasePlan plan, FleetView view) {
         next.members.replaceAll((id, known) -> known.withUpdated(false));
         for (Member member : view.members()) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /** No outage is granted from here on, release or not. A second halt replaces the first. */
+    /** Stops all grants of outages, with or without a release in progress. A second halt replaces the first. */
     public static ReleaseCommand halt(String by, String why) {
         return state -> new RolloutStateBuilder(state)
                 .log(by, "halt", why)
@@ -120,8 +121,8 @@
     }
 
     /**
-     * Lifts the halt; the release goes on in the direction that it had. The service level as it is then becomes the
-     * baseline: the operator has accepted it.
+     * Lifts the halt; the release continues in its previous direction. The service level at that time becomes the
+     * baseline, because the operator has accepted it.
      */
     public static ReleaseCommand resume(String by, String why, long controlVersion) {
         return state -> {
@@ -139,7 +140,7 @@
         };
     }
 
-    /** Updated members return to the old version, in reverse order; lifts the halt. */
+    /** Starts to return updated members to the old version, in reverse order; lifts the halt. */
     public static ReleaseCommand rollBack(String by, String why, long controlVersion) {
         return state -> {
             Preconditions.requireControlVersion(state, controlVersion);
@@ -156,7 +157,7 @@
         };
     }
 
-    /** No further member is updated, unavailable ones come back as they are; lifts the halt. */
+    /** Stops updating members; unavailable ones return with the version that they have. Lifts the halt. */
     public static ReleaseCommand abandon(String by, String why, long controlVersion) {
         return state -> {
             Preconditions.requireControlVersion(state, controlVersion);
@@ -168,7 +169,7 @@
         };
     }
 
-    /** The member never comes back: its outage, planned or not, and its turn in the release end. */
+    /** Removes a member that never returns, with its outages and its position in the release. */
     public static ReleaseCommand removeMember(String by, String member) {
         return state -> {
             Preconditions.requireKnownMember(state, member);
@@ -182,7 +183,7 @@
         };
     }
 
-    /** A drain without a granted outage counts as an unplanned one at once. {@code why}: the operator's, required. */
+    /** Records a drain without a granted outage as an unplanned outage. {@code why} must not be blank. */
     public static ReleaseCommand forceDrain(String by, String member, String why) {
         return state -> {
             if (why.isBlank()) {
@@ -200,8 +201,9 @@
     }
 
     /**
-     * Grants an outage that an operator asked for, where no release is in progress. {@code stabilityVersion}:
-     * {@link RolloutState#stabilityVersion()} of the state that the proposer knew.
+     * Grants an outage that an operator has requested; rejected while a release is in progress.
+     *
+     * @param stabilityVersion {@link RolloutState#stabilityVersion()} of the state that the proposer knew
      */
     public static ReleaseCommand grantManualOutage(
             String by, String member, long stabilityVersion, FleetView view, String why) {
--- a/src/main/java/maplespread/release/RolloutController.java
+++ b/src/main/java/maplespread/release/RolloutController.java
@@ -14,41 +14,42 @@
 import maplespread.release.RolloutState.PlannedOutage;
 
 /**
- * One instance's part in a release. Every instance has a controller and all do the same, staggered by their place among
- * the serving dispatchers; none is the leader. All that depends on time is here, by this instance's own monotonic
- * clock: a new controller begins every wait anew, as does one whose process was paused. What it proposes is decided by
- * the newest state, which rejects what is late or wrong. No threads; not thread-safe.
+ * One instance's part in a release. Every instance has a controller and all run the same logic without a leader,
+ * staggered by their rank among the serving dispatchers. The controller contains everything that depends on time, by
+ * this instance's monotonic clock: a new controller restarts every wait, as does one whose process was paused. Its
+ * proposals are applied to the newest state, which rejects outdated and invalid ones. Has no threads; not thread-safe.
  */
 public final class RolloutController {
-    /** A process that has not evaluated for this many detection times was paused. */
-    private static final int PAUSE_DETECTION_TIMES = 3;
-    /** A worker's warm capacity is taken up where it is larger than the known one by this factor. */
-    private static final double CAPACITY_GROWTH = 1.1;
-    /** The same where it is smaller, while no release is in progress. */
-    private static final double CAPACITY_DECLINE = 0.9;
-    /** No version has been seen yet. */
-    private static final long NONE_SEEN = -1;
+    /** A time without evaluation of at least this many detection times counts as a process pause. */
+    private static final int MIN_PAUSE_DETECTION_TIMES = 3;
+    /** A worker's warm capacity is reported when it exceeds the known one by this factor. */
+    private static final double CAPACITY_GROWTH_FACTOR = 1.1;
+    /** A lower warm capacity is reported below this share of the known one, while no release is in progress. */
+    private static final double CAPACITY_DECLINE_FACTOR = 0.9;
+    /** The value of a seen version before the first evaluation. */
+    private static final long NO_VERSION_SEEN = -1;
 
     /**
      * Times in ms.
      *
-     * @param staggerMs by how much later each next instance acts
-     * @param detectionMs how long a member has to be seen unavailable, or serving, before that is reported
-     * @param heartbeatMs how often some instance shows that there is a majority
-     * @param quorumLossMs a loss of the majority for this long halts a release
+     * @param staggerMs the delay between an instance's action and that of the instance of the next rank
+     * @param detectionMs how long a member must be seen unavailable, or serving, before that is reported
+     * @param heartbeatMs the interval at which an instance shows that there is a majority
+     * @param quorumLossMs the duration of a quorum loss that halts a release
      */
     public record Settings(long staggerMs, long detectionMs, long heartbeatMs, long quorumLossMs) {
-        /** What a running dispatcher uses. */
+        /** The settings of a running dispatcher. */
         public static final Settings DEFAULT = new Settings(250, 1_000, 2_000, 10_000);
     }
 
     /**
-     * What came of one evaluation.
+     * The result of one evaluation.
      *
-     * @param proposals to be put to the register in this order, before the next evaluation; a rejection is no fault
-     * @param actions to be carried out
-     * @param nextCheckAtMs when to evaluate again at the latest; after a new state or view: at once
-     * @param waitingFor what the release waits for, as operators read it; empty where none is in progress
+     * @param proposals commands to propose to the register in this order, before the next evaluation; a rejection is
+     *     not an error
+     * @param actions what the instance has to carry out
+     * @param nextCheckAtMs the latest time of the next evaluation; a new state or view is evaluated at once
+     * @param waitingFor what the release waits for, as shown to operators; empty where none is in progress
      */
     public record Decision(
             List<ReleaseCommand> proposals, List<RolloutAction> actions, long nextCheckAtMs, String waitingFor) {}
@@ -60,18 +61,23 @@
     private final HaltConditions haltConditions;
     private final Set<Long> cancelledOutages = new HashSet<>();
     private long lastEvaluationMs;
-    private long seenStabilityVersion = NONE_SEEN;
+    private long seenStabilityVersion = NO_VERSION_SEEN;
     private long stableSinceMs;
-    private long seenControlVersion = NONE_SEEN;
-    /** The service level at the last moment without a release, or when an operator resumed it; null: neither yet. */
+    private long seenControlVersion = NO_VERSION_SEEN;
+    /** The service level when last no release was in progress or an operator resumed one; null before either. */
     private ServiceLevel baseline;
 
-    // What the current evaluation looks at.
+    // The inputs of the current evaluation.
     private RolloutState state;
     private FleetView view;
     private long nowMs;
 
-    /** {@code self}: this dispatcher's member name; {@code nowMs}: of a monotonic clock. */
+    /**
+     * Creates a controller.
+     *
+     * @param self this dispatcher's member name
+     * @param nowMs the time of a monotonic clock
+     */
     public RolloutController(Settings settings, String self, long nowMs) {
         this.settings = settings;
         this.self = self;
@@ -81,7 +87,7 @@
         stableSinceMs = nowMs;
     }
 
-    /** {@link RolloutAction.CancelDrain} of this outage was carried out: a later drain by it is refused there. */
+    /** Notes that {@link RolloutAction.CancelDrain} of this outage was carried out; a later drain by it is rejected. */
     public void drainCancelled(long outageNumber) {
         cancelledOutages.add(outageNumber);
     }
@@ -89,13 +95,13 @@
     /**
      * Evaluates the newest state that this instance knows.
      *
-     * @param time of the same clock as the constructor's
+     * @param timeMs the time of the clock that the constructor was given
      * @param majorityReached whether the last read or write of the state has reached a majority
      */
-    public Decision evaluate(long time, RolloutState newest, FleetView seen, boolean majorityReached) {
-        nowMs = time;
-        state = newest;
-        view = seen;
+    public Decision evaluate(long timeMs, RolloutState newestState, FleetView currentView, boolean majorityReached) {
+        nowMs = timeMs;
+        state = newestState;
+        view = currentView;
         restartAfterPause();
         trackVersions();
         timers.beginRound(nowMs, servingDispatchersBefore());
@@ -107,19 +113,20 @@
         } else if (isActive() || !state.plannedOutages().isEmpty()) {
             waitingFor = propose(proposals, quorumLossMs);
         }
-        // Also without a majority: before each drain RolloutService asks one whether it is still permitted.
+        // Actions need no majority here: before each drain, RolloutService asks a majority whether it is still
+        // permitted.
         List<RolloutAction> actions = actions();
         timers.endRound();
-        forgetEndedOutages();
+        removeEndedOutages();
         return new Decision(proposals, actions, nowMs + checkIntervalMs(), waitingFor);
     }
 
-    /** No wait counts that the process has slept through. */
+    /** Restarts all waits after a process pause, so that the pause does not count towards them. */
     private void restartAfterPause() {
-        if (nowMs - lastEvaluationMs >= PAUSE_DETECTION_TIMES * settings.detectionMs) {
+        if (nowMs - lastEvaluationMs >= MIN_PAUSE_DETECTION_TIMES * settings.detectionMs) {
             timers.reset();
             quorumLoss.reset();
-            seenStabilityVersion = NONE_SEEN;
+            seenStabilityVersion = NO_VERSION_SEEN;
         }
         lastEvaluationMs = nowMs;
     }
@@ -129,8 +136,9 @@
             seenStabilityVersion = state.stabilityVersion();
             stableSinceMs = nowMs;
         }
-        boolean operatorResumed =
-                seenControlVersion != NONE_SEEN && state.controlVersion() != seenControlVersion && state.halt() == null;
+        boolean operatorResumed = seenControlVersion != NO_VERSION_SEEN
+                && state.controlVersion() != seenControlVersion
+                && state.halt() == null;
         if (!state.inProgress() || operatorResumed) {
             baseline = view.service();
         }
@@ -144,22 +152,22 @@
                 .count();
     }
 
-    /** Whether there is something to watch: a release, or limits. */
+    /** Whether a release is in progress or limits are in force. */
     private boolean isActive() {
         return state.inProgress() || !state.limitsInForce().isEmpty();
     }
 
     private long checkIntervalMs() {
-        long idleMs = settings.detectionMs / 2;
-        return isActive() ? Math.min(settings.staggerMs, idleMs) : idleMs;
+        long idleIntervalMs = settings.detectionMs / 2;
+        return isActive() ? Math.min(settings.staggerMs, idleIntervalMs) : idleIntervalMs;
     }
 
-    private void forgetEndedOutages() {
+    private void removeEndedOutages() {
         cancelledOutages.removeIf(number -> number <= state.lastOutageNumber()
                 && state.plannedOutages().values().stream().noneMatch(outage -> outage.number() == number));
     }
 
-    /** Adds to the proposals; returns what the release waits for. */
+    /** Adds to the proposals and returns what the release waits for. */
     private String propose(List<ReleaseCommand> proposals, long quorumLossMs) {
         proposeHalt(proposals, quorumLossMs);
         proposeObservations(proposals);
@@ -168,7 +176,7 @@
         if (!state.inProgress()) {
             return "";
         }
-        // The next step has to know what was observed.
+        // The next step must be based on a state that contains these observations.
         String waitingFor = proposals.isEmpty() ? proposeNextStep(proposals) : "for what was seen to be told";
         if (timers.heldForStaggered("heartbeat " + state.heartbeats(), settings.heartbeatMs)) {
             proposals.add(InstanceCommands.recordHeartbeat(state.heartbeats()));
@@ -180,8 +188,8 @@
         if (!state.inProgress() || state.halt() != null || state.release().activePhase() == Phase.ABANDONING) {
             return;
         }
-        ServiceLevel comparedWith = baseline == null ? state.release().baseline() : baseline;
-        String reason = haltConditions.reason(state, view.service(), comparedWith, quorumLossMs);
+        ServiceLevel effectiveBaseline = baseline == null ? state.release().baseline() : baseline;
+        String reason = haltConditions.reason(state, view.service(), effectiveBaseline, quorumLossMs);
         if (!reason.isEmpty()) {
             proposals.add(FaultCommands.haltAutomatically(self, reason, state.controlVersion()));
         }
@@ -195,10 +203,10 @@
             String name = entry.getKey();
             Member seen = view.member(name).filter(Member::serving).orElse(null);
             if (seen == null) {
-                if (isUnavailabilityToReport(name)) {
+                if (mustReportUnavailable(name)) {
                     unavailable.add(name);
                 }
-            } else if (isServiceToReport(seen, entry.getValue())) {
+            } else if (mustReportServing(seen, entry.getValue())) {
                 serving.add(seen);
             }
         }
@@ -207,17 +215,17 @@
         }
     }
 
-    private boolean isUnavailabilityToReport(String name) {
+    private boolean mustReportUnavailable(String name) {
         boolean isReported = state.unplannedOutages().containsKey(name);
         boolean isPlanned = state.plannedOutages().containsKey(name);
-        // First the detection time, then, on a timer of its own, this instance's turn to report.
+        // The detection time passes first; a second timer then staggers the reports of the instances.
         return !isReported
                 && !isPlanned
                 && timers.heldFor("unavailable " + name, settings.detectionMs)
                 && timers.heldForStaggered("report unavailable " + name, 0);
     }
 
-    private boolean isServiceToReport(Member seen, KnownMember known) {
+    private boolean mustReportServing(Member seen, KnownMember known) {
         String name = seen.id();
         boolean isReportedUnavailable = state.unplannedOutages().containsKey(name);
         boolean restartedUnplanned = state.inProgress()
@@ -229,7 +237,7 @@
                 && timers.heldForStaggered(condition, settings.detectionMs);
     }
 
-    /** Reports members that are not known yet, and workers whose warm capacity has changed. */
+    /** Reports unknown members and workers whose warm capacity has changed. */
     private void proposeMemberUpdates(List<ReleaseCommand> proposals) {
         List<Member> changed = new ArrayList<>();
         for (Member seen : view.members()) {
@@ -248,12 +256,12 @@
         if (!seen.warm() || seen.role() != Role.WORKER) {
             return false;
         }
-        boolean isLarger = seen.capacity() > known.warmCapacity() * CAPACITY_GROWTH;
-        boolean isSmaller = seen.capacity() < known.warmCapacity() * CAPACITY_DECLINE;
+        boolean isLarger = seen.capacity() > known.warmCapacity() * CAPACITY_GROWTH_FACTOR;
+        boolean isSmaller = seen.capacity() < known.warmCapacity() * CAPACITY_DECLINE_FACTOR;
         return isLarger || isSmaller && !state.inProgress();
     }
 
-    /** Reports planned outages that are over: unused, or with their member back. */
+    /** Reports planned outages that have ended: those cancelled, and those whose members have returned. */
     private void proposeReturns(List<ReleaseCommand> proposals) {
         state.plannedOutages().forEach((name, outage) -> {
             if (cancelledOutages.contains(outage.number())) {
@@ -268,7 +276,7 @@
         });
     }
 
-    /** Asks for outages of the members whose turn it is, or for the release's end; returns what it waits for. */
+    /** Proposes the outages of the current step, or the release's end; returns what the release waits for. */
     private String proposeNextStep(List<ReleaseCommand> proposals) {
         if (state.halt() != null) {
             return "for an operator: halted by " + state.halt().by() + ", "
@@ -318,7 +326,7 @@
         return "for its end to be told";
     }
 
-    /** For this instance itself, and for the workers: a dispatcher is drained by nobody but itself. */
+    /** Actions for this instance and for the workers; a dispatcher is drained only by itself. */
     private List<RolloutAction> actions() {
         List<RolloutAction> actions = new ArrayList<>();
         state.plannedOutages().forEach((name, outage) -> {
@@ -327,7 +335,7 @@
             if (!isResponsible || seen == null || seen.incarnation() != outage.incarnation()) {
                 return;
             }
-            if (isCalledBack(outage, seen)) {
+            if (isCancelDue(outage, seen)) {
                 actions.add(new RolloutAction.CancelDrain(name, outage.incarnation(), outage.number()));
             } else if (seen.serving() && isDrainDue(name, outage)) {
                 actions.add(new RolloutAction.Drain(name, outage.incarnation(), outage.number()));
@@ -336,8 +344,11 @@
         return actions;
     }
 
-    /** The counterpart of {@link DrainPermission#isPermitted}. By a halt, where the member still serves; by another direction of the release, where it drains too. */
-    private boolean isCalledBack(PlannedOutage outage, Member seen) {
+    /**
+     * Whether a drain that {@link DrainPermission#isPermitted} no longer permits is to be cancelled. A halt cancels it
+     * only while the member serves; a change of the release's direction cancels it also while the member drains.
+     */
+    private boolean isCancelDue(PlannedOutage outage, Member seen) {
         if (outage.release().isEmpty()) {
             return false;
         }
@@ -349,7 +360,7 @@
         return state.halt() != null && seen.serving();
     }
 
-    /** This instance drains itself at once; only one instance is to order a worker's drain. */
+    /** This instance drains itself at once; the stagger lets a single instance order a worker's drain. */
     private boolean isDrainDue(String name, PlannedOutage outage) {
         String condition = "drain " + outage.number();
         return name.equals(self) ? timers.heldFor(condition, 0) : timers.heldForStaggered(condition, 0);
--- a/src/main/java/maplespread/release/RolloutState.java
+++ b/src/main/java/maplespread/release/RolloutState.java
@@ -12,22 +12,22 @@
 import maplespread.release.FleetView.ServiceLevel;
 
 /**
- * What the fleet has agreed on about releases: the limits, the release, the members, and who of them is unavailable.
- * Immutable; it is changed by {@link ReleaseCommand}s alone, each applied to the newest state. Other versions of the
- * program read the JSON names of the components, which {@code @SerializedName} keeps where the component has another.
+ * The agreed state of releases: the limits, the release, the members, and which of them are unavailable. Immutable;
+ * only a {@link ReleaseCommand} derives a new state, from the newest one. Other versions of the program read the JSON
+ * names of the components; {@code @SerializedName} keeps a JSON name that differs from the component's.
  *
- * @param limits the standing limits; null where there are none
+ * @param limits the standing limits; null: none
  * @param release the release in progress, or the last one; null before the first
- * @param members by name
+ * @param members known members, by name
  * @param plannedOutages granted outages that have not ended, by member
  * @param unplannedOutages members seen unavailable without a granted outage, by name
- * @param halt null where nothing is halted
- * @param stabilityVersion grows with every event that restarts the quiet period
- * @param lastOutageNumber of the outage granted last; the numbers grow
- * @param controlVersion grows with every operator's call about a release and every halt
- * @param heartbeats grows while a release is in progress and a majority is reached
+ * @param halt the halt in force; null: none
+ * @param stabilityVersion a counter of the events that restart the quiet period
+ * @param lastOutageNumber the number of the outage granted last; numbers increase
+ * @param controlVersion a counter of operators' calls about a release and of halts
+ * @param heartbeats a counter that increases while a release is in progress and a majority is reached
  * @param pastReleases ids of releases before this one, the newest last
- * @param log the newest acts, the newest last
+ * @param log the latest log entries, the newest last
  */
 public record RolloutState(
         Limits limits,
@@ -43,7 +43,7 @@
         @SerializedName("ended") List<String> pastReleases,
         List<LogEntry> log) {
 
-    /** Where a release stands. DONE, ROLLED_BACK and ABANDONED are final. */
+    /** The phase of a release. DONE, ROLLED_BACK and ABANDONED are final. */
     public enum Phase {
         RUNNING,
         HALTED,
@@ -57,12 +57,12 @@
     /**
      * A plan being carried out.
      *
-     * @param plan what the operator asked for
-     * @param activePhase the phase without regard to a halt
-     * @param steps members by name, in the order in which the steps are taken on the way to the new version
-     * @param openStep the step whose members need no quiet period any more; {@link #NO_STEP}: none
-     * @param attempts how often a member has come back other than wanted, by name
-     * @param baseline the service level before the release, which halts are judged by
+     * @param plan the operator's plan
+     * @param activePhase the phase, regardless of a halt; never HALTED
+     * @param steps names of members, in the order of the steps towards the new version
+     * @param openStep the index of the step that needs no further quiet period; {@link #NO_STEP}: none
+     * @param attempts how often a member has returned without the target version, by name
+     * @param baseline the service level before the release, with which halt conditions compare the current one
      */
     public record Release(
             ReleasePlan plan,
@@ -77,7 +77,7 @@
             attempts = sortedCopy(attempts);
         }
 
-        /** The same in another phase; the next step needs a quiet period, and attempts count anew. */
+        /** Returns a copy in another phase. The next step needs a quiet period, and attempts are reset. */
         Release withPhase(Phase next) {
             return new Release(plan, next, steps, NO_STEP, new TreeMap<>(), baseline);
         }
@@ -86,12 +86,12 @@
             return new Release(plan, activePhase, steps, step, attempts, baseline);
         }
 
-        /** The same with other steps; the next one needs a quiet period. */
+        /** Returns a copy with other steps. The next step needs a quiet period. */
         Release withSteps(List<List<String>> next) {
             return new Release(plan, activePhase, next, NO_STEP, attempts, baseline);
         }
 
-        /** The same with other attempts; the next step needs a quiet period. */
+        /** Returns a copy with other attempts. The next step needs a quiet period. */
         Release withAttempts(SortedMap<String, Integer> next) {
             return new Release(plan, activePhase, steps, NO_STEP, next, baseline);
         }
@@ -106,11 +106,11 @@
     }
 
     /**
-     * A member of the fleet, as the state knows it.
+     * The recorded attributes of a member.
      *
-     * @param warmCapacity work a second that it can do when warm; dispatchers: 0
-     * @param incarnation the latest start of its process that was reported
-     * @param updated whether it is what the release leads to, and would have to be changed by a rollback
+     * @param warmCapacity the work per second of a warm worker; 0 for dispatchers
+     * @param incarnation the latest reported incarnation
+     * @param updated whether the member has the target version of the release, so that a rollback would change it
      */
     public record KnownMember(
             String address,
@@ -127,37 +127,37 @@
     }
 
     /**
-     * A granted outage: its member may drain and restart, and counts as unavailable until it is back.
+     * A granted outage. Its member may drain and restart, and counts as unavailable until it has returned.
      *
-     * @param number grows with every grant; a drain names it
-     * @param incarnation the one that may be drained; 0: none any more
-     * @param release the id of the release that it was granted for; empty: an operator's call
-     * @param why the phase of that release when it was granted, or the operator's words
+     * @param number the number that drains refer to; increases with every grant
+     * @param incarnation the incarnation that may be drained; 0: none
+     * @param release the id of the release that the outage was granted for; empty: granted by an operator's call
+     * @param why the phase of that release at the time of the grant, or the operator's reason
      */
     public record PlannedOutage(
             long number, @SerializedName("run") long incarnation, String release, String why) {
-        /** The same for whatever has replaced its member: no process may be drained by it. */
+        /** Returns a copy for the replacement of the member, by which no process may be drained. */
         PlannedOutage withoutIncarnation() {
             return new PlannedOutage(number, 0, release, why);
         }
     }
 
-    /** Unavailable without a granted outage: which instance reported it, and what it saw. */
+    /** An outage that was not granted: the instance or operator that reported it, and what was reported. */
     public record UnplannedOutage(String by, String why) {}
 
-    /** Nothing is granted while this is set; {@code number}: the control version that it came with. */
+    /** A halt, during which no outage is granted; {@code number} is the control version of the halt. */
     public record Halt(long number, String by, String why) {}
 
-    /** One act: who did what, and the reason given. */
+    /** An entry of the log: who did what, and the reason given. */
     public record LogEntry(String by, String what, String why) {}
 
-    /** For the index of a step: there is none. */
+    /** The index of a step where there is none. */
     public static final int NO_STEP = -1;
-    /** The state of a fleet that has agreed on nothing yet. */
+    /** The state before the first command. */
     public static final RolloutState EMPTY =
             new RolloutState(null, null, null, null, null, null, 0, 0, 0, 0, null, null);
 
-    /** Copies the collections; null, as where an older version wrote none: empty. */
+    /** Copies the collections. Null, where an older version wrote no value, becomes empty. */
     public RolloutState {
         members = sortedCopy(members);
         plannedOutages = sortedCopy(plannedOutages);
@@ -171,15 +171,15 @@
     }
 
     /**
-     * Reads what {@link #toText} wrote; "" is the empty state.
+     * Parses the output of {@link #toText}; "" is the empty state.
      *
-     * @throws RuntimeException where the text is no state
+     * @throws RuntimeException where the text is not a valid state
      */
     public static RolloutState parse(String text) {
         return text.isEmpty() ? EMPTY : RolloutStateCodec.decode(text);
     }
 
-    /** The form that is kept in the replicated register. */
+    /** The text that is stored in the replicated value. */
     public String toText() {
         return RolloutStateCodec.encode(this);
     }
@@ -200,7 +200,7 @@
                         || release.activePhase == Phase.ABANDONING);
     }
 
-    /** The standing limits and those of the release in progress: each of them binds. */
+    /** The standing limits and those of the release in progress; all of them apply. */
     public List<Limits> limitsInForce() {
         List<Limits> inForce = new ArrayList<>();
         if (limits != null) {
@@ -217,24 +217,24 @@
         return limitsInForce().stream().mapToLong(Limits::quietMs).max().orElse(0);
     }
 
-    /** The shortest time in force within which a member has to be back, in ms. */
+    /** The shortest time limit in force for a member's return, in ms. */
     public long backMs() {
         return limitsInForce().stream().mapToLong(Limits::backMs).min().orElse(Long.MAX_VALUE);
     }
 
-    /** A new set of the members with an outage, planned or not. */
+    /** The members with an outage, planned or unplanned, in a new set. */
     public Set<String> unavailableMembers() {
         Set<String> unavailable = new TreeSet<>(plannedOutages.keySet());
         unavailable.addAll(unplannedOutages.keySet());
         return unavailable;
     }
 
-    /** The release's members that are what it leads to. */
+    /** The members of the release that have its target version. */
     public Set<String> updatedMembers() {
         return membersWhereUpdatedIs(true);
     }
 
-    /** The release's members that have still to change, with a granted outage or without. */
+    /** The members of the release that still have to change, with or without a granted outage. */
     public Set<String> pendingMembers() {
         if (release == null || release.activePhase == Phase.ABANDONING) {
             return Set.of();
@@ -258,7 +258,7 @@
     }
 
     /**
-     * The step whose turn it is: the first one with a member that has still to change or has an outage granted for a
+     * The index of the current step: the first one with a member that is pending or has an outage granted for a
      * release, or the last such one while the release rolls back. {@link #NO_STEP}: none is left.
      */
     public int currentStep() {
--- a/src/main/java/maplespread/release/client/FleetObserver.java
+++ b/src/main/java/maplespread/release/client/FleetObserver.java
@@ -20,17 +20,17 @@
 import maplespread.release.FleetView.ServiceLevel;
 
 /**
- * What this instance sees of the fleet: the dispatchers by the membership and by what each reports of itself, the
- * workers by the whole endpoint list, before a subset is cut out of it. Passes that list on. Thread-safe.
+ * Observes the fleet: the dispatchers by the membership and their own status reports, the workers by the whole endpoint
+ * list, before a subset is selected from it. Forwards the list to the next listener. Thread-safe.
  */
 public final class FleetObserver implements EndpointListener {
-    /** A status that was received longer ago tells nothing. */
+    /** A status that was received longer ago is ignored. */
     private static final long STATUS_VALID_MS = 3_000;
 
     private final EndpointListener next;
     private final Map<String, Endpoint> workers = new HashMap<>();
 
-    /** {@code next}: gets all that this one gets. */
+    /** {@code next} receives every event that this listener receives. */
     public FleetObserver(EndpointListener next) {
         this.next = next;
     }
@@ -63,27 +63,27 @@
     }
 
     /**
-     * The fleet as it is seen now, without electors.
+     * The current view of the fleet, without electors.
      *
-     * @param nowMs of the clock by which statuses were received
-     * @param wallMs Unix time
+     * @param nowMs the time of the clock by which statuses were received
+     * @param wallMs the Unix time in ms
      */
     public FleetView observe(
             List<MemberUpdate> members, MemberStatusTable statuses, Config config, long nowMs, long wallMs) {
         List<Member> seen = new ArrayList<>();
-        List<MemberStatus> current = new ArrayList<>();
+        List<MemberStatus> currentStatuses = new ArrayList<>();
         for (MemberUpdate member : members) {
             Optional<MemberStatus> status = currentStatus(member, statuses, nowMs);
-            status.ifPresent(current::add);
+            status.ifPresent(currentStatuses::add);
             seen.add(dispatcher(member, status));
         }
         synchronized (workers) {
             workers.values().forEach(endpoint -> seen.add(worker(endpoint, config, wallMs)));
         }
-        return new FleetView(seen, serviceLevel(current));
+        return new FleetView(seen, serviceLevel(currentStatuses));
     }
 
-    /** What the member's present process has reported of itself, while that is recent. */
+    /** The recent status report of the member's current incarnation, if any. */
     private static Optional<MemberStatus> currentStatus(MemberUpdate member, MemberStatusTable statuses, long nowMs) {
         return statuses.find(member.name())
                 .filter(received -> nowMs - received.receivedAtMs() <= STATUS_VALID_MS)
@@ -91,7 +91,7 @@
                 .filter(status -> status.incarnation() == member.processIncarnation());
     }
 
-    /** The mean over all dispatchers, each weighted by its answers. */
+    /** The mean over all dispatchers, weighted by their numbers of answers. */
     private static ServiceLevel serviceLevel(List<MemberStatus> statuses) {
         double refused = 0;
         double errors = 0;
@@ -122,7 +122,7 @@
                 true);
     }
 
-    /** What a member reports of itself counts before what others think of it, unless it has left or is dead. */
+    /** A member's own report takes precedence over the membership state, unless the member has left or is dead. */
     private static FleetView.Status memberStatus(MemberUpdate member, Optional<MemberStatus> status) {
         if (member.state() == MemberUpdate.State.LEFT || member.state() == MemberUpdate.State.DEAD) {
             return FleetView.Status.DOWN;
@@ -157,7 +157,7 @@
                 warm);
     }
 
-    /** Empty for a negative index: the endpoint tells none. */
+    /** The name at the index; empty for a negative index, where the endpoint specifies none. */
     private static String nameAt(List<String> names, int index) {
         return index < 0 ? "" : names.get(index);
     }
--- a/src/main/java/maplespread/release/client/ManualDrains.java
+++ b/src/main/java/maplespread/release/client/ManualDrains.java
@@ -26,7 +26,7 @@
     }
 
     /** The drain of this outage is cancelled in this round too. */
-    void noteCancelled(long outageNumber) {
+    void recordCancelled(long outageNumber) {
         long nowMs = MonotonicClock.nowMs();
         cancelledSinceMs.put(outageNumber, cancelledBeforeMs.getOrDefault(outageNumber, nowMs));
     }
@@ -46,7 +46,7 @@
     }
 
     /** Whether no instance asks an operator for the drain of this cancelled outage any more. */
-    boolean isRequestedNowhere(long outageNumber) {
+    boolean isDrainRequestExpired(long outageNumber) {
         return MonotonicClock.nowMs() - cancelledSinceMs.get(outageNumber) >= AgreedState.CONTACTS_EXPIRED_MS;
     }
 
--- a/src/main/java/maplespread/release/client/ReleaseAdminApi.java
+++ b/src/main/java/maplespread/release/client/ReleaseAdminApi.java
@@ -24,11 +24,11 @@
 import maplespread.release.RolloutState.PlannedOutage;
 
 /**
- * The admin calls about releases and drains. Calls that wait for the fleet block the admin server's thread, a few at
- * once, so that calls that need no fleet always find one. docs/operators/release.md describes each.
+ * The admin calls for releases and drains. Calls that wait for the fleet block a thread of the admin server; their
+ * number is bounded, so that a thread always remains for other calls. docs/operators/release.md describes each call.
  */
 final class ReleaseAdminApi {
-    /** The longest that a call waits for the fleet. */
+    /** The maximum time for which a call waits for the fleet. */
     private static final long CALL_TIMEOUT_MS = 1_900;
 
     private static final int MAX_WAITING_CALLS = 4;
@@ -44,10 +44,10 @@
     private final ManualDrains manualDrains;
     private final Supplier<String> waitingFor;
     private final Semaphore callPermits = new Semaphore(MAX_WAITING_CALLS);
-    /** A halt waits behind no other call. */
+    /** Separate permits for halts, which must not wait behind other calls. */
     private final Semaphore haltPermits = new Semaphore(MAX_WAITING_CALLS);
 
-    /** {@code waitingFor}: what the release waits for, as operators read it. */
+    /** {@code waitingFor} supplies what the release waits for, as shown to operators. */
     ReleaseAdminApi(
             String self,
             RolloutService.LocalInstance instance,
@@ -63,7 +63,7 @@
         this.waitingFor = waitingFor;
     }
 
-    /** By method and path. */
+    /** The calls, by method and path. */
     Map<String, Call> routes() {
         return Map.of(
                 "GET /admin/release", request -> new AdminResponse(OK, status()),
@@ -77,14 +77,14 @@
                 "POST /admin/resume", this::resume);
     }
 
-    // ------------------------------------------------------------ calls that are put to the fleet
+    // ------------------------------------------------------------ calls that need the fleet
 
-    /** A call that reads or changes what is agreed. */
+    /** A call that reads or changes the agreed state. */
     private interface FleetCall {
         AdminResponse answer(ReplicatedRegister register, AdminRequest request) throws FleetException;
     }
 
-    /** What an operator does about the release in progress. */
+    /** Creates an operator's command about the release in progress. */
     private interface ControlCommand {
         ReleaseCommand create(String by, String why, long controlVersion);
     }
@@ -114,10 +114,10 @@
         };
     }
 
-    /** The operator acts on the release as it is known at the instance that was called. */
+    /** Uses the control version that this instance knows: the operator acts on the release as seen here. */
     private Call control(ControlCommand command) {
         return withRegister(callPermits, (register, request) -> {
-            String why = required(request, "why");
+            String why = requiredParameter(request, "why");
             long controlVersion = agreed.newestOf(register.decidedValue()).controlVersion();
             return propose(register, command.create(by(request), why, controlVersion));
         });
@@ -129,18 +129,18 @@
     }
 
     private AdminResponse halt(ReplicatedRegister register, AdminRequest request) throws FleetException {
-        return propose(register, OperatorCommands.halt(by(request), required(request, "why")));
+        return propose(register, OperatorCommands.halt(by(request), requiredParameter(request, "why")));
     }
 
     private AdminResponse removeMember(ReplicatedRegister register, AdminRequest request) throws FleetException {
-        return propose(register, OperatorCommands.removeMember(by(request), required(request, "member")));
+        return propose(register, OperatorCommands.removeMember(by(request), requiredParameter(request, "member")));
     }
 
     private AdminResponse propose(ReplicatedRegister register, ReleaseCommand command) {
         return response(agreed.propose(register, command, CALL_TIMEOUT_MS));
     }
 
-    private static String required(AdminRequest request, String key) throws CallRejectedException {
+    private static String requiredParameter(AdminRequest request, String key) throws CallRejectedException {
         String value = request.query(key);
         if (value.isBlank()) {
             throw new CallRejectedException(CallRejectedException.Reason.BAD_CALL, "the call lacks ?" + key + "=");
@@ -149,8 +149,8 @@
     }
 
     private String by(AdminRequest request) {
-        String caller = request.query("by");
-        return caller.isBlank() ? "operator at " + self : caller;
+        String operator = request.query("by");
+        return operator.isBlank() ? "operator at " + self : operator;
     }
 
     private AdminResponse response(ChangeResult result) {
@@ -170,7 +170,7 @@
 
     // ------------------------------------------------------------ drains of this instance
 
-    /** A drain by call: by a planned outage, which is asked for where there is none, or forced with a reason. */
+    /** Drains by a planned outage, which is requested where there is none, or forcibly with a reason. */
     private AdminResponse quiesce(AdminRequest request) {
         String why = request.query("force");
         return why.isBlank() ? withRegister(callPermits, this::quiesceAsAgreed).answer(request) : forceQuiesce(why);
@@ -180,7 +180,7 @@
         long deadlineMs = MonotonicClock.nowMs() + CALL_TIMEOUT_MS;
         ChangeResult read = agreed.read(register, CALL_TIMEOUT_MS);
         if (read.outcome() != ChangeResult.Outcome.DECIDED) {
-            return response(CONFLICT, read.error()); // what is agreed is not known
+            return response(CONFLICT, read.error()); // The agreed state is unknown.
         }
         RolloutState state = agreed.newestOf(read.value());
         if (!DrainPermission.isRequired(state)) {
@@ -217,17 +217,17 @@
         };
     }
 
-    /** An operator's word goes before all that is agreed, also without a majority; it is at least logged. */
+    /** A forced drain overrides the agreed state, even without a majority; it is always logged. */
     private AdminResponse forceQuiesce(String why) {
         Event.of("release.forced", "member", self, "word", why).warn();
         if (!localDrain.force()) {
             return new AdminResponse(CONFLICT, "not in service");
         }
-        AdminRequest none = new AdminRequest(Map.of(), "");
+        AdminRequest emptyRequest = new AdminRequest(Map.of(), "");
         AdminResponse report = withRegister(
                         callPermits,
                         (register, request) -> propose(register, OperatorCommands.forceDrain(self, self, why)))
-                .answer(none);
+                .answer(emptyRequest);
         String outcome = report.status() == OK ? "the fleet knows" : "the fleet could not be told: " + report.text();
         return new AdminResponse(OK, "drains without leave; " + outcome);
     }
@@ -237,7 +237,7 @@
         return resumed ? new AdminResponse(OK, "at work") : new AdminResponse(CONFLICT, "not in service");
     }
 
-    /** The planned outage of this very process, as far as is known. */
+    /** The known planned outage of this incarnation. */
     private OptionalLong grantedOutage() {
         PlannedOutage outage = agreed.newest().plannedOutages().get(self);
         return outage != null && outage.incarnation() == instance.incarnation()
@@ -245,7 +245,7 @@
                 : OptionalLong.empty();
     }
 
-    // ------------------------------------------------------------ what is shown
+    // ------------------------------------------------------------ status
 
     private String status() {
         ReplicatedRegister register = instance.register();
--- a/src/main/java/maplespread/release/client/RolloutService.java
+++ b/src/main/java/maplespread/release/client/RolloutService.java
@@ -17,30 +17,30 @@
 import maplespread.release.RolloutState;
 
 /**
- * This instance's part in releases. One daemon thread evaluates the agreed state, proposes what the {@link
- * RolloutController} decides, and carries its actions out; admin calls run on the admin server's threads.
+ * Runs this instance's part in releases. One daemon thread evaluates the agreed state, proposes what the {@link
+ * RolloutController} decides, and carries out its actions; admin calls run on the admin server's threads.
  */
 public final class RolloutService implements Closeable {
-    /** The instance that takes part. Every method may be called by any thread. */
+    /** The local dispatcher instance. Every method may be called by any thread. */
     public interface LocalInstance {
-        /** The register of the agreed value; null: this instance is not in the group yet. */
+        /** The register of the replicated value; null: this instance is not in the group yet. */
         ReplicatedRegister register();
 
-        /** The fleet as this instance sees it now. */
+        /** The current fleet, as seen by this instance. */
         FleetView view();
 
         /** The incarnation of this process, as the group knows it. */
         long incarnation();
 
-        /** Sends clients away; false outside of service. */
+        /** Drains this instance of clients; returns false where it is not in service. */
         boolean quiesce();
 
-        /** Has clients come again; false outside of service. */
+        /** Accepts clients again; returns false where it is not in service. */
         boolean resume();
     }
 
     private static final long THREAD_STACK_BYTES = 144 * 1024;
-    /** The longest that a proposal waits; less than what the controller takes for a pause of the process. */
+    /** Shorter than the gap that the controller treats as a process pause. */
     private static final long PROPOSE_TIMEOUT_MS = 500;
 
     private static final long MAX_CHECK_INTERVAL_MS = 250;
@@ -55,17 +55,17 @@
     private final LocalDrain localDrain;
     private final ReleaseAdminApi adminApi;
     private final Thread thread;
-    /** Has the operators' file's limits agreed on; null: that is done. */
+    /** The command that proposes the limits of the operators' file; null after it was decided. */
     private volatile ReleaseCommand pendingLimits;
 
     private volatile String waitingFor = "";
 
     /**
-     * Starts nothing yet.
+     * Creates the service; {@link #start} starts its thread.
      *
      * @param self this dispatcher's member name
-     * @param workers closed with this
-     * @param limits those of the operators' file
+     * @param workers drains the workers; closed with this service
+     * @param limits the limits of the operators' file
      */
     public RolloutService(String self, LocalInstance instance, WorkerDrainer workers, Limits limits) {
         this.self = self;
@@ -78,7 +78,7 @@
         thread.setDaemon(true);
     }
 
-    /** Limits that are agreed on already go before those of the file that this instance was started with. */
+    /** Limits that are agreed on already take precedence over those of the file at the start of this instance. */
     private ReleaseCommand limitsAtStart(Limits limits) {
         return state -> {
             if (state.limits() == null) {
@@ -97,7 +97,7 @@
         thread.start();
     }
 
-    /** The limits of the operators' file have changed: these are to be the fleet's. */
+    /** Proposes changed limits of the operators' file as the limits of the fleet. */
     public void updateLimits(Limits limits) {
         pendingLimits = OperatorCommands.setLimits(self, limits);
     }
@@ -107,7 +107,7 @@
         return adminApi.routes();
     }
 
-    /** Ends the thread; what is agreed stays. */
+    /** Stops the thread; the agreed state is unaffected. */
     @Override
     public void close() {
         thread.interrupt();
@@ -126,7 +126,7 @@
                 if (register != null) {
                     nextCheckMs = Math.min(nextCheckMs, evaluate(controller, register));
                 }
-            } catch (RuntimeException | Error e) { // the next evaluation must still come
+            } catch (RuntimeException | Error e) { // An error must not end the evaluation loop.
                 Event.of("release.fault", "why", e).error();
             }
             try {
@@ -137,9 +137,9 @@
         }
     }
 
-    /** Returns when to evaluate again, by {@link MonotonicClock}. */
+    /** Returns the time of the next evaluation, by {@link MonotonicClock}. */
     private long evaluate(RolloutController controller, ReplicatedRegister register) {
-        refresh(register);
+        readIfOutdated(register);
         proposeLimits(register);
         RolloutState state = agreed.newestOf(register.decidedValue());
         cancelledOutages.drainTo(controller::drainCancelled);
@@ -159,8 +159,11 @@
         return decision.nextCheckAtMs();
     }
 
-    /** Asks a majority where this instance may be cut off; while nobody is to be drained, only if it was. */
-    private void refresh(ReplicatedRegister register) {
+    /**
+     * Reads the state from a majority where the last attempt has failed, or where a release or an outage is active and
+     * the last contact with a majority is too old.
+     */
+    private void readIfOutdated(ReplicatedRegister register) {
         RolloutState state = agreed.newestOf(register.decidedValue());
         boolean isActive = state.inProgress() || !state.plannedOutages().isEmpty();
         if (!agreed.majorityReached() || isActive && !agreed.isContactValid()) {
@@ -183,19 +186,19 @@
 
     private void carryOut(ReplicatedRegister register, RolloutAction action) {
         if (action instanceof RolloutAction.CancelDrain) {
-            manualDrains.noteCancelled(action.outageNumber());
+            manualDrains.recordCancelled(action.outageNumber());
         }
         if (action.member().equals(self)) {
-            carryOutHere(register, action);
+            carryOutLocally(register, action);
         } else if (workers.usesRegistry()) {
             carryOutAtRegistry(register, action);
         } else {
-            requestByHand(action);
+            requestManually(action);
         }
     }
 
-    /** A drain of this very instance, or what cancels one. */
-    void carryOutHere(ReplicatedRegister register, RolloutAction action) {
+    /** Drains this instance, or cancels its drain. */
+    void carryOutLocally(ReplicatedRegister register, RolloutAction action) {
         if (action.incarnation() != instance.incarnation()) {
             return;
         }
@@ -215,8 +218,8 @@
     }
 
     /**
-     * Whether a drain may begin, as a majority knows it at this moment. An answer that took longer than it may counts
-     * for nothing: a process that was paused after it might drain long after a halt.
+     * Whether a majority still permits a drain to begin. An answer that took longer than the timeout is ignored: a
+     * process that was paused after the answer might otherwise drain long after a halt.
      */
     private boolean isStillPermitted(ReplicatedRegister register, RolloutAction action) {
         long askedAtMs = MonotonicClock.nowMs();
@@ -227,17 +230,18 @@
                 .isPresent();
     }
 
-    private void requestByHand(RolloutAction action) {
+    private void requestManually(RolloutAction action) {
         if (action instanceof RolloutAction.CancelDrain) {
             manualDrains.requestService(action.member());
-            boolean serves = instance.view()
+            boolean isServing = instance.view()
                     .member(action.member())
                     .filter(Member::serving)
                     .isPresent();
-            if (serves && manualDrains.isRequestedNowhere(action.outageNumber())) {
+            if (isServing && manualDrains.isDrainRequestExpired(action.outageNumber())) {
                 cancelledOutages.add(action.outageNumber());
             }
-        } else if (agreed.majorityReached() && agreed.isContactValid()) { // else it may have been cancelled
+        } else if (agreed.majorityReached() && agreed.isContactValid()) {
+            // Without a valid contact the drain may have been cancelled.
             manualDrains.requestDrain(action.member());
         }
     }
--- a/src/test/java/maplespread/release/client/RolloutServiceTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceTest.java
@@ -64,7 +64,7 @@
                 decided(register, v -> SharedState.write(v.text(), "release", text));
                 int run = Integer.parseInt(row[3]);
                 int leave = Integer.parseInt(row[4]);
-                releases.carryOutHere(
+                releases.carryOutLocally(
                         register,
                         row[2].equals("drain")
                                 ? new RolloutAction.Drain("n0", run, leave)
