--- a/src/main/java/maplespread/release/ConditionTimers.java
+++ b/src/main/java/maplespread/release/ConditionTimers.java
@@ -6,44 +6,49 @@
 import java.util.Set;
 
 /**
- * Measures for how long named conditions have held without a break. A condition holds as long as it is asked about in
- * each round; one that a round does not ask about begins anew when it is asked about again.
+ * Measures for how long named conditions have held continuously. A condition holds as long as it is queried in each
+ * round; the timer of one that was not queried in a round restarts at its next query.
  */
 final class ConditionTimers {
     private final long staggerMs;
     private final Map<String, Long> heldSinceMs = new HashMap<>();
-    private final Set<String> askedInRound = new HashSet<>();
+    private final Set<String> queriedInRound = new HashSet<>();
     private long nowMs;
     private long rank;
 
-    /** {@code staggerMs}: how much longer each instance waits than the one before it. */
+    /** {@code staggerMs} is the additional delay of each instance after the one of the previous rank. */
     ConditionTimers(long staggerMs) {
         this.staggerMs = staggerMs;
     }
 
-    /** {@code time}: of the clock of every round, in ms; {@code instancesBefore}: how many act before this one. */
-    void beginRound(long time, long instancesBefore) {
-        nowMs = time;
+    /**
+     * Begins a round of queries.
+     *
+     * @param timeMs the time of a clock that is the same in all rounds
+     * @param instancesBefore the number of instances that act before this one
+     */
+    void beginRound(long timeMs, long instancesBefore) {
+        nowMs = timeMs;
         rank = instancesBefore;
-        askedInRound.clear();
+        queriedInRound.clear();
     }
 
     void endRound() {
-        heldSinceMs.keySet().retainAll(askedInRound);
+        heldSinceMs.keySet().retainAll(queriedInRound);
     }
 
-    /** All conditions begin anew. */
+    /** Restarts the timers of all conditions. */
     void reset() {
         heldSinceMs.clear();
     }
 
-    /** Whether the condition has held for this long. The first call starts its timer; a round that does not ask resets it. */
+    /** Whether the condition has held for this duration. The first query starts its timer. */
     boolean heldFor(String condition, long durationMs) {
-        askedInRound.add(condition);
+        queriedInRound.add(condition);
         return nowMs - heldSinceMs.computeIfAbsent(condition, key -> nowMs) >= durationMs;
     }
 
-    /** The same, and for as much longer as instances before this one are given to act first. */
+    /** Whether the condition has held for this duration plus the stagger of the instances before this one. */
     boolean heldForStaggered(String condition, long durationMs) {
         return heldFor(condition, durationMs + rank * staggerMs);
     }
--- a/src/main/java/maplespread/release/FleetView.java
+++ b/src/main/java/maplespread/release/FleetView.java
@@ -4,20 +4,20 @@
 import java.util.Optional;
 
 /**
- * What one instance sees of the fleet at one moment. Immutable.
+ * A snapshot of the fleet as seen by one instance. Immutable.
  *
- * @param members all that it has heard of, available or not
- * @param service how clients are served, over all dispatchers
- * @param electors names of the members whose majority decides; empty: not known
+ * @param members all members that the instance knows, available or not
+ * @param service the service level over all dispatchers
+ * @param electors names of the electors; empty: not known
  */
 public record FleetView(List<Member> members, ServiceLevel service, List<String> electors) {
-    /** What a member does. */
+    /** The role of a member. */
     public enum Role {
         DISPATCHER,
         WORKER
     }
 
-    /** UNKNOWN: nothing is heard of it. Whatever is not SERVING counts as unavailable. */
+    /** The status of a member; UNKNOWN: no recent report. Every status but SERVING counts as unavailable. */
     public enum Status {
         SERVING,
         DRAINING,
@@ -26,12 +26,12 @@
     }
 
     /**
-     * One that can be unavailable.
+     * A dispatcher or worker.
      *
-     * @param incarnation grows with every start of the member's process, from 1 on
-     * @param version of its program; empty: it tells none
-     * @param capacity work a second that it can do now, as cold or warm as it is; dispatchers: 0
-     * @param warm whether it can do as much as it ever will
+     * @param incarnation increases with every start of the member's process, from 1
+     * @param version the version of its program; empty: not reported
+     * @param capacity the work per second that it can do now, cold or warm; 0 for dispatchers
+     * @param warm whether it has reached its full capacity
      */
     public record Member(
             String id,
@@ -45,22 +45,22 @@
             Status status,
             double capacity,
             boolean warm) {
-        /** Whether it takes new work. */
+        /** Whether it accepts new work. */
         public boolean serving() {
             return status == Status.SERVING;
         }
     }
 
     /**
-     * How clients were served over the last window.
+     * Figures of the answers to clients over the last window.
      *
-     * @param refusedShare rejections, as a share of all answers
-     * @param errorShare errors, as a share of all answers
-     * @param waitMs mean time to an answer, in ms
-     * @param samples answers that these figures rest on
+     * @param refusedShare rejections as a share of all answers
+     * @param errorShare errors as a share of all answers
+     * @param waitMs the mean time to an answer, in ms
+     * @param samples the number of answers
      */
     public record ServiceLevel(double refusedShare, double errorShare, double waitMs, long samples) {
-        /** Nothing was measured. */
+        /** No answers were measured. */
         public static final ServiceLevel NONE = new ServiceLevel(0, 0, 0, 0);
     }
 
@@ -75,12 +75,12 @@
         this(members, service, List.of());
     }
 
-    /** The same with these electors. */
+    /** Returns a copy with these electors. */
     public FleetView withElectors(List<String> names) {
         return new FleetView(members, service, names);
     }
 
-    /** The member of this name, as it is seen. */
+    /** The member of this name, if it is known. */
     public Optional<Member> member(String id) {
         return members.stream().filter(member -> member.id().equals(id)).findFirst();
     }
--- a/src/main/java/maplespread/release/HaltConditions.java
+++ b/src/main/java/maplespread/release/HaltConditions.java
@@ -5,9 +5,9 @@
 import maplespread.release.RolloutState.Phase;
 import maplespread.release.RolloutState.PlannedOutage;
 
-/** What halts a release without an operator. */
+/** The conditions that halt a release automatically. */
 final class HaltConditions {
-    /** Shares and waits are judged on this many answers or more. */
+    /** Shares and waits are evaluated only from this many answers on. */
     private static final long MIN_SAMPLES = 100;
 
     private final RolloutController.Settings settings;
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Why the release in progress is to be halted, as operators read it; empty: it is not.
+     * The reason to halt the release in progress, as shown to operators; empty: none.
      *
      * @param baseline the service level that the current one is compared with
-     * @param quorumLossMs duration of a loss of the majority that has just ended
+     * @param quorumLossMs the duration of a quorum loss that has just ended; 0: none
      */
     String reason(RolloutState state, ServiceLevel current, ServiceLevel baseline, long quorumLossMs) {
         if (quorumLossMs >= settings.quorumLossMs()) {
@@ -30,7 +30,7 @@
         }
         for (Limits limits : state.limitsInForce()) {
             String exceeded = limits.firstExceeded(state.members(), state.unavailableMembers());
-            // One timer for all limits and counts: one more outage must not begin the wait anew.
+            // One timer for all limits and counts: another outage must not restart the wait.
             if (!exceeded.isEmpty() && timers.heldFor("limit exceeded", settings.detectionMs())) {
                 return "limit exceeded: " + exceeded;
             }
@@ -42,7 +42,7 @@
                 return entry.getKey() + " is not back after " + state.backMs() + " ms";
             }
         }
-        // A service level that the release has caused must not stand in the way of rolling it back.
+        // A service level that the release has degraded must not halt its rollback.
         return state.release().activePhase() == Phase.RUNNING ? degradation(state, current, baseline) : "";
     }
 
--- a/src/main/java/maplespread/release/Limits.java
+++ b/src/main/java/maplespread/release/Limits.java
@@ -8,16 +8,16 @@
 import maplespread.release.RolloutState.KnownMember;
 
 /**
- * How many members may be unavailable at once, with a granted outage or without, and what halts a release by itself.
- * Below 1 a maximum is a share of the members that it is about, rounded down; else it is a count. The component names
- * are JSON names of the agreed state and are shown in the log.
+ * Limits on the members that are unavailable at the same time, with or without a granted outage, and on the conditions
+ * that halt a release automatically. A maximum below 1 is a share of the members that it applies to, rounded down;
+ * otherwise it is a count. The component names are JSON names of the agreed state and are shown in the log.
  *
- * @param leastCapacity share of the workers' warm capacity that must remain, 0 to 1
- * @param quietMs after each step, outage and resumption nothing is granted for this long
- * @param backMs a member with a granted outage for longer halts the release
- * @param worseRefused halts where rejections exceed those before the release by this share of all answers
- * @param worseErrors the same of errors
- * @param worseWait halts where the mean wait exceeds that before the release by this part of it
+ * @param leastCapacity the minimum share of the workers' warm capacity that must remain, 0 to 1
+ * @param quietMs the quiet period after each step, outage and resumption, during which no outage is granted
+ * @param backMs the maximum duration of a granted outage; a longer one halts the release
+ * @param worseRefused the increase of the share of rejections over the baseline that halts the release
+ * @param worseErrors the increase of the share of errors over the baseline that halts the release
+ * @param worseWait the relative increase of the mean wait over the baseline that halts the release
  */
 public record Limits(
         double dispatchersOut,
@@ -30,17 +30,17 @@
         double worseRefused,
         double worseErrors,
         double worseWait) {
-    /** For a limit that is not to bind. */
+    /** The value of a maximum that does not restrict anything. */
     public static final double ANY = 1e9;
-    /** The standing limits of an operators' file that names none of its own. */
+    /** The standing limits of an operators' file that specifies none. */
     public static final Limits DEFAULT = new Limits(1, 1, ANY, ANY, 0.7, 2_000, 120_000, 0.05, 0.02, 0.5);
-    /** Binds nothing: what a plan does not limit. */
+    /** No restrictions; the defaults of a plan's limits. */
     public static final Limits NONE = new Limits(ANY, ANY, ANY, ANY, 0, 0, (long) ANY, ANY, ANY, ANY);
 
-    /** Makes up for the rounding of a share times a count, before it is rounded down. */
+    /** Compensates for floating-point errors in a share times a count, before it is rounded down. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** Members that one maximum is about, and how many of them are unavailable. */
+    /** Counts the members that a maximum applies to, and the unavailable ones among them. */
     private static final class Group {
         private final double maximum;
         private int members;
@@ -58,13 +58,13 @@
         }
     }
 
-    /** The name of a group of members, as operators read it, and its maximum. */
+    /** The name of a group of members, as shown to operators, and its maximum. */
     private record Maximum(String group, double value) {}
 
     /**
      * Checks every value.
      *
-     * @throws IllegalArgumentException with the key of one that is out of its range
+     * @throws IllegalArgumentException where a value is out of its range, with its key
      */
     public Limits {
         requireRange("dispatchers_out", dispatchersOut, 0, ANY);
@@ -80,7 +80,7 @@
     }
 
     private static void requireRange(String key, double value, double min, double max) {
-        if (!(value >= min && value <= max)) { // NaN fails too
+        if (!(value >= min && value <= max)) { // This form rejects NaN.
             throw new IllegalArgumentException(key + ": " + value + " is not in " + min + " to " + max);
         }
     }
@@ -91,7 +91,7 @@
         return (int) Math.floor(allowed);
     }
 
-    /** The first maximum that these unavailable members exceed, as operators read it; empty: none. */
+    /** Describes to operators the first maximum that these unavailable members exceed; empty: none. */
     String firstExceeded(Map<String, KnownMember> members, Set<String> unavailable) {
         Map<String, Group> groups = new TreeMap<>();
         members.forEach((name, member) -> {
@@ -120,7 +120,7 @@
                 new Maximum("the workers of kind " + member.kind(), workersOutKind));
     }
 
-    /** What these limits would never allow of a plan with these members, as operators read it; empty: nothing. */
+    /** Describes to operators what these limits can never allow of a plan for these members; empty: nothing. */
     String firstInfeasible(Map<String, KnownMember> members, Set<String> planned) {
         for (String name : planned) {
             String exceeded = firstExceeded(members, Set.of(name));
--- a/src/main/java/maplespread/release/MemberUpdates.java
+++ b/src/main/java/maplespread/release/MemberUpdates.java
@@ -8,14 +8,15 @@
 import maplespread.release.RolloutState.PlannedOutage;
 import maplespread.release.RolloutState.UnplannedOutage;
 
-/** How members that an instance has seen change what the state knows of them. */
+/** Updates the known members of a state from the members that an instance has seen. */
 final class MemberUpdates {
     private MemberUpdates() {}
 
     /**
-     * Takes up a member that was seen serving; {@code next}: the builder that {@code state} is changed in.
+     * Adds or updates a member that was seen serving.
      *
-     * @return whether it is one more than before, and does not replace another
+     * @param next the builder of the state after {@code state}
+     * @return whether the member was added without replacing another
      */
     static boolean put(RolloutStateBuilder next, RolloutState state, Member seen) {
         KnownMember known = next.members.get(seen.id());
@@ -30,7 +31,7 @@
             next.members.put(seen.id(), newMember(state, seen));
             return true;
         }
-        // An older incarnation means that the proposer's view is older than the state.
+        // An older incarnation shows that the proposer's view is older than the state.
         if (seen.incarnation() > next.members.get(replaced).incarnation()) {
             replace(next, state, replaced, seen);
         }
@@ -49,7 +50,7 @@
         return found;
     }
 
-    /** The member seen takes the place of another, with that one's outage and its turn in the release. */
+    /** Replaces a member by the one seen, which inherits its outages and its position in the release. */
     private static void replace(RolloutStateBuilder next, RolloutState state, String replaced, Member seen) {
         KnownMember previous = next.members.remove(replaced);
         boolean updated = isUpdated(state, seen, previous.updated());
@@ -65,22 +66,22 @@
         replaceInSteps(next, replaced, List.of(seen.id()));
     }
 
-    /** Whether the member's version tells if it is updated; a worker tells none, and its incarnation counts. */
+    /** Whether the member's version shows that it is updated. Workers report none; their incarnation decides. */
     static boolean isComparedByVersion(RolloutState state, Member member) {
         return state.release().plan().comparesVersions() && !member.version().isEmpty();
     }
 
-    /** Whether this incarnation is what the release leads to; {@code before}: kept where its version tells nothing. */
-    static boolean isUpdated(RolloutState state, Member seen, boolean before) {
+    /** Whether this incarnation has the target version; {@code updatedBefore} where its version does not decide. */
+    static boolean isUpdated(RolloutState state, Member seen, boolean updatedBefore) {
         if (state.release() == null || !isComparedByVersion(state, seen)) {
-            return before;
+            return updatedBefore;
         }
         ReleasePlan plan = state.release().plan();
         boolean atOldVersion = plan.from().isEmpty() || seen.version().equals(plan.from());
-        return seen.version().equals(plan.to()) || before && !atOldVersion;
+        return seen.version().equals(plan.to()) || updatedBefore && !atOldVersion;
     }
 
-    /** The member as the state is to know it in the incarnation that was seen, or a later one if that is known. */
+    /** The known member with the attributes seen, and the later of the seen and the known incarnation. */
     static KnownMember knownMember(RolloutState state, Member seen, KnownMember known, boolean updated) {
         return new KnownMember(
                 seen.address(),
@@ -105,7 +106,7 @@
                 isUpdated(state, seen, false));
     }
 
-    /** Keeps the known incarnation: a later one is taken up when the member is observed serving. */
+    /** Keeps the known incarnation; a later one is recorded when the member is observed serving. */
     private static KnownMember withCurrentAttributes(RolloutState state, Member seen, KnownMember known) {
         return new KnownMember(
                 seen.address(),
@@ -118,7 +119,7 @@
                 known.updated());
     }
 
-    /** It only grows while a release is in progress: a version that is slower must count as missing capacity. */
+    /** Never lowered while a release is in progress: a slower version must count as missing capacity. */
     private static double warmCapacity(RolloutState state, Member seen, KnownMember known) {
         boolean replaces = seen.warm() && !state.inProgress();
         return replaces ? seen.capacity() : Math.max(seen.capacity(), known.warmCapacity());
@@ -128,7 +129,7 @@
         replaceInSteps(next, removed, List.of());
     }
 
-    /** A step that is left empty goes too. */
+    /** Replaces the member in each step and removes steps that become empty. */
     private static void replaceInSteps(RolloutStateBuilder next, String replaced, List<String> replacement) {
         if (next.release == null || !next.release.includes(replaced)) {
             return;
--- a/src/main/java/maplespread/release/OutageAdmission.java
+++ b/src/main/java/maplespread/release/OutageAdmission.java
@@ -9,19 +9,19 @@
 import maplespread.release.RolloutState.KnownMember;
 
 /**
- * Decides whether one more member may become unavailable. Unavailable are all with an outage, planned or not, and all
- * that the proposing instance does not see serving.
+ * Decides whether another member may become unavailable. A member counts as unavailable while it has an outage, planned
+ * or unplanned, or while the proposing instance does not see it serving.
  */
 final class OutageAdmission {
-    /** Work that the workers can do when all are warm, and what remains without the unavailable ones. */
+    /** The warm capacity of all workers, and the current capacity of the available ones. */
     private record Capacity(double total, double remaining) {}
 
     private OutageAdmission() {}
 
     /**
-     * Returns the member as the proposer sees it, where it may be granted an outage.
+     * Returns the member as seen by the proposer, where an outage may be granted.
      *
-     * @throws ReleaseRejectedException which rule forbids it
+     * @throws ReleaseRejectedException where a rule forbids the outage, with that rule
      */
     static Member admit(RolloutState state, String name, long stabilityVersion, FleetView view)
             throws ReleaseRejectedException {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** An unavailable elector may be restarted, which loses what it knew: a majority must stay. */
+    /** An unavailable elector may restart, which loses its state, so that a majority must remain available. */
     private static void requireElectorMajority(
             FleetView view, Member candidate, Map<String, Member> seenById, Set<String> unavailable)
             throws ReleaseRejectedException {
--- a/src/main/java/maplespread/release/Preconditions.java
+++ b/src/main/java/maplespread/release/Preconditions.java
@@ -2,18 +2,18 @@
 
 import maplespread.release.ReleaseRejectedException.Reason;
 
-/** Checks that several commands share: each throws where the state has moved on from what its proposer knew. */
+/** Checks that several commands share; each throws where the state does not allow the command. */
 final class Preconditions {
     private Preconditions() {}
 
-    /** An operator's call names the control version that the operator saw: one that arrives late is rejected. */
+    /** Rejects an operator's call that arrives late: its control version is not the current one. */
     static void requireControlVersion(RolloutState state, long seenVersion) throws ReleaseRejectedException {
         if (state.controlVersion() != seenVersion) {
             throw new ReleaseRejectedException(Reason.STALE, "another act or halt has come since");
         }
     }
 
-    /** What an instance has seen counts only while nobody has become unavailable or come back since. */
+    /** Rejects observations that were made before the last change of the members' availability. */
     static void requireStabilityVersion(RolloutState state, long seenVersion) throws ReleaseRejectedException {
         if (state.stabilityVersion() != seenVersion) {
             throw new ReleaseRejectedException(Reason.NOT_QUIET, "the fleet has changed since it was looked at");
--- a/src/main/java/maplespread/release/QuorumLossTimer.java
+++ b/src/main/java/maplespread/release/QuorumLossTimer.java
@@ -1,18 +1,18 @@
 package maplespread.release;
 
-/** For how long one instance has reached no majority, where no other instance has reached one either. */
+/** Measures how long this instance has reached no majority while no other instance reached one either. */
 final class QuorumLossTimer {
     private static final long NOT_LOST = -1;
 
     private long lostAtMs = NOT_LOST;
     private RolloutState stateAtLoss;
 
-    /** The current loss does not count. */
+    /** Discards the current loss. */
     void reset() {
         lostAtMs = NOT_LOST;
     }
 
-    /** Returns the duration of a loss that has just ended, in ms; 0: none has, or others had a majority meanwhile. */
+    /** Returns the duration of a loss that has just ended, in ms; 0: none, or others had a majority meanwhile. */
     long update(long nowMs, RolloutState state, boolean majorityReached) {
         if (!majorityReached) {
             if (lostAtMs == NOT_LOST) {
@@ -29,7 +29,7 @@
         return durationMs;
     }
 
-    /** Whoever has reached a majority meanwhile has changed one of these, as each round there raises the heartbeats. */
+    /** An instance with a majority changes one of these counters, as each of its rounds raises the heartbeats. */
     private boolean isUnchangedSinceLoss(RolloutState state) {
         return state.heartbeats() == stateAtLoss.heartbeats()
                 && state.stabilityVersion() == stateAtLoss.stabilityVersion()
--- a/src/main/java/maplespread/release/ReleasePlan.java
+++ b/src/main/java/maplespread/release/ReleasePlan.java
@@ -10,16 +10,16 @@
 import maplespread.release.RolloutState.KnownMember;
 
 /**
- * What a release is to change, and in which steps. An empty list of zones, kinds, cells or names: all of them. The
+ * The members that a release changes, and its steps. An empty list of zones, kinds, cells or names selects all. The
  * component names are JSON names of the agreed state.
  *
- * @param id unlike that of any of the last releases
- * @param from the version before; empty: not told
- * @param to the version after; empty or as before: a restart, which is told by incarnations alone
- * @param first "workers" or "dispatchers": whose steps come first
- * @param order of "zone", "kind" and "cell": what members are sorted by before their name
- * @param steps how many members change at a time; the last size repeats
- * @param limits that count beside the standing ones while the release is in progress; null: none
+ * @param id an id that none of the last releases had
+ * @param from the old version; empty: not specified
+ * @param to the new version; empty or the same as {@code from}: a restart, detected by incarnations alone
+ * @param first "workers" or "dispatchers", the role whose steps come first
+ * @param order sort keys before the name, each one of "zone", "kind" and "cell"
+ * @param steps the numbers of members in each step; the last one repeats
+ * @param limits additional limits while the release is in progress; null: none
  */
 public record ReleasePlan(
         String id,
@@ -44,9 +44,9 @@
     private static final Comparator<List<String>> BY_ELEMENTS = ReleasePlan::compareElements;
 
     /**
-     * Reads the JSON of an admin call; a key that is missing has its default.
+     * Parses the JSON of an admin call; missing keys have defaults.
      *
-     * @throws ReleaseRejectedException with {@link Reason#BAD_PLAN} and the key at fault
+     * @throws ReleaseRejectedException with {@link Reason#BAD_PLAN} and the invalid key
      */
     public static ReleasePlan read(String json) throws ReleaseRejectedException {
         ReleasePlan plan = ReleasePlanParser.parse(json);
@@ -76,12 +76,12 @@
         return new ReleaseRejectedException(Reason.BAD_PLAN, problem);
     }
 
-    /** Whether versions tell which members are updated; else incarnations do. */
+    /** Whether versions show which members are updated; otherwise incarnations do. */
     boolean comparesVersions() {
         return !to.isEmpty() && !to.equals(from);
     }
 
-    /** Whether the plan is about this member. */
+    /** Whether the plan selects this member. */
     boolean includes(String name, KnownMember member) {
         return (member.role() == Role.DISPATCHER ? dispatchers : workers)
                 && isAmong(zones, member.zone())
@@ -95,7 +95,7 @@
     }
 
     /**
-     * The members that the plan is about, in order and cut into steps. A step mixes neither roles nor values of the
+     * The selected members, sorted and split into steps. A step mixes neither roles nor values of the
      * first key of {@link #order}.
      */
     List<List<String>> splitIntoSteps(Map<String, KnownMember> members) {
@@ -124,7 +124,7 @@
         return split;
     }
 
-    /** What members are sorted by: whether their role comes first, then the values that {@link #order} names. */
+    /** The sort key of a member: the rank of its role, then the values that {@link #order} names. */
     private List<String> sortKey(KnownMember member) {
         Role firstRole = first.equals(WORKERS) ? Role.WORKER : Role.DISPATCHER;
         List<String> sortKey = new ArrayList<>();
--- a/src/main/java/maplespread/release/ReleasePlanParser.java
+++ b/src/main/java/maplespread/release/ReleasePlanParser.java
@@ -40,7 +40,7 @@
 
     private ReleasePlanParser() {}
 
-    /** The plan as it stands in the JSON, not yet validated as a whole. */
+    /** Parses the plan without validating it as a whole. */
     static ReleasePlan parse(String json) throws ReleaseRejectedException {
         try {
             JsonObject object = JsonParser.parseString(json).getAsJsonObject();
@@ -79,16 +79,16 @@
         }
     }
 
-    private static String text(JsonObject object, String key, String otherwise) {
-        return object.has(key) ? object.get(key).getAsString() : otherwise;
+    private static String text(JsonObject object, String key, String defaultValue) {
+        return object.has(key) ? object.get(key).getAsString() : defaultValue;
     }
 
     private static boolean flag(JsonObject object, String key) {
         return object.has(key) && object.get(key).getAsBoolean();
     }
 
-    private static double number(JsonObject object, String key, double otherwise) {
-        return object.has(key) ? object.get(key).getAsDouble() : otherwise;
+    private static double number(JsonObject object, String key, double defaultValue) {
+        return object.has(key) ? object.get(key).getAsDouble() : defaultValue;
     }
 
     private static List<String> texts(JsonObject object, String key) {
@@ -108,7 +108,7 @@
         return texts(object, "steps").stream().map(Integer::valueOf).toList();
     }
 
-    /** A limit that the plan does not name binds nothing. */
+    /** Limits that the plan does not specify do not restrict anything. */
     private static Limits limits(JsonObject object) throws ReleaseRejectedException {
         requireKnownKeys("limits.", object, LIMIT_KEYS);
         Limits none = Limits.NONE;
--- a/src/main/java/maplespread/release/ReleaseRejectedException.java
+++ b/src/main/java/maplespread/release/ReleaseRejectedException.java
@@ -2,19 +2,19 @@
 
 import maplespread.errors.FleetException;
 
-/** A command that the newest state does not allow. Nothing has changed; whether a retry may help is in the reason. */
+/** Thrown where the newest state does not allow a command. Nothing has changed; the reason tells whether to retry. */
 public final class ReleaseRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #problem()} says it in words. */
+    /** The reason, for programs; {@link #problem()} describes it. */
     public enum Reason {
         /** The plan or the limits cannot be used as they stand. */
         BAD_PLAN("everything; nothing has begun", "correct what is named and send the plan again"),
-        /** Another release is on. */
+        /** Another release is in progress. */
         RELEASE_ON("the release that is on", "wait for its end, or roll it back or abandon it first"),
-        /** A release of this name has been before. */
+        /** A previous release had this id. */
         NAME_USED("everything; nothing has begun", "give the release a name of its own"),
-        /** There is no release that this could be about. */
+        /** There is no release that the command applies to. */
         NO_RELEASE("everything", "begin a release first, or leave it"),
         /** Halted: no outage is granted. */
         HALTED("service; members that are out may come back", "look at why, then go on, roll back or abandon"),
@@ -22,17 +22,17 @@
         LIMIT(
                 "service; members that are out may come back",
                 "wait, bring back who is out, or say of whoever never comes back that it is gone"),
-        /** Too little working capacity would remain. */
+        /** Too little capacity of workers would remain. */
         CAPACITY(
                 "service; members that are out may come back",
                 "wait until workers are warm, add workers, or begin with a lower least capacity"),
-        /** The fleet has changed since the proposer looked: its quiet period begins anew. */
+        /** The fleet has changed since the proposer's observation, which restarts the quiet period. */
         NOT_QUIET("service, and the release", "nothing: it is asked again after the quiet time"),
         /** It is not this member's turn, or it needs no change. */
         NOT_DUE("service, and the release", "nothing: the release comes to it, or is past it"),
-        /** No such member, or not in the state that the command expects. */
+        /** The member is unknown or does not have the status that the command expects. */
         MEMBER("service, and the release", "look at the member, and at its name"),
-        /** What the command is about is no longer the newest. */
+        /** The command refers to an outdated version, outage or phase. */
         STALE("service; what was decided meanwhile counts", "look at the release again, then call again"),
         /** A drain without a granted outage, while a release or limits are in force. */
         NO_LEAVE("service; the member goes on", "ask for leave by the call without force, or force it with a word");
@@ -53,7 +53,7 @@
         this.reason = reason;
     }
 
-    /** Why. */
+    /** The reason of the rejection. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/maplespread/release/RolloutStateBuilder.java
+++ b/src/main/java/maplespread/release/RolloutStateBuilder.java
@@ -11,7 +11,7 @@
 import maplespread.release.RolloutState.Release;
 import maplespread.release.RolloutState.UnplannedOutage;
 
-/** A mutable copy of a {@link RolloutState}, in which a command prepares the next one. For one thread. */
+/** A mutable copy of a {@link RolloutState}, from which a command builds the next state. Not thread-safe. */
 final class RolloutStateBuilder {
     private static final int MAX_LOG_ENTRIES = 12;
     private static final int MAX_PAST_RELEASES = 64;
@@ -69,14 +69,14 @@
         return this;
     }
 
-    /** The next outage of the release needs a whole quiet period, and what others have seen before is out of date. */
+    /** Restarts the quiet period before the next step, and makes earlier observations of instances outdated. */
     RolloutStateBuilder restartQuietPeriod() {
         stabilityVersion++;
         release = release == null ? null : release.withOpenStep(RolloutState.NO_STEP);
         return this;
     }
 
-    /** An operator's call, or a halt: calls that do not know of it are out of date. {@code next}: null lifts a halt. */
+    /** Sets the halt, or lifts it where {@code next} is null; calls with an older control version become outdated. */
     RolloutStateBuilder setHalt(Halt next) {
         controlVersion++;
         halt = next;
--- a/src/main/java/maplespread/release/RolloutStateCodec.java
+++ b/src/main/java/maplespread/release/RolloutStateCodec.java
@@ -10,12 +10,12 @@
 
 /**
  * The text form of a {@link RolloutState}: its JSON, or, where that is long, {@code LENGTH:DATA} with the length of the
- * JSON in bytes and the JSON as zlib data in Base64. The register takes only so much.
+ * JSON in bytes and the JSON as zlib data in Base64. Compression is needed because the replicated value is bounded.
  */
 final class RolloutStateCodec {
-    /** JSON from this length on is compressed. */
+    /** The length from which JSON is compressed. */
     private static final int MIN_COMPRESSED_CHARS = 16 * 1024;
-    /** Room for what zlib adds to data that cannot be compressed. */
+    /** The buffer space for the overhead of zlib on incompressible data. */
     private static final int ZLIB_OVERHEAD_BYTES = 64;
 
     private static final Gson GSON = new Gson();
--- a/src/main/java/maplespread/release/client/AgreedState.java
+++ b/src/main/java/maplespread/release/client/AgreedState.java
@@ -12,14 +12,13 @@
 import maplespread.release.RolloutState;
 
 /**
- * The agreed state about releases, as this instance reads and changes it in the register, where it is one section of
- * the value. Thread-safe.
+ * Reads and changes the agreed state of releases, which is one section of the replicated value. Thread-safe.
  */
 final class AgreedState {
     private static final String SECTION = "release";
-    /** A majority that was reached longer ago may have decided something else since. */
+    /** After this time since the last contact, a majority may have decided changes that are unknown here. */
     private static final long CONTACT_VALID_MS = 3_000;
-    /** By then no instance's contact is valid any more that does not know what this one knows. */
+    /** After this time, no instance that lacks the current knowledge of this one has a valid contact. */
     static final long CONTACTS_EXPIRED_MS = CONTACT_VALID_MS + 1_000;
 
     private VersionedValue decodedValue;
@@ -27,7 +26,7 @@
     private volatile boolean majorityReached;
     private volatile long lastContactMs;
 
-    /** The state in the newest value that was passed here; {@code value}: null where none is known. */
+    /** The state in the newest value passed so far; {@code value} is null where none is known. */
     synchronized RolloutState newestOf(VersionedValue value) {
         if (value != null && value.isLaterThan(decodedValue)) {
             decodedState = RolloutState.parse(SharedState.read(value.text(), SECTION));
@@ -41,26 +40,26 @@
         return decodedState;
     }
 
-    /** Proposes a command to the newest value; blocks until it is decided or rejected, or the time is over. */
-    ChangeResult propose(ReplicatedRegister register, ReleaseCommand command, long waitMs) {
-        return change(register, mutation(command), waitMs);
+    /** Proposes a command to the newest value; blocks until it is decided or rejected, or until the timeout. */
+    ChangeResult propose(ReplicatedRegister register, ReleaseCommand command, long timeoutMs) {
+        return change(register, mutation(command), timeoutMs);
     }
 
     /** Reads the newest value from a majority; blocks as {@link #propose} does. */
-    ChangeResult read(ReplicatedRegister register, long waitMs) {
-        return change(register, Mutation.READ, waitMs);
+    ChangeResult read(ReplicatedRegister register, long timeoutMs) {
+        return change(register, Mutation.READ, timeoutMs);
     }
 
-    /** The newest state by a majority; empty where none was reached in time. */
-    Optional<RolloutState> readNewest(ReplicatedRegister register, long waitMs) {
-        ChangeResult result = read(register, waitMs);
+    /** The newest state, read from a majority; empty where none was reached in time. */
+    Optional<RolloutState> readNewest(ReplicatedRegister register, long timeoutMs) {
+        ChangeResult result = read(register, timeoutMs);
         return result.outcome() == ChangeResult.Outcome.DECIDED
                 ? Optional.of(newestOf(result.value()))
                 : Optional.empty();
     }
 
-    private ChangeResult change(ReplicatedRegister register, Mutation mutation, long waitMs) {
-        ChangeResult result = register.change(mutation, waitMs);
+    private ChangeResult change(ReplicatedRegister register, Mutation mutation, long timeoutMs) {
+        ChangeResult result = register.change(mutation, timeoutMs);
         majorityReached = result.outcome() != ChangeResult.Outcome.NO_MAJORITY;
         if (majorityReached) {
             lastContactMs = MonotonicClock.nowMs();
@@ -85,7 +84,7 @@
         return majorityReached;
     }
 
-    /** Whether a majority was reached so recently that this instance knows what it had decided until then. */
+    /** Whether the last contact with a majority is recent enough to rely on the known state. */
     boolean isContactValid() {
         return MonotonicClock.nowMs() - lastContactMs <= CONTACT_VALID_MS;
     }
--- a/src/main/java/maplespread/release/client/CallRejectedException.java
+++ b/src/main/java/maplespread/release/client/CallRejectedException.java
@@ -2,20 +2,20 @@
 
 import maplespread.errors.FleetException;
 
-/** An operator's call that could not be put to the fleet. Nothing was changed by it. */
+/** Thrown where an operator's call could not be proposed to the fleet. The call has changed nothing. */
 public final class CallRejectedException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** Why, for a program; {@link #problem()} says it in words. */
+    /** The reason, for programs; {@link #problem()} describes it. */
     public enum Reason {
         /** This instance is not in the group yet. */
         NOT_JOINED(
                 503,
                 "service, and what is agreed at other instances",
                 "call another instance; here look for group.not_joined in the log"),
-        /** More calls wait for the fleet than there are places. */
+        /** The maximum number of calls is waiting for the fleet. */
         TOO_MANY(503, "service, and the calls that do not wait for the fleet", "call again, one at a time"),
-        /** The call lacks what it is about. */
+        /** The call lacks a required parameter. */
         BAD_CALL(400, "everything; nothing was asked of the fleet", "add to the call what is named");
 
         private final int status;
--- a/src/main/java/maplespread/release/client/CancelledOutages.java
+++ b/src/main/java/maplespread/release/client/CancelledOutages.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.function.LongConsumer;
 
-/** Outages by which no member can be drained any more, until the controller has heard of them. Thread-safe. */
+/** Collects outages by which no member can be drained any more, until the controller is notified. Thread-safe. */
 final class CancelledOutages {
     private final Set<Long> numbers = new HashSet<>();
 
@@ -12,7 +12,7 @@
         numbers.add(outageNumber);
     }
 
-    /** Hands over and forgets all that were added. */
+    /** Passes all collected numbers to the consumer and removes them. */
     synchronized void drainTo(LongConsumer consumer) {
         numbers.forEach(consumer::accept);
         numbers.clear();
--- a/src/main/java/maplespread/release/client/LocalDrain.java
+++ b/src/main/java/maplespread/release/client/LocalDrain.java
@@ -5,11 +5,11 @@
 import maplespread.log.Event;
 
 /**
- * Drains this instance and has it serve again, by the release or by an operator's call. A drain by a planned outage
- * that was cancelled here is refused from then on. Thread-safe: no drain overtakes what cancels it.
+ * Drains this instance and returns it to service, for the release or by an operator's call. Once a planned outage was
+ * cancelled here, later drains by it are rejected. Thread-safe: drains and cancellations are serialized.
  */
 final class LocalDrain {
-    /** What came of an operator's drain. */
+    /** The result of an operator's drain. */
     enum DrainResult {
         DRAINING,
         NOT_IN_SERVICE,
@@ -36,10 +36,10 @@
         }
     }
 
-    /** Serves again, and refuses each later drain by this outage. */
+    /** Returns to service and rejects each later drain by this outage. */
     synchronized void cancel(long outageNumber) {
         lastCancelledOutage = Math.max(lastCancelledOutage, outageNumber);
-        // A drain that an operator has forced stays: the outage is over all the same.
+        // A drain forced by an operator continues, but the outage ends nevertheless.
         if (forcedByOperator || instance.resume()) {
             cancelledOutages.add(outageNumber);
             Event.of("release.taken_back", "member", self, "leave", outageNumber)
@@ -57,7 +57,7 @@
         return outageNumber > lastCancelledOutage ? drainByOperator() : DrainResult.OUTAGE_CANCELLED;
     }
 
-    /** Drains whatever is agreed, and stays drained until {@link #resume} is called; false outside of service. */
+    /** Drains regardless of the agreed state, until {@link #resume}; returns false where it is not in service. */
     synchronized boolean force() {
         if (!instance.quiesce()) {
             return false;
@@ -67,8 +67,9 @@
     }
 
     /**
-     * Ends a drain, an operator's too; false outside of service. {@code grantedOutage}: read under the lock, and
-     * cancelled.
+     * Ends a drain, including an operator's; returns false where the instance is not in service.
+     *
+     * @param grantedOutage supplies, under the lock, the granted outage to cancel
      */
     synchronized boolean resume(Supplier<OptionalLong> grantedOutage) {
         forcedByOperator = false;
--- a/src/main/java/maplespread/release/client/ManualDrains.java
+++ b/src/main/java/maplespread/release/client/ManualDrains.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Workers that an operator is asked to drain, or to have serve again, where no registry can be told to. The requests
- * are read by any thread; all else is for the release thread alone.
+ * Requests to operators to drain workers or return them to service, where no registry can do so. Any thread may read
+ * the requests; everything else is for the release thread only.
  */
 final class ManualDrains {
     private static final String DRAIN = "drain";
@@ -14,21 +14,21 @@
 
     private final Map<String, String> requests = new TreeMap<>();
     private Map<Long, Long> cancelledSinceMs = new HashMap<>();
-    private Map<Long, Long> cancelledBeforeMs = new HashMap<>();
+    private Map<Long, Long> previouslyCancelledSinceMs = new HashMap<>();
 
-    /** Forgets the requests of the round before. */
+    /** Removes the requests of the previous round. */
     void beginRound() {
         synchronized (requests) {
             requests.clear();
         }
-        cancelledBeforeMs = cancelledSinceMs;
+        previouslyCancelledSinceMs = cancelledSinceMs;
         cancelledSinceMs = new HashMap<>();
     }
 
-    /** The drain of this outage is cancelled in this round too. */
+    /** Records that the drain of this outage is cancelled in this round. */
     void recordCancelled(long outageNumber) {
         long nowMs = MonotonicClock.nowMs();
-        cancelledSinceMs.put(outageNumber, cancelledBeforeMs.getOrDefault(outageNumber, nowMs));
+        cancelledSinceMs.put(outageNumber, previouslyCancelledSinceMs.getOrDefault(outageNumber, nowMs));
     }
 
     void requestDrain(String worker) {
@@ -39,13 +39,13 @@
         request(worker, SERVE);
     }
 
-    private void request(String worker, String what) {
+    private void request(String worker, String action) {
         synchronized (requests) {
-            requests.put(worker, what);
+            requests.put(worker, action);
         }
     }
 
-    /** Whether no instance asks an operator for the drain of this cancelled outage any more. */
+    /** Whether no instance can still request the drain of this cancelled outage from an operator. */
     boolean isDrainRequestExpired(long outageNumber) {
         return MonotonicClock.nowMs() - cancelledSinceMs.get(outageNumber) >= AgreedState.CONTACTS_EXPIRED_MS;
     }
--- a/src/main/java/maplespread/release/client/MonotonicClock.java
+++ b/src/main/java/maplespread/release/client/MonotonicClock.java
@@ -1,6 +1,6 @@
 package maplespread.release.client;
 
-/** The clock of everything here that measures a duration. */
+/** The clock for all durations in this package. */
 final class MonotonicClock {
     private static final long NANOS_PER_MS = 1_000_000;
 
--- a/src/main/java/maplespread/release/client/WorkerDrainer.java
+++ b/src/main/java/maplespread/release/client/WorkerDrainer.java
@@ -14,24 +14,24 @@
 import maplespread.release.RolloutAction;
 
 /**
- * Drains workers, and has them serve again, at the registry that the endpoints come from, where it has keys that can be
- * changed. One action after the other, on a daemon thread of its own: a slow registry must not hold up the release.
+ * Drains workers and returns them to service at the registry that the endpoints come from, where the registry has
+ * writable keys. Runs one action at a time on its own daemon thread: a slow registry must not delay the release.
  */
 public final class WorkerDrainer implements Closeable {
     private static final long THREAD_STACK_BYTES = 144 * 1024;
     private static final long THREAD_KEEP_ALIVE_S = 10;
     private static final int MAX_QUEUED_ACTIONS = 64;
-    /** The controller repeats its actions more often than a registry is to be asked. */
+    /** Limits the calls to the registry, because the controller repeats its actions more often. */
     private static final long RETRY_INTERVAL_MS = 2_000;
 
-    /** Null: there is no registry that can be asked, and an operator has to act. */
+    /** The registry to change; null: none, and an operator has to act. */
     private final RegistrySettings registry;
-    /** By action and outage. For the thread that calls {@link #drain} and {@link #cancelDrain} alone. */
+    /** Times of the last attempts, by action and outage; used only by the thread that submits actions. */
     private final Map<String, Long> attemptedAtMs = new HashMap<>();
 
     private final ThreadPoolExecutor executor;
 
-    /** {@code registry}: null where there is none. */
+    /** {@code registry} is null where there is none. */
     public WorkerDrainer(RegistrySettings registry) {
         boolean hasKeys = registry != null && registry.dialect() != RegistrySettings.Dialect.CONSUL_HEALTH;
         this.registry = hasKeys ? registry : null;
@@ -50,12 +50,12 @@
         return thread;
     }
 
-    /** Whether workers are drained at a registry; else an operator has to act. */
+    /** Whether workers are drained at a registry; otherwise an operator has to act. */
     boolean usesRegistry() {
         return registry != null;
     }
 
-    /** {@code permitted}: asked just before the drain, on this drainer's thread. */
+    /** Drains a worker where {@code permitted}, evaluated on this drainer's thread just before the drain, is true. */
     void drain(RolloutAction action, BooleanSupplier permitted) {
         submit("drain ", action, admin -> {
             if (permitted.getAsBoolean() && admin.drain(action.member(), action.incarnation(), action.outageNumber())) {
@@ -65,7 +65,7 @@
         });
     }
 
-    /** {@code cancelled}: run once no later drain by this outage can be carried out, on this drainer's thread. */
+    /** Runs {@code cancelled} on this drainer's thread once no later drain by this outage can be carried out. */
     void cancelDrain(RolloutAction action, Runnable cancelled) {
         submit("recall ", action, admin -> {
             if (admin.cancelDrain(action.member(), action.incarnation(), action.outageNumber())) {
@@ -89,7 +89,7 @@
         try {
             executor.execute(() -> run(action, task));
         } catch (RejectedExecutionException e) {
-            // The queue is full: the controller repeats the action.
+            // The queue is full; the controller repeats the action.
         }
     }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Ends the thread; actions that wait are dropped. */
+    /** Stops the thread and discards queued actions. */
     @Override
     public void close() {
         executor.shutdownNow();
--- a/src/test/java/maplespread/release/InstanceCommandsTest.java
+++ b/src/test/java/maplespread/release/InstanceCommandsTest.java
@@ -12,7 +12,7 @@
 import maplespread.release.RolloutState.Phase;
 import org.junit.jupiter.api.Test;
 
-/** How a release goes forward and back, and how members change meanwhile. */
+/** Progress and rollback of a release, and changes of members during a release. */
 class InstanceCommandsTest extends ReleaseFixture {
     @Test
     void confirmsALaterIncarnationThatServesWarmAndAsWanted() throws ReleaseRejectedException {
@@ -37,7 +37,8 @@
         RolloutState held = state;
         setMember("w0", 9, "2", Status.SERVING);
         assertEquals(
-                state, InstanceCommands.confirmReturn("d1", 99, fleet.get("w0")).apply(state)); // of another leave
+                state,
+                InstanceCommands.confirmReturn("d1", 99, fleet.get("w0")).apply(state)); // another outage's number
         confirmReturn("w0", "2");
         assertTrue(state.updatedMembers().contains("w0") && state.currentStep() == 1);
         assertEquals(
@@ -55,7 +56,7 @@
         }
         grantOutage("d0");
         apply(OperatorCommands.rollBack("op", "", state.controlVersion()));
-        confirmReturn("d0", "1"); // never was at 2
+        confirmReturn("d0", "1"); // never had version 2
         assertRejected(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "w0", state.stabilityVersion(), view()));
         assertRejected(Reason.NOT_DUE, InstanceCommands.grantOutage("d0", "d0", state.stabilityVersion(), view()));
         for (String id : List.of("w3", "w1", "w2", "w0")) {
--- a/src/test/java/maplespread/release/OperatorCommandsTest.java
+++ b/src/test/java/maplespread/release/OperatorCommandsTest.java
@@ -8,7 +8,7 @@
 import maplespread.release.RolloutState.Phase;
 import org.junit.jupiter.api.Test;
 
-/** What operators can ask for, in every phase of a release. */
+/** Operators' commands in every phase of a release. */
 class OperatorCommandsTest extends ReleaseFixture {
     /** The phase that each call leads to from each phase, or the reason why it is rejected. */
     @Test
@@ -49,7 +49,7 @@
     @Test
     void rejectsASecondReleaseWhileOneIsInProgress() throws ReleaseRejectedException {
         beginRelease();
-        assertEquals(state, OperatorCommands.begin("op", plan("r", ""), view()).apply(state)); // the same once more
+        assertEquals(state, OperatorCommands.begin("op", plan("r", ""), view()).apply(state)); // the same plan again
         assertRejected(Reason.RELEASE_ON, OperatorCommands.begin("op", plan("q", ",names:['w0']"), view()));
         assertRejected(
                 Reason.RELEASE_ON,
--- a/src/test/java/maplespread/release/OutageAdmissionTest.java
+++ b/src/test/java/maplespread/release/OutageAdmissionTest.java
@@ -10,9 +10,9 @@
 import maplespread.release.ReleaseRejectedException.Reason;
 import org.junit.jupiter.api.Test;
 
-/** Which member may become unavailable: limits, capacity and electors. */
+/** Admission of outages by limits, capacity and electors. */
 class OutageAdmissionTest extends ReleaseFixture {
-    /** The limits would allow five of nine; electors that restart lose what they knew, so their majority must stay. */
+    /** The limits would allow five of nine; restarted electors lose their state, so a majority must stay. */
     @Test
     void keepsAMajorityOfElectorsAvailable() throws ReleaseRejectedException {
         for (int i = 3; i < 9; i++) {
--- a/src/test/java/maplespread/release/ReleaseFixture.java
+++ b/src/test/java/maplespread/release/ReleaseFixture.java
@@ -46,7 +46,7 @@
         return new FleetView(new ArrayList<>(fleet.values()), service);
     }
 
-    /** Every state is read back from its text, so that nothing counts that is not written. */
+    /** Parses every new state from its text, so that only serialized data survives. */
     void apply(ReleaseCommand command) throws ReleaseRejectedException {
         state = RolloutState.parse(command.apply(state).toText());
     }
--- a/src/test/java/maplespread/release/ReleaseGoldenTest.java
+++ b/src/test/java/maplespread/release/ReleaseGoldenTest.java
@@ -28,7 +28,7 @@
 import maplespread.release.RolloutState.UnplannedOutage;
 import org.junit.jupiter.api.Test;
 
-/** The agreed state's text, the texts of refusals, and what commands and the controller do, as others see them. */
+/** Golden texts of the agreed state and of rejections, and the visible results of commands and the controller. */
 class ReleaseGoldenTest {
     private static final String FULL_PLAN = "{'id':'p.1','from':'1','to':'2','dispatchers':true,'workers':true,"
             + "'zones':['z0','z1'],'kinds':['k'],'cells':['c'],'names':['w0','d0'],'first':'dispatchers',"
@@ -371,7 +371,7 @@
                 + order.incarnation() + " leave " + order.outageNumber();
     }
 
-    /** Looks every 100 ms and decides what is proposed; a line wherever something differs from the look before. */
+    /** Evaluates every 100 ms and applies the proposals; writes a line for each change since the last evaluation. */
     private void drive(RolloutController driver, long from, long to, boolean majority) throws ReleaseRejectedException {
         String last = "";
         for (long t = from; t <= to; t += 100) {
--- a/src/test/java/maplespread/release/ReleasePlanTest.java
+++ b/src/test/java/maplespread/release/ReleasePlanTest.java
@@ -12,7 +12,7 @@
 import maplespread.release.ReleaseRejectedException.Reason;
 import org.junit.jupiter.api.Test;
 
-/** Plans: what they name, in which steps, and which cannot be. */
+/** Plans: selected members, steps, and validation. */
 class ReleasePlanTest extends ReleaseFixture {
     /** The last worker is of another kind; the first two are of one cell, and so are the others. */
     private void giveWorkersKindsAndCells() throws ReleaseRejectedException {
--- a/src/test/java/maplespread/release/RolloutControllerTest.java
+++ b/src/test/java/maplespread/release/RolloutControllerTest.java
@@ -10,9 +10,9 @@
 import maplespread.release.RolloutState.Phase;
 import org.junit.jupiter.api.Test;
 
-/** What depends on time, by the clock of one instance. */
+/** Time-dependent behavior of one instance's controller. */
 class RolloutControllerTest extends ReleaseFixture {
-    /** Evaluates every 100 ms and applies what is proposed. Returns the actions of the last evaluation. */
+    /** Evaluates every 100 ms, applies the proposals, and returns the actions of the last evaluation. */
     private List<RolloutAction> evaluateEach100Ms(RolloutController controller, long from, long to, boolean majority) {
         List<RolloutAction> actions = List.of();
         for (long time = from; time <= to; time += 100) {
@@ -85,7 +85,8 @@
                 List.of(new RolloutAction.CancelDrain("w0", 1, 1)), evaluateEach100Ms(controller, 1_200, 4_000, true));
         assertTrue(state.plannedOutages().containsKey("w0"));
         setMember("w0", 1, "1", Status.DRAINING);
-        assertEquals(List.of(), evaluateEach100Ms(controller, 4_100, 4_200, true)); // it goes, and is waited for
+        assertEquals(
+                List.of(), evaluateEach100Ms(controller, 4_100, 4_200, true)); // it drains, and its return is awaited
         apply(OperatorCommands.abandon("op", "", state.controlVersion()));
         assertEquals(
                 List.of(new RolloutAction.CancelDrain("w0", 1, 1)), evaluateEach100Ms(controller, 4_300, 4_400, true));
@@ -139,7 +140,7 @@
         assertTrue(state.halt().why().startsWith("limit exceeded"), String.valueOf(state.halt()));
     }
 
-    /** An unplanned outage more each moment must not delay the halt. */
+    /** Further unplanned outages must not restart the wait before the halt. */
     @Test
     void haltsAsSoonWhenUnplannedOutagesKeepComing() throws ReleaseRejectedException {
         beginRelease();
@@ -169,7 +170,7 @@
         evaluateEach100Ms(controller, 16_100, 16_200, true);
         assertEquals(Phase.RUNNING, state.phase());
         evaluateEach100Ms(controller, 16_300, 16_400, false);
-        evaluateEach100Ms(controller, 27_000, 27_100, false); // paused itself
+        evaluateEach100Ms(controller, 27_000, 27_100, false); // after a process pause
         evaluateEach100Ms(controller, 27_200, 27_300, true);
         assertEquals(Phase.RUNNING, state.phase());
         evaluateEach100Ms(controller, 27_400, 37_500, false);
--- a/src/test/java/maplespread/release/client/FleetObserverTest.java
+++ b/src/test/java/maplespread/release/client/FleetObserverTest.java
@@ -20,9 +20,9 @@
 import maplespread.release.FleetView;
 import org.junit.jupiter.api.Test;
 
-/** How an instance sees the fleet. */
+/** An instance's view of the fleet. */
 class FleetObserverTest {
-    /** A dispatcher is seen as it reports, while that is recent and of this incarnation; a cold worker by its warmth. */
+    /** A dispatcher has the status of its recent report of this incarnation; a cold worker, a reduced capacity. */
     @Test
     void tellsMembersByTheirOwnRecentStatusAndWorkersByTheirWarmth() throws Exception {
         Config config = ConfigReader.read(Files.readString(Path.of("example/config.json")), Map.of());
--- a/src/test/java/maplespread/release/client/RolloutServiceGoldenTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceGoldenTest.java
@@ -86,7 +86,7 @@
 
     private static void decided(ReplicatedRegister register, Mutation change) {
         while (register.change(change, 1000).outcome() != ChangeResult.Outcome.DECIDED) {
-            Thread.yield(); // its time was over: it is asked again
+            Thread.yield(); // Timed out; retried.
         }
     }
 
@@ -132,7 +132,7 @@
         }
         call(releases, "POST /admin/release", "", "{}");
         call(releases, "POST /admin/release", "", PLAN);
-        releases.updateLimits(Limits.DEFAULT); // is proposed by the thread, which is not started here
+        releases.updateLimits(Limits.DEFAULT); // proposed only by the thread, which is not started here
         String bounded = PLAN.replace("]}", "],\"limits\":{\"dispatchers_out\":1}}");
         call(releases, "POST /admin/release", "by=me", bounded);
         call(releases, "POST /admin/release", "by=me", PLAN);
--- a/src/test/java/maplespread/release/client/RolloutServiceTest.java
+++ b/src/test/java/maplespread/release/client/RolloutServiceTest.java
@@ -20,11 +20,11 @@
 import maplespread.release.RolloutState;
 import org.junit.jupiter.api.Test;
 
-/** What a running instance carries out of what is agreed. */
+/** Actions that a running instance carries out by the agreed state. */
 class RolloutServiceTest {
     private volatile boolean drained;
 
-    /** Drains that come late, twice, or for another member or incarnation; over a register of one elector. */
+    /** Late and repeated drains, and those for another member or incarnation, with a register of one elector. */
     @Test
     void drainsOnlyWhileTheOutageIsGranted() throws Exception {
         String address;
@@ -40,8 +40,8 @@
                 RolloutService releases =
                         new RolloutService("n0", fleet(register), new WorkerDrainer(null), Limits.DEFAULT)) {
             decided(register, Mutation.READ);
-            // Leaves agreed: member, number, run, for what; halted; the order: drain or recall, its run and
-            // leave; whether it is out after that. The release is on its way to the new version.
+            // Agreed outage (member, number, incarnation, phase), halt, action (drain or recall, incarnation, outage),
+            // and whether the instance is drained afterwards. The release is in phase RUNNING.
             String table = """
                 -              -      drain  7 1 false
                 n0:1:7:        -      drain  6 1 false
@@ -76,7 +76,7 @@
 
     private static void decided(ReplicatedRegister register, Mutation change) {
         while (register.change(change, 1000).outcome() != ChangeResult.Outcome.DECIDED) {
-            Thread.yield(); // its time was over: it is asked again
+            Thread.yield(); // Timed out; retried.
         }
     }
 
