--- a/src/main/java/maplespread/discovery/DiscoveryClient.java
+++ b/src/main/java/maplespread/discovery/DiscoveryClient.java
@@ -9,15 +9,15 @@
 import org.tinylog.Logger;
 
 /**
- * Follows discovery's endpoint list, each address of discovery by a {@link DiscoveryWatch} with a thread of its
- * own. Where the list is asked for, the policy decides when to subscribe: each watch that ends is reported, and
- * the policy asks again after its jittered backoff. One that falls silent is opened anew at once, by
- * {@link WatchTimeouts}. Where an agent pushes the list, it is asked from the start on, and again and again while
- * it is unavailable. A new address is watched at once: until it has sent something, the last list holds and the
- * old watch still counts. Its monitor guards the state of its watches.
+ * Watches discovery's endpoint list. Each address of discovery has a {@link DiscoveryWatch} with its own thread.
+ * Where the list is pulled, the policy decides when to subscribe: the client reports each watch that ends, and the
+ * policy requests another one after its jittered backoff. A watch that falls silent is reopened at once, after the
+ * times of {@link WatchTimeouts}. Where an agent pushes the list, the client opens a watch at the start and retries
+ * while the agent is unavailable. A new address is watched at once; until it sends an update, the last list stays
+ * valid and updates of the old watch are still applied. The client's monitor guards the state of its watches.
  */
 public final class DiscoveryClient implements EndpointSource {
-    /** Of a pushed list: between two calls while the agent is unavailable. */
+    /** Delay between two attempts to reach an unavailable agent that pushes the list, in milliseconds. */
     private static final long AGENT_RETRY_MS = 100;
 
     private final WatchTimeouts timeouts;
@@ -26,10 +26,19 @@
     private final RateLimitedLogger rateLimitedLogger = new RateLimitedLogger();
     private final EndpointListener listener;
     private final EndpointParser parser;
-    private DiscoveryWatch newest; // of the address that is asked
-    private DiscoveryWatch active; // the last one that has sent anything
 
-    /** {@code listVersion}: of the list held; {@code pushed}: it comes from an agent that pushes it. */
+    /** Watch of the current address. */
+    private DiscoveryWatch newest;
+
+    /** Watch that last became the newest one to send an update; the same as {@code newest} at the start. */
+    private DiscoveryWatch active;
+
+    /**
+     * Creates the client with a watch of the first address, not yet started.
+     *
+     * @param listVersion version of the list that the dispatcher already holds
+     * @param pushed whether the list comes from an agent that pushes it
+     */
     public DiscoveryClient(
             InetSocketAddress address,
             EndpointParser parser,
@@ -47,7 +56,7 @@
         active = newest;
     }
 
-    /** Begins; the first watch is opened when the policy asks, or at once where the list is pushed. */
+    /** Starts the thread of the first watch, which opens when the policy requests it, or at once for a pushed list. */
     @Override
     public synchronized void start() {
         if (pushed) {
@@ -56,35 +65,40 @@
         newest.start();
     }
 
-    /** Asks for a watch; does nothing while one is open. */
+    /** Requests a watch; does nothing while one is open. */
     @Override
     public synchronized void watch() {
         newest.request();
     }
 
-    /** Discovery is at another address from now on; false where that is the one in use. */
+    /**
+     * Watches discovery at another address from now on.
+     *
+     * @return false if the client is closed or already uses the address
+     */
     @Override
     public synchronized boolean moveTo(InetSocketAddress address) {
         if (newest.isClosed() || newest.address().equals(address)) {
             return false;
         }
         if (newest != active) {
-            newest.close(); // it never sent anything
+            newest.close(); // it has not sent an update yet
         }
-        newest = new DiscoveryWatch(this, address, 0); // its versions may count otherwise
+        // Version 0, since the new address may number its versions differently.
+        newest = new DiscoveryWatch(this, address, 0);
         listener.listUnconfirmed(EndpointListDoubt.MOVED, 0);
         newest.request();
         newest.start();
         return true;
     }
 
-    /** Null: the list that came last holds, however old. */
+    /** Returns null: the last list received stays valid at any age. */
     @Override
     public String notReadyReason() {
         return null;
     }
 
-    /** Ends all watches. */
+    /** Closes all watches. */
     @Override
     public synchronized void close() {
         newest.close();
@@ -123,7 +137,7 @@
         }
     }
 
-    /** A watch has ended, and was not closed; on its own thread. */
+    /** Reports a watch that ended without being closed; called on the thread of that watch. */
     void onWatchLost(DiscoveryWatch watch, EndpointWatchFailure failure, long lastReceivedAgoMs)
             throws InterruptedException {
         listener.watchLost(failure, lastReceivedAgoMs);
@@ -135,7 +149,7 @@
         }
     }
 
-    /** Takes an update of a watch, unless a newer address has sent something since. */
+    /** Passes on an update of a watch, unless the watch was closed, as it is after a newer address sends an update. */
     synchronized void onUpdate(DiscoveryWatch watch, EndpointUpdate update) {
         if (watch.isClosed()) {
             return;
@@ -143,10 +157,11 @@
         if (watch == newest && active != newest) {
             active.close();
             active = newest;
-            Logger.info("{} has spoken, and no other address is watched", watch.address());
+            Logger.info("{} sent its first update; the watch of the previous address is closed", watch.address());
         }
         watch.setListVersion(update.version());
-        boolean current = watch == newest; // another address may know of changes that this one does not
+        // An update of an old address does not confirm the list: the new address may know of further changes.
+        boolean current = watch == newest;
         listener.endpointsChanged(
                 current ? update : new EndpointUpdate(update.kind(), update.version(), update.endpoints(), false));
     }
--- a/src/main/java/maplespread/discovery/DiscoveryWatch.java
+++ b/src/main/java/maplespread/discovery/DiscoveryWatch.java
@@ -16,18 +16,18 @@
 import org.tinylog.Logger;
 
 /**
- * Watches one address of discovery on a thread of its own, a connection after the other, as it is asked to. Its
- * owner's monitor guards the fields that other threads use.
+ * Watches one address of discovery on its own thread, over one connection at a time, whenever a watch is requested.
+ * The owner's monitor guards the fields that other threads use.
  */
 final class DiscoveryWatch implements Runnable {
     private static final int MAX_LINE_BYTES = 1 << 20;
-    private static final long STACK_BYTES = 144 * 1024;
-    private static final long MAX_DIAL_MS = 2500;
+    private static final long THREAD_STACK_BYTES = 144 * 1024;
+    private static final long MAX_CONNECT_MS = 2500;
     private static final int STATUS_OK = 200;
     private static final int STATUS_BAD_GATEWAY = 502;
     private static final long NOT_CONNECTED = -1;
 
-    /** How a watch came to its end. */
+    /** Why a watch ended: the text for the log and the failure for the policy. */
     private record WatchEnd(String reason, EndpointWatchFailure failure) {}
 
     private final DiscoveryClient owner;
@@ -40,12 +40,21 @@
     private boolean closed;
     private HttpConnection connection;
 
-    // Of the watch's own thread:
-    private boolean updateReceived; // of the watch that is open
-    private boolean lineReceived; // of the present connection
-    private long calledAtNanos;
+    // Used only by the thread of this watch:
+
+    /** Whether the open watch has received an update since it was opened or reopened. */
+    private boolean updateReceived;
+
+    /** Whether the current connection has received a line. */
+    private boolean lineReceived;
+
+    private long connectStartedAtNanos;
+
+    /** Time taken to connect, in milliseconds; {@link #NOT_CONNECTED} until then. */
     private long connectedAfterMs;
-    private long receivedAtNanos; // the last line, or the call
+
+    /** When the last line arrived; before the first line, when the connection was started. */
+    private long lastReceivedAtNanos;
 
     DiscoveryWatch(DiscoveryClient owner, InetSocketAddress address, long listVersion) {
         this.owner = owner;
@@ -60,12 +69,12 @@
     // ------------------------------------------------------------ under the owner's monitor
 
     void start() {
-        Thread thread = new Thread(null, this, "routes " + address, STACK_BYTES);
+        Thread thread = new Thread(null, this, "routes " + address, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Has a watch opened; does nothing while one is open. */
+    /** Requests that a watch be opened; does nothing while one is open. */
     void request() {
         requested |= !open;
         owner.notifyAll();
@@ -83,12 +92,12 @@
         return closed;
     }
 
-    /** The version of the list that the address has sent last. */
+    /** Sets the version of the list that the address sent last. */
     void setListVersion(long version) {
         listVersion = version;
     }
 
-    // ------------------------------------------------------------ on its own thread
+    // ------------------------------------------------------------ on the thread of this watch
 
     private static long msSince(long nanos) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
@@ -101,7 +110,7 @@
                 WatchEnd end = watch();
                 if (markEnded()) {
                     report(end);
-                    owner.onWatchLost(this, end.failure, msSince(receivedAtNanos));
+                    owner.onWatchLost(this, end.failure, msSince(lastReceivedAtNanos));
                 }
             }
         } catch (InterruptedException e) {
@@ -109,7 +118,11 @@
         }
     }
 
-    /** Waits until a watch is to be opened; false where the address is to be watched no more. */
+    /**
+     * Waits until a watch is requested or this object is closed.
+     *
+     * @return false if closed
+     */
     private boolean awaitRequest() throws InterruptedException {
         synchronized (owner) {
             while (!requested && !closed) {
@@ -123,47 +136,50 @@
     }
 
     /**
-     * Takes note of the end before it is reported, since the report may make the policy ask anew at once. False
-     * where nobody is to be notified.
+     * Records that the watch ended. This precedes the report, which may make the policy request a watch at once.
+     *
+     * @return false if the end is not to be reported because the address is no longer watched
      */
     private boolean markEnded() {
         synchronized (owner) {
             open = false;
-            closed |= !owner.isNewest(this); // an address left behind is not asked again
+            closed |= !owner.isNewest(this); // a replaced address is not watched again
             return !closed;
         }
     }
 
     /**
-     * Keeps one watch, and those that take its place where one falls silent, even before its first line; returns
-     * why there is none. One that follows a silent one and sends nothing is not followed at once.
+     * Runs a watch and reopens it at once when it falls silent, even before its first line. A reopened watch that
+     * sends no line is not reopened again.
+     *
+     * @return why no watch is open any more
      */
     private WatchEnd watch() {
-        boolean renewed = false;
+        boolean reopened = false;
         while (true) {
-            long silenceMs = owner.drawSilenceLimitMs();
-            boolean limitedStart = renewed || owner.isPushed();
-            long firstLineMs = limitedStart ? owner.timeouts().renewMs() : silenceMs;
+            long silenceLimitMs = owner.drawSilenceLimitMs();
+            boolean usesRenewTimeout = reopened || owner.isPushed();
+            long firstLineTimeoutMs = usesRenewTimeout ? owner.timeouts().renewMs() : silenceLimitMs;
             lineReceived = false;
-            calledAtNanos = System.nanoTime();
-            receivedAtNanos = calledAtNanos;
+            connectStartedAtNanos = System.nanoTime();
+            lastReceivedAtNanos = connectStartedAtNanos;
             connectedAfterMs = NOT_CONNECTED;
             try {
-                follow(firstLineMs, silenceMs);
+                follow(firstLineTimeoutMs, silenceLimitMs);
                 return new WatchEnd(
                         "the watch ended", lineReceived ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER);
             } catch (SocketTimeoutException e) {
-                if (!lineReceived && limitedStart) {
-                    return new WatchEnd("no word within " + firstLineMs + " ms", EndpointWatchFailure.NO_ANSWER);
+                if (!lineReceived && usesRenewTimeout) {
+                    return new WatchEnd("no line within " + firstLineTimeoutMs + " ms", EndpointWatchFailure.NO_ANSWER);
                 }
-                owner.onSilence(this, lineReceived, msSince(receivedAtNanos));
-                renewed = true;
+                owner.onSilence(this, lineReceived, msSince(lastReceivedAtNanos));
+                reopened = true;
                 updateReceived = false;
-                owner.warnRateLimited(address + ": the watch is silent; it is begun anew");
+                owner.warnRateLimited(address + ": no line within the silence limit; reopening the watch");
             } catch (IOException e) {
                 return new WatchEnd("the watch broke: " + e.getMessage(), failureOf(e));
-            } catch (RuntimeException | Error e) { // without this thread no drain would be seen
-                Logger.error(e, "the watch failed");
+            } catch (RuntimeException | Error e) { // keeps the thread alive: without it drains would be missed
+                Logger.error(e, "unexpected error in the endpoint watch");
                 return new WatchEnd("the watch failed", EndpointWatchFailure.NOT_ASKED);
             }
         }
@@ -173,7 +189,7 @@
         if (connectedAfterMs < 0) {
             return cause instanceof ConnectException ? EndpointWatchFailure.REFUSED : EndpointWatchFailure.NOT_ASKED;
         }
-        // A line that cannot be read is no end on discovery's side: it goes on, and its changes count.
+        // After a malformed line discovery still considers the watch open and its changes notified.
         boolean ended = lineReceived && !(cause instanceof HttpException);
         return ended ? EndpointWatchFailure.ENDED : EndpointWatchFailure.NO_ANSWER;
     }
@@ -188,7 +204,7 @@
                         "loss",
                         end.failure,
                         "took_ms",
-                        msSince(calledAtNanos),
+                        msSince(connectStartedAtNanos),
                         "connected_ms",
                         connectedAfterMs < 0 ? null : connectedAfterMs,
                         "spoke",
@@ -197,13 +213,15 @@
     }
 
     /**
-     * Opens a watch and takes its lines until it ends; a {@link SocketTimeoutException} where it sends nothing
-     * for too long. Discovery sends a line every two seconds; a longer silence means that it, or the way to it,
-     * is gone unnoticed, and drains would go unseen.
+     * Opens a watch and processes its lines until it ends. Discovery sends a line every two seconds; a longer silence
+     * means that discovery or the network path to it failed without closing the connection, and drains would be
+     * missed.
+     *
+     * @throws SocketTimeoutException if no line arrives in time
      */
-    private void follow(long firstLineMs, long silenceMs) throws IOException {
-        try (HttpConnection opened = HttpConnection.dial(address, Math.min(firstLineMs, MAX_DIAL_MS))) {
-            connectedAfterMs = msSince(calledAtNanos);
+    private void follow(long firstLineTimeoutMs, long silenceLimitMs) throws IOException {
+        try (HttpConnection opened = HttpConnection.dial(address, Math.min(firstLineTimeoutMs, MAX_CONNECT_MS))) {
+            connectedAfterMs = msSince(connectStartedAtNanos);
             long since;
             synchronized (owner) {
                 connection = opened;
@@ -217,14 +235,15 @@
                     .bytes());
             JsonObjectSplitter objects = new JsonObjectSplitter();
             HttpParser parser = HttpParser.response(
-                    Long.MAX_VALUE, new LineSplitter(MAX_LINE_BYTES, text -> takeLine(objects, text)));
-            long firstLineDueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(firstLineMs);
+                    Long.MAX_VALUE, new LineSplitter(MAX_LINE_BYTES, text -> processLine(objects, text)));
+            long firstLineDueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(firstLineTimeoutMs);
             while (!parser.feed(opened.buffer())) {
                 if (parser.headDone() && parser.head().status() != STATUS_OK) {
                     throw new IOException("discovery answered " + parser.head().status());
                 }
-                long waitMs =
-                        lineReceived ? silenceMs : TimeUnit.NANOSECONDS.toMillis(firstLineDueNanos - System.nanoTime());
+                long waitMs = lineReceived
+                        ? silenceLimitMs
+                        : TimeUnit.NANOSECONDS.toMillis(firstLineDueNanos - System.nanoTime());
                 if (!opened.fill(waitMs)) {
                     return;
                 }
@@ -232,9 +251,9 @@
         }
     }
 
-    private void takeLine(JsonObjectSplitter objects, String text) throws HttpException {
+    private void processLine(JsonObjectSplitter objects, String text) throws HttpException {
         lineReceived = true;
-        receivedAtNanos = System.nanoTime();
+        lastReceivedAtNanos = System.nanoTime();
         EndpointUpdate update;
         try {
             String object = objects.add(text);
@@ -247,12 +266,12 @@
         }
         if (!updateReceived) {
             Logger.info(
-                    "the watch of {} is on, generation {}, {} with {} workers, {} ms after the call",
+                    "watch of {} opened: generation {}, {} with {} workers, {} ms after the connection was started",
                     address,
                     update.version(),
                     update.kind(),
                     update.endpoints().size(),
-                    msSince(calledAtNanos));
+                    msSince(connectStartedAtNanos));
         }
         updateReceived = true;
         owner.onUpdate(this, update);
--- a/src/main/java/maplespread/discovery/EndpointListener.java
+++ b/src/main/java/maplespread/discovery/EndpointListener.java
@@ -6,12 +6,20 @@
 
 /** Notified of what an {@link EndpointSource} learns, on the source's threads, one call at a time. */
 public interface EndpointListener {
-    /** The list, or a part of it, has changed. */
+    /** Called when the list, or a part of it, has changed. */
     void endpointsChanged(EndpointUpdate update);
 
-    /** A watch that the policy had asked for could not be opened or broke; the last line came so many ms ago. */
+    /**
+     * Called when a watch that the policy requested could not be opened or has ended.
+     *
+     * @param lastReceivedAgoMs time since the last line, in milliseconds
+     */
     void watchLost(EndpointWatchFailure failure, double lastReceivedAgoMs);
 
-    /** The list may be out of date; the last line came so many ms ago, until an update comes that is confirmed. */
+    /**
+     * Called when the list may be out of date, which lasts until the next confirmed update.
+     *
+     * @param lastReceivedAgoMs time since the last line, in milliseconds
+     */
     void listUnconfirmed(EndpointListDoubt doubt, double lastReceivedAgoMs);
 }
--- a/src/main/java/maplespread/discovery/EndpointParser.java
+++ b/src/main/java/maplespread/discovery/EndpointParser.java
@@ -14,7 +14,7 @@
 
 /** Parses discovery's JSON objects: endpoint lists and single endpoints. Thread-safe. */
 public final class EndpointParser {
-    /** A text is not one of discovery's endpoint lists. */
+    /** Thrown for a text that is not one of discovery's endpoint lists. */
     public static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -28,7 +28,12 @@
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** With the settings' names of zones and machine kinds, whose numbers in the lists endpoints carry. */
+    /**
+     * Creates a parser that maps names to their indexes in these lists.
+     *
+     * @param zones zone names, in the order of the settings
+     * @param kinds machine kinds, in the order of the settings
+     */
     public EndpointParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
@@ -38,12 +43,12 @@
     public EndpointUpdate parse(String text) throws MalformedListException {
         try {
             return parse(JsonParser.parseString(text).getAsJsonObject());
-        } catch (RuntimeException e) { // Gson has several for what is malformed
+        } catch (RuntimeException e) { // Gson throws several types for malformed text
             throw new MalformedListException("not a JSON object");
         }
     }
 
-    /** Parses an endpoint list: a full snapshot where it has {@code reset}, else a delta. */
+    /** Parses an endpoint list: a full snapshot if {@code reset} is true, else a delta. */
     public EndpointUpdate parse(JsonObject list) throws MalformedListException {
         try {
             List<Endpoint> endpoints = new ArrayList<>();
@@ -60,7 +65,7 @@
         }
     }
 
-    /** Parses one endpoint; any runtime exception: it cannot be read, its message says why. */
+    /** Parses one endpoint; throws a runtime exception of any type, whose message gives the cause, if malformed. */
     public Endpoint parseEndpoint(JsonObject instance) {
         String address = instance.get("hostPort").getAsString();
         parseAddress(address);
@@ -70,9 +75,9 @@
                 address,
                 state,
                 instance.has("weight") ? instance.get("weight").getAsDouble() : 1,
-                numberOf(kinds, instance, "machineType"),
+                indexOfProperty(kinds, instance, "machineType"),
                 instance.has("cell") ? instance.get("cell").getAsInt() : 0,
-                numberOf(zones, instance, "zone"),
+                indexOfProperty(zones, instance, "zone"),
                 instance.has("startedAtMs") ? instance.get("startedAtMs").getAsDouble() : 0);
     }
 
@@ -80,19 +85,20 @@
         try {
             return Endpoint.State.valueOf(lifecycle);
         } catch (IllegalArgumentException e) {
-            // The text that operators have always read; it is not to change with the type's name.
+            // Operators know this text, so it keeps the old name of the type.
             throw new IllegalArgumentException("No enum constant maplespread.facade.Route.State." + lifecycle);
         }
     }
 
-    /** The number of the member's name; -1 where it is missing or not in the settings. */
-    private static int numberOf(List<String> names, JsonObject instance, String member) {
-        return instance.has(member) ? names.indexOf(instance.get(member).getAsString()) : -1;
+    /** Returns the index of the property's value in the names; -1 if it is missing or not in the settings. */
+    private static int indexOfProperty(List<String> names, JsonObject instance, String property) {
+        return instance.has(property) ? names.indexOf(instance.get(property).getAsString()) : -1;
     }
 
     /**
-     * A numeric address with its port; names are not looked up. {@link IllegalArgumentException} with the text
-     * where it is none.
+     * Parses a numeric address with its port; host names are not looked up.
+     *
+     * @throws IllegalArgumentException with the text, if it is not such an address
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/maplespread/discovery/EndpointSource.java
+++ b/src/main/java/maplespread/discovery/EndpointSource.java
@@ -5,19 +5,23 @@
 
 /** Learns the workers' endpoints and notifies an {@link EndpointListener}, from {@link #start} on. Thread-safe. */
 public interface EndpointSource extends Closeable {
-    /** Begins; returns at once. */
+    /** Starts the source; returns at once. */
     void start();
 
-    /** The policy wants the list. A source that decides itself when to ask may ignore it. */
+    /** Requests the list for the policy. A source that schedules its own requests may ignore this call. */
     void watch();
 
-    /** The platform's discovery is at another address; false where that changes nothing here. */
+    /**
+     * Uses the platform's discovery at another address from now on.
+     *
+     * @return false if this changes nothing for the source
+     */
     boolean moveTo(InetSocketAddress address);
 
-    /** Why nothing that it has learned should be relied on any more; null where it may be. */
+    /** Returns why the endpoints from this source are no longer reliable; null if they are reliable. */
     String notReadyReason();
 
-    /** Ends; the listener is not notified after it. */
+    /** Closes the source; the listener is not notified afterwards. */
     @Override
     void close();
 }
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -8,17 +8,17 @@
 import maplespread.policy.EndpointWatchFailure;
 
 /**
- * Passes on what one source at a time learns. Another source takes over when it has read the full list: until
- * then the old one still counts, so that no drain is missed and no moment is without a list. Thread-safe; the
- * listener is notified under this object's lock.
+ * Forwards the updates of one source at a time. A new source takes over once it has read the full list; until then
+ * the old source's updates are still forwarded, so that no drain is missed and a list is available at all times.
+ * Thread-safe; the listener is notified under this object's lock.
  */
 public final class EndpointSourceSwitch implements EndpointSource {
-    /** Makes a source that notifies the listener; it is started by the switch. */
+    /** Creates a source that notifies the listener; the switch starts the source. */
     public interface Factory extends Function<EndpointListener, EndpointSource> {}
 
-    /** Passes on what one source learns, while that source counts. */
+    /** Forwards the notifications of one source while that source is in use. */
     private final class SourceListener implements EndpointListener {
-        private EndpointSource source; // set before the source is started
+        private EndpointSource source; // set before the source starts
 
         @Override
         public void endpointsChanged(EndpointUpdate update) {
@@ -28,7 +28,7 @@
         @Override
         public void watchLost(EndpointWatchFailure failure, double lastReceivedAgoMs) {
             synchronized (EndpointSourceSwitch.this) {
-                if (counts(source)) {
+                if (isInUse(source)) {
                     listener.watchLost(failure, lastReceivedAgoMs);
                 }
             }
@@ -37,7 +37,7 @@
         @Override
         public void listUnconfirmed(EndpointListDoubt doubt, double lastReceivedAgoMs) {
             synchronized (EndpointSourceSwitch.this) {
-                if (counts(source)) {
+                if (isInUse(source)) {
                     listener.listUnconfirmed(doubt, lastReceivedAgoMs);
                 }
             }
@@ -46,68 +46,68 @@
 
     private final EndpointListener listener;
     private EndpointSource newest;
-    private EndpointSource active; // the last one that has sent a full list
+    private EndpointSource active; // the last source to send a full list; initially the first source
     private boolean closed;
 
-    /** With a first source, which counts from the beginning. */
+    /** Creates the switch with a first source, whose updates are forwarded before it has sent a full list. */
     public EndpointSourceSwitch(Factory first, EndpointListener listener) {
         this.listener = listener;
-        newest = make(first);
+        newest = create(first);
         active = newest;
     }
 
-    private EndpointSource make(Factory factory) {
+    private EndpointSource create(Factory factory) {
         SourceListener sourceListener = new SourceListener();
         sourceListener.source = factory.apply(sourceListener);
         return sourceListener.source;
     }
 
-    private boolean counts(EndpointSource source) {
+    private boolean isInUse(EndpointSource source) {
         return !closed && (source == newest || source == active);
     }
 
-    /** Has another source take over once it has sent a full list. */
+    /** Starts another source, which takes over once it has sent a full list. */
     public void switchTo(Factory next) {
-        EndpointSource superseded;
-        EndpointSource started;
+        EndpointSource supersededSource;
+        EndpointSource startedSource;
         synchronized (this) {
             if (closed) {
                 return;
             }
-            superseded = newest != active ? newest : null; // it never sent a list
-            newest = make(next);
-            started = newest;
+            supersededSource = newest != active ? newest : null; // it has not sent a full list
+            newest = create(next);
+            startedSource = newest;
         }
-        if (superseded != null) {
-            superseded.close();
+        if (supersededSource != null) {
+            supersededSource.close();
         }
-        started.start();
-        started.watch();
+        startedSource.start();
+        startedSource.watch();
     }
 
     private void onUpdate(EndpointSource source, EndpointUpdate update) {
-        EndpointSource replaced = null;
+        EndpointSource replacedSource = null;
         synchronized (this) {
-            if (!counts(source)) {
+            if (!isInUse(source)) {
                 return;
             }
             if (source == newest && active != newest) {
                 if (update.kind() == EndpointUpdate.Kind.DELTA) {
-                    return; // not yet the full list
+                    return; // the new source has not sent the full list yet
                 }
-                replaced = active;
+                replacedSource = active;
                 active = newest;
                 Event.of("endpoints.source_switched", "revision", update.version())
                         .info();
             }
             listener.endpointsChanged(update);
         }
-        if (replaced != null) {
-            closeInBackground(replaced);
+        if (replacedSource != null) {
+            closeInBackground(replacedSource);
         }
     }
 
-    /** On a thread of its own: the source may hold its lock while it waits here to notify. */
+    /** Closes on a separate thread: the source may hold its own lock while it waits for this lock to notify. */
     private static void closeInBackground(EndpointSource source) {
         Thread closer = new Thread(source::close, "routes handed over");
         closer.setDaemon(true);
@@ -132,7 +132,7 @@
 
     @Override
     public String notReadyReason() {
-        return active().notReadyReason(); // not under this lock: the source takes its own
+        return active().notReadyReason(); // not under this lock, since the source takes its own lock
     }
 
     private synchronized EndpointSource active() {
--- a/src/main/java/maplespread/discovery/JsonObjectSplitter.java
+++ b/src/main/java/maplespread/discovery/JsonObjectSplitter.java
@@ -1,6 +1,6 @@
 package maplespread.discovery;
 
-/** Joins lines to JSON objects: one may stand on a line of its own, or be indented over many. Not thread-safe. */
+/** Assembles JSON objects from lines; an object takes one line or spans several. Not thread-safe. */
 final class JsonObjectSplitter {
     private static final int MAX_OBJECT_CHARS = 1 << 22;
 
@@ -8,14 +8,15 @@
     private int depth;
     private boolean quoted;
 
-    /** The object that this line ends; null where it ends none, as an empty line between two does not. */
+    /** Adds a line; returns the object that it completes, or null if none, as for an empty line between objects. */
     String add(String line) throws EndpointParser.MalformedListException {
         if (depth == 0 && !line.isEmpty() && line.charAt(0) != '{') {
             throw new EndpointParser.MalformedListException("not a JSON object");
         }
-        countBrackets(line);
+        updateNesting(line);
         if (text.length() + line.length() > MAX_OBJECT_CHARS) {
-            throw new EndpointParser.MalformedListException("longer than " + MAX_OBJECT_CHARS);
+            throw new EndpointParser.MalformedListException(
+                    "JSON object exceeds the character limit of " + MAX_OBJECT_CHARS);
         }
         text.append(line);
         if (depth > 0 || text.length() == 0) {
@@ -26,7 +27,7 @@
         return object;
     }
 
-    private void countBrackets(String line) {
+    private void updateNesting(String line) {
         for (int i = 0; i < line.length(); i++) {
             char next = line.charAt(i);
             if (quoted && next == '\\') {
--- a/src/main/java/maplespread/discovery/SubsetFilter.java
+++ b/src/main/java/maplespread/discovery/SubsetFilter.java
@@ -14,23 +14,28 @@
 import maplespread.subset.SubsetAssignment;
 
 /**
- * Passes on of the endpoint list what lies in this dispatcher's subset ({@link SubsetAssignment}), and tells
- * among how many dispatchers each of these workers is shared. A worker that drains leaves the subset at once, so
- * that another one takes its place; the drain of one in use is always passed on. One that only falls out of the
- * subset is passed on as deleted: it gets no new request, and what it runs is finished. Thread-safe.
+ * Forwards the endpoints in this dispatcher's subset ({@link SubsetAssignment}) and reports how many dispatchers
+ * share each of these workers. A draining worker leaves the subset at once, so that another worker takes its place;
+ * the drain of a worker in use is always forwarded. A worker that leaves the subset without draining is forwarded as
+ * deleted: it gets no new requests, and its requests in flight finish. Thread-safe.
  */
 public final class SubsetFilter implements EndpointListener {
     private final EndpointListener listener;
     private final IntConsumer dispatchersPerWorker;
     private final SubsetAssignment assignment;
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    private Set<String> passedOn = Set.of(); // workers that the listener knows
+
+    /** Workers that the listener knows of. */
+    private Set<String> forwardedWorkers = Set.of();
+
     private long listVersion;
     private int lastDispatchersPerWorker;
 
     /**
-     * {@code dispatchersPerWorker}: notified of how many dispatchers share a worker, before the list that this
-     * goes with.
+     * Creates a filter with an empty list.
+     *
+     * @param dispatchersPerWorker notified of how many dispatchers share a worker, before the listener gets the
+     *     list that this number applies to
      */
     public SubsetFilter(SubsetAssignment assignment, IntConsumer dispatchersPerWorker, EndpointListener listener) {
         this.assignment = assignment;
@@ -50,7 +55,7 @@
             changed.put(endpoint.worker(), endpoint);
             list(endpoint);
         }
-        passOn(update.kind(), changed, update.confirmed());
+        forward(update.kind(), changed, update.confirmed());
     }
 
     private void list(Endpoint endpoint) {
@@ -66,13 +71,13 @@
         }
     }
 
-    /** So many dispatchers share the workers from now on, by these settings. */
+    /** Recomputes the subset for a new number of dispatchers and new settings. */
     public synchronized void resize(int dispatchers, SubsetAssignment.SubsetSettings settings) {
         assignment.resize(dispatchers, settings);
-        passOn(EndpointUpdate.Kind.DELTA, Map.of(), false); // nothing has confirmed the list
+        forward(EndpointUpdate.Kind.DELTA, Map.of(), false); // discovery has not confirmed the list
     }
 
-    private void passOn(EndpointUpdate.Kind kind, Map<String, Endpoint> changed, boolean confirmed) {
+    private void forward(EndpointUpdate.Kind kind, Map<String, Endpoint> changed, boolean confirmed) {
         boolean full = kind != EndpointUpdate.Kind.DELTA;
         Set<String> used = assignment.workers();
         if (assignment.maxDispatchersPerWorker() != lastDispatchersPerWorker) {
@@ -82,17 +87,17 @@
         Set<String> next = new LinkedHashSet<>(used);
         List<Endpoint> endpoints = new ArrayList<>();
         for (String worker : used) {
-            if (full || !passedOn.contains(worker) || changed.containsKey(worker)) {
+            if (full || !forwardedWorkers.contains(worker) || changed.containsKey(worker)) {
                 endpoints.add(listed.get(worker));
             }
         }
-        for (String worker : passedOn) {
+        for (String worker : forwardedWorkers) {
             if (used.contains(worker)) {
                 continue;
             }
             Endpoint endpoint = listed.get(worker);
             if (endpoint != null && endpoint.state() == Endpoint.State.DRAINING) {
-                next.add(worker); // its end is still to be passed on
+                next.add(worker); // its deletion is still to be forwarded
                 if (full || changed.containsKey(worker)) {
                     endpoints.add(endpoint);
                 }
@@ -100,7 +105,7 @@
                 endpoints.add(endpoint == null ? changed.get(worker) : deleted(endpoint));
             }
         }
-        passedOn = next;
+        forwardedWorkers = next;
         listener.endpointsChanged(new EndpointUpdate(kind, listVersion, endpoints, confirmed));
     }
 
@@ -116,7 +121,7 @@
                 endpoint.startedAtMs());
     }
 
-    /** How many workers the full list has. */
+    /** Returns the number of workers on the full list. */
     public synchronized int listed() {
         return listed.size();
     }
--- a/src/main/java/maplespread/discovery/WatchTimeouts.java
+++ b/src/main/java/maplespread/discovery/WatchTimeouts.java
@@ -3,44 +3,44 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a watch may be silent before it counts as broken. The platform counts what a silent watch missed as
- * notified six seconds after the silence began, whether or not it arrived: until then there is time to notice
- * the silence and for the call that follows it. Milliseconds.
+ * Limits in milliseconds after which a silent watch counts as failed. The platform counts a change that a silent
+ * watch missed as notified six seconds after the silence began, whether or not the change arrived. Within this time
+ * the dispatcher must detect the silence and open the next watch.
  *
- * @param silenceMs without a line, at the least, from the call on
- * @param spreadMs drawn on top, anew for each watch: all dispatchers may fall silent in one instant, and
- *     discovery answers one call after another
- * @param renewMs for the first line of the watch that takes a silent one's place
+ * @param silenceMs minimum time without a line, counted from the start of the connection or from the last line
+ * @param spreadMs maximum of the random time added to {@code silenceMs} for each watch: the watches of all
+ *     dispatchers may fall silent at the same instant, and discovery answers one request after another
+ * @param renewMs time limit for the first line of a watch that replaces a silent one
  */
 public record WatchTimeouts(long silenceMs, long spreadMs, long renewMs) {
-    /** Between two lines of a watch while nothing changes, by the protocol. */
+    /** Interval between two lines of a watch while nothing changes, by the protocol. */
     private static final long LINE_INTERVAL_MS = 2000;
 
-    /** From the beginning of a silence until what it hid counts as notified, by the protocol. */
+    /** Time from the start of a silence until the changes missed in it count as notified, by the protocol. */
     private static final long CHANGE_NOTIFIED_MS = 6000;
 
-    /** What is left of that for the update to be taken in and obeyed. */
-    private static final long SPARE_MS = 200;
+    /** Part of {@link #CHANGE_NOTIFIED_MS} reserved for processing and applying the update. */
+    private static final long UPDATE_PROCESSING_MS = 200;
 
-    /** Lines may be late by one part in this many of what is left after a line's interval. */
-    private static final int LATE_DIVISOR = 5;
+    /** Divisor of the time left after one line interval; the quotient is how late a line may be. */
+    private static final int LATENESS_DIVISOR = 5;
 
-    /** Checks that there is a time for silences and one for calls. */
+    /** Checks that the limits are positive and the spread is not negative. */
     public WatchTimeouts {
         if (silenceMs < 1 || spreadMs < 0 || renewMs < 1) {
-            throw new IllegalArgumentException("a time for silences and one for calls are needed");
+            throw new IllegalArgumentException("silenceMs and renewMs must be positive, spreadMs not negative");
         }
     }
 
-    /** By the protocol's times. */
+    /** Returns the limits that follow from the times of the protocol. */
     public static WatchTimeouts ofProtocol() {
-        long lateMs = (CHANGE_NOTIFIED_MS - LINE_INTERVAL_MS) / LATE_DIVISOR;
-        long silenceMs = LINE_INTERVAL_MS + lateMs;
-        long spreadMs = lateMs / 2;
-        return new WatchTimeouts(silenceMs, spreadMs, CHANGE_NOTIFIED_MS - SPARE_MS - silenceMs - spreadMs);
+        long maxLatenessMs = (CHANGE_NOTIFIED_MS - LINE_INTERVAL_MS) / LATENESS_DIVISOR;
+        long silenceMs = LINE_INTERVAL_MS + maxLatenessMs;
+        long spreadMs = maxLatenessMs / 2;
+        return new WatchTimeouts(silenceMs, spreadMs, CHANGE_NOTIFIED_MS - UPDATE_PROCESSING_MS - silenceMs - spreadMs);
     }
 
-    /** How long the next watch may be silent. */
+    /** Draws the time that the next watch may be silent, in milliseconds. */
     long drawSilenceLimitMs(SplittableRandom random) {
         return silenceMs + random.nextLong(spreadMs + 1);
     }
