--- a/src/main/java/maplespread/address/ClaimClient.java
+++ b/src/main/java/maplespread/address/ClaimClient.java
@@ -7,35 +7,35 @@
 import maplespread.address.ClaimMessage.Kind;
 
 /**
- * A claimant's orders: before the first byte of one is sent to a worker, a majority of the electors holds its id for this
- * incarnation of this instance. It decides whether an order may be sent, not where to.
+ * The claims of one claimant. Before the first byte of a request is sent to a worker, a majority of the electors holds the
+ * request's id for this incarnation of this instance. A claim decides whether a request may be sent, not where to.
  */
 public final class ClaimClient {
-    /** What is known of an id. */
+    /** The result of a claim. */
     public sealed interface Verdict {
-        /** It is this instance's to send, once, at once. */
+        /** This instance may send the request immediately, and only once. */
         record Granted() implements Verdict {}
 
         /**
-         * It ran before.
+         * The request was executed before.
          *
-         * @param outcome what came of it
+         * @param outcome the recorded outcome
          */
         record Known(String outcome) implements Verdict {}
 
-        /** Another claim of it is held and may have run: it must not run again. */
+        /** Another claim holds the id, and its request may have been executed: it must not be executed again. */
         record InDoubt() implements Verdict {}
 
-        /** No majority could be asked: it has not run by this claim, and may be tried again. */
+        /** No majority granted the claim in time. This claim did not execute the request, which may be retried. */
         record Unavailable() implements Verdict {}
     }
 
-    /** Takes messages and verdicts. */
+    /** Sends messages and receives verdicts. */
     public interface Transport {
-        /** Sends a message to an elector; it may be lost, delayed, repeated or overtaken. */
+        /** Sends a message to an elector; it may be lost, delayed, duplicated or reordered. */
         void send(String receiver, ClaimMessage message);
 
-        /** A claim has ended with this verdict. */
+        /** Called when a claim has ended with this verdict. */
         void decided(String id, Verdict verdict);
     }
 
@@ -44,7 +44,7 @@
         private final long attempt;
         private final long endsAt;
         private final Set<String> grants = new HashSet<>();
-        private final Set<String> answered = new HashSet<>();
+        private final Set<String> repliedElectors = new HashSet<>();
         private boolean heldByAnother;
 
         OpenClaim(long attempt, long endsAt) {
@@ -60,27 +60,31 @@
     private final ClaimSettings settings;
     private final long incarnation;
     private final Transport transport;
-    private final Map<String, OpenClaim> open = new HashMap<>();
+    private final Map<String, OpenClaim> openClaims = new HashMap<>();
     private final Map<String, Long> grantedAttempts = new HashMap<>();
-    private long attempts;
+    private long lastAttempt;
 
-    /** {@code incarnation}: tells this process from others of its name. */
+    /**
+     * Creates a claimant without claims.
+     *
+     * @param incarnation distinguishes this process from others with the same name
+     */
     public ClaimClient(ClaimSettings settings, long incarnation, Transport transport) {
         this.settings = settings;
         this.incarnation = incarnation;
         this.transport = transport;
     }
 
-    /** Asks the electors for the id, under the term of a lease. An id that is in work here is in doubt. */
+    /** Claims an id at the electors under the term of a lease. An id with a claim in progress here is in doubt. */
     public void claim(long now, String id, long term) {
-        if (open.containsKey(id) || grantedAttempts.containsKey(id)) {
+        if (openClaims.containsKey(id) || grantedAttempts.containsKey(id)) {
             transport.decided(id, new Verdict.InDoubt());
             return;
         }
-        OpenClaim claim = new OpenClaim(++attempts, now + settings.claimTimeoutMs());
-        open.put(id, claim);
+        OpenClaim claim = new OpenClaim(++lastAttempt, now + settings.claimTimeoutMs());
+        openClaims.put(id, claim);
         for (String elector : settings.electors()) {
-            if (open.get(id) == claim) { // an answer may come within the call
+            if (openClaims.get(id) == claim) { // a reply within send() may end the claim
                 transport.send(elector, message(Kind.CLAIM, id, claim.attempt, term, null));
             }
         }
@@ -91,63 +95,64 @@
     }
 
     /**
-     * Takes an elector's answer. A grant that is read after the claim's time counts for nothing, even if it came before:
-     * electors that have restarted rely on that time.
+     * Processes an elector's reply. A grant that is read after the claim timeout is ignored, even if it arrived earlier:
+     * restarted electors rely on that timeout.
      */
-    public void received(long now, ClaimMessage answer) {
+    public void received(long now, ClaimMessage reply) {
         tick(now);
-        OpenClaim claim = open.get(answer.id());
-        if (claim == null || !isAnswerTo(claim, answer)) {
+        OpenClaim claim = openClaims.get(reply.id());
+        if (claim == null || !isReplyTo(claim, reply)) {
             return;
         }
-        claim.answered.add(answer.sender());
-        if (answer.kind() == Kind.GRANTED) {
-            granted(claim, answer);
-        } else if (answer.kind() == Kind.HELD) {
+        claim.repliedElectors.add(reply.sender());
+        if (reply.kind() == Kind.GRANTED) {
+            handleGrant(claim, reply);
+        } else if (reply.kind() == Kind.HELD) {
             claim.heldByAnother = true;
-            if (answer.outcome() != null) {
-                end(answer.id(), claim, new Verdict.Known(answer.outcome()));
+            if (reply.outcome() != null) {
+                endClaim(reply.id(), claim, new Verdict.Known(reply.outcome()));
             }
         }
-        // An elector that holds another's claim may be overruled by a majority that does not: all are awaited.
-        boolean allAnswered = claim.answered.size() == settings.electors().size();
-        if (open.get(answer.id()) == claim && allAnswered) {
-            end(answer.id(), claim, claim.verdictWithoutMajority());
+        // One elector that holds another claim does not rule out a majority, so the claim waits for all replies.
+        boolean allAnswered =
+                claim.repliedElectors.size() == settings.electors().size();
+        if (openClaims.get(reply.id()) == claim && allAnswered) {
+            endClaim(reply.id(), claim, claim.verdictWithoutMajority());
         }
     }
 
-    private boolean isAnswerTo(OpenClaim claim, ClaimMessage answer) {
-        return claim.attempt == answer.attempt()
-                && answer.term() == incarnation
-                && settings.electors().contains(answer.sender());
+    private boolean isReplyTo(OpenClaim claim, ClaimMessage reply) {
+        return claim.attempt == reply.attempt()
+                && reply.term() == incarnation
+                && settings.electors().contains(reply.sender());
     }
 
-    private void granted(OpenClaim claim, ClaimMessage answer) {
-        claim.grants.add(answer.sender());
+    private void handleGrant(OpenClaim claim, ClaimMessage reply) {
+        claim.grants.add(reply.sender());
         if (claim.grants.size() >= settings.majority()) {
-            open.remove(answer.id());
-            grantedAttempts.put(answer.id(), claim.attempt);
-            transport.decided(answer.id(), new Verdict.Granted());
+            openClaims.remove(reply.id());
+            grantedAttempts.put(reply.id(), claim.attempt);
+            transport.decided(reply.id(), new Verdict.Granted());
         }
     }
 
-    /** Ends the claims that have waited too long. */
+    /** Ends the claims that have timed out. */
     public void tick(long now) {
-        for (String orderId : Set.copyOf(open.keySet())) {
-            OpenClaim claim = open.get(orderId);
+        for (String requestId : Set.copyOf(openClaims.keySet())) {
+            OpenClaim claim = openClaims.get(requestId);
             if (claim != null && now >= claim.endsAt) {
-                end(orderId, claim, claim.verdictWithoutMajority());
+                endClaim(requestId, claim, claim.verdictWithoutMajority());
             }
         }
     }
 
-    private void end(String id, OpenClaim claim, Verdict verdict) {
-        open.remove(id);
-        sendToElectors(message(Kind.ABANDON, id, claim.attempt, 0, null)); // its grants would hold the id for nothing
+    private void endClaim(String id, OpenClaim claim, Verdict verdict) {
+        openClaims.remove(id);
+        sendToElectors(message(Kind.ABANDON, id, claim.attempt, 0, null)); // releases grants that would block the id
         transport.decided(id, verdict);
     }
 
-    /** Records what came of an order that was granted: to be called before its client is answered. */
+    /** Records the outcome of a granted request. Must be called before the response to the client is sent. */
     public void record(String id, String outcome) {
         Long attempt = grantedAttempts.remove(id);
         if (attempt != null) {
@@ -155,7 +160,7 @@
         }
     }
 
-    /** Gives an id back that was granted and whose order was not sent after all. */
+    /** Releases a granted id whose request was not sent. */
     public void abandon(String id) {
         Long attempt = grantedAttempts.remove(id);
         if (attempt != null) {
--- a/src/main/java/maplespread/address/ClaimTable.java
+++ b/src/main/java/maplespread/address/ClaimTable.java
@@ -11,20 +11,20 @@
 import maplespread.address.ClaimMessage.Kind;
 
 /**
- * An elector's claims: which incarnation of which instance holds an order id, and what came of it. One id has one
- * claimant here until its time is over, so that of two that claim it only one can have a majority.
+ * The claims that an elector holds: for each request id, the instance and incarnation that claimed it, and the outcome of
+ * the request. An id has one claimant here until its retention ends, so that only one of two claimants can have a majority.
  *
- * <p>Nothing is stored. An elector that starts recovers until it has read enough others that every claim which it may
- * have held before is known to it again, or until any such claim is over.
+ * <p>Nothing is persisted. An elector that starts is recovering until it has read the claims of enough other electors to
+ * know every claim that it may have held before, or until any such claim has expired.
  */
 public final class ClaimTable {
     private static final int MAX_SYNC_ENTRIES = 16;
     private static final long SYNC_INTERVAL_MS = 100;
 
-    /** No sync before this many claim timeouts: see {@link #tick}. */
-    private static final int SYNC_DELAY_TIMEOUTS = 2;
+    /** Delay of the first sync after the start, in claim timeouts; see {@link #tick} for the reason. */
+    private static final int MIN_SYNC_DELAY_TIMEOUTS = 2;
 
-    private static final long LONG_AGO = Long.MIN_VALUE / 2;
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
     private record Claimant(String name, long incarnation, long attempt) {
         static Claimant of(ClaimMessage message) {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * An id. It is granted to one claimant, but others that are read during recovery may have granted it to several: each
-     * of them may be the one that ran it, so the id is free only when all have given it back.
+     * The claims on one id. This elector grants an id to one claimant. During recovery, other electors may report several
+     * claimants: any of them may have sent the request, so the id is free only when all have abandoned it.
      */
     private static final class HeldId {
         private final Set<Claimant> claimants = new HashSet<>();
@@ -46,28 +46,31 @@
         }
     }
 
-    /** Takes messages. */
+    /** Sends the messages of a claim table. */
     public interface Transport {
-        /** Sends a message to another instance; it may be lost, delayed, repeated or overtaken. */
+        /** Sends a message to another instance; it may be lost, delayed, duplicated or reordered. */
         void send(String receiver, ClaimMessage message);
     }
 
     private final ClaimSettings settings;
     private final long incarnation;
     private final Transport transport;
-    private final Map<String, HeldId> held = new LinkedHashMap<>(); // the oldest first
+
+    /** The claims by request id, in the order of their age, oldest first. */
+    private final Map<String, HeldId> held = new LinkedHashMap<>();
+
     private final SyncProgress syncProgress = new SyncProgress();
     private final long startedAt;
-    private long requestedAt = LONG_AGO;
+    private long requestedAt = NEVER;
     private long highestTerm;
     private long syncResponses;
     private boolean recovering = true;
 
     /**
-     * An elector that recovers.
+     * Creates the table of a recovering elector.
      *
-     * @param incarnation tells this process from others of its name
-     * @param now the time in milliseconds
+     * @param incarnation distinguishes this process from others with the same name
+     * @param now the current time, in milliseconds
      */
     public ClaimTable(ClaimSettings settings, long incarnation, long now, Transport transport) {
         this.settings = settings;
@@ -76,29 +79,29 @@
         startedAt = now;
     }
 
-    /** Whether this elector grants nothing yet. */
+    /** Whether this elector is still recovering and grants no claims. */
     public boolean recovering() {
         return recovering;
     }
 
-    /** The number of ids that are held. */
+    /** The number of held ids. */
     public int size() {
         return held.size();
     }
 
-    /** A term was seen: claims under lower ones are not granted from then on. */
+    /** Records a term that was observed: claims under lower terms are rejected afterwards. */
     public void term(long term) {
         highestTerm = Math.max(highestTerm, term);
     }
 
-    /** Asks others during recovery, and forgets what is over. */
+    /** Requests claims from other electors during recovery, and removes expired claims. */
     public void tick(long now) {
         long elapsedMs = now - startedAt;
         recovering &=
                 elapsedMs <= settings.retentionMs() && syncProgress.completeSources() < settings.requiredSyncSources();
-        // Not before every claim is over that the incarnation before may have granted: a grant that another elector
-        // gives to such a claim after it was read would complete a majority that nobody here remembers.
-        boolean syncAllowed = elapsedMs >= SYNC_DELAY_TIMEOUTS * settings.claimTimeoutMs();
+        // Sync waits until every claim that the previous incarnation may have granted has timed out. Otherwise another
+        // elector could grant such a claim after its table was read, and complete a majority that this one forgot.
+        boolean syncAllowed = elapsedMs >= MIN_SYNC_DELAY_TIMEOUTS * settings.claimTimeoutMs();
         if (recovering && syncAllowed && now - requestedAt >= SYNC_INTERVAL_MS) {
             requestedAt = now;
             requestSync();
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Takes what a claimant or another elector sends. */
+    /** Processes a message from a claimant or another elector. */
     public void received(long now, ClaimMessage message) {
         tick(now);
         switch (message.kind()) {
@@ -132,42 +135,48 @@
             case ABANDON -> abandon(message);
             case SYNC_REQUEST -> {
                 if (!recovering) {
-                    sync(now, message.sender());
+                    sendClaims(now, message.sender());
                 }
             }
-            case SYNC_RESPONSE -> learn(now, message);
-            default -> {} // an answer, for claimants
+            case SYNC_RESPONSE -> merge(now, message);
+            default -> {} // replies are for claimants
         }
     }
 
     private void claim(long now, ClaimMessage claim) {
         HeldId known = held.get(claim.id());
         if (recovering) {
-            answer(claim, Kind.RECOVERING, null);
+            reply(claim, Kind.RECOVERING, null);
         } else if (known != null) {
-            boolean same = known.claimants.equals(Set.of(Claimant.of(claim)));
-            answer(claim, same ? Kind.GRANTED : Kind.HELD, known.outcome);
+            boolean heldBySender = known.claimants.equals(Set.of(Claimant.of(claim)));
+            reply(claim, heldBySender ? Kind.GRANTED : Kind.HELD, known.outcome);
         } else if (claim.term() < highestTerm || held.size() >= settings.maxClaims()) {
-            // An older lease's, or the table is full: no other claim may be forgotten for it.
-            answer(claim, Kind.RECOVERING, null);
+            // The claim belongs to an older lease, or the table is full: held claims are never evicted for a new one.
+            reply(claim, Kind.RECOVERING, null);
         } else {
             highestTerm = claim.term();
             HeldId granted = new HeldId(now);
             granted.claimants.add(Claimant.of(claim));
             held.put(claim.id(), granted);
-            answer(claim, Kind.GRANTED, null);
+            reply(claim, Kind.GRANTED, null);
         }
     }
 
-    /** To the incarnation that asked, and no other: attempts of two incarnations may have one number. */
-    private void answer(ClaimMessage asked, Kind kind, String outcome) {
+    /** Replies to the sender's incarnation only: attempts of two incarnations may have the same number. */
+    private void reply(ClaimMessage request, Kind kind, String outcome) {
         transport.send(
-                asked.sender(),
+                request.sender(),
                 ClaimMessage.of(
-                        kind, settings.name(), incarnation, asked.id(), asked.attempt(), asked.incarnation(), outcome));
+                        kind,
+                        settings.name(),
+                        incarnation,
+                        request.id(),
+                        request.attempt(),
+                        request.incarnation(),
+                        outcome));
     }
 
-    /** An outcome is kept also where the claim was never received. It moves the id to the end, as the newest. */
+    /** Stores an outcome, even if the claim was never received. The id becomes the newest in the table. */
     private void record(long now, ClaimMessage outcome) {
         HeldId known = held.remove(outcome.id());
         HeldId recorded = known == null ? new HeldId(now) : known;
@@ -177,7 +186,7 @@
         held.put(outcome.id(), recorded);
     }
 
-    /** The order was never sent: the id is free once no claimant is left. */
+    /** Removes a claimant whose request was never sent. The id is free once no claimant remains. */
     private void abandon(ClaimMessage message) {
         HeldId known = held.get(message.id());
         if (known != null
@@ -190,9 +199,9 @@
 
     // ------------------------------------------------------------ recovery
 
-    /** Sends all that is held, in as many parts as it takes. */
-    private void sync(long now, String receiver) {
-        List<List<Entry>> parts = parts(now);
+    /** Sends all held claims, split into as many parts as needed. */
+    private void sendClaims(long now, String receiver) {
+        List<List<Entry>> parts = splitIntoParts(now);
         syncResponses++;
         for (int number = 0; number < parts.size(); number++) {
             transport.send(
@@ -210,8 +219,8 @@
         }
     }
 
-    /** At least one part, which may be empty. */
-    private List<List<Entry>> parts(long now) {
+    /** Splits the held claims into at least one part, which may be empty. */
+    private List<List<Entry>> splitIntoParts(long now) {
         List<List<Entry>> parts = new ArrayList<>();
         List<Entry> part = new ArrayList<>();
         parts.add(part);
@@ -234,18 +243,18 @@
         return parts;
     }
 
-    /** Takes a part of another elector's claims. */
-    private void learn(long now, ClaimMessage part) {
+    /** Merges a part of another elector's claims. */
+    private void merge(long now, ClaimMessage part) {
         for (Entry entry : part.entries()) {
             if (recovering && entry.ageMs() <= settings.retentionMs()) {
-                learn(now - entry.ageMs(), entry);
+                merge(now - entry.ageMs(), entry);
             }
         }
         syncProgress.add(part);
         tick(now);
     }
 
-    private void learn(long since, Entry entry) {
+    private void merge(long since, Entry entry) {
         HeldId known = held.computeIfAbsent(entry.id(), id -> new HeldId(since));
         known.claimants.add(new Claimant(entry.claimant(), entry.incarnation(), entry.attempt()));
         known.outcome = entry.outcome() != null ? entry.outcome() : known.outcome;
--- a/src/main/java/maplespread/address/ElectorVote.java
+++ b/src/main/java/maplespread/address/ElectorVote.java
@@ -1,55 +1,55 @@
 package maplespread.address;
 
 /**
- * An elector's vote. It belongs to one incarnation of one candidate at a time, for a lease by the elector's own clock, or
- * until it is released; a release may reserve it for a successor.
+ * An elector's vote. One incarnation of one candidate holds it at a time, until the lease expires on the elector's clock or
+ * the holder releases it. A release may reserve the vote for a successor.
  */
 final class ElectorVote {
     private String holder = "";
     private long holderIncarnation;
     private long term;
-    private long heldUntil;
+    private long leaseEndsAt;
     private String reservedFor = "";
     private long reservedUntil;
 
-    /** Whether the request may have the vote: it renews the vote, or the vote is free and the term is newer. */
+    /** Whether the vote can be granted: the request renews it, or the vote is free and the request's term is newer. */
     boolean isAvailableTo(ElectionMessage request, long now) {
-        if (isOf(request) && now < heldUntil) {
+        if (isHeldBySenderOf(request) && now < leaseEndsAt) {
             return true;
         }
         boolean reserved = now < reservedUntil && !reservedFor.equals(request.sender());
-        return now >= heldUntil && !reserved && request.term() > term;
+        return now >= leaseEndsAt && !reserved && request.term() > term;
     }
 
-    private boolean isOf(ElectionMessage message) {
+    private boolean isHeldBySenderOf(ElectionMessage message) {
         return holder.equals(message.sender()) && holderIncarnation == message.incarnation() && term == message.term();
     }
 
-    /** Gives the vote for a lease. */
-    void give(ElectionMessage request, long now, long leaseMs) {
+    /** Grants the vote for one lease. */
+    void grant(ElectionMessage request, long now, long leaseMs) {
         holder = request.sender();
         holderIncarnation = request.incarnation();
         term = request.term();
-        heldUntil = now + leaseMs;
+        leaseEndsAt = now + leaseMs;
         reservedUntil = now;
     }
 
-    /** Takes the vote back from the sender of a release, and reserves it for the successor that it names. */
+    /** Frees the vote if the sender of the release holds it, and reserves it for the successor that the release names. */
     void release(ElectionMessage release, long now, long reservationMs) {
-        if (isOf(release)) {
-            heldUntil = Math.min(heldUntil, now);
+        if (isHeldBySenderOf(release)) {
+            leaseEndsAt = Math.min(leaseEndsAt, now);
             reservedFor = release.holder();
             reservedUntil = release.holder().isEmpty() ? now : now + reservationMs;
         }
     }
 
-    /** Who has the vote; empty: nobody. */
+    /** The holder of the vote; empty if the vote is free. */
     String holder(long now) {
-        return now < heldUntil ? holder : "";
+        return now < leaseEndsAt ? holder : "";
     }
 
-    /** For how long the holder has the vote, in milliseconds. */
+    /** Remaining time of the holder's lease, in milliseconds. */
     long remainingMs(long now) {
-        return Math.max(0, heldUntil - now);
+        return Math.max(0, leaseEndsAt - now);
     }
 }
--- a/src/main/java/maplespread/address/LeaderElection.java
+++ b/src/main/java/maplespread/address/LeaderElection.java
@@ -8,34 +8,33 @@
 import maplespread.address.ElectionMessage.Kind;
 
 /**
- * One instance's part in who owns the address, as elector, candidate or both: a lease by majority, in the manner of
- * PaxosLease (Trencseni, Gazso, Reinhardt 2012) with terms as in Raft.
+ * The election of the address owner at one instance, which is an elector, a candidate or both. The owner holds a
+ * majority lease in the manner of PaxosLease (Trencseni, Gazso, Reinhardt 2012), with terms as in Raft.
  *
- * <p>An elector gives its vote to one incarnation of one candidate at a time, for a lease by its own clock. A candidate
- * owns the address while a majority has voted for it, and counts the lease from the moment at which it asked, shortened
- * by the drift of both clocks: it has ended here before any of the votes has. So two never own the address at once,
- * whatever the network does; message delays are not bounded, clocks need only run at nearly the same rate.
+ * <p>An elector grants its vote to one incarnation of one candidate at a time, for one lease on the elector's own clock.
+ * A candidate owns the address while a majority has voted for it. It counts its lease from the time of its request,
+ * shortened by the drift of both clocks, so its lease expires before any of the votes does. Two candidates therefore
+ * never own the address at once. Message delays may be unbounded; clocks only need to run at nearly the same rate.
  *
- * <p>Nothing is stored. An elector that starts knows neither its votes nor the terms, so it is silent for longer than any
- * lease. Terms begin at Unix time, so that they grow over restarts of all.
+ * <p>Nothing is persisted. An elector that starts knows neither its votes nor the terms, so it grants no vote for longer
+ * than any lease lasts. Terms start at Unix time, so that they increase even when all instances restart.
  *
- * <p>Its owner passes the time in, in milliseconds of a clock that never goes back, and calls it from one thread at a
- * time.
+ * <p>The caller passes the time in milliseconds of a monotonic clock and calls from one thread at a time.
  */
 public final class LeaderElection {
-    /** What this instance does as a candidate. */
+    /** The role of this instance as a candidate. */
     public enum Role {
-        /** Another instance owns the address, or nobody. */
+        /** Another instance, or none, owns the address. */
         FOLLOWER,
-        /** It has asked for votes. */
+        /** This instance has requested votes. */
         CANDIDATE,
-        /** It owns the address, while {@link #mayAct} says so. */
+        /** This instance owns the address while {@link #mayAct} returns true. */
         LEADER,
-        /** It has lost the address and waits before it asks again. */
+        /** This instance has lost the address and waits before it requests votes again. */
         BACKOFF
     }
 
-    private static final int NO_CANDIDATE = -1;
+    private static final int NOT_A_CANDIDATE = -1;
     private static final String RELEASED = "given up";
     private static final String EXPIRED = "the lease has run out";
 
@@ -48,13 +47,13 @@
     private final long startedAt;
     private final ElectorVote vote = new ElectorVote();
     private final Set<String> grants = new HashSet<>();
-    private final Set<String> refusals = new HashSet<>();
+    private final Set<String> rejections = new HashSet<>();
     private long highestTerm;
     private Role role = Role.FOLLOWER;
     private long term;
     private long sequence;
     private long requestedAt;
-    private long leaseUntil;
+    private long leaseEndsAt;
     private long nextTickAt;
     private long backoffMs;
     private long stableSince;
@@ -64,12 +63,12 @@
     private boolean ended;
 
     /**
-     * An instance that knows neither votes nor terms.
+     * Creates an instance that knows neither votes nor terms.
      *
-     * @param incarnation Unix milliseconds of this process' start; tells processes of one name apart
-     * @param seed of the random source that spreads requests
-     * @param now milliseconds of a monotonic clock
-     * @param transport takes what the instance sends and reports, during calls of it
+     * @param incarnation start time of this process in Unix milliseconds; distinguishes processes with the same name
+     * @param seed the seed of the random source that spreads vote requests
+     * @param now the current time, in milliseconds of a monotonic clock
+     * @param transport sends messages and reports events; invoked within calls to this object
      */
     public LeaderElection(
             ElectionSettings settings, long incarnation, long seed, long now, ElectionTransport transport) {
@@ -85,55 +84,56 @@
         nextTickAt = now + delayMs(0);
     }
 
-    /** The term of the lease held, or of the last one. */
+    /** The term of the current lease, or of the last one requested. */
     public long term() {
         return term;
     }
 
-    /** What this instance does as a candidate. */
+    /** The role of this instance as a candidate. */
     public Role role() {
         return role;
     }
 
-    /** Who was last known to own the address; empty: nobody. */
+    /** The last known owner of the address; empty if none is known. */
     public String knownOwner() {
         return knownOwner;
     }
 
     /**
-     * The fence: whether this instance owns the address at this moment. To be asked at each use with the time as it is
-     * then; guards against a process that was paused beyond its lease and has not noticed.
+     * Fencing check: whether this instance owns the address at this moment. Callers check it before each use of the address with the
+     * current time: after a process pause longer than the lease, the role alone is outdated.
      */
     public boolean mayAct(long now) {
-        return role == Role.LEADER && now < leaseUntil;
+        return role == Role.LEADER && now < leaseEndsAt;
     }
 
     // ------------------------------------------------------------ time
 
     /**
-     * Does what is due; returns when to be called again at the latest.
+     * Runs the steps that are due.
      *
-     * @param now milliseconds of the monotonic clock
+     * @param now the current time, in milliseconds of the monotonic clock
      * @param wallMs Unix milliseconds, for terms only
+     * @return the latest time of the next call, in milliseconds of the monotonic clock
      */
     public long tick(long now, long wallMs) {
         if (ended) {
             return Long.MAX_VALUE;
         }
-        if (role == Role.LEADER && now >= leaseUntil) {
-            lose(now, EXPIRED, "");
+        if (role == Role.LEADER && now >= leaseEndsAt) {
+            loseOwnership(now, EXPIRED, "");
         }
         if (now >= nextTickAt && isCandidate()) {
             advance(now, wallMs);
         }
         if (role == Role.LEADER) {
-            return Math.min(nextTickAt, leaseUntil);
+            return Math.min(nextTickAt, leaseEndsAt);
         }
         return isCandidate() ? nextTickAt : Long.MAX_VALUE;
     }
 
     private boolean isCandidate() {
-        return rank != NO_CANDIDATE;
+        return rank != NOT_A_CANDIDATE;
     }
 
     private void advance(long now, long wallMs) {
@@ -143,14 +143,14 @@
                 role = Role.FOLLOWER;
                 nextTickAt = now + delayMs(0);
             }
-            case CANDIDATE -> retreat(now); // no majority in time
-            case FOLLOWER -> follow(now, wallMs);
+            case CANDIDATE -> endCandidacy(now); // no majority within the timeout
+            case FOLLOWER -> advanceFollower(now, wallMs);
         }
     }
 
-    private void follow(long now, long wallMs) {
-        boolean ownerAlive = !knownOwner.isEmpty() && now - ownerSeenAt < settings.leaseMs();
-        if (!ownerAlive) {
+    private void advanceFollower(long now, long wallMs) {
+        boolean ownerLeaseValid = !knownOwner.isEmpty() && now - ownerSeenAt < settings.leaseMs();
+        if (!ownerLeaseValid) {
             term = Math.max(highestTerm + 1, wallMs);
             role = Role.CANDIDATE;
             requestVotes(now, settings.leaseMs() / 2);
@@ -162,14 +162,14 @@
                     knownOwner,
                     new ElectionMessage(Kind.HANDOVER_REQUEST, settings.name(), incarnation, highestTerm, 0, "", 0));
         }
-        // Next when the owner's last message is a lease old, the preferred ones first.
+        // The next request is due one lease after the owner's last message; preferred candidates ask first.
         nextTickAt = Math.max(now + 1, ownerSeenAt + settings.leaseMs()) + delayMs(0);
         if (preferred) {
             nextTickAt = Math.min(nextTickAt, now + settings.renewMs());
         }
     }
 
-    /** Longer for less preferred candidates, and random, so that they do not ask at once. */
+    /** A delay that grows as preference falls, plus a random share, so that candidates do not ask at the same time. */
     private long delayMs(long baseMs) {
         return baseMs + Math.max(0, rank) * settings.staggerMs() + random.nextLong(Math.max(1, settings.staggerMs()));
     }
@@ -178,13 +178,13 @@
         sequence++;
         requestedAt = now;
         grants.clear();
-        refusals.clear();
+        rejections.clear();
         nextTickAt = now + nextTickInMs;
         ElectionMessage request =
                 new ElectionMessage(Kind.REQUEST, settings.name(), incarnation, term, sequence, "", 0);
         for (String receiver : settings.electors()) {
             if (receiver.equals(settings.name())) {
-                vote(now, request);
+                handleVoteRequest(now, request);
             } else {
                 transport.send(receiver, request);
             }
@@ -193,7 +193,7 @@
 
     // ------------------------------------------------------------ messages
 
-    /** Takes a message of another instance, which is known to have sent it. */
+    /** Processes a message from another instance whose sender is authenticated. */
     public void received(long now, ElectionMessage message) {
         if (ended) {
             return;
@@ -201,17 +201,17 @@
         switch (message.kind()) {
             case REQUEST -> {
                 if (elector) {
-                    vote(now, message);
+                    handleVoteRequest(now, message);
                 }
             }
-            case GRANT -> granted(now, message);
-            case REFUSE -> refused(now, message);
-            case RELEASE -> released(now, message);
-            case HANDOVER_REQUEST -> handoverRequested(now, message);
+            case GRANT -> handleGrant(now, message);
+            case REFUSE -> handleRejection(now, message);
+            case RELEASE -> handleRelease(now, message);
+            case HANDOVER_REQUEST -> handleHandoverRequest(now, message);
         }
     }
 
-    private void handoverRequested(long now, ElectionMessage request) {
+    private void handleHandoverRequest(long now, ElectionMessage request) {
         int candidateRank = settings.candidates().indexOf(request.sender());
         boolean preferred = candidateRank >= 0 && candidateRank < rank;
         if (mayAct(now) && preferred && now - acquiredAt >= settings.stableMs()) {
@@ -219,25 +219,28 @@
         }
     }
 
-    private void vote(long now, ElectionMessage request) {
-        // An elector that has just started may have voted before, and does not know for whom.
+    private void handleVoteRequest(long now, ElectionMessage request) {
+        // An elector that has just started does not know its votes from before the restart.
         boolean inQuarantine = now - startedAt < settings.quarantineMs();
         if (!inQuarantine
                 && request.term() >= highestTerm
                 && vote.isAvailableTo(request, now)
                 && settings.candidates().contains(request.sender())) {
-            vote.give(request, now, settings.leaseMs());
+            vote.grant(request, now, settings.leaseMs());
             highestTerm = request.term();
             observeOwner(now, request.sender());
-            answer(now, request, reply(Kind.GRANT, request, request.term(), "", 0));
+            sendReply(now, request, newReply(Kind.GRANT, request, request.term(), "", 0));
         } else {
             highestTerm = Math.max(highestTerm, request.term());
-            answer(now, request, reply(Kind.REFUSE, request, highestTerm, vote.holder(now), vote.remainingMs(now)));
+            sendReply(
+                    now, request, newReply(Kind.REFUSE, request, highestTerm, vote.holder(now), vote.remainingMs(now)));
         }
     }
 
-    private ElectionMessage reply(Kind kind, ElectionMessage request, long ofTerm, String holder, long remainingMs) {
-        return new ElectionMessage(kind, settings.name(), incarnation, ofTerm, request.sequence(), holder, remainingMs);
+    private ElectionMessage newReply(
+            Kind kind, ElectionMessage request, long replyTerm, String holder, long remainingMs) {
+        return new ElectionMessage(
+                kind, settings.name(), incarnation, replyTerm, request.sequence(), holder, remainingMs);
     }
 
     private void observeOwner(long now, String owner) {
@@ -247,28 +250,28 @@
         }
     }
 
-    private void answer(long now, ElectionMessage request, ElectionMessage answer) {
+    private void sendReply(long now, ElectionMessage request, ElectionMessage reply) {
         if (!request.sender().equals(settings.name())) {
-            transport.send(request.sender(), answer);
-        } else if (answer.kind() == Kind.GRANT) {
-            granted(now, answer);
+            transport.send(request.sender(), reply);
+        } else if (reply.kind() == Kind.GRANT) {
+            handleGrant(now, reply);
         }
     }
 
-    private void granted(long now, ElectionMessage grant) {
-        boolean asking = role == Role.CANDIDATE || role == Role.LEADER;
-        boolean ofRequest = grant.sequence() == sequence && grant.term() == term;
-        if (!asking || !ofRequest || !settings.electors().contains(grant.sender())) {
+    private void handleGrant(long now, ElectionMessage grant) {
+        boolean awaitingGrants = role == Role.CANDIDATE || role == Role.LEADER;
+        boolean forCurrentRequest = grant.sequence() == sequence && grant.term() == term;
+        if (!awaitingGrants || !forCurrentRequest || !settings.electors().contains(grant.sender())) {
             return;
         }
         if (!grants.add(grant.sender()) || grants.size() < settings.majority()) {
             return;
         }
-        long until = requestedAt + settings.ownLeaseMs();
-        if (now >= until) {
-            return; // the votes came too late to be of use
+        long leaseEnd = requestedAt + settings.ownLeaseMs();
+        if (now >= leaseEnd) {
+            return; // the majority arrived after the lease of this request expired
         }
-        leaseUntil = until;
+        leaseEndsAt = leaseEnd;
         if (role == Role.CANDIDATE) {
             acquire(now);
         }
@@ -283,43 +286,43 @@
         transport.acquired(term);
     }
 
-    private void refused(long now, ElectionMessage refusal) {
-        highestTerm = Math.max(highestTerm, refusal.term());
-        if (refusal.sequence() != sequence || role != Role.CANDIDATE) {
+    private void handleRejection(long now, ElectionMessage rejection) {
+        highestTerm = Math.max(highestTerm, rejection.term());
+        if (rejection.sequence() != sequence || role != Role.CANDIDATE) {
             return;
         }
-        refusals.add(refusal.sender());
-        if (!refusal.holder().isEmpty()) {
-            observeOwner(now, refusal.holder());
+        rejections.add(rejection.sender());
+        if (!rejection.holder().isEmpty()) {
+            observeOwner(now, rejection.holder());
         }
-        if (refusals.size() > settings.electors().size() - settings.majority()) {
-            retreat(now);
+        if (rejections.size() > settings.electors().size() - settings.majority()) {
+            endCandidacy(now);
         }
     }
 
     /**
-     * No majority can be had: the votes that were given are given back, or they would stand in everybody's way for a
-     * lease. Grants that are still on their way count for nothing from here on.
+     * Ends a candidacy that cannot reach a majority. Releases the granted votes, which would otherwise block all
+     * candidates for one lease. Grants that arrive later are ignored.
      */
-    private void retreat(long now) {
+    private void endCandidacy(long now) {
         role = Role.FOLLOWER;
         nextTickAt = now + delayMs(settings.renewMs() / 2);
         releaseVotes(now, "");
     }
 
-    /** A candidate or owner has released its votes: the one given here is free, for the successor first. */
-    private void released(long now, ElectionMessage release) {
+    /** Frees this elector's vote after a release, with a reservation for the named successor. */
+    private void handleRelease(long now, ElectionMessage release) {
         highestTerm = Math.max(highestTerm, release.term());
         vote.release(release, now, settings.leaseMs() / 2);
         if (knownOwner.equals(release.sender())) {
             knownOwner = "";
             if (role == Role.FOLLOWER && isCandidate()) {
-                nextTickAt = firstRequestAfter(release, now);
+                nextTickAt = nextRequestAfter(release, now);
             }
         }
     }
 
-    private long firstRequestAfter(ElectionMessage release, long now) {
+    private long nextRequestAfter(ElectionMessage release, long now) {
         if (release.holder().equals(settings.name())) {
             return now;
         }
@@ -329,43 +332,43 @@
     // ------------------------------------------------------------ giving up
 
     /**
-     * Gives the lease up, for a successor where one is named. From here on this instance does not act; only then are the
-     * electors told.
+     * Releases the lease, in favor of a successor if one is named. This instance stops acting as owner before it notifies
+     * the electors.
      */
     public void stepDown(long now, String successor) {
         if (role != Role.LEADER) {
             return;
         }
-        lose(now, RELEASED, successor);
+        loseOwnership(now, RELEASED, successor);
         releaseVotes(now, successor);
     }
 
     private void releaseVotes(long now, String successor) {
         ElectionMessage release =
                 new ElectionMessage(Kind.RELEASE, settings.name(), incarnation, term, sequence, successor, 0);
-        Set<String> all = new HashSet<>(settings.electors());
-        all.addAll(settings.candidates());
-        List<String> receivers = new ArrayList<>(all);
+        Set<String> electorsAndCandidates = new HashSet<>(settings.electors());
+        electorsAndCandidates.addAll(settings.candidates());
+        List<String> receivers = new ArrayList<>(electorsAndCandidates);
         receivers.sort(null);
         for (String receiver : receivers) {
             if (!receiver.equals(settings.name())) {
                 transport.send(receiver, release);
             } else if (elector) {
-                released(now, release);
+                handleRelease(now, release);
             }
         }
     }
 
-    /** Gives up what this instance owns, and neither asks nor votes any more. */
+    /** Releases the lease and ends this instance's part as candidate and elector. */
     public void end(long now, String successor) {
         stepDown(now, successor);
         ended = true;
     }
 
-    /** An owner that loses the address soon after it had it is not stable, and backs off longer each time. */
-    private void lose(long now, String reason, String successor) {
-        boolean soon = now - acquiredAt < settings.stableMs();
-        boolean unstable = successor.isEmpty() && soon;
+    /** Ends the ownership. The backoff doubles when the address is lost soon after it was acquired. */
+    private void loseOwnership(long now, String reason, String successor) {
+        boolean lostEarly = now - acquiredAt < settings.stableMs();
+        boolean unstable = successor.isEmpty() && lostEarly;
         long doubledMs = Math.max(settings.backoffMs(), backoffMs * 2);
         backoffMs = unstable ? Math.min(settings.maxBackoffMs(), doubledMs) : settings.backoffMs();
         boolean warning = !reason.equals(RELEASED);
--- a/src/main/java/maplespread/address/SyncProgress.java
+++ b/src/main/java/maplespread/address/SyncProgress.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which other electors an elector that recovers has read: all parts of one of their responses must have come. */
+/** Tracks which electors a recovering elector has read: a source is complete when all parts of one response arrived. */
 final class SyncProgress {
-    /** The parts that have come of one response. */
+    /** The received parts of one response. */
     private record Response(long incarnation, long number, Set<String> parts) {
         boolean isOf(ClaimMessage message) {
             return incarnation == message.incarnation() && number == message.attempt();
@@ -17,7 +17,7 @@
     private final Map<String, Response> responses = new HashMap<>();
     private final Set<String> completeSources = new HashSet<>();
 
-    /** Takes one part of a response. */
+    /** Adds one part of a response. */
     void add(ClaimMessage part) {
         Response response = responses.get(part.sender());
         if (response == null || !response.isOf(part)) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** How many electors were read whole. */
+    /** The number of electors of which a whole response was received. */
     int completeSources() {
         return completeSources.size();
     }
--- a/src/main/java/maplespread/cluster/MemberStatusTable.java
+++ b/src/main/java/maplespread/cluster/MemberStatusTable.java
@@ -11,24 +11,24 @@
 import maplespread.metrics.Metrics.Totals;
 
 /**
- * The newest status of each member, and this member's own, which is sent to the others about twice a second. One thread
- * broadcasts; any thread may receive and look up.
+ * The newest status of each member. This member's own status is sent to the others about twice a second. One thread
+ * broadcasts; any thread may receive and look up statuses.
  */
 public final class MemberStatusTable {
-    /** Most members that one broadcast reaches; the next one goes on from there. */
-    private static final int MAX_RECEIVERS = 64;
+    /** Most receivers of one broadcast; the next broadcast continues with the members after them. */
+    private static final int MAX_RECEIVERS_PER_BROADCAST = 64;
 
-    /** Broadcasts that a status looks back on. */
+    /** Number of broadcasts over which a status computes its shares and mean latency. */
     private static final int WINDOW_BROADCASTS = 20;
 
     private static final int MAX_MEMBERS = 4096;
     private static final double NANOS_PER_MS = 1e6;
 
     /**
-     * A status as it was received.
+     * A received status with its time of receipt.
      *
-     * @param status what the member reports
-     * @param receivedAtMs when it came, in milliseconds of this process' own clock
+     * @param status the member's status
+     * @param receivedAtMs the time of receipt, in milliseconds of this process' clock
      */
     public record ReceivedStatus(MemberStatus status, long receivedAtMs) {}
 
@@ -42,10 +42,10 @@
     private int nextReceiver;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param incarnation Unix milliseconds at which this process began
-     * @param version of this program
+     * @param incarnation start time of this process in Unix milliseconds
+     * @param version the version of this program
      * @param zone the name of this member's zone
      * @param sender sends bytes to a member by name
      */
@@ -56,49 +56,49 @@
         this.sender = sender;
     }
 
-    /** This member's status: the totals now against those at the first broadcast in the window. */
+    /** This member's status, from the difference between the current totals and those at the window's oldest broadcast. */
     private MemberStatus ownStatus(MemberStatus.Phase phase, Totals now) {
         window.addLast(now);
         if (window.size() > WINDOW_BROADCASTS) {
             window.removeFirst();
         }
-        Totals then = window.getFirst();
-        long served = now.served() - then.served();
-        long rejected = now.busy() - then.busy();
-        long failed = now.failed() - then.failed();
-        long all = served + rejected + failed;
-        double servedMs = Math.max(0, now.servedNanos() - then.servedNanos()) / NANOS_PER_MS;
+        Totals oldest = window.getFirst();
+        long served = now.served() - oldest.served();
+        long rejected = now.busy() - oldest.busy();
+        long failed = now.failed() - oldest.failed();
+        long total = served + rejected + failed;
+        double servedMs = Math.max(0, now.servedNanos() - oldest.servedNanos()) / NANOS_PER_MS;
         return new MemberStatus(
                 incarnation,
                 ++sequence,
                 version,
                 zone,
                 phase,
-                all == 0 ? 0 : (double) rejected / all,
-                all == 0 ? 0 : (double) failed / all,
+                total == 0 ? 0 : (double) rejected / total,
+                total == 0 ? 0 : (double) failed / total,
                 served == 0 ? 0 : servedMs / served,
-                all);
+                total);
     }
 
     /**
-     * Sends this member's status to the others. Called from one thread.
+     * Sends this member's status to the other members. Called from one thread only.
      *
-     * @param self this member's name, under which its own status is kept, too
-     * @param now the totals of all requests so far
+     * @param self this member's name, under which the table also stores its own status
+     * @param now the request totals since the start of this process
      * @param others the names of all other members
-     * @param nowMs milliseconds of this process' own clock
+     * @param nowMs the current time, in milliseconds of this process' clock
      */
     public void broadcast(String self, MemberStatus.Phase phase, Totals now, List<String> others, long nowMs) {
         MemberStatus status = ownStatus(phase, now);
         newest.put(self, new ReceivedStatus(status, nowMs));
         byte[] bytes = status.encode();
-        for (int i = 0; i < Math.min(MAX_RECEIVERS, others.size()); i++) {
+        for (int i = 0; i < Math.min(MAX_RECEIVERS_PER_BROADCAST, others.size()); i++) {
             sender.accept(others.get(nextReceiver++ % others.size()), bytes);
         }
         nextReceiver %= Math.max(1, others.size());
     }
 
-    /** Takes the status of another member, unless it is unreadable or older than the one that is known. */
+    /** Stores the status of another member, unless it is unreadable, older than the known one, or the table is full. */
     public void receive(String member, byte[] bytes, long nowMs) {
         Optional<MemberStatus> status = MemberStatus.decode(bytes);
         boolean full = newest.size() >= MAX_MEMBERS && !newest.containsKey(member);
@@ -111,12 +111,12 @@
                 (known, received) -> received.status().isNewerThan(known.status()) ? received : known);
     }
 
-    /** The newest status of a member; empty where none was received. */
+    /** The newest status of a member; empty if none was received. */
     public Optional<ReceivedStatus> find(String member) {
         return Optional.ofNullable(newest.get(member));
     }
 
-    /** Forgets all members but these. */
+    /** Removes the statuses of all members except these. */
     public void retainMembers(Collection<String> members) {
         newest.keySet().retainAll(members);
     }
--- a/src/main/java/maplespread/cluster/SharedState.java
+++ b/src/main/java/maplespread/cluster/SharedState.java
@@ -7,45 +7,45 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The text of the one value that the fleet agrees on: a JSON object with a string for each part that uses it, its
- * section. Each section has a limit of its own, so that one which grows takes nothing from the others.
+ * The encoding of the replicated value: a JSON object with one string member, a section, for each feature that stores
+ * data in it. Each section has its own size limit, so that a growing section takes no space from the others.
  */
 public final class SharedState {
-    /** Most bytes of the release's section. */
+    /** Greatest size of the release section, in bytes. */
     public static final int MAX_RELEASE_SECTION_BYTES = 32 * 1024;
 
-    /** Most bytes of any other section. */
+    /** Greatest size of any other section, in bytes. */
     public static final int MAX_SECTION_BYTES = 15 * 1024;
 
-    private static final String RELEASE = "release";
+    private static final String RELEASE_SECTION = "release";
 
     private SharedState() {}
 
-    /** Most bytes of a section as it stands in the value: UTF-8, with its quotes and escapes. */
+    /** The greatest size of a section in the replicated value, in bytes of UTF-8 with quotes and escapes. */
     public static int maxBytes(String section) {
-        return section.equals(RELEASE) ? MAX_RELEASE_SECTION_BYTES : MAX_SECTION_BYTES;
+        return section.equals(RELEASE_SECTION) ? MAX_RELEASE_SECTION_BYTES : MAX_SECTION_BYTES;
     }
 
-    /** The text of a section; empty where it has none. */
+    /** The text of a section; empty if the section is absent. */
     public static String read(String value, String section) {
-        JsonElement found = parse(value).get(section);
-        return found == null ? "" : found.getAsString();
+        JsonElement sectionText = parse(value).get(section);
+        return sectionText == null ? "" : sectionText.getAsString();
     }
 
     /**
-     * The value with another text in one section.
+     * Returns the replicated value with the text of one section replaced.
      *
      * @throws SectionTooLargeException if the section would be larger than {@link #maxBytes}
      */
     public static String write(String value, String section, String text) throws SectionTooLargeException {
-        JsonElement next = new JsonPrimitive(text);
-        int bytes = next.toString().getBytes(StandardCharsets.UTF_8).length;
+        JsonElement encodedText = new JsonPrimitive(text);
+        int bytes = encodedText.toString().getBytes(StandardCharsets.UTF_8).length;
         if (bytes > maxBytes(section)) {
             throw new SectionTooLargeException(section, bytes, maxBytes(section));
         }
-        JsonObject all = parse(value);
-        all.add(section, next);
-        return all.toString();
+        JsonObject root = parse(value);
+        root.add(section, encodedText);
+        return root.toString();
     }
 
     private static JsonObject parse(String value) {
--- a/src/main/java/maplespread/membership/Probe.java
+++ b/src/main/java/maplespread/membership/Probe.java
@@ -1,6 +1,6 @@
 package maplespread.membership;
 
-/** A probe of one member that is under way: a direct ping first, then pings by helpers. */
+/** A probe of one member in progress: a direct ping first, then pings by helpers. */
 final class Probe {
     private final String target;
     private final long sequence;
@@ -9,9 +9,14 @@
     private boolean indirect;
     private boolean acknowledged;
     private int helpers;
-    private int negativeAnswers;
+    private int nacks;
 
-    /** Times in milliseconds: when helpers are asked, and when the target is suspected. */
+    /**
+     * Creates a probe in its direct phase.
+     *
+     * @param indirectAt when helpers are asked to ping the target, in milliseconds
+     * @param endsAt when the probe fails, in milliseconds
+     */
     Probe(String target, long sequence, long indirectAt, long endsAt) {
         this.target = target;
         this.sequence = sequence;
@@ -35,17 +40,17 @@
         acknowledged = true;
     }
 
-    /** A helper answers that it has not reached the target. */
-    void answerNegatively() {
-        negativeAnswers++;
+    /** Counts a helper's reply that the target has not answered it. */
+    void addNack() {
+        nacks++;
     }
 
-    /** Whether it is time to ask helpers, who were not asked yet. */
+    /** Whether helpers are due to be asked and were not asked yet. */
     boolean needsHelpers(long now) {
         return !indirect && now >= indirectAt;
     }
 
-    void startIndirect() {
+    void beginIndirectPhase() {
         indirect = true;
     }
 
@@ -58,14 +63,14 @@
     }
 
     /**
-     * By how much a failure lowers the trust in this member's own timeliness: helpers that do not answer at all are a
-     * sign that this member is the one that is cut off, or slow.
+     * The amount by which a failure worsens the local health score: helpers that do not answer at all indicate that this
+     * member itself is disconnected or slow.
      */
-    int doubtAfterFailure() {
-        return helpers > 0 ? helpers - negativeAnswers : 1;
+    int healthPenalty() {
+        return helpers > 0 ? helpers - nacks : 1;
     }
 
-    /** When its next step is due, in milliseconds. */
+    /** When the next step of the probe is due, in milliseconds. */
     long nextStepAt() {
         return indirect ? endsAt : indirectAt;
     }
--- a/src/main/java/maplespread/membership/SwimMembership.java
+++ b/src/main/java/maplespread/membership/SwimMembership.java
@@ -12,20 +12,19 @@
 import maplespread.membership.SwimMessage.Kind;
 
 /**
- * One member's part in the failure detection of the group: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
- * Phillips, Currey 2017). Probes one other member each period, asks helpers where that one does not answer, suspects it,
- * which it may refute, and declares it dead when nobody has refuted that for long enough. A member that may itself be
- * slow, or was paused, judges others more slowly.
+ * The failure detector of one member: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey
+ * 2017). It probes one other member per period and asks helpers to probe a member that does not answer. A member that
+ * no helper reaches either becomes suspect, and dead if it does not refute the suspicion in time. A member that may
+ * itself be slow, or whose process was paused, uses longer timeouts for the others.
  *
- * <p>Its owner passes the time in, in milliseconds of a clock that never goes back, and calls it from one thread at a
- * time.
+ * <p>The caller passes the time in milliseconds of a monotonic clock and calls from one thread at a time.
  */
 public final class SwimMembership {
-    /** A tick that comes later than this many probe periods after it was due means that the process was paused. */
-    private static final double PAUSE_PERIODS = 4;
+    /** Delay of a tick, in probe periods, above which the process counts as paused. */
+    private static final double PROCESS_PAUSE_PERIODS = 4;
 
-    /** One of this many rejoin rounds compares the whole group with another member. */
-    private static final int ROUNDS_PER_SYNC = 8;
+    /** Mean number of rejoin rounds from one sync of the whole group with another member to the next. */
+    private static final int MEAN_ROUNDS_PER_SYNC = 8;
 
     private final MembershipSettings settings;
     private final MembershipTransport transport;
@@ -36,7 +35,9 @@
     private final IndirectProbes indirectProbes;
     private final ProbeOrder probeOrder;
     private final LocalHealth localHealth;
+    /** The probe in progress; null between probes. */
     private Probe probe;
+
     private long lastSequence;
     private long nextProbeAt;
     private long nextRejoinAt;
@@ -44,12 +45,13 @@
     private boolean left;
 
     /**
-     * A member that knows nobody yet but the seeds.
+     * Creates a member that knows only the seed addresses.
      *
-     * @param processIncarnation Unix milliseconds of this process' start, above that of every earlier one under this name
-     * @param seed of the random source that orders probes and picks receivers
-     * @param now the time in milliseconds
-     * @param transport takes what the member sends and reports, during calls of it
+     * @param processIncarnation start time of this process in Unix milliseconds, greater than that of any earlier process
+     *     with this member name
+     * @param seed the seed of the random source that orders probes and selects receivers
+     * @param now the current time, in milliseconds
+     * @param transport sends this member's messages and reports its events; invoked within calls to this member
      */
     public SwimMembership(
             MembershipSettings settings, long processIncarnation, long seed, long now, MembershipTransport transport) {
@@ -63,22 +65,23 @@
                 new MemberUpdate(settings.name(), settings.address(), State.ALIVE, processIncarnation, 0, ""));
         gossip = new GossipSender(settings, transport, group);
         nextTickAt = now;
-        nextProbeAt = now + random.nextLong(settings.probePeriodMs()) + 1; // so that members do not probe in step
+        nextProbeAt =
+                now + random.nextLong(settings.probePeriodMs()) + 1; // random offset: members do not probe in step
         nextRejoinAt = now;
         gossip.add(group.self());
     }
 
-    /** This member as it describes itself. */
+    /** This member's own state. */
     public MemberUpdate self() {
         return group.self();
     }
 
-    /** All other members that are known, those that have departed included, by name. */
+    /** All known other members in order of their names, departed ones included. */
     public Collection<MemberUpdate> members() {
         return group.others();
     }
 
-    /** The other member of this name, departed or not; null: none is known. */
+    /** The other member with this name, departed or not; null if none is known. */
     public MemberUpdate member(String name) {
         return group.find(name);
     }
@@ -88,19 +91,23 @@
         return group.size();
     }
 
-    /** How much this member doubts its own timeliness; 0: not at all. */
+    /** Lifeguard's local health score; 0 is healthy, higher values lengthen this member's timeouts. */
     public int localHealth() {
         return localHealth.score();
     }
 
     // ------------------------------------------------------------ time
 
-    /** Does what is due; returns when to be called again at the latest, in milliseconds. */
+    /**
+     * Runs the steps that are due.
+     *
+     * @return the latest time of the next call, in milliseconds
+     */
     public long tick(long now) {
         if (left) {
             return Long.MAX_VALUE;
         }
-        if (now - nextTickAt > PAUSE_PERIODS * settings.probePeriodMs()) {
+        if (now - nextTickAt > PROCESS_PAUSE_PERIODS * settings.probePeriodMs()) {
             resumeAfterPause(now, now - nextTickAt);
         }
         if (probe != null) {
@@ -110,42 +117,42 @@
             nextProbeAt = now + localHealth.scaled(settings.probePeriodMs());
             startProbe(now);
         }
-        reportUnanswered(now);
-        declareDead(now);
+        sendNacks(now);
+        expireSuspicions(now);
         if (now >= nextRejoinAt) {
             rejoin(now);
         }
         group.forgetDeparted(now, settings.departedRetentionMs());
-        nextTickAt = nextDueAt();
+        nextTickAt = nextDeadline();
         return nextTickAt;
     }
 
-    private void reportUnanswered(long now) {
+    private void sendNacks(long now) {
         for (IndirectProbe unanswered : indirectProbes.removeUnanswered(now)) {
             gossip.send(unanswered.requesterAddress(), Kind.NACK, unanswered.requesterSequence());
         }
     }
 
-    private void declareDead(long now) {
+    private void expireSuspicions(long now) {
         for (String name : List.copyOf(suspicions.keySet())) {
-            if (now >= endsAt(suspicions.get(name))) {
+            if (now >= suspicionEndsAt(suspicions.get(name))) {
                 apply(now, group.find(name).withState(State.DEAD, settings.name()));
             }
         }
     }
 
-    private long nextDueAt() {
+    private long nextDeadline() {
         long next = Math.min(nextRejoinAt, probe == null ? nextProbeAt : probe.nextStepAt());
         next = Math.min(next, indirectProbes.nextNackAt());
         for (Suspicion suspicion : suspicions.values()) {
-            next = Math.min(next, endsAt(suspicion));
+            next = Math.min(next, suspicionEndsAt(suspicion));
         }
         return next;
     }
 
     /**
-     * This process did not run for a while. Answers that came meanwhile lie unread, so what it was waiting for proves
-     * nothing about the others: it begins its waits anew and doubts itself.
+     * Restarts all timeouts after a process pause and sets the local health to its worst score. Replies that arrived
+     * during the pause are still unread, so an expired timeout says nothing about the other members.
      */
     private void resumeAfterPause(long now, long pauseMs) {
         transport.event(true, "membership.process_pause", "ms", pauseMs);
@@ -156,7 +163,7 @@
         nextProbeAt = now + localHealth.scaled(settings.probePeriodMs());
     }
 
-    private long endsAt(Suspicion suspicion) {
+    private long suspicionEndsAt(Suspicion suspicion) {
         double groupFactor = Math.max(1, Math.log10(group.size()));
         double shortestMs = settings.suspicionMultiplier() * groupFactor * settings.probePeriodMs();
         return suspicion.endsAt(shortestMs, shortestMs * settings.maxSuspicionStretch());
@@ -185,9 +192,9 @@
             localHealth.improve();
             probe = null;
         } else if (probe.needsHelpers(now)) {
-            askHelpers();
+            requestIndirectProbes();
         } else if (probe.hasFailed(now)) {
-            localHealth.worsen(probe.doubtAfterFailure());
+            localHealth.worsen(probe.healthPenalty());
             String target = probe.target();
             probe = null;
             if (group.isPresent(target)) {
@@ -196,8 +203,8 @@
         }
     }
 
-    private void askHelpers() {
-        probe.startIndirect();
+    private void requestIndirectProbes() {
+        probe.beginIndirectPhase();
         String target = probe.target();
         SwimMessage request = new SwimMessage(
                 Kind.PING_REQ, probe.sequence(), target, group.find(target).address(), List.of());
@@ -210,63 +217,63 @@
         }
     }
 
-    /** A list that may be modified. */
+    /** Returns the names in a mutable list. */
     private static List<String> namesOf(List<MemberUpdate> members) {
         return new ArrayList<>(members.stream().map(MemberUpdate::name).toList());
     }
 
     // ------------------------------------------------------------ messages
 
-    /** Takes a message of {@code sender}, which is known to have sent it. */
+    /** Processes a message whose sender is authenticated. */
     public void receive(long now, String sender, String senderAddress, SwimMessage message) {
-        boolean own = sender.equals(settings.name()) && senderAddress.equals(settings.address());
-        if (left || own) {
+        boolean sentBySelf = sender.equals(settings.name()) && senderAddress.equals(settings.address());
+        if (left || sentBySelf) {
             return;
         }
         message.updates().forEach(update -> apply(now, update));
         switch (message.kind()) {
-            case PING -> answerPing(sender, senderAddress, message);
-            case PING_REQ -> probeForAnother(now, senderAddress, message);
-            case ACK -> acknowledged(message.sequence());
+            case PING -> acknowledgePing(sender, senderAddress, message);
+            case PING_REQ -> startIndirectProbe(now, senderAddress, message);
+            case ACK -> handleAck(message.sequence());
             case NACK -> {
-                if (isOfProbe(message.sequence())) {
-                    probe.answerNegatively();
+                if (matchesProbe(message.sequence())) {
+                    probe.addNack();
                 }
             }
             case JOIN -> gossip.sendGroup(senderAddress);
-            case SYNC -> {} // its updates are all it brings
+            case SYNC -> {} // its updates are applied above
         }
     }
 
-    private void answerPing(String sender, String senderAddress, SwimMessage ping) {
-        if (ping.target().equals(settings.name())) { // else it is meant for another member
+    private void acknowledgePing(String sender, String senderAddress, SwimMessage ping) {
+        if (ping.target().equals(settings.name())) { // a ping for another member gets no reply
             gossip.send(senderAddress, new SwimMessage(Kind.ACK, ping.sequence(), "", "", List.of()), sender);
         }
     }
 
-    private void probeForAnother(long now, String requesterAddress, SwimMessage request) {
+    private void startIndirectProbe(long now, String requesterAddress, SwimMessage request) {
         long sequence = ++lastSequence;
         indirectProbes.add(sequence, requesterAddress, request.sequence(), now);
         ping(request.target(), request.targetAddress(), sequence);
     }
 
-    private void acknowledged(long sequence) {
+    private void handleAck(long sequence) {
         Optional<IndirectProbe> requested = indirectProbes.acknowledged(sequence);
         if (requested.isPresent()) {
             IndirectProbe pending = requested.get();
             gossip.send(pending.requesterAddress(), Kind.ACK, pending.requesterSequence());
-        } else if (isOfProbe(sequence)) {
+        } else if (matchesProbe(sequence)) {
             probe.acknowledge();
         }
     }
 
-    private boolean isOfProbe(long sequence) {
+    private boolean matchesProbe(long sequence) {
         return probe != null && probe.sequence() == sequence;
     }
 
     // ------------------------------------------------------------ updates
 
-    /** Takes one member's state in, if it is new here, and passes it on. */
+    /** Applies an update that is newer than the known state, and queues it for gossip. */
     private void apply(long now, MemberUpdate update) {
         if (update.name().equals(settings.name())) {
             applyToSelf(update);
@@ -276,9 +283,9 @@
         if (confirmsSuspicion(update, known)) {
             gossip.add(update);
         } else if (known != null && !update.overrides(known)) {
-            passOnRefutation(update, known);
+            gossipRefutation(update, known);
         } else if (known != null || !update.departed()) {
-            warnIfNameTakenTwice(update, known);
+            warnIfNameConflicts(update, known);
             replace(now, update, known);
         }
     }
@@ -291,23 +298,23 @@
                 && suspicions.get(update.name()).confirm(update.suspectedBy());
     }
 
-    /** The sender of an outdated suspicion has not received the refutation. */
-    private void passOnRefutation(MemberUpdate outdated, MemberUpdate known) {
+    /** Queues the refutation of an outdated suspicion again, as the sender has not received it. */
+    private void gossipRefutation(MemberUpdate outdated, MemberUpdate known) {
         if (outdated.state() != State.ALIVE && known.overrides(outdated) && known.state() == State.ALIVE) {
             gossip.add(known);
         }
     }
 
-    private void warnIfNameTakenTwice(MemberUpdate update, MemberUpdate known) {
+    private void warnIfNameConflicts(MemberUpdate update, MemberUpdate known) {
         if (known != null
                 && known.processIncarnation() != update.processIncarnation()
                 && !known.departed()
                 && !known.address().equals(update.address())) {
-            warnNameTakenTwice(update, known.address());
+            warnNameConflict(update, known.address());
         }
     }
 
-    private void warnNameTakenTwice(MemberUpdate update, String knownAddress) {
+    private void warnNameConflict(MemberUpdate update, String knownAddress) {
         transport.event(
                 true,
                 "membership.name_taken_twice",
@@ -332,15 +339,15 @@
         transport.changed(known, update);
     }
 
-    /** Others report that this member is suspect or dead, or that another process has its name. */
+    /** Handles a report that this member is suspect or dead, or that another process uses its name. */
     private void applyToSelf(MemberUpdate update) {
         MemberUpdate self = group.self();
         if (update.processIncarnation() > self.processIncarnation()) {
-            warnNameTakenTwice(update, self.address());
+            warnNameConflict(update, self.address());
             return;
         }
-        boolean aboutThisProcess = update.processIncarnation() == self.processIncarnation();
-        if (aboutThisProcess && update.state() != State.ALIVE && update.incarnation() >= self.incarnation()) {
+        boolean sameProcess = update.processIncarnation() == self.processIncarnation();
+        if (sameProcess && update.state() != State.ALIVE && update.incarnation() >= self.incarnation()) {
             refute(update);
         }
     }
@@ -358,18 +365,18 @@
 
     // ------------------------------------------------------------ joining and leaving
 
-    /** Asks a seed, and one of the dead: so that groups which were split join again. */
+    /** Sends a join to a dead member and to an unknown seed: groups merge again after a network partition. */
     private void rejoin(long now) {
         nextRejoinAt =
                 now + settings.rejoinIntervalMs() + random.nextLong(Math.max(1, settings.rejoinIntervalMs() / 2));
-        joinOneOf(addressesOf(group.select(member -> member.state() == State.DEAD)));
+        sendJoinToRandom(addressesOf(group.select(member -> member.state() == State.DEAD)));
         List<String> unknownSeeds = new ArrayList<>(settings.seeds());
         unknownSeeds.remove(settings.address());
         addressesOf(group.present()).forEach(unknownSeeds::remove);
         if (!unknownSeeds.isEmpty()) {
-            joinOneOf(unknownSeeds);
+            sendJoinToRandom(unknownSeeds);
         } else if (group.size() > 1) {
-            syncNowAndThen();
+            syncOccasionally();
         }
     }
 
@@ -377,22 +384,22 @@
         return members.stream().map(MemberUpdate::address).toList();
     }
 
-    private void joinOneOf(List<String> addresses) {
+    private void sendJoinToRandom(List<String> addresses) {
         if (!addresses.isEmpty()) {
             String address = addresses.get(random.nextInt(addresses.size()));
             gossip.send(address, Kind.JOIN, ++lastSequence);
         }
     }
 
-    /** Repairs updates of which every copy was lost. */
-    private void syncNowAndThen() {
+    /** Sends the whole group to a random member in some rounds: repairs updates of which every copy was lost. */
+    private void syncOccasionally() {
         Optional<String> receiver = probeOrder.next(group);
-        if (receiver.isPresent() && random.nextInt(ROUNDS_PER_SYNC) == 0) {
+        if (receiver.isPresent() && random.nextInt(MEAN_ROUNDS_PER_SYNC) == 0) {
             gossip.sendGroup(group.find(receiver.get()).address());
         }
     }
 
-    /** Tells a few members that this one leaves, who pass it on; nothing is done after it. */
+    /** Notifies a few members, which gossip it on, that this one leaves. This member is inactive afterwards. */
     public void leave(long now) {
         if (left) {
             return;
--- a/src/main/java/maplespread/membership/client/ClusterTransport.java
+++ b/src/main/java/maplespread/membership/client/ClusterTransport.java
@@ -24,8 +24,8 @@
 import maplespread.membership.SwimMessage;
 
 /**
- * One member of the group on a UDP socket: the membership's messages, and channels for other parts. One thread receives,
- * another ticks; both enter the {@link SwimMembership} under one lock, this object's.
+ * The UDP socket of a member. It carries the membership messages, and numbered channels for other packages. One thread
+ * receives and another ticks; both call {@link SwimMembership} while holding this object's lock.
  */
 public final class ClusterTransport implements Closeable {
     /** Most bytes of one payload on a channel. */
@@ -35,10 +35,10 @@
     private static final int RECEIVE_BUFFER_BYTES = 1024 * 1024;
     private static final long THREAD_STACK_BYTES = 144 * 1024;
 
-    /** By how much a packet's time may differ from this member's: clocks and delay together. */
+    /** Greatest difference of a packet's send time from this member's clock: clock skew plus delay. */
     private static final long MAX_PACKET_AGE_MS = 30_000;
 
-    private static final long CLOSE_WAIT_MS = 1000;
+    private static final long MAX_CLOSE_WAIT_MS = 1000;
     private static final long MAX_TICK_INTERVAL_MS = 1000;
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -52,20 +52,20 @@
     private final Thread receiveThread;
     private boolean closed;
 
-    /** Listens at the address of the settings, and joins the group. */
+    /** Binds the socket to the address in the settings, and joins the group. */
     public ClusterTransport(MembershipSettings settings, LinkedHashMap<Integer, byte[]> keys, long seed)
             throws IOException {
         this(settings, settings.address(), keys, seed);
     }
 
     /**
-     * Listens at once, and joins the group.
+     * Binds the socket, and joins the group.
      *
-     * @param listen the address of the socket; others are told that of the settings, which may be a proxy's
-     * @param keys by id; the first one authenticates what is sent
-     * @param seed of the membership's random source
+     * @param listen the address of the socket; the address in the settings, which may be a proxy's, is advertised
+     * @param keys the keys by id; the first one authenticates sent packets
+     * @param seed the seed of the membership's random source
      * @throws IOException if the address is in use
-     * @throws IllegalArgumentException if it is no address, or a key cannot be used
+     * @throws IllegalArgumentException if the address is invalid or a key cannot be used
      */
     public ClusterTransport(MembershipSettings settings, String listen, LinkedHashMap<Integer, byte[]> keys, long seed)
             throws IOException {
@@ -80,7 +80,7 @@
         startDaemon("membership", this::tick);
     }
 
-    /** Called under the lock. */
+    /** Called while the lock of the enclosing object is held. */
     private final class SocketTransport implements MembershipTransport {
         @Override
         public void send(String address, SwimMessage message) {
@@ -122,7 +122,7 @@
             return new InetSocketAddress(
                     InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException e) {
-            throw new IllegalArgumentException("not an address: " + text);
+            throw new IllegalArgumentException("invalid address, expected host:port: " + text);
         }
     }
 
@@ -135,34 +135,39 @@
 
     // ------------------------------------------------------------ the group
 
-    /** Notified of each change, before and after, under the lock: must not block, and must not call back. */
+    /**
+     * Adds a listener for member changes.
+     *
+     * @param listener receives a member's state before and after each change, with the lock held: must neither block nor
+     *     call this object
+     */
     public void addListener(BiConsumer<MemberUpdate, MemberUpdate> listener) {
         listeners.add(listener);
     }
 
-    /** Other keys from now on; see {@link PacketAuthenticator#setKeys}. */
+    /** Replaces the keys; see {@link PacketAuthenticator#setKeys}. */
     public synchronized void setKeys(LinkedHashMap<Integer, byte[]> keys) {
         authenticator.setKeys(keys);
     }
 
-    /** All members that are known, this one first, those that have departed included. */
+    /** All known members, this one first, departed ones included. */
     public synchronized List<MemberUpdate> members() {
         List<MemberUpdate> all = new ArrayList<>(List.of(membership.self()));
         all.addAll(membership.members());
         return all;
     }
 
-    /** How many packets were dropped, by reason. */
+    /** The number of dropped packets by reason. */
     public synchronized Map<PacketAuthenticator.DropReason, Long> dropped() {
         return authenticator.dropped();
     }
 
-    /** What has passed the socket so far. */
+    /** The traffic counters of the socket. */
     public ChannelTrafficMeter traffic() {
         return traffic;
     }
 
-    /** Unix milliseconds at which this member began; tells it apart from earlier ones of its name. */
+    /** Start time of this member in Unix milliseconds; distinguishes it from earlier processes with the same name. */
     public long incarnation() {
         return incarnation;
     }
@@ -170,18 +175,23 @@
     // ------------------------------------------------------------ channels
 
     /**
-     * Has what arrives on a channel received.
+     * Registers the receiver of a channel.
      *
-     * @param receiver of the sender's name and the payload, on the receiving thread and without the lock: must not block
-     * @throws IllegalArgumentException if the channel is taken, or not within 1 to 127
+     * @param receiver accepts the sender's name and the payload; called on the receive thread without the lock, so it
+     *     must not block
+     * @throws IllegalArgumentException if the channel is already registered or not within 1 to 127
      */
     public void registerChannel(int channel, BiConsumer<String, byte[]> receiver) {
         if (channel < 1 || channel > Byte.MAX_VALUE || channels.putIfAbsent(channel, receiver) != null) {
-            throw new IllegalArgumentException("not a free channel: " + channel);
+            throw new IllegalArgumentException("channel number out of range or already registered: " + channel);
         }
     }
 
-    /** Sends to a member by name; false where the member is not known, the payload too long, or the socket fails. */
+    /**
+     * Sends a payload to a member.
+     *
+     * @return false if the member is unknown, the payload is too long, this transport is closed, or the socket fails
+     */
     public boolean send(int channel, String member, byte[] payload) {
         byte[] packet;
         String address;
@@ -201,7 +211,7 @@
             socket.send(new DatagramPacket(packet, packet.length, socketAddress(address)));
             traffic.sent(channel, packet.length);
             return true;
-        } catch (IOException | IllegalArgumentException e) { // counts as lost on its way
+        } catch (IOException | IllegalArgumentException e) { // treated as a lost packet
             return false;
         }
     }
@@ -214,18 +224,18 @@
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                // Without the lock: the receiver may hold its own, and send.
-                open(buffer, packet.getLength()).ifPresent(this::deliver);
+                // Delivers without the lock: the receiver may hold a lock of its own while it sends.
+                authenticate(buffer, packet.getLength()).ifPresent(this::deliver);
             } catch (IOException e) {
-                // the socket was closed, or fails for a moment: the next packet tells
-            } catch (RuntimeException e) { // one bad message must not end the thread
+                // the socket is closed, which ends the loop, or the failure is transient
+            } catch (RuntimeException e) { // a single bad message must not end the thread
                 Event.of("membership.fault", "why", e).error();
             }
         }
     }
 
-    /** Opens a packet and takes it in if it is the membership's; returns it if it is for a channel. */
-    private synchronized Optional<OpenedPacket> open(byte[] packet, int length) {
+    /** Authenticates a packet. Passes it to the membership, or returns it if it belongs to another channel. */
+    private synchronized Optional<OpenedPacket> authenticate(byte[] packet, int length) {
         OpenedPacket opened = authenticator.open(packet, length, System.currentTimeMillis());
         if (opened == null) {
             traffic.dropped(length);
@@ -257,13 +267,13 @@
                 wait(Math.max(1, Math.min(MAX_TICK_INTERVAL_MS, nextTickAt - now())));
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException e) { // one failing listener must not end the thread
+            } catch (RuntimeException e) { // a failing listener must not end the thread
                 Event.of("membership.fault", "why", e).error();
             }
         }
     }
 
-    /** Tells the others that this member leaves, then ends the threads. */
+    /** Announces that this member leaves, then ends the threads. */
     @Override
     public void close() {
         synchronized (this) {
@@ -277,7 +287,7 @@
         socket.close();
         if (Thread.currentThread() != receiveThread) {
             try {
-                receiveThread.join(CLOSE_WAIT_MS); // until then the port may not be free
+                receiveThread.join(MAX_CLOSE_WAIT_MS); // the port may be in use until the thread ends
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
