--- a/src/main/java/maplespread/address/LeaderElection.java
+++ b/src/main/java/maplespread/address/LeaderElection.java
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Fencing check: whether this instance owns the address at this moment. Callers check it before each use of the address with the
-     * current time: after a process pause longer than the lease, the role alone is outdated.
+     * Fencing check: whether this instance owns the address at this moment. Callers check it before each use of the
+     * address with the current time: after a process pause longer than the lease, the role alone is outdated.
      */
     public boolean mayAct(long now) {
         return role == Role.LEADER && now < leaseEndsAt;
