--- a/src/main/java/maplespread/address/ElectionSettings.java
+++ b/src/main/java/maplespread/address/ElectionSettings.java
@@ -6,15 +6,15 @@
  * The settings of an election.
  *
  * @param name this instance's name
- * @param electors whose majority decides; the same list at all instances
- * @param candidates who may own the address, the most preferred first; the same list at all instances
- * @param leaseMs of a vote, counted by each elector from its grant, in milliseconds
- * @param drift by what share a clock may run fast or slow at most
- * @param renewMs between renewals, in milliseconds
- * @param staggerMs what each less preferred candidate waits longer, in milliseconds
+ * @param electors the instances whose majority decides; the same list at all instances
+ * @param candidates the instances that may own the address, the most preferred first; the same list at all instances
+ * @param leaseMs duration of a vote, counted by each elector from its grant, in milliseconds
+ * @param drift greatest share by which a clock may run fast or slow
+ * @param renewMs interval between renewals, in milliseconds
+ * @param staggerMs additional delay of each less preferred candidate, in milliseconds
  * @param stableMs how long a preferred candidate has been up before it asks for the address, in milliseconds
- * @param backoffMs what an owner that has lost the address waits, doubled each time, in milliseconds
- * @param maxBackoffMs the longest such wait, in milliseconds
+ * @param backoffMs first backoff of an owner that has lost the address, doubled each time, in milliseconds
+ * @param maxBackoffMs the longest backoff, in milliseconds
  */
 public record ElectionSettings(
         String name,
@@ -37,7 +37,7 @@
     private static final long LOCAL_MAX_BACKOFF_MS = 10_000;
 
     /**
-     * Checks and copies.
+     * Validates the settings and copies the lists.
      *
      * @throws IllegalArgumentException if nobody votes or may own the address, or the times contradict each other
      */
@@ -45,11 +45,11 @@
         electors = List.copyOf(electors);
         candidates = List.copyOf(candidates);
         if (electors.isEmpty() || candidates.isEmpty()) {
-            throw new IllegalArgumentException("an elector and a candidate are needed");
+            throw new IllegalArgumentException("at least one elector and one candidate are required");
         }
         boolean driftValid = drift >= 0 && drift < DRIFT_LIMIT;
         if (!driftValid || leaseMs <= 0 || renewMs <= 0 || renewMs >= leaseMs) {
-            throw new IllegalArgumentException("drift must lie in 0..0.5, renewMs between 0 and leaseMs");
+            throw new IllegalArgumentException("drift must be in [0, 0.5), and renewMs between 0 and leaseMs");
         }
     }
 
@@ -73,14 +73,14 @@
     }
 
     /**
-     * How long an owner may count on a grant from its request on: with this clock slow and the elector's fast by the
-     * drift, it still ends first.
+     * The duration of the owner's lease from its request. With this clock slow and the elector's clock fast by the
+     * drift, the owner's lease still ends before the vote.
      */
     long ownLeaseMs() {
         return (long) Math.floor(leaseMs * (1 - drift) / (1 + drift));
     }
 
-    /** How long an elector that knows nothing is silent: any grant that it may have made is over by then. */
+    /** How long an elector that has started grants no vote: any earlier grant of it has expired by then. */
     long quarantineMs() {
         return (long) Math.ceil(leaseMs * (1 + drift) / (1 - drift)) + 1;
     }
--- a/src/main/java/maplespread/cluster/MemberStatus.java
+++ b/src/main/java/maplespread/cluster/MemberStatus.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * What one dispatcher reports of itself. Shares and the mean latency are of the last seconds.
+ * The status that a dispatcher reports of itself. Shares and the mean latency cover the last seconds.
  *
  * @param incarnation Unix milliseconds at which its process began
  * @param sequence grows with each status of an incarnation
@@ -16,7 +16,7 @@
  * @param rejectedShare of all requests, 0 to 1
  * @param errorShare of all requests, 0 to 1
  * @param meanLatencyMs from a request's acceptance to its answer, in milliseconds
- * @param samples the number of requests that these figures rest on
+ * @param samples the number of requests behind these figures
  */
 public record MemberStatus(
         long incarnation,
@@ -34,18 +34,18 @@
         STARTING,
         /** It serves. */
         SERVING,
-        /** Its clients are sent away, by call or since it ends. */
+        /** It sends its clients away, because of a drain command or its shutdown. */
         DRAINING
     }
 
     private static final byte VERSION = 1;
 
-    /** Most bytes of a text, as UTF-8; longer ones are cut. */
+    /** Greatest length of a text in bytes of UTF-8; longer texts are truncated. */
     private static final int MAX_TEXT_BYTES = 64;
 
     private static final int FIXED_BYTES = 1 + 2 * Long.BYTES + 1 + 3 * Double.BYTES + Long.BYTES + 2;
 
-    /** This status in bytes, at most 200: longer texts are cut. */
+    /** Encodes this status in at most 200 bytes; longer texts are truncated. */
     public byte[] encode() {
         byte[] versionBytes = cutText(version);
         byte[] zoneBytes = cutText(zone);
--- a/src/main/java/maplespread/membership/LocalHealth.java
+++ b/src/main/java/maplespread/membership/LocalHealth.java
@@ -1,8 +1,8 @@
 package maplespread.membership;
 
 /**
- * Lifeguard's local health: how much a member doubts its own timeliness. The more it does, the longer it waits before it
- * judges others.
+ * Lifeguard's local health score. A higher score means that this member is more likely to be slow itself, and lengthens
+ * its timeouts for others.
  */
 final class LocalHealth {
     private final int max;
@@ -12,7 +12,7 @@
         this.max = max;
     }
 
-    /** 0: sound; at most the bound of the settings. */
+    /** The score, from 0 (healthy) to the maximum in the settings. */
     int score() {
         return score;
     }
@@ -29,7 +29,7 @@
         score = max;
     }
 
-    /** A duration, stretched by the doubt. */
+    /** The duration multiplied by the score plus one. */
     long scaled(long durationMs) {
         return durationMs * (1 + score);
     }
--- a/src/main/java/maplespread/membership/Suspicion.java
+++ b/src/main/java/maplespread/membership/Suspicion.java
@@ -4,39 +4,39 @@
 import java.util.Set;
 
 /**
- * A suspicion that its subject may still refute. Each member that suspects the same on its own shortens the time until
- * the subject counts as dead (Lifeguard's LHA-Suspicion).
+ * A suspicion that its subject may still refute. Each independent confirmation by another member shortens the time
+ * until the subject is declared dead (Lifeguard's LHA-Suspicion).
  */
 final class Suspicion {
-    /** Confirmations that shorten the time to its least. */
+    /** Number of confirmations after which the time is shortest. */
     private static final int MAX_CONFIRMATIONS = 3;
 
-    private final Set<String> suspecters = new HashSet<>();
+    private final Set<String> reporters = new HashSet<>();
     private long since;
 
-    Suspicion(String firstSuspecter, long now) {
-        suspecters.add(firstSuspecter);
+    Suspicion(String firstReporter, long now) {
+        reporters.add(firstReporter);
         since = now;
     }
 
-    /** Whether this suspecter is an independent confirmation that still shortens the time. */
-    boolean confirm(String suspecter) {
-        return suspecters.size() <= MAX_CONFIRMATIONS && suspecters.add(suspecter);
+    /** Whether this reporter is an independent confirmation that still shortens the time. */
+    boolean confirm(String reporter) {
+        return reporters.size() <= MAX_CONFIRMATIONS && reporters.add(reporter);
     }
 
-    /** Begins the wait anew. */
+    /** Restarts the timeout. */
     void restart(long now) {
         since = now;
     }
 
     /**
-     * When the subject counts as dead, in milliseconds.
+     * When the subject is declared dead, in milliseconds.
      *
      * @param shortestMs the time with all confirmations
      * @param longestMs the time without any
      */
     long endsAt(double shortestMs, double longestMs) {
-        double share = Math.log(suspecters.size()) / Math.log(MAX_CONFIRMATIONS + 1);
+        double share = Math.log(reporters.size()) / Math.log(MAX_CONFIRMATIONS + 1);
         return since + (long) Math.max(shortestMs, longestMs - (longestMs - shortestMs) * share);
     }
 }
--- a/src/main/java/maplespread/membership/SwimMessageCodec.java
+++ b/src/main/java/maplespread/membership/SwimMessageCodec.java
@@ -88,7 +88,8 @@
     static void putText(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_TEXT_BYTES) {
-            throw new IllegalArgumentException("longer than 1024 bytes: " + text.substring(0, MAX_QUOTED_CHARS));
+            throw new IllegalArgumentException(
+                    "text is longer than 1024 bytes: " + text.substring(0, MAX_QUOTED_CHARS));
         }
         out.putShort((short) bytes.length).put(bytes);
     }
@@ -97,7 +98,7 @@
     static String getText(ByteBuffer in) {
         int length = in.getShort();
         if (length < 0 || length > MAX_TEXT_BYTES) {
-            throw new IllegalArgumentException("a text of " + length);
+            throw new IllegalArgumentException("text length out of range: " + length);
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
