--- a/src/main/java/maplespread/upgrade/InstanceLock.java
+++ b/src/main/java/maplespread/upgrade/InstanceLock.java
@@ -17,36 +17,41 @@
 import org.tinylog.Logger;
 
 /**
- * This process among those of one dispatcher: a record in a directory that they share, and a lock beside it that is held
- * for as long as the process lives. The kernel releases a dead process's lock, so that the files of a dead process are
- * told from those of a live one with certainty; a process number would be used again. Thread-safe but for {@link
- * #close}, which comes last.
+ * Publishes this process to the other processes of the same dispatcher, and detects them. Each process writes a record
+ * to a shared directory and holds a file lock beside the record for as long as the process runs. The kernel releases
+ * the lock of a dead process, which reliably tells the files of a dead process from those of a live one; a process ID
+ * could not, because the system reuses process IDs. Thread-safe except for {@link #close}, which must be the last
+ * call.
  */
 public final class InstanceLock implements Closeable {
     private static final String FILE_PREFIX = "maplespread-";
     private static final String LOCK_SUFFIX = ".lock";
     private static final String RECORD_SUFFIX = ".note";
-    /** A lock file before it is locked. */
+    /** Suffix of a lock file that is not locked yet. */
     private static final String NEW_LOCK_SUFFIX = ".begin";
-    /** A record before it is whole. */
+    /** Suffix of a record that is not completely written yet. */
     private static final String NEW_RECORD_SUFFIX = ".next";
 
     private final Path directory;
     private final String self;
     private final String listenAddress;
-    private final FileChannel lock;
+    private final FileChannel lockChannel;
     private final RateLimitedLogger rateLimitedLogger = new RateLimitedLogger();
 
-    private InstanceLock(Path directory, String self, String listenAddress, FileChannel lock) {
+    private InstanceLock(Path directory, String self, String listenAddress, FileChannel lockChannel) {
         this.directory = directory;
         this.self = self;
         this.listenAddress = listenAddress;
-        this.lock = lock;
+        this.lockChannel = lockChannel;
     }
 
     /**
-     * Makes this process known as starting. Empty, and logged, where the directory cannot be used: then the process
-     * takes itself to be alone.
+     * Locks this process's lock file and publishes a record in phase STARTING.
+     *
+     * @param directory the directory that all processes of the dispatcher share
+     * @param listenAddress the address where the dispatcher accepts clients
+     * @return empty if the directory cannot be used; this method logs the failure, and the process then assumes that no
+     *     other process of the dispatcher is running
      */
     public static Optional<InstanceLock> acquire(Path directory, String listenAddress) {
         FileChannel channel = null;
@@ -55,33 +60,36 @@
             Path unlocked = directory.resolve(self + NEW_LOCK_SUFFIX);
             channel = FileChannel.open(unlocked, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
             if (channel.tryLock() == null) {
-                throw new IOException("its own lock is held");
+                throw new IOException("the new lock file is already locked");
             }
-            // Locked before it has its name: else another process could take it for a dead one's and delete it.
+            // The file is locked before it gets its final name. Otherwise another process could take it for the file of
+            // a
+            // dead process and delete it.
             Files.move(unlocked, directory.resolve(self + LOCK_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
             InstanceLock instanceLock = new InstanceLock(directory, self, listenAddress, channel);
             instanceLock.write(InstanceRecord.Phase.STARTING);
             return Optional.of(instanceLock);
         } catch (IOException | RuntimeException e) {
-            Logger.warn("no word with other processes of this dispatcher: {}", e.toString());
+            Logger.warn(
+                    "instance lock unavailable, other processes of this dispatcher are not detected: {}", e.toString());
             closeQuietly(channel);
             return Optional.empty();
         }
     }
 
-    /** Tells the others; a record that cannot be written is logged, and the one before it stands. */
+    /** Publishes the phase to the other processes. If the write fails, logs that and keeps the previous record. */
     public void publish(InstanceRecord.Phase phase) {
         try {
             write(phase);
         } catch (IOException e) {
-            Logger.warn("the note to other processes cannot be written: {}", e.toString());
+            Logger.warn("cannot write the instance record: {}", e.toString());
         }
     }
 
     private void write(InstanceRecord.Phase phase) throws IOException {
-        Path next = directory.resolve(self + NEW_RECORD_SUFFIX);
-        Files.writeString(next, new InstanceRecord(listenAddress, phase).encode());
-        Files.move(next, recordFile(self), StandardCopyOption.ATOMIC_MOVE);
+        Path unpublished = directory.resolve(self + NEW_RECORD_SUFFIX);
+        Files.writeString(unpublished, new InstanceRecord(listenAddress, phase).encode());
+        Files.move(unpublished, recordFile(self), StandardCopyOption.ATOMIC_MOVE);
     }
 
     private Path recordFile(String process) {
@@ -92,31 +100,31 @@
         return directory.resolve(process + LOCK_SUFFIX);
     }
 
-    /** Whether any other process of this dispatcher lives. */
+    /** Whether any other process of this dispatcher is running. */
     public boolean hasPeer() {
         return hasPeerIn(EnumSet.allOf(InstanceRecord.Phase.class));
     }
 
-    /** Whether another process of this dispatcher lives and takes clients. */
+    /** Whether another process of this dispatcher is running and accepts clients. */
     public boolean hasServingPeer() {
         return hasPeerIn(EnumSet.of(InstanceRecord.Phase.SERVING));
     }
 
-    /** Looks at all processes, also after one was found, so that the files of dead ones are deleted. */
+    /** Checks every process, even after finding a match, because the check deletes the files of dead processes. */
     private boolean hasPeerIn(Set<InstanceRecord.Phase> phases) {
-        boolean found = false;
+        boolean peerFound = false;
         try (DirectoryStream<Path> locks = Files.newDirectoryStream(directory, FILE_PREFIX + '*' + LOCK_SUFFIX)) {
             for (Path lockFile : locks) {
                 String fileName = lockFile.getFileName().toString();
                 String process = fileName.substring(0, fileName.length() - LOCK_SUFFIX.length());
                 if (!process.equals(self)) {
-                    found |= isPeerIn(process, phases);
+                    peerFound |= isPeerIn(process, phases);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            rateLimitedLogger.warn("other processes cannot be looked for: " + e);
+            rateLimitedLogger.warn("cannot check for other processes of this dispatcher: " + e);
         }
-        return found;
+        return peerFound;
     }
 
     private boolean isPeerIn(String process, Set<InstanceRecord.Phase> phases) throws IOException {
@@ -126,12 +134,12 @@
             Files.deleteIfExists(lockFile(process));
             return false;
         }
-        if (!Files.exists(recordFile)) { // it has only just started, or is ending
+        if (!Files.exists(recordFile)) { // the process has just started, or is closing
             return false;
         }
         Optional<InstanceRecord> instanceRecord = InstanceRecord.parse(Files.readString(recordFile));
         if (instanceRecord.isEmpty()) {
-            rateLimitedLogger.warn(recordFile.getFileName() + " is no note of this version: passed over");
+            rateLimitedLogger.warn(recordFile.getFileName() + " is damaged or of another format version; ignored");
         }
         return instanceRecord
                 .filter(peer -> peer.listenAddress().equals(listenAddress))
@@ -143,21 +151,21 @@
         try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.WRITE)) {
             FileLock acquired = channel.tryLock();
             return acquired == null;
-        } catch (OverlappingFileLockException e) { // held by another instance in this very process
+        } catch (OverlappingFileLockException e) { // another InstanceLock of this JVM holds it
             return true;
         }
     }
 
-    /** Ends this process's presence; its files are deleted. */
+    /** Deletes this process's files and releases its lock. */
     @Override
     public void close() {
         try {
             Files.deleteIfExists(recordFile(self));
             Files.deleteIfExists(lockFile(self));
         } catch (IOException e) {
-            Logger.warn("the note to other processes stays behind: {}", e.toString());
+            Logger.warn("cannot delete the files of the instance lock: {}", e.toString());
         }
-        closeQuietly(lock);
+        closeQuietly(lockChannel);
     }
 
     private static void closeQuietly(FileChannel channel) {
@@ -166,7 +174,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // The lock is released with the process.
+            // The kernel releases the lock when the process ends.
         }
     }
 }
--- a/src/main/java/maplespread/upgrade/InstanceRecord.java
+++ b/src/main/java/maplespread/upgrade/InstanceRecord.java
@@ -5,14 +5,15 @@
 import java.util.zip.CRC32;
 
 /**
- * What a process tells other processes of the same dispatcher, as one line of text: the format's version, the address,
- * the phase, and a checksum over these.
+ * The record that a process publishes to the other processes of the same dispatcher. Its encoding is one line of text:
+ * the format version, the address, the phase, and a checksum of these three.
  *
- * @param listenAddress the clients' address, by which processes of one dispatcher know each other
- * @param phase where the process stands
+ * @param listenAddress the address where the dispatcher accepts clients; processes with the same address belong to the
+ *     same dispatcher
+ * @param phase the phase of the process's life cycle
  */
 public record InstanceRecord(String listenAddress, Phase phase) {
-    /** STARTING: takes no clients yet; SERVING: takes them; ENDING: has been told to end. */
+    /** STARTING: does not accept clients yet; SERVING: accepts clients; ENDING: is shutting down on request. */
     public enum Phase {
         STARTING,
         SERVING,
@@ -27,7 +28,7 @@
         return body + SEPARATOR + checksum(body) + '\n';
     }
 
-    /** Empty where the text is damaged, of another version, or no record at all. */
+    /** Returns empty if the text is damaged, has another format version, or is not a record. */
     static Optional<InstanceRecord> parse(String text) {
         String[] fields = text.strip().split(SEPARATOR);
         if (fields.length != 4 || !fields[0].equals(FORMAT_VERSION)) {
--- a/src/main/java/maplespread/upgrade/package-info.java
+++ b/src/main/java/maplespread/upgrade/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Two processes of one dispatcher, while one replaces the other. {@code InstanceRecord} is what a process tells the
- * others, as text; {@code InstanceLock} owns the files. No threads of its own. Knows nothing of clients, workers or
- * decisions; may import {@code http}'s rate-limited logger alone. Used by {@code feature}.
+ * Detection of other processes of the same dispatcher, while one process replaces another. {@code InstanceRecord} is
+ * the text that a process publishes to the others; {@code InstanceLock} owns the files. The package starts no threads
+ * and does not depend on clients, workers or dispatch decisions. It may import only the rate-limited logger of {@code
+ * http}. Used by {@code feature}.
  */
 package maplespread.upgrade;
