--- a/src/main/java/maplespread/release/InstanceCommands.java
+++ b/src/main/java/maplespread/release/InstanceCommands.java
@@ -179,7 +179,7 @@
         for (Member member : view.members()) {
             if (member.serving() && !state.members().containsKey(member.id())) {
                 throw new ReleaseRejectedException(
-                        Reason.NOT_DUE, member.id() + " is serving but not yet recorded as a member");
+                        Reason.NOT_DUE, member.id() + " has come, and is not told yet");
             }
         }
     }
