--- a/src/main/java/maplespread/release/InstanceCommands.java
+++ b/src/main/java/maplespread/release/InstanceCommands.java
@@ -178,8 +178,7 @@
     private static void requireAllKnown(RolloutState state, FleetView view) throws ReleaseRejectedException {
         for (Member member : view.members()) {
             if (member.serving() && !state.members().containsKey(member.id())) {
-                throw new ReleaseRejectedException(
-                        Reason.NOT_DUE, member.id() + " has come, and is not told yet");
+                throw new ReleaseRejectedException(Reason.NOT_DUE, member.id() + " has come, and is not told yet");
             }
         }
     }
