--- a/src/main/java/maplespread/address/LeaderElection.java
+++ b/src/main/java/maplespread/address/LeaderElection.java
@@ -16,8 +16,9 @@
  * shortened by the drift of both clocks, so its lease expires before any of the votes does. Two candidates therefore
  * never own the address at once. Message delays may be unbounded; clocks only need to run at nearly the same rate.
  *
- * <p>Nothing is persisted. An elector that starts knows neither its votes nor the terms, so it grants no vote for longer
- * than any lease lasts. Terms start at Unix time, so that they increase even when all instances restart.
+ * <p>Nothing is persisted. An elector that starts knows neither its votes nor the terms, so it first waits for longer
+ * than any lease lasts before it grants a vote. Terms start at Unix time, so that they increase even when all instances
+ * restart.
  *
  * <p>The caller passes the time in milliseconds of a monotonic clock and calls from one thread at a time.
  */
@@ -193,7 +194,7 @@
 
     // ------------------------------------------------------------ messages
 
-    /** Processes a message from another instance whose sender is authenticated. */
+    /** Processes an authenticated message from another instance. */
     public void received(long now, ElectionMessage message) {
         if (ended) {
             return;
@@ -365,7 +366,10 @@
         ended = true;
     }
 
-    /** Ends the ownership. The backoff doubles when the address is lost soon after it was acquired. */
+    /**
+     * Ends the ownership. The backoff doubles, up to its maximum, when the address is lost soon after it was acquired
+     * and no successor is named; otherwise it is reset to its initial value.
+     */
     private void loseOwnership(long now, String reason, String successor) {
         boolean lostEarly = now - acquiredAt < settings.stableMs();
         boolean unstable = successor.isEmpty() && lostEarly;
--- a/src/main/java/maplespread/caller/ClientConnection.java
+++ b/src/main/java/maplespread/caller/ClientConnection.java
@@ -39,7 +39,10 @@
     private static final double NO_CAPACITY_RETRY_AFTER_MS = 250;
     /** Number of consecutive unacceptable requests after which the connection is closed. */
     private static final int MAX_CONSECUTIVE_FAULTS = 4;
-    /** Base in milliseconds of the delay after an unacceptable request; the delay doubles with each consecutive one. */
+    /**
+     * Half the delay, in milliseconds, after the first unacceptable request; the delay doubles with each consecutive
+     * one.
+     */
     private static final long FAULT_DELAY_MS = 25;
 
     private static final int READ_BUFFER_BYTES = 256;
@@ -128,7 +131,7 @@
         return lastActivityNanos;
     }
 
-    /** Whether the connection has no unread bytes, and no part of a request unless it is not validated. */
+    /** Whether the connection has no unread bytes, and is either idle or reading a request but not validated. */
     boolean isEvictable() {
         return (phase() == Phase.IDLE || awaitsFirstRequest()) && !connection.pending();
     }
@@ -168,7 +171,7 @@
         return true;
     }
 
-    /** Answers the request held as failed: it may have run, and this process will not learn how it ends. */
+    /** Fails the current request: it may have run, and this process will not learn how it ends. */
     void fail() {
         ClientResponse response = current;
         if (response != null && !response.completed()) {
@@ -327,7 +330,7 @@
 
     /**
      * Waits for a request's first byte. The wait is shorter for a connection that is not validated: many clients that
-     * connect, or send one request, and then stay connected would exhaust the connection limit.
+     * stay connected without sending an acceptable request would exhaust the connection limit.
      */
     private boolean awaitFirstByte() throws IOException, InterruptedException {
         if (consecutiveFaults > 0) {
@@ -415,7 +418,7 @@
         }
         validated = true;
         consecutiveFaults = 0;
-        if (arrivedEarly && connection.peerHasClosed()) { // the watch would detect that the client has left too late
+        if (arrivedEarly && connection.peerHasClosed()) { // the watch would detect too late that the client has left
             response.drop();
             complete(requestId);
             return;
--- a/src/main/java/maplespread/consensus/Learner.java
+++ b/src/main/java/maplespread/consensus/Learner.java
@@ -95,7 +95,8 @@
 
     /**
      * The interval to the next comparison. It is short after a decision; otherwise it grows with the number of members
-     * per elector, so that the message rate of an elector does not grow with the fleet.
+     * per elector, between a minimum and a maximum. Between these limits, the message rate of an elector does not grow
+     * with the fleet.
      */
     private long nextIntervalMs() {
         if (comparisonsAfterDecision > 0) {
--- a/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
+++ b/src/main/java/maplespread/discovery/EndpointSourceSwitch.java
@@ -107,7 +107,10 @@
         }
     }
 
-    /** Closes on a separate thread: the source may hold its own lock while it waits for this lock to notify. */
+    /**
+     * Closes on a separate thread: the source may hold its own lock while one of its notifications waits for this
+     * object's lock.
+     */
     private static void closeInBackground(EndpointSource source) {
         Thread closer = new Thread(source::close, "routes handed over");
         closer.setDaemon(true);
--- a/src/main/java/maplespread/facade/DecisionService.java
+++ b/src/main/java/maplespread/facade/DecisionService.java
@@ -36,7 +36,7 @@
     private static final long MAX_HOST_COUNTS_AGE_US = 100_000;
 
     private final ReentrantLock lock = new ReentrantLock();
-    /** Signalled when an action is added, or a timer, which may be the first one due. */
+    /** Signalled when an action or a timer is added; the new timer may be due before all others. */
     private final Condition tickNeeded = lock.newCondition();
 
     private final long startUs = System.currentTimeMillis() * 1000;
@@ -218,8 +218,8 @@
 
     /**
      * Whether the attempt may be sent now; to be called just before its first byte. While its connection was
-     * established, the worker may have begun to drain, the client may have left, or the time in which workers recognize
-     * a repeat may have passed.
+     * being established, the worker may have begun to drain, the client may have left, or the time in which workers
+     * recognize a repeat may have passed.
      */
     public SendCheck checkSend(Attempt attempt) {
         InFlightRequest request = attempt.request();
@@ -448,7 +448,10 @@
         }
     }
 
-    /** Returns whether the policy accepted the event. A rejected event is logged and otherwise ignored. */
+    /**
+     * Returns whether the policy accepted the event. A rejection is logged; the caller decides on any further effect,
+     * such as failing the request.
+     */
     private boolean guarded(String event, Runnable call) {
         try {
             call.run();
--- a/src/main/java/maplespread/partition/FencingCheck.java
+++ b/src/main/java/maplespread/partition/FencingCheck.java
@@ -27,7 +27,7 @@
 
     private final LeaseSettings settings;
     private final String self;
-    /** When this member learned of each silence, in milliseconds, by the epoch at which the silence began. */
+    /** By the epoch at which a silence began: the time in milliseconds when this member learned of that silence. */
     private final Map<Long, Long> silenceLearnedAtMs = new HashMap<>();
     /** The electors that have granted the lease in the current renewal round. */
     private final Set<String> grantedBy = new HashSet<>();
--- a/src/main/java/maplespread/partition/SlotAssignment.java
+++ b/src/main/java/maplespread/partition/SlotAssignment.java
@@ -243,8 +243,8 @@
 
     /**
      * Stops the key after a request of it failed at this member, under a rule that stops the key. Has an effect only
-     * while the member owns the key's slot, because a later owner that has waited out the hold time no longer takes
-     * stops by this member into account.
+     * while the member owns the key's slot, because a later owner that has waited out the hold time may already have
+     * sent the key's next requests.
      */
     public SlotAssignment stopKey(String member, String key) {
         boolean stored = stoppedKeys.contains(key);
--- a/src/main/java/maplespread/partition/client/OrderedDispatch.java
+++ b/src/main/java/maplespread/partition/client/OrderedDispatch.java
@@ -289,8 +289,8 @@
 
     /**
      * Applies a decided assignment and its routing tables; returns false if the assignment is no newer than the known
-     * one. Requests that were forwarded to a silent member which has now lost their slots are in doubt at once, whether
-     * or not their responses are still awaited.
+     * one. Cancels the requests that await a response from a silent member which has now lost their slots; they end at
+     * once with an unknown outcome.
      */
     boolean learn(SlotAssignment next, RoutingTable current, RoutingTable previous) {
         boolean learned = state.learn(next, current, previous);
--- a/src/main/java/maplespread/policy/AdmissionControl.java
+++ b/src/main/java/maplespread/policy/AdmissionControl.java
@@ -29,7 +29,7 @@
     /**
      * Decides whether a request for which no worker was chosen is ended.
      *
-     * @param anyEligible whether some worker may take the request, at a cost above that of a rejection
+     * @param anyEligible whether some worker may take the request but costs more than a rejection
      * @return the reason to end the request, or empty if it may wait for a worker
      */
     Optional<RejectionReason> rejectionReason(PendingRequest request, boolean anyEligible) {
--- a/src/main/java/maplespread/policy/SlowStartBudget.java
+++ b/src/main/java/maplespread/policy/SlowStartBudget.java
@@ -78,7 +78,10 @@
         availableMs -= Math.max(workMs, arrivals.meanWorkMs());
     }
 
-    /** This dispatcher's share of the work of one window, at the lower of the kind's speed and the worker's own. */
+    /**
+     * Half of this dispatcher's share of the overload limit for one window, at the lower of the kind's speed and the
+     * worker's own.
+     */
     private double windowBudgetMs() {
         double speed = Math.min(worker.kind.speed, worker.speedEstimator.speed());
         double capacity = speed * worker.slotEstimator.slots() * capacityShare();
--- a/src/test/java/maplespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/maplespread/policy/OutlierDetectorTest.java
@@ -34,6 +34,7 @@
         }
     }
 
+    /** A request is sent although all workers are silent. */
     @Test
     void requestsAreStillSentWhenAllWorkersLookSilent() {
         RuleCheckingHost host = RuleCheckingHost.withTwoWorkers();
@@ -89,8 +90,8 @@
     }
 
     /**
-     * Guards against a healthy worker that is put into slow start because one connection broke: a probe follows at once
-     * and shows that it is healthy.
+     * Guards against a slow start after one broken connection, which would cost a healthy worker's capacity. A probe
+     * follows at once, and its answer ends the ejection without a slow start.
      */
     @Test
     void oneBrokenConnectionDoesNotCauseASlowStart() {
